--- a/core/src/main/java/spartrail/coordination/Coordinator.java
+++ b/core/src/main/java/spartrail/coordination/Coordinator.java
@@ -1,9 +1,9 @@
 package spartrail.coordination;
 
 import java.util.List;
+import spartrail.model.Attempt;
 import spartrail.model.Decisions;
 import spartrail.model.Multiget;
-import spartrail.model.Send;
 import spartrail.model.Server;
 import spartrail.model.Shard;
 
@@ -55,7 +55,7 @@
     Decisions place(Multiget mg, double nowMs);
 
     /** What to do after this outcome of a send, so long after it was sent. */
-    Decisions after(Send send, Send.Outcome outcome, double tookMs, double nowMs);
+    Decisions after(Attempt send, Attempt.Outcome outcome, double tookMs, double nowMs);
 
     /** How long to wait, without other calls, until {@link #waited}. */
     double waitMs(double nowMs);
--- a/core/src/main/java/spartrail/coordination/WindowCoordinator.java
+++ b/core/src/main/java/spartrail/coordination/WindowCoordinator.java
@@ -11,17 +11,17 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
-import spartrail.model.Call;
+import spartrail.model.Attempt;
+import spartrail.model.AttemptBatch;
 import spartrail.model.Decisions;
 import spartrail.model.Layout;
 import spartrail.model.Multiget;
 import spartrail.model.OpType;
 import spartrail.model.Part;
-import spartrail.model.Send;
 import spartrail.model.Server;
 import spartrail.model.Shard;
-import spartrail.model.Tally;
-import spartrail.model.Timetable;
+import spartrail.model.SlidingWindowCounter;
+import spartrail.model.TimerQueue;
 
 /**
  * All decisions of a front node.
@@ -65,7 +65,7 @@
     private final RandomGenerator random;
     private final List<OpType> opTypes;
     final Map<String, Server> servers = new LinkedHashMap<>();
-    final Timetable timetable = new Timetable();
+    final TimerQueue timetable = new TimerQueue();
     private Decisions decisions = new Decisions();
     private double now;
     private double nextBeatMs;
@@ -266,9 +266,9 @@
         Multiget mg = part.multiget;
         double leftMs = (mg.opType.lateShare > 0 ? mg.clientAtMs : mg.budgetAtMs) - now;
         double timeoutMs = mayRace(part) ? leftMs : Math.min(leftMs, patienceMs(part) * LONE_PATIENCE);
-        Send send = new Send(part, server, part.sends.size(), now, timeoutMs);
+        Attempt send = new Attempt(part, server, part.sends.size(), now, timeoutMs);
         if (!callOpen(server)) {
-            server.call = new Call(now);
+            server.call = new AttemptBatch(now);
             server.callsOut++;
         }
         send.call = server.call;
@@ -294,7 +294,7 @@
     }
 
     @Override
-    public Decisions after(Send send, Send.Outcome outcome, double tookMs, double nowMs) {
+    public Decisions after(Attempt send, Attempt.Outcome outcome, double tookMs, double nowMs) {
         begin(nowMs);
         if (!send.out()) {
             return decisions;
@@ -308,7 +308,7 @@
         learn(send, outcome, tookMs);
         Part part = send.part;
         if (!part.multiget.over && part.open()) {
-            if (outcome == Send.Outcome.ANSWERED) {
+            if (outcome == Attempt.Outcome.ANSWERED) {
                 close(part);
                 part.answered = true;
                 part.multiget.answeredWeight += part.weight;
@@ -318,7 +318,7 @@
                 answerIfDone(part.multiget);
                 resume(part.multiget);
             } else if (!part.held && !part.sendOut()) {
-                if (outcome == Send.Outcome.RESET) {
+                if (outcome == Attempt.Outcome.RESET) {
                     brokeAt(part.multiget, send.server);
                 }
                 if (!condemned(part.multiget)) {
@@ -337,18 +337,18 @@
     /**
      * The limit of a server: one more for an answer within the usual time when it binds, half for a time-out or full.
      */
-    private void adjustLimit(Send send, Send.Outcome outcome, double tookMs) {
+    private void adjustLimit(Attempt send, Attempt.Outcome outcome, double tookMs) {
         Server server = send.server;
         OpType op = send.part.multiget.opType;
         // Danger: limits that grow while queues build up at the servers, where nothing puts them in key order. Danger:
         // a part that is lost says nothing of a queue; where later ones were answered, it does not count.
-        boolean timedOut = outcome == Send.Outcome.TIMED_OUT
+        boolean timedOut = outcome == Attempt.Outcome.TIMED_OUT
                 || tookMs > op.budgetMs * TIME_OUT
-                        && (outcome == Send.Outcome.ANSWERED || server.lastAnsweredSentMs <= send.sentMs);
-        if ((outcome == Send.Outcome.FULL || timedOut) && send.sentMs >= server.halvedMs) {
+                        && (outcome == Attempt.Outcome.ANSWERED || server.lastAnsweredSentMs <= send.sentMs);
+        if ((outcome == Attempt.Outcome.FULL || timedOut) && send.sentMs >= server.halvedMs) {
             server.limit = Math.max(1, server.limit / 2);
             server.halvedMs = now;
-        } else if (outcome == Send.Outcome.ANSWERED
+        } else if (outcome == Attempt.Outcome.ANSWERED
                 && tookMs <= USUAL * op.learned.lightMs
                 && server.out.size() + 1 >= server.limit) {
             server.limit++;
@@ -469,8 +469,8 @@
     private double budgetFree;
     private double budgetShare;
     private double furtherFund = FUND_MOST / 2;
-    private final Tally furtherSends = new Tally();
-    private final Tally taken = new Tally();
+    private final SlidingWindowCounter furtherSends = new SlidingWindowCounter();
+    private final SlidingWindowCounter taken = new SlidingWindowCounter();
 
     @Override
     public Coordinator sends(int most, boolean parallelAllowed, boolean cancellingAllowed) {
@@ -521,7 +521,7 @@
         }
         return switch (op.repeat) {
             case RETRIABLE -> true;
-            case NON_RETRIABLE -> part.sends.stream().allMatch(Send::neverRan);
+            case NON_RETRIABLE -> part.sends.stream().allMatch(Attempt::neverRan);
             case DEDUPED -> now < part.windowEndsMs() - turnMs;
         };
     }
@@ -553,7 +553,7 @@
     /** So many servers that died unannounced, in so long, tell of killers. */
     private static final int DEATHS = 3;
 
-    private final Tally deaths = new Tally();
+    private final SlidingWindowCounter deaths = new SlidingWindowCounter();
 
     /**
      * Danger: a multiget whose parts bring servers down does so with its first sends, and a wide one takes the fleet
@@ -605,7 +605,7 @@
      * Silence or slowness of one send: its part joins its queue again, for a copy at another replica. Danger: a server
      * that loses parts and answers the rest quickly; what later answers have overtaken is taken for lost early.
      */
-    private void overdue(Send send) {
+    private void overdue(Attempt send) {
         Part part = send.part;
         boolean latest = part.sends.get(part.sends.size() - 1) == send;
         if (!send.out() || part.multiget.over || !part.open() || part.held || !latest || !mayRepeat(part)) {
@@ -629,7 +629,7 @@
     }
 
     private void cancelSends(Part part) {
-        for (Send send : part.sends) {
+        for (Attempt send : part.sends) {
             if (cancelling && send.out() && !send.cancelled) {
                 send.cancelled = true;
                 decisions.cancels.add(send);
@@ -664,13 +664,13 @@
         return now - server.lastAnswerMs < ANSWERING_MS;
     }
 
-    private void learn(Send send, Send.Outcome outcome, double tookMs) {
+    private void learn(Attempt send, Attempt.Outcome outcome, double tookMs) {
         Server server = send.server;
         OpType op = send.part.multiget.opType;
         if (send.sentMs < server.bornMs) {
             return; // Of a process that is no more.
         }
-        if (outcome == Send.Outcome.ANSWERED) {
+        if (outcome == Attempt.Outcome.ANSWERED) {
             server.lastAnswerMs = now;
             server.lastAnsweredSentMs = Math.max(server.lastAnsweredSentMs, send.sentMs);
             server.answers++;
@@ -714,7 +714,7 @@
             case CONNECT_FAILED -> server.pace = 2 * FAILURE_PACE;
             default -> {}
         }
-        server.garbledMs = outcome == Send.Outcome.GARBLED ? now : server.garbledMs;
+        server.garbledMs = outcome == Attempt.Outcome.GARBLED ? now : server.garbledMs;
     }
 
     private void notePace(Server server, double pace) {
@@ -728,7 +728,7 @@
         if (server.out.isEmpty()) {
             return server.pace;
         }
-        Send oldest = server.out.iterator().next();
+        Attempt oldest = server.out.iterator().next();
         double silentMs = now - Math.max(oldest.sentMs, server.lastAnswerMs);
         OpType op = oldest.part.multiget.opType;
         return Math.max(server.pace, silentMs / (usualMs(op) + op.learned.deviationMs));
@@ -875,7 +875,7 @@
         double comebackMs = comebackMs(mg);
         // A deduped one that may have run is pushed back where its client, told when, comes within the time.
         boolean inTime = op.repeat == OpType.Repeat.DEDUPED && comebackAllowed;
-        Predicate<Send> mayRunAgain =
+        Predicate<Attempt> mayRunAgain =
                 send -> send.neverRan() || inTime && now + 2 * comebackMs < send.sentMs + op.dedupMs;
         boolean harmless = op.repeat == OpType.Repeat.RETRIABLE
                 || mg.parts.stream().flatMap(part -> part.sends.stream()).allMatch(mayRunAgain);
--- a/core/src/main/java/spartrail/membership/Membership.java
+++ b/core/src/main/java/spartrail/membership/Membership.java
@@ -14,7 +14,7 @@
 import spartrail.membership.Member.Standing;
 import spartrail.membership.Member.Word;
 import spartrail.model.Server;
-import spartrail.model.Timetable;
+import spartrail.model.TimerQueue;
 
 /**
  * The view of all servers, merged from sources that disagree.
@@ -58,8 +58,8 @@
 
     private final Map<Integer, Set<Member>> byCell = new HashMap<>();
     private final Set<Member> changed = new LinkedHashSet<>();
-    private final Timetable timetable = new Timetable();
-    private final Map<Member, Timetable.Due> dues = new HashMap<>();
+    private final TimerQueue timetable = new TimerQueue();
+    private final Map<Member, TimerQueue.Due> dues = new HashMap<>();
     private double nowMs;
     private long refused;
     private long notAllowed;
@@ -285,7 +285,7 @@
         steps++;
         Verdict verdict = verdict(member);
         move(member, verdict.standing(), verdict.rule());
-        Timetable.Due due = dues.remove(member);
+        TimerQueue.Due due = dues.remove(member);
         if (due != null) {
             timetable.remove(due);
         }
--- a/core/src/main/java/spartrail/model/Ranges.java
+++ b/core/src/main/java/spartrail/model/AddressRanges.java
@@ -5,13 +5,13 @@
 import java.util.function.Predicate;
 
 /** Ranges of IPv4 addresses such as 10.0.0.0/8, and whether an endpoint such as 10.1.2.3:7400 lies in one of them. */
-public final class Ranges implements Predicate<String> {
+public final class AddressRanges implements Predicate<String> {
     private record Range(long address, long mask) {}
 
     private final List<Range> ranges = new ArrayList<>();
 
     /** An IllegalArgumentException names the place and what was found there. */
-    public Ranges(List<?> texts, String place) {
+    public AddressRanges(List<?> texts, String place) {
         for (Object text : texts) {
             String[] parts = String.valueOf(text).split("/");
             long address = parts.length == 2 ? address(parts[0]) : -1;
--- a/core/src/main/java/spartrail/model/Send.java
+++ b/core/src/main/java/spartrail/model/Attempt.java
@@ -1,7 +1,7 @@
 package spartrail.model;
 
 /** One try of a part at one server. */
-public final class Send {
+public final class Attempt {
     /** How a send ended. */
     public enum Outcome {
         ANSWERED(true),
@@ -31,13 +31,13 @@
     /** Its frame may begin until then: a repeat that leaves after its op type's window would take effect twice. */
     public double leaveByMs = Double.POSITIVE_INFINITY;
 
-    public Call call;
+    public AttemptBatch call;
     public Outcome outcome;
     public boolean cancelled;
     /** The server had nothing else of this node's out. */
     public boolean alone;
 
-    public Send(Part part, Server server, int number, double sentMs, double timeoutMs) {
+    public Attempt(Part part, Server server, int number, double sentMs, double timeoutMs) {
         this.part = part;
         this.server = server;
         this.number = number;
--- a/core/src/main/java/spartrail/model/FleetWord.java
+++ b/core/src/main/java/spartrail/model/FleetView.java
@@ -8,10 +8,10 @@
  * @param sure the node trusts that count now
  * @param heard it comes from the nodes themselves, not from settings
  */
-public record FleetWord(int most, boolean sure, boolean heard) {
+public record FleetView(int most, boolean sure, boolean heard) {
     /** The same from settings alone. */
-    public static FleetWord told(int nodes) {
-        return new FleetWord(nodes, true, false);
+    public static FleetView told(int nodes) {
+        return new FleetView(nodes, true, false);
     }
 
     /**
--- a/core/src/main/java/spartrail/model/Multiget.java
+++ b/core/src/main/java/spartrail/model/Multiget.java
@@ -51,7 +51,7 @@
     /** Nothing more of it is sent until one of its parts is answered. */
     public boolean tasting;
     /** What is due for it while it is in hand. */
-    public final List<Timetable.Due> dues = new ArrayList<>();
+    public final List<TimerQueue.Due> dues = new ArrayList<>();
 
     public boolean over;
     public Answer answer;
--- a/core/src/main/java/spartrail/model/Part.java
+++ b/core/src/main/java/spartrail/model/Part.java
@@ -19,7 +19,7 @@
     public double heldSinceMs;
     public boolean answered;
     public boolean abandoned;
-    public final List<Send> sends = new ArrayList<>();
+    public final List<Attempt> sends = new ArrayList<>();
 
     /** Its answer is still waited for. */
     public boolean open() {
@@ -27,7 +27,7 @@
     }
 
     public boolean sendOut() {
-        for (Send send : sends) {
+        for (Attempt send : sends) {
             if (send.out()) {
                 return true;
             }
@@ -47,7 +47,7 @@
     }
 
     public boolean triedAt(Server server) {
-        for (Send send : sends) {
+        for (Attempt send : sends) {
             if (send.server == server) {
                 return true;
             }
@@ -56,7 +56,7 @@
     }
 
     public boolean outAt(Server server) {
-        for (Send send : sends) {
+        for (Attempt send : sends) {
             if (send.out() && send.server == server) {
                 return true;
             }
--- a/core/src/main/java/spartrail/model/Server.java
+++ b/core/src/main/java/spartrail/model/Server.java
@@ -26,11 +26,11 @@
     public List<Shard> shards = new ArrayList<>();
 
     /** Sends out, in order of sending, and the number of calls that carry them. */
-    public final Set<Send> out = new LinkedHashSet<>();
+    public final Set<Attempt> out = new LinkedHashSet<>();
 
     public int callsOut;
     /** The latest call; parts of the same turn may still join it. */
-    public Call call;
+    public AttemptBatch call;
     /** Order in which replicas are taken in turn. */
     public long lastTurn;
     /** Most parts that may be out. */
@@ -54,7 +54,7 @@
 
     public double answerRate;
     /** Times of sends while cold, not older than the span that counts. */
-    public final Tally coldSends = new Tally();
+    public final SlidingWindowCounter coldSends = new SlidingWindowCounter();
 
     public Server(String id) {
         this.id = id;
--- a/core/src/main/java/spartrail/model/Tally.java
+++ b/core/src/main/java/spartrail/model/SlidingWindowCounter.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 
 /** Counts by time, of which those before a time are dropped. */
-public final class Tally {
+public final class SlidingWindowCounter {
     private record Entry(double atMs, int count) {}
 
     private final Deque<Entry> entries = new ArrayDeque<>();
--- a/core/src/main/java/spartrail/model/Timetable.java
+++ b/core/src/main/java/spartrail/model/TimerQueue.java
@@ -5,7 +5,7 @@
 import java.util.TreeSet;
 
 /** What is due when, in order of time, then of entry. */
-public final class Timetable {
+public final class TimerQueue {
     /** What is due at a time. */
     public record Due(double atMs, long number, Runnable what) {}
 
--- a/core/src/main/java/spartrail/peers/Member.java
+++ b/core/src/main/java/spartrail/peers/Member.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import spartrail.model.Timetable;
+import spartrail.model.TimerQueue;
 
 /** What a node holds of another one. */
 final class Member {
@@ -26,7 +26,7 @@
     /** This node itself has asked it since it stands so. */
     boolean askedAgain;
 
-    Timetable.Due due;
+    TimerQueue.Due due;
     /** How often it has been passed on since it changed, and whether it is to be passed on further. */
     int passedOn;
 
--- a/core/src/main/java/spartrail/peers/Peers.java
+++ b/core/src/main/java/spartrail/peers/Peers.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
-import spartrail.model.Timetable;
+import spartrail.model.TimerQueue;
 import spartrail.peers.Message.Kind;
 import spartrail.peers.PeersView.Seen;
 import spartrail.peers.PeersView.Sure;
@@ -122,7 +122,7 @@
     /** Nonces of members asked lately, so that a late answer counts, too. */
     private final Map<Long, String> asked = new LinkedHashMap<>();
 
-    private final Timetable timetable = new Timetable();
+    private final TimerQueue timetable = new TimerQueue();
     private final List<Outgoing> out = new ArrayList<>();
     private final Deque<PeerEvent> events = new ArrayDeque<>();
     private final Map<String, Long> counts = new TreeMap<>();
--- a/core/src/main/java/spartrail/peers/PeersView.java
+++ b/core/src/main/java/spartrail/peers/PeersView.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import spartrail.model.FleetWord;
+import spartrail.model.FleetView;
 
 /**
  * What a node knows of all front nodes, itself included.
@@ -41,7 +41,7 @@
             Card card, Standing standing, double sinceMs, String from, Sure sure, double heardMs, String why) {}
 
     /** What the module is told of it. */
-    public FleetWord word() {
-        return new FleetWord(most, doubt.isEmpty(), true);
+    public FleetView word() {
+        return new FleetView(most, doubt.isEmpty(), true);
     }
 }
--- a/core/src/test/java/spartrail/coordination/ColdFleet.java
+++ b/core/src/test/java/spartrail/coordination/ColdFleet.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.Random;
+import spartrail.model.Attempt;
 import spartrail.model.Decisions;
 import spartrail.model.Multiget;
 import spartrail.model.OpType;
 import spartrail.model.Part;
-import spartrail.model.Send;
 import spartrail.model.Server;
 
 /**
@@ -81,13 +81,13 @@
         }
 
         private void carryOut(Decisions decisions) {
-            for (Send send : decisions.sends) {
+            for (Attempt send : decisions.sends) {
                 boolean cold = send.server.id.equals("s0") && nowMs >= BORN_MS;
                 if (cold) {
                     sent(nowMs);
                 }
                 double tookMs = serviceMs / (cold ? warmth(nowMs) : 1);
-                at(nowMs + tookMs, () -> carryOut(coordinator.after(send, Send.Outcome.ANSWERED, tookMs, nowMs)));
+                at(nowMs + tookMs, () -> carryOut(coordinator.after(send, Attempt.Outcome.ANSWERED, tookMs, nowMs)));
             }
             long wake = ++wakes;
             at(nowMs + Math.max(0.01, coordinator.waitMs(nowMs)), () -> {
--- a/core/src/test/java/spartrail/coordination/Script.java
+++ b/core/src/test/java/spartrail/coordination/Script.java
@@ -12,11 +12,11 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Random;
+import spartrail.model.Attempt;
 import spartrail.model.Decisions;
 import spartrail.model.Multiget;
 import spartrail.model.OpType;
 import spartrail.model.Part;
-import spartrail.model.Send;
 import spartrail.model.Server;
 
 /** Plays a small script to a coordinator and prints what it decides, to be compared with a kept trace. */
@@ -30,7 +30,7 @@
 
     private final StringBuilder trace = new StringBuilder();
     private final Map<Long, Multiget> multigets = new LinkedHashMap<>();
-    private final Map<String, Send> sends = new LinkedHashMap<>();
+    private final Map<String, Attempt> sends = new LinkedHashMap<>();
 
     Script() {
         opType.name = "read";
@@ -113,8 +113,8 @@
     }
 
     /** The outcome of a send, named as in the trace. */
-    Script after(String name, Send.Outcome outcome) {
-        Send send = sends.get(name);
+    Script after(String name, Attempt.Outcome outcome) {
+        Attempt send = sends.get(name);
         if (send == null) {
             return this;
         }
@@ -122,7 +122,7 @@
     }
 
     /** The same outcome for all that is out at a server. */
-    Script afterAt(String server, Send.Outcome outcome) {
+    Script afterAt(String server, Attempt.Outcome outcome) {
         List.copyOf(sends.keySet()).stream()
                 .filter(name ->
                         sends.get(name).out() && sends.get(name).server.id.equals(server))
@@ -172,7 +172,7 @@
 
     private String text(Decisions decisions) {
         StringBuilder text = new StringBuilder();
-        for (Send send : decisions.sends) {
+        for (Attempt send : decisions.sends) {
             text.append(' ').append(name(send)).append('@').append(send.server.id);
             sends.put(name(send), send);
         }
@@ -184,7 +184,7 @@
     }
 
     /** Multiget, shard, number of the send. */
-    private static String name(Send send) {
+    private static String name(Attempt send) {
         Part part = send.part;
         return part.multiget.id + "." + part.shard.number + "#" + send.number;
     }
--- a/core/src/test/java/spartrail/coordination/WindowCoordinatorTest.java
+++ b/core/src/test/java/spartrail/coordination/WindowCoordinatorTest.java
@@ -6,8 +6,8 @@
 
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
+import spartrail.model.Attempt.Outcome;
 import spartrail.model.OpType;
-import spartrail.model.Send.Outcome;
 import spartrail.model.Server;
 
 class WindowCoordinatorTest {
--- a/dns/src/main/java/spartrail/dns/DnsTransport.java
+++ b/dns/src/main/java/spartrail/dns/DnsTransport.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Consumer;
 import spartrail.model.NodeClock;
-import spartrail.model.Timetable;
+import spartrail.model.TimerQueue;
 
 /**
  * Carries out what a {@link Resolver} asks, on a thread of its own: a fresh UDP socket, and so a port drawn by the system,
@@ -32,7 +32,7 @@
     private final class Udp {
         private final Question question;
         private final DatagramChannel channel;
-        private Timetable.Due due;
+        private TimerQueue.Due due;
 
         Udp(Question question) throws IOException {
             this.question = question;
@@ -89,12 +89,12 @@
         private final SocketChannel channel;
         private final SelectionKey key;
         private final Map<Integer, Question> out = new HashMap<>();
-        private final Map<Integer, Timetable.Due> dues = new HashMap<>();
+        private final Map<Integer, TimerQueue.Due> dues = new HashMap<>();
         private final Deque<ByteBuffer> unwritten = new ArrayDeque<>();
         private ByteBuffer in = ByteBuffer.allocate(2);
         private boolean head = true;
         private boolean up;
-        private Timetable.Due unused;
+        private TimerQueue.Due unused;
 
         Tcp(InetSocketAddress server) throws IOException {
             this.server = server;
@@ -221,7 +221,7 @@
     private final Consumer<Listing> lists;
     private final NodeClock clock;
     private final Selector selector;
-    private final Timetable timetable = new Timetable();
+    private final TimerQueue timetable = new TimerQueue();
     private final Map<Long, Udp> udp = new HashMap<>();
     private final Map<InetSocketAddress, Tcp> tcp = new HashMap<>();
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
--- a/dns/src/main/java/spartrail/dns/Resolver.java
+++ b/dns/src/main/java/spartrail/dns/Resolver.java
@@ -30,7 +30,7 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.TextParseException;
 import org.xbill.DNS.Type;
-import spartrail.model.Timetable;
+import spartrail.model.TimerQueue;
 
 /**
  * Follows SRV names (RFC 2782) over several name servers: what to ask whom next, and what the lists now are. No I/O, no
@@ -73,7 +73,7 @@
         private double chainLeastMs = Double.MAX_VALUE;
         private NameServer asked;
         private double askedMs;
-        private Timetable.Due due;
+        private TimerQueue.Due due;
 
         Entry(Name name, int type) {
             this.name = name;
@@ -121,7 +121,7 @@
     private final Deque<Entry> waiting = new ArrayDeque<>();
     private final List<Question> questions = new ArrayList<>();
     private final Set<Srv> touched = new LinkedHashSet<>();
-    private final Timetable timetable = new Timetable();
+    private final TimerQueue timetable = new TimerQueue();
     private final Map<String, Long> counts = new TreeMap<>();
     private final String bailiwick;
     private double nowMs;
--- a/dns/src/test/java/spartrail/dns/Zone.java
+++ b/dns/src/test/java/spartrail/dns/Zone.java
@@ -17,7 +17,7 @@
 import org.xbill.DNS.Record;
 import org.xbill.DNS.Section;
 import org.xbill.DNS.Type;
-import spartrail.model.Timetable;
+import spartrail.model.TimerQueue;
 
 /** Name servers on a virtual clock, with records and manners that a test chooses, and a resolver that asks them. */
 final class Zone {
@@ -46,7 +46,7 @@
     final Resolver resolver;
     final SplittableRandom chance;
     final StringBuilder seen = new StringBuilder();
-    private final Timetable wire = new Timetable();
+    private final TimerQueue wire = new TimerQueue();
     double nowMs;
     int asked;
     int mostOut;
--- a/lab/src/main/java/spartrail/lab/fleet/Roll.java
+++ b/lab/src/main/java/spartrail/lab/fleet/Roll.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.Map;
 import spartrail.lab.net.SocketLoop;
-import spartrail.model.Timetable;
+import spartrail.model.TimerQueue;
 
 /** The roll of servers as one front node sees it: the whole list, and watches that wait for what is newer. */
 final class Roll implements AutoCloseable {
@@ -29,7 +29,7 @@
         }
     }
 
-    private record Watch(HttpStand.Request request, long since, Timetable.Due end) {}
+    private record Watch(HttpStand.Request request, long since, TimerQueue.Due end) {}
 
     private final SocketLoop loop;
     private final int node;
--- a/lab/src/main/java/spartrail/lab/fleet/ServerStand.java
+++ b/lab/src/main/java/spartrail/lab/fleet/ServerStand.java
@@ -16,7 +16,7 @@
 import spartrail.lab.net.Link;
 import spartrail.lab.net.SocketLoop;
 import spartrail.lab.plan.Arrival;
-import spartrail.model.Timetable;
+import spartrail.model.TimerQueue;
 
 /** One stand-in server on sockets: frames in, frames out; what it does with its load is its model's. */
 final class ServerStand {
@@ -79,7 +79,7 @@
     private final Deque<Object[]> reports = new ArrayDeque<>();
     private final Map<String, Long> counts = new HashMap<>();
     ServerModel model;
-    private Timetable.Due due;
+    private TimerQueue.Due due;
     private boolean down;
     private boolean silent;
     private boolean hanging;
--- a/lab/src/main/java/spartrail/lab/load/Ask.java
+++ b/lab/src/main/java/spartrail/lab/load/Ask.java
@@ -3,7 +3,7 @@
 import spartrail.lab.plan.Arrival;
 import spartrail.lab.plan.LoadPlan;
 import spartrail.lab.plan.Story;
-import spartrail.model.Timetable;
+import spartrail.model.TimerQueue;
 
 /** One try of one client. Times are the host's clock. */
 public final class Ask {
@@ -31,8 +31,8 @@
     LoadPlan.Target target;
 
     private String text;
-    Timetable.Due end;
-    Timetable.Due leave;
+    TimerQueue.Due end;
+    TimerQueue.Due leave;
 
     Ask(Arrival arrival, Story story, int tryNumber, double intendedMs, double storyMs) {
         this.arrival = arrival;
--- a/lab/src/main/java/spartrail/lab/load/Generator.java
+++ b/lab/src/main/java/spartrail/lab/load/Generator.java
@@ -13,7 +13,7 @@
 import spartrail.lab.plan.LoadPlan;
 import spartrail.lab.plan.Story;
 import spartrail.lab.plan.Stream;
-import spartrail.model.Timetable;
+import spartrail.model.TimerQueue;
 
 /**
  * Load, open loop: arrivals leave when the plan says, whatever became of the ones before. No I/O: the host hands in the
@@ -46,7 +46,7 @@
     private final Sockets sockets;
     private final Recorder recorder;
     private final Watcher watcher;
-    private final Timetable timetable = new Timetable();
+    private final TimerQueue timetable = new TimerQueue();
     private final Map<String, Deque<Conn>> idle = new HashMap<>();
     private final Map<String, Deque<Ask>> waiting = new HashMap<>();
     private final Set<Conn> conns = new HashSet<>();
--- a/lab/src/main/java/spartrail/lab/load/HttpSockets.java
+++ b/lab/src/main/java/spartrail/lab/load/HttpSockets.java
@@ -7,7 +7,7 @@
 import spartrail.lab.net.Link;
 import spartrail.lab.net.SocketLoop;
 import spartrail.lab.plan.LoadPlan;
-import spartrail.model.Timetable;
+import spartrail.model.TimerQueue;
 
 /** The generator on real sockets: its loop's thread runs it when it is due and tells it what came. */
 public final class HttpSockets implements Sockets {
@@ -15,7 +15,7 @@
 
     private final SocketLoop loop;
     private Generator generator;
-    private Timetable.Due due;
+    private TimerQueue.Due due;
     private boolean closed;
 
     public HttpSockets(SocketLoop loop) {
--- a/lab/src/main/java/spartrail/lab/load/VirtualSockets.java
+++ b/lab/src/main/java/spartrail/lab/load/VirtualSockets.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import spartrail.lab.plan.Arrival;
-import spartrail.model.Timetable;
+import spartrail.model.TimerQueue;
 
 /**
  * The generator on a virtual clock, against a responder whose delays are a script: what a report must say then follows
@@ -16,7 +16,7 @@
     }
 
     private final Responder responder;
-    private final Timetable timetable = new Timetable();
+    private final TimerQueue timetable = new TimerQueue();
     private Generator generator;
     private double nowMs;
     private long count;
--- a/lab/src/main/java/spartrail/lab/net/SocketLoop.java
+++ b/lab/src/main/java/spartrail/lab/net/SocketLoop.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import spartrail.model.NodeClock;
-import spartrail.model.Timetable;
+import spartrail.model.TimerQueue;
 
 /** A thread that runs sockets, timers and tasks. All but {@link #execute}, {@link #call} and {@link #close} is its own. */
 public final class SocketLoop implements Runnable, AutoCloseable {
@@ -36,7 +36,7 @@
     final ByteBuffer buffer = ByteBuffer.allocateDirect(64 * 1024);
     private final NodeClock clock = new NodeClock();
     private final Selector selector;
-    private final Timetable timetable = new Timetable();
+    private final TimerQueue timetable = new TimerQueue();
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final Thread thread;
     private volatile boolean ended;
@@ -124,11 +124,11 @@
         }
     }
 
-    public Timetable.Due at(double ms, Runnable what) {
+    public TimerQueue.Due at(double ms, Runnable what) {
         return timetable.add(ms, what);
     }
 
-    public void cancel(Timetable.Due due) {
+    public void cancel(TimerQueue.Due due) {
         if (due != null) {
             timetable.remove(due);
         }
--- a/lab/src/main/java/spartrail/lab/nodes/Links.java
+++ b/lab/src/main/java/spartrail/lab/nodes/Links.java
@@ -16,7 +16,7 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 import spartrail.model.NodeClock;
-import spartrail.model.Timetable;
+import spartrail.model.TimerQueue;
 import spartrail.peering.Frames;
 
 /**
@@ -51,7 +51,7 @@
     private final Trouble[][] troubles;
     private final RandomGenerator chance;
     private final String fleet;
-    private final Timetable timetable = new Timetable();
+    private final TimerQueue timetable = new TimerQueue();
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final ByteBuffer in = ByteBuffer.allocate(LONGEST);
     private final Thread thread;
--- a/lab/src/main/java/spartrail/lab/scale/HollowNode.java
+++ b/lab/src/main/java/spartrail/lab/scale/HollowNode.java
@@ -6,12 +6,12 @@
 import spartrail.coordination.Coordinator;
 import spartrail.coordination.WindowCoordinator;
 import spartrail.membership.EndpointList;
+import spartrail.model.Attempt;
 import spartrail.model.Decisions;
 import spartrail.model.Multiget;
 import spartrail.model.NodeClock;
 import spartrail.model.OpType;
 import spartrail.model.Part;
-import spartrail.model.Send;
 import spartrail.model.Server;
 import spartrail.subset.SubsetFilter;
 import spartrail.subset.SubsetSelector;
@@ -116,12 +116,12 @@
         }
         Decisions placed = coordinator.place(multiget, nowMs);
         int answered = 0;
-        List<Send> sends = List.copyOf(placed.sends);
+        List<Attempt> sends = List.copyOf(placed.sends);
         nowMs += opType.learned.usualMs;
         while (!sends.isEmpty()) {
-            List<Send> further = new ArrayList<>();
-            for (Send send : sends) {
-                further.addAll(coordinator.after(send, Send.Outcome.ANSWERED, nowMs - send.sentMs, nowMs).sends);
+            List<Attempt> further = new ArrayList<>();
+            for (Attempt send : sends) {
+                further.addAll(coordinator.after(send, Attempt.Outcome.ANSWERED, nowMs - send.sentMs, nowMs).sends);
                 answered++;
             }
             sends = further;
--- a/lab/src/test/java/spartrail/lab/nodes/SeveralProcessesTest.java
+++ b/lab/src/test/java/spartrail/lab/nodes/SeveralProcessesTest.java
@@ -133,7 +133,7 @@
                 .start();
         List<String> lines = process.inputReader().lines().collect(Collectors.toList());
         assertThat(process.waitFor()).isZero();
-        assertThat(lines).anyMatch(line -> line.contains("spartrail.front.NodeLoop "));
+        assertThat(lines).anyMatch(line -> line.contains("spartrail.front.CoordinatorLoop "));
         assertThat(lines)
                 .noneMatch(line -> line.contains("spartrail.peers.")
                         || line.contains("spartrail.peering.")
--- a/node/src/main/java/spartrail/cli/CheckCommand.java
+++ b/node/src/main/java/spartrail/cli/CheckCommand.java
@@ -10,9 +10,9 @@
 import java.nio.file.Path;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
+import spartrail.config.DeploymentFile;
+import spartrail.endpoint.sources.EndpointSourcesFile;
 import spartrail.front.FrontNode;
-import spartrail.members.MembersFile;
-import spartrail.provisioning.DeploymentFile;
 
 /** Reads a configuration and says whether a node could start with it. */
 public final class CheckCommand implements Command {
@@ -32,7 +32,7 @@
     public int run(PrintStream out, PrintStream err) throws Exception {
         DeploymentFile deployment = DeploymentFile.read(config);
         if (members != null) {
-            MembersFile.read(members);
+            EndpointSourcesFile.read(members);
         }
         if (peers != null) {
             FrontNode.peerTalk().check(peers);
--- a/node/src/main/java/spartrail/cli/ServeCommand.java
+++ b/node/src/main/java/spartrail/cli/ServeCommand.java
@@ -8,9 +8,9 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import org.kohsuke.args4j.Option;
+import spartrail.config.DeploymentFile;
+import spartrail.endpoint.sources.EndpointSourcesFile;
 import spartrail.front.FrontNode;
-import spartrail.members.MembersFile;
-import spartrail.provisioning.DeploymentFile;
 import spartrail.record.MultigetRecord;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
@@ -76,7 +76,7 @@
             }
             FrontNode node = new FrontNode(DeploymentFile.read(path));
             if (members != null) {
-                node.members(MembersFile.read(members));
+                node.members(EndpointSourcesFile.read(members));
             }
             if (peers != null) {
                 node.peers(peers, history, recordMb * 1024L * 1024);
--- a/node/src/main/java/spartrail/client/ClientDoor.java
+++ b/node/src/main/java/spartrail/client/ClientListener.java
@@ -56,10 +56,10 @@
  *
  * <p>CLOSING is {@link LingeringClose}; an end or a reset closes in each state, and in BUSY is told as a client gone.
  */
-public final class ClientDoor {
+public final class ClientListener {
     /** Who takes what clients ask. */
     public interface Taker {
-        void asked(Ask ask, ClientRequest request);
+        void asked(ClientQuery ask, ClientRequest request);
 
         void gone(ClientRequest request);
     }
@@ -84,7 +84,7 @@
 
     private final XnioIoThread io;
     private final NodeClock clock;
-    private final AskReader reader;
+    private final ClientQueryDecoder reader;
     private Taker taker;
     private final int mostConnections;
     /** Most bytes of bodies that are still coming in, and how many these may become. */
@@ -160,7 +160,7 @@
     private boolean up;
     private boolean leaving;
 
-    public ClientDoor(
+    public ClientListener(
             XnioWorker worker,
             ByteBufferPool buffers,
             InetSocketAddress address,
@@ -172,7 +172,7 @@
             throws IOException {
         this.io = worker.getIoThread();
         this.clock = clock;
-        this.reader = new AskReader(opTypes, shards);
+        this.reader = new ClientQueryDecoder(opTypes, shards);
         this.taker = taker;
         this.mostConnections = mostConnections;
         http = new HttpOpenListener(
@@ -233,8 +233,8 @@
         shut();
         taker = new Taker() {
             @Override
-            public void asked(Ask ask, ClientRequest request) {
-                request.answer(Reply.pushedBack(0));
+            public void asked(ClientQuery ask, ClientRequest request) {
+                request.answer(ClientResponse.pushedBack(0));
             }
 
             @Override
@@ -401,7 +401,8 @@
             peer.known = true;
             peer.state = State.BUSY;
             if (leaving) {
-                exchange.dispatch(SameThreadExecutor.INSTANCE, () -> send(exchange, Reply.pushedBack(0), true));
+                exchange.dispatch(
+                        SameThreadExecutor.INSTANCE, () -> send(exchange, ClientResponse.pushedBack(0), true));
             } else {
                 exchange.setStatusCode(up ? 200 : 503);
                 exchange.endExchange();
@@ -477,14 +478,14 @@
         peer.state = State.BUSY;
         double atMs = clock.nowMs();
         try {
-            Ask ask = reader.read(exchange.getRequestPath(), exchange.getRequestHeaders(), body);
+            ClientQuery ask = reader.read(exchange.getRequestPath(), exchange.getRequestHeaders(), body);
             ClientRequest request = new ClientRequest(this, exchange, ask.id(), atMs);
             peer.known = true;
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
                 request.watchClient();
                 taker.asked(ask, request);
             });
-        } catch (AskReader.BadRequest e) {
+        } catch (ClientQueryDecoder.BadRequest e) {
             unusable(exchange, 400, e.getMessage());
         }
     }
@@ -492,7 +493,8 @@
     /** Danger: behind a request that is none, what follows need not begin where a request does. */
     private void unusable(HttpServerExchange exchange, int status, String why) {
         // Danger: what the door ends itself, before its handler returns, Undertow ends once more, by a plain close.
-        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> send(exchange, Reply.unusable(status, why), true));
+        exchange.dispatch(
+                SameThreadExecutor.INSTANCE, () -> send(exchange, ClientResponse.unusable(status, why), true));
     }
 
     /** For what has just been read; its content is whoever reads next's. */
@@ -516,7 +518,7 @@
     }
 
     /** An answer, the last one of its connection where this is asked for, or the node ends. */
-    void send(HttpServerExchange exchange, Reply reply, boolean last) {
+    void send(HttpServerExchange exchange, ClientResponse reply, boolean last) {
         StreamConnection connection = ClientRequest.channel(exchange);
         Peer peer = connections.get(connection);
         if (peer == null) {
--- a/node/src/main/java/spartrail/client/Ask.java
+++ b/node/src/main/java/spartrail/client/ClientQuery.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** What a client asks for: a multiget, decoded. */
-public record Ask(
+public record ClientQuery(
         String id, String opType, String key, double clientLeftMs, boolean retry, List<AskedPart> parts, byte[] text) {
     /** What one shard is to answer; the cost is 0 where the client names none. */
     public record AskedPart(int shard, double weight, double costMs) {}
--- a/node/src/main/java/spartrail/client/AskReader.java
+++ b/node/src/main/java/spartrail/client/ClientQueryDecoder.java
@@ -15,7 +15,7 @@
 import java.util.regex.Pattern;
 
 /** Decodes requests; what the protocol does not know is turned away with one plain sentence. */
-final class AskReader {
+final class ClientQueryDecoder {
     /** A request that is none; its message goes to the client. */
     static final class BadRequest extends Exception {
         private static final long serialVersionUID = 1;
@@ -43,12 +43,12 @@
     private final Set<String> opTypes;
     private final int shards;
 
-    AskReader(Set<String> opTypes, int shards) {
+    ClientQueryDecoder(Set<String> opTypes, int shards) {
         this.opTypes = opTypes;
         this.shards = shards;
     }
 
-    Ask read(String path, HeaderMap headers, byte[] body) throws BadRequest {
+    ClientQuery read(String path, HeaderMap headers, byte[] body) throws BadRequest {
         String id = only(headers, ID);
         if (id == null || !USABLE_ID.matcher(id).matches()) {
             throw new BadRequest("Req-Id is missing or unusable");
@@ -85,9 +85,9 @@
         throw new BadRequest("Req-Deadline is missing or no time");
     }
 
-    private Ask body(JsonParser parser, String id, String kind, String key, double clientLeftMs, boolean retry)
+    private ClientQuery body(JsonParser parser, String id, String kind, String key, double clientLeftMs, boolean retry)
             throws IOException, BadRequest {
-        List<Ask.AskedPart> parts = null;
+        List<ClientQuery.AskedPart> parts = null;
         String text = null;
         if (parser.nextToken() != JsonToken.START_OBJECT) {
             throw new BadRequest("the body is no JSON object");
@@ -109,10 +109,10 @@
         if (parts == null || parts.isEmpty() || text == null) {
             throw new BadRequest("segments or text are missing");
         }
-        if (Math.abs(parts.stream().mapToDouble(Ask.AskedPart::weight).sum() - 1) > ROUNDING) {
+        if (Math.abs(parts.stream().mapToDouble(ClientQuery.AskedPart::weight).sum() - 1) > ROUNDING) {
             throw new BadRequest("the boosts of the segments do not sum up to 1");
         }
-        return new Ask(id, kind, key, clientLeftMs, retry, parts, text.getBytes(StandardCharsets.UTF_8));
+        return new ClientQuery(id, kind, key, clientLeftMs, retry, parts, text.getBytes(StandardCharsets.UTF_8));
     }
 
     /** A text that is the same in UTF-8: half of a surrogate pair has no form there. */
@@ -130,8 +130,8 @@
         }
     }
 
-    private List<Ask.AskedPart> parts(JsonParser parser) throws IOException, BadRequest {
-        List<Ask.AskedPart> parts = new ArrayList<>();
+    private List<ClientQuery.AskedPart> parts(JsonParser parser) throws IOException, BadRequest {
+        List<ClientQuery.AskedPart> parts = new ArrayList<>();
         BitSet seen = new BitSet(shards);
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             int shard = -1;
@@ -163,7 +163,7 @@
                 throw new BadRequest("a segment's boost or work is out of range");
             }
             seen.set(shard);
-            parts.add(new Ask.AskedPart(shard, weight, costMs));
+            parts.add(new ClientQuery.AskedPart(shard, weight, costMs));
         }
         return parts;
     }
--- a/node/src/main/java/spartrail/client/ClientRequest.java
+++ b/node/src/main/java/spartrail/client/ClientRequest.java
@@ -22,7 +22,7 @@
  */
 public final class ClientRequest {
     public final String id;
-    private final ClientDoor door;
+    private final ClientListener door;
     private final HttpServerExchange exchange;
     private final HttpServerConnection connection;
     /** When its last byte was read. */
@@ -31,7 +31,7 @@
     private boolean over;
     private boolean spilt;
 
-    ClientRequest(ClientDoor door, HttpServerExchange exchange, String id, double arrivedMs) {
+    ClientRequest(ClientListener door, HttpServerExchange exchange, String id, double arrivedMs) {
         this.door = door;
         this.exchange = exchange;
         this.connection = (HttpServerConnection) exchange.getConnection();
@@ -80,12 +80,12 @@
         PooledByteBuffer before = connection.getExtraBytes();
         if (spilt || !door.keeps(exchange, ahead.remaining())) {
             spilt = true;
-        } else if (before instanceof SentAhead kept) {
+        } else if (before instanceof PipelinedRequests kept) {
             spilt = !kept.add(ahead);
         } else if (before == null) {
-            connection.setExtraBytes(new SentAhead(ahead));
+            connection.setExtraBytes(new PipelinedRequests(ahead));
         } else {
-            SentAhead kept = new SentAhead(before.getBuffer());
+            PipelinedRequests kept = new PipelinedRequests(before.getBuffer());
             before.close();
             spilt = !kept.add(ahead);
             connection.setExtraBytes(kept);
@@ -99,7 +99,7 @@
     }
 
     /** The final answer; the first one counts. */
-    public void answer(Reply reply) {
+    public void answer(ClientResponse reply) {
         if (over) {
             return;
         }
--- a/node/src/main/java/spartrail/client/Reply.java
+++ b/node/src/main/java/spartrail/client/ClientResponse.java
@@ -9,13 +9,13 @@
 import java.util.Locale;
 
 /** The final answer to a client: a status, a time to come back after where that is advised, and a body. */
-public record Reply(int status, String retryAfter, byte[] body) {
+public record ClientResponse(int status, String retryAfter, byte[] body) {
     /** The value of a part that is in, as a server gave it. */
     public record Value(int shard, byte[] value) {}
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    public static Reply returned(boolean whole, List<Value> values) {
+    public static ClientResponse returned(boolean whole, List<Value> values) {
         ByteArrayOutputStream body = new ByteArrayOutputStream(64 + 48 * values.size());
         try (JsonGenerator json = JSON.createGenerator(body)) {
             json.writeStartObject();
@@ -32,23 +32,23 @@
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
-        return new Reply(200, null, body.toByteArray());
+        return new ClientResponse(200, null, body.toByteArray());
     }
 
     /** Trying again is harmless; a comeback time of 0 is none. */
-    public static Reply pushedBack(double comebackMs) {
-        return new Reply(
+    public static ClientResponse pushedBack(double comebackMs) {
+        return new ClientResponse(
                 503,
                 comebackMs > 0 ? String.format(Locale.ROOT, "%.3f", comebackMs / 1000) : null,
                 text("pushed back"));
     }
 
-    public static Reply failed() {
-        return new Reply(500, null, text("failed"));
+    public static ClientResponse failed() {
+        return new ClientResponse(500, null, text("failed"));
     }
 
-    static Reply unusable(int status, String why) {
-        return new Reply(status, null, text(why));
+    static ClientResponse unusable(int status, String why) {
+        return new ClientResponse(status, null, text(why));
     }
 
     private static byte[] text(String text) {
--- a/node/src/main/java/spartrail/client/SentAhead.java
+++ b/node/src/main/java/spartrail/client/PipelinedRequests.java
@@ -4,12 +4,12 @@
 import java.nio.ByteBuffer;
 
 /** What a client has sent behind a request that is still in hand, for its next one; as much as a request may have. */
-final class SentAhead implements PooledByteBuffer {
+final class PipelinedRequests implements PooledByteBuffer {
     static final int MOST_BYTES = 80 * 1024;
 
     private ByteBuffer bytes;
 
-    SentAhead(ByteBuffer before) {
+    PipelinedRequests(ByteBuffer before) {
         bytes = ByteBuffer.allocate(Math.max(1024, before.remaining()))
                 .put(before)
                 .flip();
--- a/node/src/main/java/spartrail/provisioning/DeploymentFile.java
+++ b/node/src/main/java/spartrail/config/DeploymentFile.java
@@ -1,10 +1,10 @@
-package spartrail.provisioning;
+package spartrail.config;
 
-import static spartrail.provisioning.Provisioning.above0;
-import static spartrail.provisioning.Provisioning.flag;
-import static spartrail.provisioning.Provisioning.map;
-import static spartrail.provisioning.Provisioning.needed;
-import static spartrail.provisioning.Provisioning.number;
+import static spartrail.config.Provisioning.above0;
+import static spartrail.config.Provisioning.flag;
+import static spartrail.config.Provisioning.map;
+import static spartrail.config.Provisioning.needed;
+import static spartrail.config.Provisioning.number;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
--- a/node/src/main/java/spartrail/provisioning/PolicyFields.java
+++ b/node/src/main/java/spartrail/config/PolicyFields.java
@@ -1,4 +1,4 @@
-package spartrail.provisioning;
+package spartrail.config;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/node/src/main/java/spartrail/discovery/Timers.java
+++ b/node/src/main/java/spartrail/discovery/IoTimers.java
@@ -5,7 +5,7 @@
 import org.xnio.XnioIoThread;
 
 /** The time that a watch goes by: the I/O thread's own, or one that a test holds. */
-interface Timers {
+interface IoTimers {
     /** Runs this on the I/O thread after so long, unless the key is removed before. */
     XnioExecutor.Key after(long ms, Runnable task);
 
@@ -13,8 +13,8 @@
     long nanoTime();
 
     /** The I/O thread's timers and the system's clock. */
-    static Timers of(XnioIoThread io) {
-        return new Timers() {
+    static IoTimers of(XnioIoThread io) {
+        return new IoTimers() {
             @Override
             public XnioExecutor.Key after(long ms, Runnable task) {
                 return io.executeAfter(task, ms, TimeUnit.MILLISECONDS);
--- a/node/src/main/java/spartrail/members/MembersHost.java
+++ b/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
@@ -1,4 +1,4 @@
-package spartrail.members;
+package spartrail.endpoint.sources;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -10,7 +10,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-import spartrail.discovery.HostWatch;
+import spartrail.discovery.DiscoveryClient;
 import spartrail.membership.EndpointList;
 import spartrail.membership.Membership;
 import spartrail.membership.Said;
@@ -22,12 +22,12 @@
  * Stands between the roll's watch and the loop: what sources say goes into the view, and the lines that change come out as
  * changes of the list. One thread owns the view.
  */
-public final class MembersHost implements HostWatch.Listener, ServerSources.Words, AutoCloseable {
+public final class EndpointSources implements DiscoveryClient.Listener, ServerSources.Words, AutoCloseable {
     private static final System.Logger LOG = System.getLogger("spartrail.members");
 
     private final Membership view;
     private final NodeClock clock;
-    private final HostWatch.Listener loop;
+    private final DiscoveryClient.Listener loop;
     private final Source roll;
     private final List<AutoCloseable> sources = new ArrayList<>();
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(task -> {
@@ -42,8 +42,13 @@
     private long version;
 
     /** The list as it was last had is known to the loop already; it counts as the roll's word until the roll answers. */
-    public MembersHost(
-            MembersFile file, int cells, int reach, NodeClock clock, EndpointList known, HostWatch.Listener loop) {
+    public EndpointSources(
+            EndpointSourcesFile file,
+            int cells,
+            int reach,
+            NodeClock clock,
+            EndpointList known,
+            DiscoveryClient.Listener loop) {
         this.clock = clock;
         this.loop = loop;
         var allowed = file.allowed();
@@ -68,7 +73,7 @@
     }
 
     /** Starts the sources that the file names; each is found by the service loader. */
-    public void start(MembersFile file) throws IOException {
+    public void start(EndpointSourcesFile file) throws IOException {
         for (ServerSources kind : ServiceLoader.load(ServerSources.class)) {
             Map<?, ?> settings = file.section(kind.section());
             if (settings != null) {
--- a/node/src/main/java/spartrail/members/MembersFile.java
+++ b/node/src/main/java/spartrail/endpoint/sources/EndpointSourcesFile.java
@@ -1,4 +1,4 @@
-package spartrail.members;
+package spartrail.endpoint.sources;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -12,13 +12,13 @@
 import java.util.function.Predicate;
 import spartrail.json.JsonTree;
 import spartrail.membership.Bounds;
-import spartrail.model.Ranges;
+import spartrail.model.AddressRanges;
 
 /**
  * The file that names further sources and how they are merged; its form is {@code deploy/members.schema.json}. Times are
  * milliseconds.
  */
-public final class MembersFile {
+public final class EndpointSourcesFile {
     private static final Set<String> BOUNDS = Set.of(
             "floor",
             "freezeMs",
@@ -34,11 +34,11 @@
 
     private final Map<?, ?> tree;
 
-    private MembersFile(Map<?, ?> tree) {
+    private EndpointSourcesFile(Map<?, ?> tree) {
         this.tree = tree;
     }
 
-    public static MembersFile read(Path path) throws IOException {
+    public static EndpointSourcesFile read(Path path) throws IOException {
         String text;
         try {
             text = Files.readString(path);
@@ -49,7 +49,7 @@
             if (parser.nextToken() == null || !(JsonTree.value(parser) instanceof Map<?, ?> tree)) {
                 throw new IllegalArgumentException(path + ": a JSON object is expected");
             }
-            MembersFile file = new MembersFile(tree);
+            EndpointSourcesFile file = new EndpointSourcesFile(tree);
             file.known();
             file.bounds();
             file.allowed();
@@ -113,6 +113,6 @@
 
     /** Which endpoints may be connected to: IPv4 ranges such as 10.0.0.0/8; without them nothing that DNS names. */
     Predicate<String> allowed() {
-        return new Ranges(tree.get("allow") instanceof List<?> list ? list : List.of(), "/allow");
+        return new AddressRanges(tree.get("allow") instanceof List<?> list ? list : List.of(), "/allow");
     }
 }
--- a/node/src/main/java/spartrail/front/Ruled.java
+++ b/node/src/main/java/spartrail/front/ActivePolicy.java
@@ -1,6 +1,6 @@
 package spartrail.front;
 
-import spartrail.provisioning.DeploymentFile;
+import spartrail.config.DeploymentFile;
 
 /**
  * Settings by which a node is to go until a time, and by what after that.
@@ -8,4 +8,4 @@
  * @param name as the record names it
  * @param untilMs on the node's clock; endless for the last one
  */
-record Ruled(String name, DeploymentFile deployment, double untilMs, Ruled next) {}
+record ActivePolicy(String name, DeploymentFile deployment, double untilMs, ActivePolicy next) {}
--- a/node/src/main/java/spartrail/front/ClientMultiget.java
+++ b/node/src/main/java/spartrail/front/ClientMultiget.java
@@ -3,27 +3,27 @@
 import java.util.HashMap;
 import java.util.IdentityHashMap;
 import java.util.Map;
-import spartrail.client.Ask;
+import spartrail.client.ClientQuery;
 import spartrail.client.ClientRequest;
+import spartrail.model.Attempt;
 import spartrail.model.Multiget;
 import spartrail.model.Part;
-import spartrail.model.Send;
-import spartrail.model.Timetable;
+import spartrail.model.TimerQueue;
 import spartrail.shard.PartRequest;
 
 /** A multiget in hand, with the client that waits for it and what servers have answered. */
 final class ClientMultiget extends Multiget {
     /** A send that has had no outcome yet, and when this node stops waiting for it. */
-    record Underway(PartRequest part, Timetable.Due timeOut) {}
+    record Underway(PartRequest part, TimerQueue.Due timeOut) {}
 
-    final Ask ask;
+    final ClientQuery ask;
     final ClientRequest request;
     final Map<Part, byte[]> values = new HashMap<>();
-    final Map<Send, Underway> underway = new IdentityHashMap<>();
+    final Map<Attempt, Underway> underway = new IdentityHashMap<>();
     /** What answers it when its time is over and nothing else has. */
-    Timetable.Due lastResort;
+    TimerQueue.Due lastResort;
 
-    ClientMultiget(Ask ask, ClientRequest request) {
+    ClientMultiget(ClientQuery ask, ClientRequest request) {
         this.ask = ask;
         this.request = request;
     }
--- a/node/src/main/java/spartrail/front/Descriptors.java
+++ b/node/src/main/java/spartrail/front/FileDescriptorLimit.java
@@ -3,8 +3,8 @@
 import java.io.File;
 
 /** How the file descriptors that a process may hold are shared out. */
-final class Descriptors {
-    private Descriptors() {}
+final class FileDescriptorLimit {
+    private FileDescriptorLimit() {}
 
     /**
      * Most connections of clients: half of what is not open already, or more where servers need less. Danger:
--- a/node/src/main/java/spartrail/front/Counters.java
+++ b/node/src/main/java/spartrail/front/NodeCounters.java
@@ -3,11 +3,11 @@
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
+import spartrail.model.Attempt;
 import spartrail.model.Multiget;
-import spartrail.model.Send;
 
 /** What a node has done since its start, for its log; kept by the node's thread. */
-final class Counters {
+final class NodeCounters {
     long taken;
     long overCap;
     long gone;
@@ -17,7 +17,7 @@
 
     final LongAdder exceptions = new LongAdder();
     final Map<Multiget.Answer, Long> answers = new EnumMap<>(Multiget.Answer.class);
-    final Map<Send.Outcome, Long> outcomes = new EnumMap<>(Send.Outcome.class);
+    final Map<Attempt.Outcome, Long> outcomes = new EnumMap<>(Attempt.Outcome.class);
 
     @Override
     public String toString() {
--- a/node/src/main/java/spartrail/front/Standstill.java
+++ b/node/src/main/java/spartrail/front/PauseDetector.java
@@ -5,7 +5,7 @@
  * counted from the reading. Until the sockets have been gone through, whatever is read counts as come at the
  * beginning of the gap, as it may be that old.
  */
-final class Standstill {
+final class PauseDetector {
     /** A pass that was asked for before the gap, one that takes what waited, one for connections just accepted. */
     private static final int PASSES = 3;
 
@@ -14,7 +14,7 @@
     private double gapMs;
     private int passesLeft;
 
-    Standstill(double turnMs) {
+    PauseDetector(double turnMs) {
         this.turnMs = turnMs;
     }
 
--- a/node/src/main/java/spartrail/record/MultigetRecord.java
+++ b/node/src/main/java/spartrail/record/MultigetRecord.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import spartrail.client.Ask;
+import spartrail.client.ClientQuery;
 
 /**
  * Writes one JSON line for each multiget taken: its time (Unix milliseconds), op type, key, shards, weights, work, size of
@@ -19,7 +19,7 @@
  * at the bound the record ends, with a whole last line.
  */
 public final class MultigetRecord implements AutoCloseable {
-    private record Taken(double atMs, long ns, String policy, Ask ask) {}
+    private record Taken(double atMs, long ns, String policy, ClientQuery ask) {}
 
     private static final System.Logger LOG = System.getLogger("spartrail.record");
     /** Danger: what waits here keeps its texts; a disk that stands still must not fill the heap with them. */
@@ -53,7 +53,7 @@
      * @param ns the machine's monotonic clock when it was decided by what it is decided
      * @param policy by which version of policy; empty where there are none
      */
-    public void taken(Ask ask, double atMs, long ns, String policy) {
+    public void taken(ClientQuery ask, double atMs, long ns, String policy) {
         if (!full && !waiting.offer(new Taken(atMs, ns, policy, ask))) {
             leftOut.incrementAndGet();
         }
@@ -106,26 +106,26 @@
 
     private byte[] line(Taken taken) throws IOException {
         java.io.ByteArrayOutputStream text = new java.io.ByteArrayOutputStream(160);
-        Ask ask = taken.ask();
+        ClientQuery ask = taken.ask();
         try (JsonGenerator generator = json.createGenerator(text)) {
             generator.writeStartObject();
             generator.writeNumberField("atMs", Math.round(taken.atMs() * 1000) / 1000.0);
             generator.writeStringField("opType", ask.opType());
             generator.writeStringField("key", ask.key() == null ? "" : ask.key());
             generator.writeArrayFieldStart("shards");
-            for (Ask.AskedPart part : ask.parts()) {
+            for (ClientQuery.AskedPart part : ask.parts()) {
                 generator.writeNumber(part.shard());
             }
             generator.writeEndArray();
             generator.writeArrayFieldStart("weights");
-            for (Ask.AskedPart part : ask.parts()) {
+            for (ClientQuery.AskedPart part : ask.parts()) {
                 generator.writeNumber(part.weight());
             }
             generator.writeEndArray();
             generator.writeNumberField(
                     "workMs",
                     ask.parts().stream()
-                            .mapToDouble(Ask.AskedPart::costMs)
+                            .mapToDouble(ClientQuery.AskedPart::costMs)
                             .average()
                             .orElse(0));
             generator.writeNumberField("textBytes", ask.text().length);
--- a/node/src/main/java/spartrail/shard/ShardCall.java
+++ b/node/src/main/java/spartrail/shard/PartBatch.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /** Parts that travel to a server in one frame. */
-final class ShardCall {
+final class PartBatch {
     final List<PartRequest> parts;
     /** When the first of them was decided. */
     final double decidedMs;
 
-    ShardCall(List<PartRequest> parts) {
+    PartBatch(List<PartRequest> parts) {
         this.parts = new ArrayList<>(parts);
         parts.forEach(part -> part.call = this);
         this.decidedMs =
--- a/node/src/main/java/spartrail/shard/PartRequest.java
+++ b/node/src/main/java/spartrail/shard/PartRequest.java
@@ -1,7 +1,7 @@
 package spartrail.shard;
 
 import java.util.function.BooleanSupplier;
-import spartrail.model.Send;
+import spartrail.model.Attempt;
 
 /** One part on its way to a server; its fields from the stage on belong to the I/O thread. */
 public final class PartRequest {
@@ -13,7 +13,7 @@
         ENDED
     }
 
-    final Send send;
+    final Attempt send;
     final String id;
     final int shard;
     final byte[] text;
@@ -27,9 +27,9 @@
     Stage stage = Stage.WAITING;
     double givenMs;
     ShardConnection connection;
-    ShardCall call;
+    PartBatch call;
 
-    public PartRequest(Send send, String id, int shard, byte[] text, double untilMs, BooleanSupplier wanted) {
+    public PartRequest(Attempt send, String id, int shard, byte[] text, double untilMs, BooleanSupplier wanted) {
         this.send = send;
         this.id = id;
         this.shard = shard;
@@ -47,7 +47,7 @@
         return nowMs <= leaveByMs && wanted.getAsBoolean();
     }
 
-    public Send send() {
+    public Attempt send() {
         return send;
     }
 }
--- a/node/src/main/java/spartrail/shard/ShardConnection.java
+++ b/node/src/main/java/spartrail/shard/ShardConnection.java
@@ -20,7 +20,7 @@
 import org.xnio.XnioExecutor;
 import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
-import spartrail.model.Send.Outcome;
+import spartrail.model.Attempt.Outcome;
 
 /**
  * One connection to a server: calls that wait to be written, and parts that wait for answers. By event and state:
@@ -43,10 +43,10 @@
 final class ShardConnection {
     private final ShardPool pool;
     private final InetSocketAddress address;
-    private final Deque<ShardCall> waiting = new ArrayDeque<>();
+    private final Deque<PartBatch> waiting = new ArrayDeque<>();
     private final Deque<ByteBuffer> giveUps = new ArrayDeque<>();
     /** The call whose frame is being written, and what is left of the frame; no call for a frame that gives up. */
-    private ShardCall writing;
+    private PartBatch writing;
 
     private ByteBuffer left;
     private final Map<String, PartRequest> out = new HashMap<>();
@@ -55,7 +55,7 @@
     /** When a frame that has begun should long be there whole. */
     private XnioExecutor.Key lateFrame;
 
-    private final Frames.Reader frames = new Frames.Reader();
+    private final ShardFrameCodec.Reader frames = new ShardFrameCodec.Reader();
 
     private final IoFuture<StreamConnection> opening;
     private final XnioExecutor.Key openTimer;
@@ -119,7 +119,7 @@
     /** Parts that it has in hand, of the number that it may carry. */
     int load() {
         int load = out.size();
-        for (ShardCall call : waiting) {
+        for (PartBatch call : waiting) {
             load += call.parts.size();
         }
         if (writing != null) {
@@ -134,7 +134,7 @@
         return load() == 0 && left == null && giveUps.isEmpty() && usedMs < ms;
     }
 
-    void send(ShardCall call) {
+    void send(PartBatch call) {
         usedMs = pool.clock.nowMs();
         for (PartRequest part : call.parts) {
             part.connection = this;
@@ -182,7 +182,7 @@
         out.remove(part.id, part);
         settle(part.id);
         if (pool.bounds.cancelling() && !closed) {
-            giveUps.add(Frames.giveUp(part.id));
+            giveUps.add(ShardFrameCodec.giveUp(part.id));
             write();
         }
         goWhenDone();
@@ -191,7 +191,7 @@
 
     /** Whatever has not begun to leave goes back unsent. */
     void dropWaiting() {
-        List<ShardCall> calls = new ArrayList<>(waiting);
+        List<PartBatch> calls = new ArrayList<>(waiting);
         waiting.clear();
         calls.forEach(call -> List.copyOf(call.parts).forEach(part -> pool.ended(part, Outcome.NOT_SENT, null)));
     }
@@ -237,7 +237,7 @@
         }
     }
 
-    private boolean late(ShardCall call) {
+    private boolean late(PartBatch call) {
         return call.parts.stream().anyMatch(part -> pool.clock.nowMs() > part.leaveByMs);
     }
 
@@ -261,7 +261,7 @@
         }
         left = giveUps.poll();
         while (left == null && !waiting.isEmpty() && pool.mayBegin(waiting.peek())) {
-            ShardCall call = waiting.poll();
+            PartBatch call = waiting.poll();
             double nowMs = pool.clock.nowMs();
             List<PartRequest> stay =
                     call.parts.stream().filter(part -> !part.mayLeave(nowMs)).toList();
@@ -270,7 +270,7 @@
             if (!call.parts.isEmpty()) {
                 writing = call;
                 call.parts.forEach(part -> part.stage = PartRequest.Stage.BEGUN);
-                left = Frames.call(call.parts, nowMs);
+                left = ShardFrameCodec.call(call.parts, nowMs);
             }
         }
         return left != null;
@@ -288,7 +288,7 @@
                     break;
                 } else {
                     frames.take(buffer.flip());
-                    for (Frames.Answer answer = frames.next(); answer != null; answer = frames.next()) {
+                    for (ShardFrameCodec.Answer answer = frames.next(); answer != null; answer = frames.next()) {
                         answered(answer);
                         whole = true;
                     }
@@ -296,7 +296,7 @@
                 }
             }
             awaitRest(source, whole);
-        } catch (Frames.Garbled e) {
+        } catch (ShardFrameCodec.Garbled e) {
             garbled(e.getMessage());
         } catch (IOException e) {
             end("broken");
@@ -311,10 +311,10 @@
      * frame that announces more than comes swallows all answers behind it; what is behind a good answer becomes
      * the head of the next one.
      */
-    private void awaitRest(ConduitStreamSourceChannel source, boolean whole) throws Frames.Garbled {
+    private void awaitRest(ConduitStreamSourceChannel source, boolean whole) throws ShardFrameCodec.Garbled {
         boolean partial = !closed && frames.partial();
         if (partial && load() == 0) {
-            throw new Frames.Garbled("more than was asked for");
+            throw new ShardFrameCodec.Garbled("more than was asked for");
         }
         if (lateFrame != null && (whole || !partial)) {
             lateFrame.remove();
@@ -335,14 +335,14 @@
         }
     }
 
-    private void answered(Frames.Answer answer) throws Frames.Garbled {
+    private void answered(ShardFrameCodec.Answer answer) throws ShardFrameCodec.Garbled {
         usedMs = pool.clock.nowMs();
         readMs = usedMs;
         PartRequest part = out.remove(answer.id());
         if (part == null) {
             // Late or doubled answers concern nobody any more; another is the spoilt one of a part that is out.
             if (!settled.contains(answer.id())) {
-                throw new Frames.Garbled("an answer for a part that was not asked for");
+                throw new ShardFrameCodec.Garbled("an answer for a part that was not asked for");
             }
             return;
         }
--- a/node/src/main/java/spartrail/shard/Frames.java
+++ b/node/src/main/java/spartrail/shard/ShardFrameCodec.java
@@ -9,7 +9,7 @@
 import java.util.regex.Pattern;
 
 /** The frames between front nodes and index servers: a length, a letter, the rest. */
-final class Frames {
+final class ShardFrameCodec {
     /** A server's answer for one part. */
     record Answer(String id, End end, byte[] value) {}
 
@@ -35,7 +35,7 @@
     private static final int HEAD = 5;
     private static final Pattern SCORE = Pattern.compile("[0-9]{1,20}");
 
-    private Frames() {}
+    private ShardFrameCodec() {}
 
     /** One call: each part a line and its text. */
     static ByteBuffer call(List<PartRequest> parts, double nowMs) {
--- a/node/src/main/java/spartrail/shard/ShardPool.java
+++ b/node/src/main/java/spartrail/shard/ShardPool.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.TimeUnit;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
+import spartrail.model.Attempt.Outcome;
 import spartrail.model.Invariants;
 import spartrail.model.NodeClock;
-import spartrail.model.Send.Outcome;
 
 /**
  * The connections to all servers. It carries calls and tells how each part ended, exactly once; where parts
@@ -96,7 +96,7 @@
             best = new ShardConnection(this, address);
             connections.computeIfAbsent(address, at -> new ArrayList<>()).add(best);
         }
-        best.send(new ShardCall(parts));
+        best.send(new PartBatch(parts));
     }
 
     /** A list was read: no frame begins until those who decide have taken it. */
@@ -112,7 +112,7 @@
     }
 
     /** Whether a frame of this call may begin now. */
-    boolean mayBegin(ShardCall call) {
+    boolean mayBegin(PartBatch call) {
         return held == 0 && !blind(call.decidedMs);
     }
 
--- a/node/src/main/java/spartrail/sim/SimNode.java
+++ b/node/src/main/java/spartrail/sim/SimNode.java
@@ -5,34 +5,34 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import spartrail.config.Provisioning;
 import spartrail.coordination.Coordinator;
+import spartrail.model.Attempt;
 import spartrail.model.Decisions;
 import spartrail.model.Multiget;
 import spartrail.model.OpType;
 import spartrail.model.Part;
-import spartrail.model.Send;
 import spartrail.model.Server;
-import spartrail.provisioning.Provisioning;
 
 /** One instance on the wire: keeps its timer and the multigets in hand, converts words and units. */
 final class SimNode {
-    private static final Map<String, Send.Outcome> OUTCOMES = Map.of(
+    private static final Map<String, Attempt.Outcome> OUTCOMES = Map.of(
             "S",
-            Send.Outcome.ANSWERED,
+            Attempt.Outcome.ANSWERED,
             "E",
-            Send.Outcome.ERROR,
+            Attempt.Outcome.ERROR,
             "F",
-            Send.Outcome.FULL,
+            Attempt.Outcome.FULL,
             "T",
-            Send.Outcome.TIMED_OUT,
+            Attempt.Outcome.TIMED_OUT,
             "C",
-            Send.Outcome.CONNECT_FAILED,
+            Attempt.Outcome.CONNECT_FAILED,
             "R",
-            Send.Outcome.RESET,
+            Attempt.Outcome.RESET,
             "X",
-            Send.Outcome.CANCELLED,
+            Attempt.Outcome.CANCELLED,
             "N",
-            Send.Outcome.NOT_SENT);
+            Attempt.Outcome.NOT_SENT);
     private static final Map<String, Server.State> STATES =
             Map.of("live", Server.State.LIVE, "quiescing", Server.State.DRAINING, "dead", Server.State.GONE);
 
@@ -106,8 +106,8 @@
             case "DISCOVERY" -> listed(event, nowMs);
             case "INCOMING" -> incoming(event, nowMs);
             case "COMPLETED" -> {
-                Send send = send(event);
-                Send.Outcome outcome = OUTCOMES.get(event.get(4));
+                Attempt send = send(event);
+                Attempt.Outcome outcome = OUTCOMES.get(event.get(4));
                 if (send != null && outcome != null) {
                     carryOut(coordinator.after(send, outcome, 1000 * number(event, 5), nowMs));
                     forgetIfEnded(send.part.multiget);
@@ -222,7 +222,7 @@
         carryOut(coordinator.listed(lines, !how.equals("D"), !how.equals("C"), nowMs));
     }
 
-    private Send send(List<?> event) {
+    private Attempt send(List<?> event) {
         Part part = parts.get(id(event));
         int number = ((Number) event.get(2)).intValue();
         return part == null || number < 0 || number >= part.sends.size() ? null : part.sends.get(number);
@@ -237,7 +237,7 @@
     }
 
     private void carryOut(Decisions decisions) {
-        for (Send send : decisions.sends) {
+        for (Attempt send : decisions.sends) {
             actions.add(List.of("TRY", send.part.id, send.timeoutMs / 1000, send.server.id));
         }
         for (Multiget mg : decisions.answers) {
@@ -248,7 +248,7 @@
                 default -> actions.add(List.of("ERROR", mg.id));
             }
         }
-        for (Send send : decisions.cancels) {
+        for (Attempt send : decisions.cancels) {
             actions.add(List.of("UNDO_SEND", send.part.id, send.number));
         }
         if (decisions.follow) {
--- a/node/src/test/java/spartrail/client/ClientDoorTest.java
+++ b/node/src/test/java/spartrail/client/ClientListenerTest.java
@@ -27,7 +27,7 @@
 import org.xnio.XnioWorker;
 import spartrail.model.NodeClock;
 
-class ClientDoorTest {
+class ClientListenerTest {
     private static int descriptors() {
         String[] open = new File("/proc/self/fd").list();
         return open == null ? 0 : open.length;
@@ -36,15 +36,15 @@
     private final XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
     private final BlockingQueue<ClientRequest> asked = new LinkedBlockingQueue<>();
 
-    ClientDoorTest() throws IOException {}
+    ClientListenerTest() throws IOException {}
 
     @AfterEach
     void close() {
         worker.shutdown();
     }
 
-    private ClientDoor door(int mostConnections) throws IOException {
-        return new ClientDoor(
+    private ClientListener door(int mostConnections) throws IOException {
+        return new ClientListener(
                 worker,
                 new DefaultByteBufferPool(true, 1024),
                 new InetSocketAddress("127.0.0.1", 0),
@@ -52,9 +52,9 @@
                 Set.of("orders"),
                 4,
                 mostConnections,
-                new ClientDoor.Taker() {
+                new ClientListener.Taker() {
                     @Override
-                    public void asked(Ask ask, ClientRequest request) {
+                    public void asked(ClientQuery ask, ClientRequest request) {
                         asked.add(request);
                     }
 
@@ -110,7 +110,7 @@
      */
     @Test
     void whatCrossesTheShuttingIsAnsweredOrEndedWithoutAReset() throws Exception {
-        ClientDoor door = door(16);
+        ClientListener door = door(16);
         io(door::open);
         Socket[] clients = new Socket[4];
         for (int i = 0; i < clients.length; i++) {
@@ -141,7 +141,7 @@
         assertThat(taken.keySet()).containsExactly("a", "crossing", "in hand", "new");
         io(() -> {
             send(clients[2], ASK.replace("Req-Id: a", "Req-Id: behind"));
-            taken.values().forEach(request -> request.answer(Reply.failed()));
+            taken.values().forEach(request -> request.answer(ClientResponse.failed()));
         });
         for (Socket client : List.of(clients[0], clients[1], clients[2], late[0])) {
             assertThat(rest(client)).isEqualTo("HTTP/1.1 500 Internal Server Error failed\n");
@@ -160,7 +160,7 @@
 
     @Test
     void anAnswerThatWasOnItsWayWhenTheDoorShutIsTheLastOfItsConnection() throws Exception {
-        ClientDoor door = door(16);
+        ClientListener door = door(16);
         io(door::open);
         Socket client = new Socket();
         client.setReceiveBufferSize(2048);
@@ -170,7 +170,7 @@
         byte[] value = new byte[16_000_000];
         Arrays.fill(value, (byte) 'v');
         io(() -> {
-            inHand.answer(Reply.returned(true, List.of(new Reply.Value(0, value))));
+            inHand.answer(ClientResponse.returned(true, List.of(new ClientResponse.Value(0, value))));
             door.shut();
         });
         assertThat(rest(client)).hasSizeGreaterThan(value.length);
@@ -180,7 +180,7 @@
     /** A paused process finds the rest of a request in the socket, and its own time for it over. */
     @Test
     void whatCameDuringAPauseIsReadBeforeItsConnectionIsClosedForSlowness() throws Exception {
-        ClientDoor door = door(16);
+        ClientListener door = door(16);
         io(door::open);
         int[] cuts = {0, 60, ASK.length() - 5};
         Socket[] clients = new Socket[cuts.length];
@@ -208,7 +208,7 @@
     /** Danger: with part of a core the I/O thread is long in coming, and nobody turns out whom the others accept. */
     @Test
     void aCrowdTakesNoMoreDescriptorsThanItsShareWhileTheNodeIsBusy() throws Exception {
-        ClientDoor door = door(16);
+        ClientListener door = door(16);
         CountDownLatch open = new CountDownLatch(1);
         CountDownLatch free = new CountDownLatch(1);
         worker.getIoThread().execute(() -> {
--- a/node/src/test/java/spartrail/discovery/HostWatchTest.java
+++ b/node/src/test/java/spartrail/discovery/DiscoveryClientTest.java
@@ -26,7 +26,7 @@
 import org.xnio.XnioWorker;
 import spartrail.membership.EndpointList;
 
-class HostWatchTest {
+class DiscoveryClientTest {
     private static final String LINE = "{\"uid\":\"%s\",\"endpoint\":\"127.0.0.1:9\",\"az\":\"a\",\"model\":\"m\","
             + "\"pod_group\":1,\"state\":\"%s\",\"capacity_hint\":1.0,\"boot_ms\":0}";
 
@@ -37,11 +37,11 @@
     private final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
     private final List<HttpServer> servers = new ArrayList<>();
     private XnioWorker worker;
-    private HostWatch watch;
+    private DiscoveryClient watch;
     /** Whether time passes only as the test says. */
     private boolean held;
 
-    private HeldTimers timers;
+    private ManualTimers timers;
 
     /** Discovery that gives these answers, one to a call, and is silent from then on. */
     private HttpServer discovery(String name, String... texts) throws IOException {
@@ -76,14 +76,14 @@
 
     private void watch(InetSocketAddress address, boolean onRequest) throws IOException {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        timers = new HeldTimers(worker.getIoThread());
-        watch = new HostWatch(
+        timers = new ManualTimers(worker.getIoThread());
+        watch = new DiscoveryClient(
                 worker.getIoThread(),
-                held ? timers : Timers.of(worker.getIoThread()),
+                held ? timers : IoTimers.of(worker.getIoThread()),
                 new DefaultByteBufferPool(true, 1024),
                 address,
                 onRequest,
-                new HostWatch.Listener() {
+                new DiscoveryClient.Listener() {
                     @Override
                     public void listed(EndpointList list) {
                         StringBuilder told = new StringBuilder(list.version() + (list.all() ? " all" : " changes"));
--- a/node/src/test/java/spartrail/discovery/HeldTimers.java
+++ b/node/src/test/java/spartrail/discovery/ManualTimers.java
@@ -8,14 +8,14 @@
 import org.xnio.XnioIoThread;
 
 /** Time stands still until a test lets it pass; what is due then runs on the I/O thread, in order. */
-final class HeldTimers implements Timers {
+final class ManualTimers implements IoTimers {
     private record Due(long atNs, Runnable task) {}
 
     private final XnioIoThread io;
     private final List<Due> dues = new ArrayList<>();
     private long nowNs;
 
-    HeldTimers(XnioIoThread io) {
+    ManualTimers(XnioIoThread io) {
         this.io = io;
     }
 
--- a/node/src/test/java/spartrail/discovery/RetryTimesTest.java
+++ b/node/src/test/java/spartrail/discovery/RetryTimesTest.java
@@ -16,12 +16,13 @@
 class RetryTimesTest {
     private static final double COUNTS_AS_TOLD_MS = 6000;
     /** The first call that is answered may take as long as one that is given up, connecting included. */
-    private static final double ANSWERED_MS = HostWatch.RETRY_CALL_MS;
+    private static final double ANSWERED_MS = DiscoveryClient.RETRY_CALL_MS;
 
     @Test
     void whereTheAgentIsWatchedTheNextCallIsAnsweredInTime() {
-        assertThat(HostWatch.RETRY_CALL_MS + HostWatch.PAUSE_MS + ANSWERED_MS).isLessThan(COUNTS_AS_TOLD_MS);
-        assertThat(HostWatch.WAITING_CALL_MS + ANSWERED_MS)
+        assertThat(DiscoveryClient.RETRY_CALL_MS + DiscoveryClient.PAUSE_MS + ANSWERED_MS)
+                .isLessThan(COUNTS_AS_TOLD_MS);
+        assertThat(DiscoveryClient.WAITING_CALL_MS + ANSWERED_MS)
                 .as("the watch that fell silent is followed at once")
                 .isLessThan(COUNTS_AS_TOLD_MS);
     }
@@ -41,7 +42,7 @@
                 do {
                     nowMs += coordinator.waitMs(nowMs);
                 } while (!coordinator.waited(nowMs).follow);
-                double callMs = failure == 0 ? HostWatch.WAITING_CALL_MS : HostWatch.RETRY_CALL_MS;
+                double callMs = failure == 0 ? DiscoveryClient.WAITING_CALL_MS : DiscoveryClient.RETRY_CALL_MS;
                 assertThat(callMs + (nowMs - failedMs) + ANSWERED_MS)
                         .as("failure %d of node %d", failure, node)
                         .isLessThan(COUNTS_AS_TOLD_MS);
--- a/node/src/test/java/spartrail/members/MembersFileTest.java
+++ b/node/src/test/java/spartrail/endpoint/sources/EndpointSourcesFileTest.java
@@ -1,4 +1,4 @@
-package spartrail.members;
+package spartrail.endpoint.sources;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class MembersFileTest {
+class EndpointSourcesFileTest {
     @TempDir
     private Path folder;
 
@@ -15,7 +15,7 @@
         Path file = folder.resolve("members.json");
         Files.writeString(file, text.replace('\'', '"'));
         try {
-            MembersFile read = MembersFile.read(file);
+            EndpointSourcesFile read = EndpointSourcesFile.read(file);
             return "floor " + read.bounds().floor() + ", 10.1.2.3 "
                     + read.allowed().test("10.1.2.3:80") + ", 10.2.0.1 "
                     + read.allowed().test("10.2.0.1:80") + ", a name "
--- a/node/src/test/java/spartrail/front/FrontNodeTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeTest.java
@@ -26,10 +26,10 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import spartrail.config.DeploymentFile;
 import spartrail.coordination.Coordinator;
 import spartrail.model.Decisions;
 import spartrail.model.Multiget;
-import spartrail.provisioning.DeploymentFile;
 import spartrail.subset.SubsetSelector;
 
 /** A whole node on the loopback, between raw clients and the toy fleet of the example. */
@@ -360,7 +360,7 @@
 
     @Test
     void thoseThatSayNothingTurnOutNoClientThatAsks() throws Exception {
-        start("\"sockets\": 1024", "\"sockets\": " + (Descriptors.held() + 60));
+        start("\"sockets\": 1024", "\"sockets\": " + (FileDescriptorLimit.held() + 60));
         tell("b");
         Client kept = new Client();
         List<Client> silent = new ArrayList<>();
@@ -777,7 +777,7 @@
 
     @Test
     void whenDescriptorsAreShortTheLongestUnusedClientGoesFirst() throws Exception {
-        start("\"sockets\": 1024", "\"sockets\": " + (Descriptors.held() + 60));
+        start("\"sockets\": 1024", "\"sockets\": " + (FileDescriptorLimit.held() + 60));
         List<Client> idle = new ArrayList<>();
         tell("b");
         Client inHand = new Client().ask("a", 0);
@@ -795,7 +795,11 @@
 
     @Test
     void halfSentRequestsHoldNothingAndGoFirst() throws Exception {
-        start("\"sockets\": 1024", "\"sockets\": " + (Descriptors.held() + 60), "\"open-cap\": 187", "\"open-cap\": 3");
+        start(
+                "\"sockets\": 1024",
+                "\"sockets\": " + (FileDescriptorLimit.held() + 60),
+                "\"open-cap\": 187",
+                "\"open-cap\": 3");
         tell("b");
         String half = request("a", "4", body(0));
         List<Client> clients = new ArrayList<>();
--- a/node/src/test/java/spartrail/front/RehearsalTest.java
+++ b/node/src/test/java/spartrail/front/JvmWarmUpTest.java
@@ -10,10 +10,10 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import org.junit.jupiter.api.Test;
+import spartrail.config.DeploymentFile;
 import spartrail.model.NodeClock;
-import spartrail.provisioning.DeploymentFile;
 
-class RehearsalTest {
+class JvmWarmUpTest {
     /** Danger: a request of the rehearsal that is one would reach the servers. */
     @Test
     void whatIsAskedAtTheOwnDoorIsNoRequestThatIsServed() throws Exception {
@@ -29,7 +29,7 @@
         });
         door.start();
         DeploymentFile deployment = DeploymentFile.read(Path.of("example/config.json"));
-        new Rehearsal(new NodeClock(), deployment.known()).play(deployment, door.getAddress());
+        new JvmWarmUp(new NodeClock(), deployment.known()).play(deployment, door.getAddress());
         door.stop(0);
         assertThat(asked)
                 .isNotEmpty()
@@ -43,6 +43,6 @@
         NodeClock clock = new NodeClock();
         InetSocketAddress nobody = new InetSocketAddress("127.0.0.1", 1);
         DeploymentFile deployment = DeploymentFile.parse(text);
-        new Rehearsal(clock, deployment.known()).play(deployment, nobody);
+        new JvmWarmUp(clock, deployment.known()).play(deployment, nobody);
     }
 }
--- a/node/src/test/java/spartrail/front/StandstillTest.java
+++ b/node/src/test/java/spartrail/front/PauseDetectorTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-class StandstillTest {
+class PauseDetectorTest {
     @Test
     void whatIsReadAfterAGapMayBeAsOldAsTheGapUntilTheSocketsAreGoneThrough() {
-        Standstill node = new Standstill(5);
+        PauseDetector node = new PauseDetector(5);
         StringBuilder trace = new StringBuilder();
         double now = 1000;
         for (double late : new double[] {-3, 9, 700, 4, 6}) {
--- a/node/src/test/java/spartrail/record/MultigetRecordTest.java
+++ b/node/src/test/java/spartrail/record/MultigetRecordTest.java
@@ -8,20 +8,20 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import spartrail.client.Ask;
+import spartrail.client.ClientQuery;
 
 class MultigetRecordTest {
     @TempDir
     private Path folder;
 
-    private static Ask ask(String key) {
-        return new Ask(
+    private static ClientQuery ask(String key) {
+        return new ClientQuery(
                 "9b1f",
                 "orders",
                 key,
                 1500,
                 false,
-                List.of(new Ask.AskedPart(3, 0.25, 2), new Ask.AskedPart(0, 0.75, 4)),
+                List.of(new ClientQuery.AskedPart(3, 0.25, 2), new ClientQuery.AskedPart(0, 0.75, 4)),
                 "text".getBytes(StandardCharsets.UTF_8));
     }
 
--- a/node/src/test/java/spartrail/shard/FramesTest.java
+++ b/node/src/test/java/spartrail/shard/ShardFrameCodecTest.java
@@ -11,24 +11,25 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import spartrail.model.Send;
+import spartrail.model.Attempt;
 
-class FramesTest {
+class ShardFrameCodecTest {
     private static byte[] frame(char letter, String rest) {
-        return Frames.frame(letter, rest.getBytes(StandardCharsets.UTF_8)).array();
+        return ShardFrameCodec.frame(letter, rest.getBytes(StandardCharsets.UTF_8))
+                .array();
     }
 
-    private static String text(Frames.Answer answer) {
+    private static String text(ShardFrameCodec.Answer answer) {
         return answer.id() + " " + answer.end() + " " + new String(answer.value(), StandardCharsets.UTF_8);
     }
 
     @Test
     void aCallIsALineAndTheTextForEachPart() {
         byte[] text = "c41é".getBytes(StandardCharsets.UTF_8);
-        Send send = new Send(null, null, 0, 0, 240);
+        Attempt send = new Attempt(null, null, 0, 0, 240);
         PartRequest first = new PartRequest(send, "9b.3", 3, text, 240.9, () -> true);
         PartRequest second = new PartRequest(send, "9b.4", 4, text, -7, () -> true);
-        ByteBuffer call = Frames.call(List.of(first, second), 0);
+        ByteBuffer call = ShardFrameCodec.call(List.of(first, second), 0);
         byte[] rest = "9b.3 3 d=240 5\nc41é9b.4 4 d=1 5\nc41é".getBytes(StandardCharsets.UTF_8);
         assertThat(call.getInt()).isEqualTo(1 + rest.length);
         assertThat(call.get()).isEqualTo((byte) 'R');
@@ -46,11 +47,11 @@
                 .put(two)
                 .array();
         for (int cut = 0; cut <= all.length; cut++) {
-            Frames.Reader reader = new Frames.Reader();
+            ShardFrameCodec.Reader reader = new ShardFrameCodec.Reader();
             List<String> read = new ArrayList<>();
             for (ByteBuffer half : List.of(ByteBuffer.wrap(all, 0, cut), ByteBuffer.wrap(all, cut, all.length - cut))) {
                 reader.take(half);
-                for (Frames.Answer answer = reader.next(); answer != null; answer = reader.next()) {
+                for (ShardFrameCodec.Answer answer = reader.next(); answer != null; answer = reader.next()) {
                     read.add(text(answer));
                 }
             }
@@ -67,7 +68,7 @@
                 frame('Y', "9b.3 PERHAPS 0 -\nx"),
                 frame('Y', "9b.3 OK none -\nx"),
                 frame('G', "OK"),
-                Frames.frame('Y', new byte[] {'1', ' ', 'O', 'K', ' ', '0', ' ', '-', '\n', (byte) 0xc3})
+                ShardFrameCodec.frame('Y', new byte[] {'1', ' ', 'O', 'K', ' ', '0', ' ', '-', '\n', (byte) 0xc3})
                         .array(),
                 new byte[] {0, 0, 0, 9, 'y'},
                 new byte[] {0, 0, 0, 0, 'Y'},
@@ -75,10 +76,10 @@
                 new byte[] {-1, 0, 0, 0, 0});
         StringBuilder told = new StringBuilder();
         for (byte[] frame : frames) {
-            Frames.Reader reader = new Frames.Reader();
+            ShardFrameCodec.Reader reader = new ShardFrameCodec.Reader();
             reader.take(ByteBuffer.wrap(frame));
             assertThatThrownBy(reader::next)
-                    .isInstanceOf(Frames.Garbled.class)
+                    .isInstanceOf(ShardFrameCodec.Garbled.class)
                     .satisfies(e -> told.append(e.getMessage()).append('\n'));
         }
         assertThat(told.toString())
@@ -104,21 +105,21 @@
      */
     @Test
     void anAnswerChangedAtAnyByteIsTakenWholeOrNotAtAll() throws Exception {
-        byte[] good = Frames.frame('Y', "1.0 OK 17 a=1\nvalue".getBytes(StandardCharsets.US_ASCII))
+        byte[] good = ShardFrameCodec.frame('Y', "1.0 OK 17 a=1\nvalue".getBytes(StandardCharsets.US_ASCII))
                 .array();
         Random random = new Random(7);
         Set<String> taken = new TreeSet<>();
         for (int at = 4; at < 50 * (good.length - 5); at++) {
             byte[] bytes = good.clone();
             bytes[Math.max(4, at % (good.length - 5))] ^= (byte) (1 + random.nextInt(255));
-            Frames.Reader reader = new Frames.Reader();
+            ShardFrameCodec.Reader reader = new ShardFrameCodec.Reader();
             reader.take(ByteBuffer.wrap(bytes));
             try {
-                Frames.Answer answer = reader.next();
-                if (answer != null && answer.id().equals("1.0") && answer.end() == Frames.End.OK) {
+                ShardFrameCodec.Answer answer = reader.next();
+                if (answer != null && answer.id().equals("1.0") && answer.end() == ShardFrameCodec.End.OK) {
                     taken.add(new String(answer.value(), StandardCharsets.US_ASCII));
                 }
-            } catch (Frames.Garbled e) {
+            } catch (ShardFrameCodec.Garbled e) {
                 // As it should be.
             }
         }
--- a/node/src/test/java/spartrail/shard/ShardPoolTest.java
+++ b/node/src/test/java/spartrail/shard/ShardPoolTest.java
@@ -30,10 +30,10 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 import spartrail.membership.EndpointList;
+import spartrail.model.Attempt;
+import spartrail.model.Attempt.Outcome;
 import spartrail.model.Invariants;
 import spartrail.model.NodeClock;
-import spartrail.model.Send;
-import spartrail.model.Send.Outcome;
 
 /** How parts end, by what becomes of their connection. */
 class ShardPoolTest {
@@ -85,7 +85,7 @@
     }
 
     private PartRequest part(String id, int bytes) {
-        Send send = new Send(null, null, 0, clock.nowMs(), 10_000);
+        Attempt send = new Attempt(null, null, 0, clock.nowMs(), 10_000);
         send.leaveByMs = leaveByMs;
         return new PartRequest(send, id, 0, new byte[bytes], clock.nowMs() + 10_000, () -> !gone.contains(id));
     }
@@ -222,7 +222,7 @@
 
     @Test
     void aResetBehindTheFramesLastByteMayHaveRunWhateverOfTheAnswerHasCome() throws Exception {
-        byte[] answer = Frames.frame('Y', "1.0 OK 1 -\nvalue".getBytes(StandardCharsets.US_ASCII))
+        byte[] answer = ShardFrameCodec.frame('Y', "1.0 OK 1 -\nvalue".getBytes(StandardCharsets.US_ASCII))
                 .array();
         int line = 5 + "1.0 OK 1 -\n".length();
         StringBuilder table = new StringBuilder();
@@ -512,7 +512,7 @@
 
     @Test
     void whatCannotBeReadEndsAllThatIsOutOnItsConnectionBeforeTheirTimeOuts() throws Exception {
-        byte[] good = Frames.frame('Y', "1.0 OK 1 -\nv".getBytes(StandardCharsets.US_ASCII))
+        byte[] good = ShardFrameCodec.frame('Y', "1.0 OK 1 -\nv".getBytes(StandardCharsets.US_ASCII))
                 .array();
         byte[] endless = good.clone();
         endless[3] += 20;
@@ -522,9 +522,9 @@
                 new byte[] {-80, 0, 0, 0, 'Y'},
                 endless,
                 new byte[] {0, 0, 0},
-                Frames.frame('Y', "3.0 OK 1 -\nv".getBytes(StandardCharsets.US_ASCII))
+                ShardFrameCodec.frame('Y', "3.0 OK 1 -\nv".getBytes(StandardCharsets.US_ASCII))
                         .array(),
-                Frames.frame('T', new byte[] {'-'}).array())) {
+                ShardFrameCodec.frame('T', new byte[] {'-'}).array())) {
             assertThat(spoilt(bytes)).isEqualTo(neither);
         }
         byte[] behind = ByteBuffer.allocate(2 * good.length + 3)
--- a/peers/src/main/java/spartrail/peering/PeersFile.java
+++ b/peers/src/main/java/spartrail/peering/PeersFile.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import spartrail.json.JsonTree;
-import spartrail.model.Ranges;
+import spartrail.model.AddressRanges;
 import spartrail.peers.Card;
 import spartrail.peers.PeerTimes;
 
@@ -49,8 +49,8 @@
     final InetSocketAddress listen;
     final String advertise;
     final List<String> seeds;
-    final Ranges allowed;
-    final Ranges operators;
+    final AddressRanges allowed;
+    final AddressRanges operators;
     final String zone;
     final double weight;
     final String settings;
@@ -77,8 +77,8 @@
         for (Object seed : list(tree, "seeds", List.of())) {
             seeds.add(address(String.valueOf(seed), "/seeds/" + seeds.size()));
         }
-        allowed = new Ranges(list(tree, "allow", LOOPBACK), "/allow");
-        operators = new Ranges(list(tree, "operators", LOOPBACK), "/operators");
+        allowed = new AddressRanges(list(tree, "allow", LOOPBACK), "/allow");
+        operators = new AddressRanges(list(tree, "operators", LOOPBACK), "/operators");
         if (!allowed.test(advertise)) {
             throw new IllegalArgumentException(
                     "/advertise: found " + advertise + ", an address within /allow is expected");
