--- /dev/null
+++ b/peers/src/test/java/spartrail/peering/HistoryFormTest.java
@@ -0,0 +1,61 @@
+package spartrail.peering;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import spartrail.peers.Card;
+import spartrail.peers.Life;
+import spartrail.peers.PeerEvent;
+import spartrail.peers.PeersView;
+import spartrail.peers.Standing;
+
+/** Lines of a history keep the form in which earlier versions wrote them, for the tools and people that read them. */
+class HistoryFormTest {
+    private static final Card SELF =
+            new Card("n1", "10.0.0.1:7400", "zone-a", 1.5, "0.2.1", "v7", new Life(1_700_000_000_123L, -5), 3);
+    private static final Card OTHER =
+            new Card("n2", "10.0.0.2:7401", "zone-b", 2, "0.2.2", "v8", new Life(1_700_000_000_999L, 77), 9);
+
+    @TempDir
+    private Path folder;
+
+    private static PeersView view(Standing standing, String doubt) {
+        return new PeersView("n1", standing, doubt, 1234.5, 5, 4, 6, List.of(), Map.of("refuted", 2L));
+    }
+
+    private static PeerEvent event(Standing was, Standing is, String doubt) {
+        return new PeerEvent(1234.5, OTHER, was, is, "n3", "accused by n1, n3", doubt);
+    }
+
+    @Test
+    void eachKindOfLineIsWrittenAsStored() throws Exception {
+        Path file = folder.resolve("n1.history");
+        try (History history = new History(file, 1 << 20)) {
+            history.began(SELF);
+            Standing was = null;
+            for (Standing standing : Standing.values()) {
+                history.changed(view(standing, ""), event(was, standing, "it runs late, by 40 ms on average"));
+                history.view(view(standing, "it gets no answers"));
+                was = standing;
+            }
+            history.changed(view(Standing.ALIVE, ""), event(was, null, ""));
+            history.view(view(Standing.ALIVE, ""));
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put("text", "a \"quoted\" text");
+            fields.put("number", 7L);
+            fields.put("decimal", 0.5);
+            fields.put("flag", true);
+            history.note("leads", "n1", fields);
+        }
+        List<String> written = Files.readAllLines(file).stream()
+                .map(line -> line.replaceFirst("^\\{\"ns\":-?[0-9]+,", "{\"ns\":0,"))
+                .toList();
+        assertThat(written).isEqualTo(StoredForms.lines("history.jsonl"));
+    }
+}
--- /dev/null
+++ b/peers/src/test/java/spartrail/peering/ReplyFormTest.java
@@ -0,0 +1,78 @@
+package spartrail.peering;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import spartrail.peers.Card;
+import spartrail.peers.Life;
+import spartrail.peers.PeersView;
+import spartrail.peers.PeersView.Seen;
+import spartrail.peers.PeersView.Sure;
+import spartrail.peers.Standing;
+
+/** Replies to operators keep the form in which earlier versions wrote them: an operator's tool may be of another version. */
+class ReplyFormTest {
+    private static final String FLEET = "recife";
+
+    private static Seen seen(int number, Standing standing, Sure sure, double heardMs) {
+        Card card = new Card(
+                "n" + number,
+                "10.0.0." + number + ":7400",
+                "zone-a",
+                1.5,
+                "0.2.1",
+                "v7",
+                new Life(1_700_000_000_000L + number, -5),
+                number);
+        return new Seen(card, standing, 1000.25, "n9", sure, heardMs, "accused by n9");
+    }
+
+    private static final PeersView VIEW = new PeersView(
+            "n1",
+            Standing.ALIVE,
+            "it gets no answers",
+            2000.5,
+            3,
+            2,
+            4,
+            List.of(
+                    seen(1, Standing.ALIVE, Sure.HEARD, 2000.5),
+                    seen(2, Standing.JOINING, Sure.TOLD, Double.NaN),
+                    seen(3, Standing.SUSPECT, Sure.DOUBTED, 1500),
+                    seen(4, Standing.GONE, Sure.TOLD, Double.NaN),
+                    seen(5, Standing.LEFT, Sure.TOLD, 500)),
+            Map.of("refuted", 2L, "stood still", 1L));
+
+    private static List<String> replies(String question) throws Exception {
+        List<byte[]> sent = new ArrayList<>();
+        Replies.to(question, VIEW, Map.of("bytes sent", 123L, "datagrams received", 45L), FLEET, sent::add);
+        List<String> texts = new ArrayList<>();
+        for (byte[] bytes : sent) {
+            String text = (String) Frames.read(bytes, bytes.length, FLEET, Frames.MOST_BYTES)
+                    .values()
+                    .get(3);
+            assertThat(bytes).isEqualTo(Frames.text(FLEET, Frames.REPLY, text));
+            texts.add(text);
+        }
+        return texts;
+    }
+
+    @Test
+    void eachPageIsWrittenAsStored() throws Exception {
+        List<String> written = new ArrayList<>();
+        for (String question : List.of("show 0", "show 1", "show 5", "show 6")) {
+            written.addAll(replies(question));
+        }
+        assertThat(written).isEqualTo(StoredForms.lines("replies.jsonl"));
+    }
+
+    @Test
+    void otherQuestionsHaveNoReply() throws Exception {
+        for (String question : List.of("", "show", "show -1", "show 100000", "show 0 1", "list 0")) {
+            assertThat(replies(question)).as(question).isEmpty();
+        }
+    }
+}
