--- /dev/null
+++ b/policy/src/test/java/spartrail/governing/PageFormsTest.java
@@ -0,0 +1,164 @@
+package spartrail.governing;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.time.Clock;
+import java.time.Instant;
+import java.time.ZoneId;
+import java.time.ZoneOffset;
+import java.util.ArrayDeque;
+import java.util.Comparator;
+import java.util.Deque;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Random;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import spartrail.policy.Ask;
+import spartrail.policy.Op;
+import spartrail.policy.PolicyFollower;
+import spartrail.policy.PolicyLog;
+import spartrail.policy.PolicyTimes;
+import spartrail.policy.Terms;
+import spartrail.policy.Told;
+
+/** What operators are told about a node keeps its JSON text. */
+class PageFormsTest {
+    private static final String RESOURCE = "pages.txt";
+    private static final PolicyLog.Entry HOLDS =
+            new PolicyLog.Entry(1, "{\"/sends/most\":3.0}", "ana", PolicyLog.Stage.HOLDS, "", "t1");
+    private static final PolicyLog.Entry OPEN =
+            new PolicyLog.Entry(2, "{\"/sends/most\":2.0}", "bo", PolicyLog.Stage.DECIDED, "", "t2");
+
+    @TempDir
+    private Path folder;
+
+    /** A thread's queue and timers, played by hand on a clock that only the test moves. */
+    private static final class ManualPlace implements Deciding.Place {
+        private record Timer(long atMs, long number, Runnable task) {}
+
+        private final Deque<Runnable> queue = new ArrayDeque<>();
+        private final PriorityQueue<Timer> timers =
+                new PriorityQueue<>(Comparator.comparingLong(Timer::atMs).thenComparingLong(Timer::number));
+        private long nowMs = 1_000_000;
+        private long count;
+
+        @Override
+        public Clock clock() {
+            return new Clock() {
+                @Override
+                public ZoneId getZone() {
+                    return ZoneOffset.UTC;
+                }
+
+                @Override
+                public Clock withZone(ZoneId zone) {
+                    return this;
+                }
+
+                @Override
+                public Instant instant() {
+                    return Instant.ofEpochMilli(nowMs);
+                }
+            };
+        }
+
+        @Override
+        public void execute(Runnable task) {
+            queue.add(task);
+        }
+
+        @Override
+        public void submit(Runnable task) {
+            queue.add(task);
+        }
+
+        @Override
+        public void schedule(Runnable task, long delay, TimeUnit unit) {
+            timers.add(new Timer(nowMs + unit.toMillis(delay), count++, task));
+        }
+
+        void runQueue() {
+            while (!queue.isEmpty()) {
+                queue.remove().run();
+            }
+        }
+
+        void runNextTimer() {
+            Timer next = timers.remove();
+            nowMs = Math.max(nowMs, next.atMs());
+            next.task().run();
+            runQueue();
+        }
+    }
+
+    private static PolicyFollower follower() {
+        Terms own = Terms.of(Map.of("/sends/most", 4, "/comeback/told", true));
+        return new PolicyFollower("n0", List.of("n0", "n1", "n2"), own, PolicyTimes.USUAL, new Random(5), 0);
+    }
+
+    private static PolicyFollower follower(PolicyLog.Entry open) {
+        PolicyFollower follower = follower();
+        Ask ask = follower.ask(0);
+        follower.told(new Told(ask.nonce(), 9, HOLDS, open), 1);
+        return follower;
+    }
+
+    private static String page(PolicyFollower follower, Deciding deciding, double nowMs) {
+        return Page.of("n0", follower.ruling(), follower, deciding, "127.0.0.1:7000", nowMs);
+    }
+
+    /** The log of the only deciding node, which has seen a proposal of each outcome. */
+    private String pageOfLeader() throws IOException {
+        Journal.found(folder, "recife", "n0", List.of("n0"));
+        ManualPlace place = new ManualPlace();
+        try (Journal journal = new Journal(folder, "recife", "n0")) {
+            Deciding deciding = new Deciding(
+                    "n0",
+                    "recife",
+                    journal,
+                    PolicyTimes.USUAL,
+                    place,
+                    new Random(1),
+                    (to, message) -> {},
+                    name -> false,
+                    () -> {});
+            place.runQueue();
+            for (int i = 0; i < 1000 && !deciding.leading(); i++) {
+                place.runNextTimer();
+            }
+            for (Op op : List.of(
+                    new Op(Op.Kind.PROPOSE, 0, "{\"sends\":{\"most\":3}}", "ana", "t1"),
+                    new Op(Op.Kind.DECIDE, 1, "", "", ""),
+                    new Op(Op.Kind.HOLD, 1, "", "", ""),
+                    new Op(Op.Kind.PROPOSE, 0, "{}", "bo", "t2"),
+                    new Op(Op.Kind.REFUSE, 2, "no", "n2", ""),
+                    new Op(Op.Kind.PROPOSE, 0, "{}", "bo", "t3"),
+                    new Op(Op.Kind.ABORT, 3, "", "ana", ""))) {
+                deciding.order(op, came -> {});
+                place.runQueue();
+            }
+            String page = page(follower(null), deciding, 100);
+            deciding.close();
+            place.runQueue();
+            return page;
+        }
+    }
+
+    @Test
+    void repliesToOperatorsKeepTheirText() throws IOException {
+        Map<String, String> seen = new LinkedHashMap<>();
+        seen.put("not ready", page(follower(), null, 1));
+        seen.put("a version holds", page(follower(null), null, 100));
+        seen.put("another is decided", page(follower(OPEN), null, 100));
+        seen.put("out of touch", page(follower(OPEN), null, 1e6));
+        seen.put("a leader", pageOfLeader());
+        StoredForms.writeSeen(RESOURCE, seen);
+        assertThat(seen).isEqualTo(StoredForms.read(RESOURCE));
+    }
+}
