--- /dev/null
+++ b/node/src/test/java/spartrail/record/MultigetRecordFormTest.java
@@ -0,0 +1,39 @@
+package spartrail.record;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import spartrail.client.Ask;
+
+/** The file of {@code --record} keeps the bytes that version d4872eb wrote. */
+class MultigetRecordFormTest {
+    @TempDir
+    private Path folder;
+
+    @Test
+    void eachKindOfLineKeepsItsBytes() throws Exception {
+        Path file = folder.resolve("record");
+        byte[] text = "text".getBytes(StandardCharsets.UTF_8);
+        Ask.AskedPart first = new Ask.AskedPart(3, 0.25, 2);
+        Ask.AskedPart second = new Ask.AskedPart(0, 0.75, 4.5);
+        Ask keyed = new Ask("9b1f", "orders", "k\"1", 1500, false, List.of(first, second), text);
+        Ask keyless = new Ask("9b20", "Ümlaut", null, 0.5, true, List.of(second), new byte[0]);
+        Ask empty = new Ask("9b21", "orders", "", 1500, false, List.of(), text);
+        try (MultigetRecord record = new MultigetRecord(file, 10_000)) {
+            record.taken(keyed, 1_782_324_000_000.125, 0, "");
+            record.taken(keyless, 1_782_324_000_001.0, 0, "");
+            record.taken(empty, 12.3456, 0, "");
+            record.taken(keyed, 1_782_324_000_002.0, 2_300_973_830_377L, "0|1");
+            record.taken(keyless, 1_782_324_000_003.0, -5, "17?");
+        }
+        try (InputStream kept = getClass().getResourceAsStream("/forms/record.jsonl")) {
+            assertThat(Files.readString(file)).isEqualTo(new String(kept.readAllBytes(), StandardCharsets.UTF_8));
+        }
+    }
+}
