--- a/node/src/test/java/spartrail/record/MultigetRecordFormTest.java
+++ b/node/src/test/java/spartrail/record/MultigetRecordFormTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import spartrail.client.Ask;
+import spartrail.client.ClientQuery;
 
 /** The file of {@code --record} keeps the bytes that version d4872eb wrote. */
 class MultigetRecordFormTest {
@@ -20,11 +20,11 @@
     void eachKindOfLineKeepsItsBytes() throws Exception {
         Path file = folder.resolve("record");
         byte[] text = "text".getBytes(StandardCharsets.UTF_8);
-        Ask.AskedPart first = new Ask.AskedPart(3, 0.25, 2);
-        Ask.AskedPart second = new Ask.AskedPart(0, 0.75, 4.5);
-        Ask keyed = new Ask("9b1f", "orders", "k\"1", 1500, false, List.of(first, second), text);
-        Ask keyless = new Ask("9b20", "Ümlaut", null, 0.5, true, List.of(second), new byte[0]);
-        Ask empty = new Ask("9b21", "orders", "", 1500, false, List.of(), text);
+        ClientQuery.AskedPart first = new ClientQuery.AskedPart(3, 0.25, 2);
+        ClientQuery.AskedPart second = new ClientQuery.AskedPart(0, 0.75, 4.5);
+        ClientQuery keyed = new ClientQuery("9b1f", "orders", "k\"1", 1500, false, List.of(first, second), text);
+        ClientQuery keyless = new ClientQuery("9b20", "Ümlaut", null, 0.5, true, List.of(second), new byte[0]);
+        ClientQuery empty = new ClientQuery("9b21", "orders", "", 1500, false, List.of(), text);
         try (MultigetRecord record = new MultigetRecord(file, 10_000)) {
             record.taken(keyed, 1_782_324_000_000.125, 0, "");
             record.taken(keyless, 1_782_324_000_001.0, 0, "");
