--- a/core/src/main/java/spartrail/membership/EndpointList.java
+++ b/core/src/main/java/spartrail/membership/EndpointList.java
@@ -39,8 +39,8 @@
             server.kind = line.kind();
             server.cell = line.cell();
             server.state = line.state();
-            server.rating = line.rating();
-            server.bornMs = line.bootMs() > 0 ? clock.at(line.bootMs()) : -1;
+            server.weight = line.rating();
+            server.startedAtMs = line.bootMs() > 0 ? clock.toNodeTimeMs(line.bootMs()) : -1;
             servers.add(server);
         }
         return servers;
--- a/core/src/main/java/spartrail/membership/Membership.java
+++ b/core/src/main/java/spartrail/membership/Membership.java
@@ -59,7 +59,7 @@
     private final Map<Integer, Set<Member>> byCell = new HashMap<>();
     private final Set<Member> changed = new LinkedHashSet<>();
     private final TimerQueue timetable = new TimerQueue();
-    private final Map<Member, TimerQueue.Due> dues = new HashMap<>();
+    private final Map<Member, TimerQueue.Timer> dues = new HashMap<>();
     private double nowMs;
     private long refused;
     private long notAllowed;
@@ -140,11 +140,11 @@
     /** Does what is due by now. */
     public void advance(double atMs) {
         nowMs = atMs;
-        timetable.run(atMs);
+        timetable.runDue(atMs);
     }
 
     public double nextMs() {
-        return timetable.nextMs();
+        return timetable.nextDueMs();
     }
 
     // ---- Who ----
@@ -285,12 +285,12 @@
         steps++;
         Verdict verdict = verdict(member);
         move(member, verdict.standing(), verdict.rule());
-        TimerQueue.Due due = dues.remove(member);
+        TimerQueue.Timer due = dues.remove(member);
         if (due != null) {
-            timetable.remove(due);
+            timetable.cancel(due);
         }
         if (verdict.againMs() < NEVER) {
-            dues.put(member, timetable.add(verdict.againMs(), () -> {
+            dues.put(member, timetable.schedule(verdict.againMs(), () -> {
                 dues.remove(member);
                 judge(member);
             }));
--- a/core/src/main/java/spartrail/model/AddressRanges.java
+++ b/core/src/main/java/spartrail/model/AddressRanges.java
@@ -11,8 +11,8 @@
     private final List<Range> ranges = new ArrayList<>();
 
     /** An IllegalArgumentException names the place and what was found there. */
-    public AddressRanges(List<?> texts, String place) {
-        for (Object text : texts) {
+    public AddressRanges(List<?> cidrBlocks, String place) {
+        for (Object text : cidrBlocks) {
             String[] parts = String.valueOf(text).split("/");
             long address = parts.length == 2 ? address(parts[0]) : -1;
             if (address < 0 || !parts[1].matches("[0-9]|[12][0-9]|3[0-2]")) {
--- a/core/src/main/java/spartrail/model/Attempt.java
+++ b/core/src/main/java/spartrail/model/Attempt.java
@@ -13,7 +13,7 @@
         CANCELLED(true),
         NOT_SENT(false),
         /** Its answer, or that of another part on the same connection, could not be read. */
-        GARBLED(true);
+        MALFORMED(true);
 
         /** False where the outcome proves that the part never ran. */
         public final boolean mayHaveRun;
@@ -29,13 +29,13 @@
     public final double sentMs;
     public final double timeoutMs;
     /** Its frame may begin until then: a repeat that leaves after its op type's window would take effect twice. */
-    public double leaveByMs = Double.POSITIVE_INFINITY;
+    public double sendDeadlineMs = Double.POSITIVE_INFINITY;
 
-    public AttemptBatch call;
+    public AttemptBatch batch;
     public Outcome outcome;
-    public boolean cancelled;
+    public boolean cancelRequested;
     /** The server had nothing else of this node's out. */
-    public boolean alone;
+    public boolean serverWasIdle;
 
     public Attempt(Part part, Server server, int number, double sentMs, double timeoutMs) {
         this.part = part;
@@ -45,12 +45,12 @@
         this.timeoutMs = timeoutMs;
     }
 
-    public boolean out() {
+    public boolean isInFlight() {
         return outcome == null;
     }
 
     /** Known not to have run. */
-    public boolean neverRan() {
+    public boolean hasNotRun() {
         return outcome != null && !outcome.mayHaveRun;
     }
 }
--- a/core/src/main/java/spartrail/model/FleetView.java
+++ b/core/src/main/java/spartrail/model/FleetView.java
@@ -8,9 +8,9 @@
  * @param sure the node trusts that count now
  * @param heard it comes from the nodes themselves, not from settings
  */
-public record FleetView(int most, boolean sure, boolean heard) {
+public record FleetView(int maxNodes, boolean trusted, boolean fromPeers) {
     /** The same from settings alone. */
-    public static FleetView told(int nodes) {
+    public static FleetView fromSettings(int nodes) {
         return new FleetView(nodes, true, false);
     }
 
@@ -18,7 +18,7 @@
      * How many nodes what each of them does adds up to: as many as can be there, so that a cut or a slow start makes no node
      * take more than its part. In doubt no fewer than the settings tell.
      */
-    public int nodes(int told) {
-        return Math.max(1, sure ? most : Math.max(most, told));
+    public int effectiveNodes(int configuredNodes) {
+        return Math.max(1, trusted ? maxNodes : Math.max(maxNodes, configuredNodes));
     }
 }
--- a/core/src/main/java/spartrail/model/Layout.java
+++ b/core/src/main/java/spartrail/model/Layout.java
@@ -9,26 +9,28 @@
 public final class Layout {
     public final List<Shard> shards = new ArrayList<>();
     private final int cells;
-    public final int reach;
+    public final int replicationFactor;
 
-    public Layout(int shardCount, int cells, int reach, Comparator<Part> order) {
+    public Layout(int shardCount, int cells, int replicationFactor, Comparator<Part> order) {
         for (int i = 0; i < shardCount; i++) {
             shards.add(new Shard(i, order));
         }
         this.cells = Math.max(1, cells);
-        this.reach = Math.min(reach, this.cells);
+        this.replicationFactor = Math.min(replicationFactor, this.cells);
     }
 
     /** Ties shards and servers to each other; only live servers are replicas. */
-    public void tie(Collection<Server> servers) {
+    public void assignReplicas(Collection<Server> servers) {
         shards.forEach(shard -> shard.replicas.clear());
         for (Server server : servers) {
             server.shards.clear();
-            for (int back = 0; back < reach; back++) {
-                for (int at = Math.floorMod(server.cell - back, cells); at < shards.size(); at += cells) {
-                    server.shards.add(shards.get(at));
+            for (int offset = 0; offset < replicationFactor; offset++) {
+                for (int shardNumber = Math.floorMod(server.cell - offset, cells);
+                        shardNumber < shards.size();
+                        shardNumber += cells) {
+                    server.shards.add(shards.get(shardNumber));
                     if (server.state == Server.State.LIVE) {
-                        shards.get(at).replicas.add(server);
+                        shards.get(shardNumber).replicas.add(server);
                     }
                 }
             }
--- a/core/src/main/java/spartrail/model/Multiget.java
+++ b/core/src/main/java/spartrail/model/Multiget.java
@@ -9,9 +9,9 @@
 public class Multiget {
     /** How a multiget was answered. */
     public enum Answer {
-        WHOLE,
+        COMPLETE,
         PARTIAL,
-        PUSHED_BACK,
+        REJECTED,
         FAILED
     }
 
@@ -25,35 +25,35 @@
     public boolean clientRetry;
     public boolean write;
     public double arrivedMs;
-    public double clientLeftMs;
+    public double clientTimeLeftMs;
     public double costMs;
     public List<Part> parts = new ArrayList<>();
 
     /** Place in every queue: the deadline window, then the rank. */
-    public long window;
+    public long deadlineWindow;
 
     public int rank;
     /** When the latency budget and the client's time end. */
-    public double budgetAtMs;
+    public double objectiveDeadlineMs;
 
-    public double clientAtMs;
+    public double clientDeadlineMs;
     public double answeredWeight;
     /** Parts that are neither answered nor abandoned, and their weight. */
     public int openParts;
 
     public double openWeight;
     /** Shards with a held part of it. */
-    public final Set<Shard> heldAt = new HashSet<>();
+    public final Set<Shard> queuedAt = new HashSet<>();
     /** Its sends that have had no outcome yet. */
-    public int sendsOut;
+    public int attemptsInFlight;
     /** Servers that broke the connection of one of its sends. */
-    public final Set<Server> brokeAt = new HashSet<>();
+    public final Set<Server> connectionsResetBy = new HashSet<>();
     /** Nothing more of it is sent until one of its parts is answered. */
-    public boolean tasting;
+    public boolean awaitingFirstAnswer;
     /** What is due for it while it is in hand. */
-    public final List<TimerQueue.Due> dues = new ArrayList<>();
+    public final List<TimerQueue.Timer> timers = new ArrayList<>();
 
-    public boolean over;
+    public boolean finished;
     public Answer answer;
-    public double comebackMs;
+    public double retryAfterMs;
 }
--- a/core/src/main/java/spartrail/model/NodeClock.java
+++ b/core/src/main/java/spartrail/model/NodeClock.java
@@ -10,17 +10,17 @@
  */
 public final class NodeClock {
     private static final long AHEAD_MS = Long.getLong("spartrail.clock.aheadMs", 0);
-    private static final double PACE = Double.parseDouble(System.getProperty("spartrail.clock.pace", "1"));
+    private static final double RATE = Double.parseDouble(System.getProperty("spartrail.clock.pace", "1"));
 
     private final double startMs = unixMs();
     private final long startNs = System.nanoTime();
 
     public double nowMs() {
-        return startMs + (System.nanoTime() - startNs) / 1e6 * PACE;
+        return startMs + (System.nanoTime() - startNs) / 1e6 * RATE;
     }
 
     /** The time on this clock of a Unix time on the machine's. */
-    public double at(long unixMs) {
+    public double toNodeTimeMs(long unixMs) {
         return nowMs() - (unixMs() - unixMs);
     }
 
--- a/core/src/main/java/spartrail/model/OpType.java
+++ b/core/src/main/java/spartrail/model/OpType.java
@@ -6,43 +6,43 @@
  */
 public final class OpType {
     /** What a repeat of one of its parts does. */
-    public enum Repeat {
-        RETRIABLE,
-        DEDUPED,
-        NON_RETRIABLE
+    public enum Idempotency {
+        IDEMPOTENT,
+        IDEMPOTENCY_KEY,
+        NON_IDEMPOTENT
     }
 
     public String name;
-    public double importance;
-    public double budgetMs;
+    public double priorityWeight;
+    public double latencyObjectiveMs;
     public double timeoutMs;
     public double lateShare;
-    public Repeat repeat;
-    public double dedupMs;
-    public double need;
-    public double floor;
+    public Idempotency idempotency;
+    public double deduplicationWindowMs;
+    public double completeWeight;
+    public double minimumWeight;
     public double partialShare;
 
     /** Learned of its answers. */
-    public final Learned learned;
+    public final LatencyStatistics latency;
 
     public OpType() {
-        this(new Learned());
+        this(new LatencyStatistics());
     }
 
     /** Of one of the same name, whose answers are this one's, too. */
-    public OpType(Learned learned) {
-        this.learned = learned;
+    public OpType(LatencyStatistics latency) {
+        this.latency = latency;
     }
 
     /** What a coordinator learns of answers, whatever the settings say. */
-    public static final class Learned {
+    public static final class LatencyStatistics {
         /** Time of an answer on average, its mean deviation, and that of a server with nothing else of ours. */
-        public double usualMs;
+        public double meanLatencyMs;
 
-        public double deviationMs;
-        public double lightMs;
+        public double latencyDeviationMs;
+        public double unloadedLatencyMs;
         /** When one was turned away and none has been answered since. */
-        public double barredMs = Double.MAX_VALUE;
+        public double rejectedSinceMs = Double.MAX_VALUE;
     }
 }
--- a/core/src/main/java/spartrail/model/Part.java
+++ b/core/src/main/java/spartrail/model/Part.java
@@ -15,20 +15,20 @@
     public Shard shard;
     public double weight;
     public double costMs;
-    public boolean held;
-    public double heldSinceMs;
+    public boolean queued;
+    public double queuedSinceMs;
     public boolean answered;
     public boolean abandoned;
-    public final List<Attempt> sends = new ArrayList<>();
+    public final List<Attempt> attempts = new ArrayList<>();
 
     /** Its answer is still waited for. */
-    public boolean open() {
+    public boolean isOpen() {
         return !answered && !abandoned;
     }
 
-    public boolean sendOut() {
-        for (Attempt send : sends) {
-            if (send.out()) {
+    public boolean hasAttemptInFlight() {
+        for (Attempt attempt : attempts) {
+            if (attempt.isInFlight()) {
                 return true;
             }
         }
@@ -36,28 +36,28 @@
     }
 
     /** The end of the deduplication window of what may have run of it; endless where there is none. */
-    public double windowEndsMs() {
-        return multiget.opType.repeat != OpType.Repeat.DEDUPED
+    public double deduplicationEndMs() {
+        return multiget.opType.idempotency != OpType.Idempotency.IDEMPOTENCY_KEY
                 ? Double.POSITIVE_INFINITY
-                : sends.stream()
-                        .filter(send -> !send.neverRan())
-                        .mapToDouble(send -> send.sentMs + multiget.opType.dedupMs)
+                : attempts.stream()
+                        .filter(attempt -> !attempt.hasNotRun())
+                        .mapToDouble(attempt -> attempt.sentMs + multiget.opType.deduplicationWindowMs)
                         .min()
                         .orElse(Double.POSITIVE_INFINITY);
     }
 
-    public boolean triedAt(Server server) {
-        for (Attempt send : sends) {
-            if (send.server == server) {
+    public boolean wasAttemptedAt(Server server) {
+        for (Attempt attempt : attempts) {
+            if (attempt.server == server) {
                 return true;
             }
         }
         return false;
     }
 
-    public boolean outAt(Server server) {
-        for (Attempt send : sends) {
-            if (send.out() && send.server == server) {
+    public boolean isInFlightAt(Server server) {
+        for (Attempt attempt : attempts) {
+            if (attempt.isInFlight() && attempt.server == server) {
                 return true;
             }
         }
--- a/core/src/main/java/spartrail/model/Server.java
+++ b/core/src/main/java/spartrail/model/Server.java
@@ -19,42 +19,42 @@
     public String kind;
     public int cell;
     public State state = State.LIVE;
-    public double rating = 1;
+    public double weight = 1;
     /** Clock time of its latest start; negative where the list names none. */
-    public double bornMs = -1;
+    public double startedAtMs = -1;
     /** The shards it holds. */
     public List<Shard> shards = new ArrayList<>();
 
     /** Sends out, in order of sending, and the number of calls that carry them. */
-    public final Set<Attempt> out = new LinkedHashSet<>();
+    public final Set<Attempt> inFlight = new LinkedHashSet<>();
 
-    public int callsOut;
+    public int batchesInFlight;
     /** The latest call; parts of the same turn may still join it. */
-    public AttemptBatch call;
+    public AttemptBatch latestBatch;
     /** Order in which replicas are taken in turn. */
-    public long lastTurn;
+    public long lastPickNumber;
     /** Most parts that may be out. */
-    public int limit;
+    public int concurrencyLimit;
 
-    public double halvedMs;
+    public double limitHalvedMs;
     /** Time of answers over what their op type usually takes; 1 is as usual. */
-    public double pace = 1;
+    public double relativeLatency = 1;
 
     public double lastAnswerMs;
     /** When the latest sent of the answered sends was sent. */
     public double lastAnsweredSentMs;
 
-    public boolean ill;
+    public boolean ejected;
     /** When an answer of it could last not be read. */
-    public double garbledMs;
+    public double lastMalformedMs;
     /** Beats since it was last listed. */
-    public int goneBeats;
+    public int ticksSinceRemoval;
     /** Parts answered in the present beat, and in a millisecond lately. */
-    public int answers;
+    public int answersThisTick;
 
     public double answerRate;
     /** Times of sends while cold, not older than the span that counts. */
-    public final SlidingWindowCounter coldSends = new SlidingWindowCounter();
+    public final SlidingWindowCounter warmUpAttempts = new SlidingWindowCounter();
 
     public Server(String id) {
         this.id = id;
--- a/core/src/main/java/spartrail/model/Shard.java
+++ b/core/src/main/java/spartrail/model/Shard.java
@@ -11,10 +11,10 @@
     public final List<Server> replicas = new ArrayList<>();
     public final TreeSet<Part> queue;
     /** How long parts have lately been held, smoothed. */
-    public double delayMs;
+    public double queueDelayMs;
 
-    public Shard(int number, Comparator<Part> order) {
+    public Shard(int number, Comparator<Part> queueOrder) {
         this.number = number;
-        this.queue = new TreeSet<>(order);
+        this.queue = new TreeSet<>(queueOrder);
     }
 }
--- a/core/src/main/java/spartrail/model/SlidingWindowCounter.java
+++ b/core/src/main/java/spartrail/model/SlidingWindowCounter.java
@@ -16,19 +16,19 @@
     }
 
     /** Counts at this time or later; earlier ones are forgotten. */
-    public int since(double ms) {
-        forget(ms);
+    public int countSince(double fromMs) {
+        discardBefore(fromMs);
         return total;
     }
 
-    public void forget(double beforeMs) {
+    public void discardBefore(double beforeMs) {
         while (!entries.isEmpty() && entries.peek().atMs < beforeMs) {
             total -= entries.poll().count;
         }
     }
 
     /** Time of the first count that is not forgotten; infinite without one. */
-    public double firstMs() {
+    public double oldestMs() {
         return entries.isEmpty() ? Double.POSITIVE_INFINITY : entries.peek().atMs;
     }
 
--- a/core/src/main/java/spartrail/model/TimerQueue.java
+++ b/core/src/main/java/spartrail/model/TimerQueue.java
@@ -7,44 +7,44 @@
 /** What is due when, in order of time, then of entry. */
 public final class TimerQueue {
     /** What is due at a time. */
-    public record Due(double atMs, long number, Runnable what) {}
+    public record Timer(double dueMs, long sequence, Runnable action) {}
 
-    private final TreeSet<Due> dues =
-            new TreeSet<>(Comparator.comparingDouble(Due::atMs).thenComparingLong(Due::number));
-    private long count;
+    private final TreeSet<Timer> timers =
+            new TreeSet<>(Comparator.comparingDouble(Timer::dueMs).thenComparingLong(Timer::sequence));
+    private long nextSequence;
 
-    public Due add(double atMs, Runnable what) {
-        Due due = new Due(atMs, count++, what);
-        dues.add(due);
-        return due;
+    public Timer schedule(double dueMs, Runnable action) {
+        Timer timer = new Timer(dueMs, nextSequence++, action);
+        timers.add(timer);
+        return timer;
     }
 
     /** An entry that is kept among its owner's, to be taken out with them. */
-    public void add(double atMs, Collection<Due> owned, Runnable what) {
-        owned.add(add(atMs, what));
+    public void schedule(double dueMs, Collection<Timer> owned, Runnable action) {
+        owned.add(schedule(dueMs, action));
     }
 
     /** Danger: what is due long after its owner has ended would keep all that belongs to it until then. */
-    public void remove(Due due) {
-        dues.remove(due);
+    public void cancel(Timer timer) {
+        timers.remove(timer);
     }
 
-    public void removeAll(Collection<Due> owned) {
-        owned.forEach(dues::remove);
+    public void cancelAll(Collection<Timer> owned) {
+        owned.forEach(timers::remove);
         owned.clear();
     }
 
     public int size() {
-        return dues.size();
+        return timers.size();
     }
 
-    public double nextMs() {
-        return dues.isEmpty() ? Double.MAX_VALUE : dues.first().atMs;
+    public double nextDueMs() {
+        return timers.isEmpty() ? Double.MAX_VALUE : timers.first().dueMs;
     }
 
-    public void run(double nowMs) {
-        while (nextMs() <= nowMs) {
-            dues.pollFirst().what.run();
+    public void runDue(double nowMs) {
+        while (nextDueMs() <= nowMs) {
+            timers.pollFirst().action.run();
         }
     }
 }
--- a/core/src/main/java/spartrail/peers/Member.java
+++ b/core/src/main/java/spartrail/peers/Member.java
@@ -26,7 +26,7 @@
     /** This node itself has asked it since it stands so. */
     boolean askedAgain;
 
-    TimerQueue.Due due;
+    TimerQueue.Timer due;
     /** How often it has been passed on since it changed, and whether it is to be passed on further. */
     int passedOn;
 
--- a/core/src/main/java/spartrail/peers/Peers.java
+++ b/core/src/main/java/spartrail/peers/Peers.java
@@ -185,8 +185,8 @@
         this.answersToUnknown = times.answersPerS() / 2.0;
         this.digest = hash(self, standing);
         seeds(seeds);
-        timetable.add(nowMs, this::round);
-        timetable.add(nowMs + times.roundMs() * chance.nextDouble(), this::askSuspects);
+        timetable.schedule(nowMs, this::round);
+        timetable.schedule(nowMs + times.roundMs() * chance.nextDouble(), this::askSuspects);
         meantMs = nowMs;
     }
 
@@ -233,14 +233,14 @@
 
     /** When {@link #advance} is to be called next, if nothing is heard before. */
     public double nextMs() {
-        return timetable.nextMs();
+        return timetable.nextDueMs();
     }
 
     /** What is due by now is done. */
     public void advance(double atMs) {
         moveTo(atMs);
-        timetable.run(atMs);
-        meantMs = Math.max(atMs, timetable.nextMs());
+        timetable.runDue(atMs);
+        meantMs = Math.max(atMs, timetable.nextDueMs());
     }
 
     private void moveTo(double atMs) {
@@ -273,9 +273,9 @@
         errands.clear();
         for (Member member : members.values()) {
             if (member.due != null) {
-                timetable.remove(member.due);
+                timetable.cancel(member.due);
                 member.accusedMs += lateMs;
-                member.due = timetable.add(member.due.atMs() + lateMs, member.due.what());
+                member.due = timetable.schedule(member.due.dueMs() + lateMs, member.due.action());
             }
         }
     }
@@ -331,7 +331,7 @@
     private void round() {
         endOfRound();
         double lastsMs = times.roundMs() * (1 + health) * (0.9 + 0.2 * chance.nextDouble());
-        timetable.add(nowMs + lastsMs, this::round);
+        timetable.schedule(nowMs + lastsMs, this::round);
         roundNumber++;
         if (standing == Standing.LEFT) {
             return;
@@ -352,7 +352,7 @@
         round = begun;
         remember(begun.nonce, next.card.name());
         send(next.card.address(), Kind.PING, next.card.name(), begun.nonce, null, words(next));
-        timetable.add(nowMs + Math.min(times.answerMs() * (1 + health), 0.8 * lastsMs), () -> askHelpers(begun));
+        timetable.schedule(nowMs + Math.min(times.answerMs() * (1 + health), 0.8 * lastsMs), () -> askHelpers(begun));
     }
 
     /** Each other node once before any one twice, in an order by chance. */
@@ -462,7 +462,7 @@
      * all of them with long rounds, a suspect would hear of the suspicion too late to refute it.
      */
     private void askSuspects() {
-        timetable.add(nowMs + times.roundMs(), this::askSuspects);
+        timetable.schedule(nowMs + times.roundMs(), this::askSuspects);
         if (standing == Standing.LEFT || rival != null) {
             return;
         }
@@ -490,7 +490,7 @@
     /** Views differ: for a while words go to more nodes, so that a hundred that start at once know each other in seconds. */
     private void differ() {
         if (nowMs >= differUntilMs) {
-            timetable.add(nowMs + times.roundMs() / HURRIED * chance.nextDouble(), this::hurry);
+            timetable.schedule(nowMs + times.roundMs() / HURRIED * chance.nextDouble(), this::hurry);
         }
         differUntilMs = nowMs + 4 * times.roundMs();
     }
@@ -503,7 +503,7 @@
         if (!gettingToKnow() || alive.size() >= FEW_KNOWN) {
             some(1, "").forEach(this::ask);
         }
-        timetable.add(nowMs + times.roundMs() / HURRIED, this::hurry);
+        timetable.schedule(nowMs + times.roundMs() / HURRIED, this::hurry);
     }
 
     private void remember(long nonce, String name) {
@@ -753,7 +753,7 @@
         long nonce = chance.nextLong();
         errands.put(nonce, new Errand(message.from().address(), message.nonce(), about));
         send(about.address(), Kind.PING, about.name(), nonce, null, words(members.get(about.name())));
-        timetable.add(nowMs + times.answerMs(), () -> {
+        timetable.schedule(nowMs + times.answerMs(), () -> {
             Errand open = errands.remove(nonce);
             if (open != null) {
                 send(open.address, Kind.NOT_FOUND, "", open.nonce, null, List.of());
@@ -847,7 +847,7 @@
         }
         boolean sameStanding = was == is && member.card.life().equals(card.life());
         if (member.due != null) {
-            timetable.remove(member.due);
+            timetable.cancel(member.due);
             member.due = null;
         }
         member.accusers.clear();
@@ -865,7 +865,7 @@
         digest ^= member.hash;
         if (!is.there()) {
             Member kept = member;
-            member.due = timetable.add(nowMs + times.keptMs(), () -> forget(kept));
+            member.due = timetable.schedule(nowMs + times.keptMs(), () -> forget(kept));
         }
         event(card, was, is, from, why);
     }
@@ -917,23 +917,23 @@
         double part = wanted == 0 ? 1 : Math.log(member.accusers.size()) / Math.log(wanted + 1);
         double endsMs = member.accusedMs + Math.max(leastMs, mostMs - (mostMs - leastMs) * part);
         if (member.due != null) {
-            timetable.remove(member.due);
+            timetable.cancel(member.due);
         }
-        member.due = timetable.add(Math.max(nowMs, endsMs), () -> unrefuted(member));
+        member.due = timetable.schedule(Math.max(nowMs, endsMs), () -> unrefuted(member));
     }
 
     private void unrefuted(Member member) {
         member.due = null;
         if (!judges()) {
             // In doubt of itself it ends no suspicion; it looks again when a round has passed.
-            member.due = timetable.add(nowMs + times.roundMs(), () -> unrefuted(member));
+            member.due = timetable.schedule(nowMs + times.roundMs(), () -> unrefuted(member));
             return;
         }
         if (!member.askedAgain) {
             // Danger: who was only told of a suspicion hears of its refutation late where there is much to tell; nobody
             // ends one without having asked the suspect itself.
             ask(member);
-            member.due = timetable.add(nowMs + times.roundMs(), () -> unrefuted(member));
+            member.due = timetable.schedule(nowMs + times.roundMs(), () -> unrefuted(member));
             return;
         }
         String accusers = String.join(", ", member.accusers);
@@ -962,7 +962,7 @@
                         .thenComparing(member -> member.card.name()))
                 .orElse(null);
         if (oldest != null) {
-            timetable.remove(oldest.due);
+            timetable.cancel(oldest.due);
             forget(oldest);
         }
         return oldest != null;
--- a/core/src/main/java/spartrail/policy/Terms.java
+++ b/core/src/main/java/spartrail/policy/Terms.java
@@ -14,7 +14,6 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import spartrail.json.JsonTree;
-import spartrail.model.OpType;
 
 /**
  * What may change while a node runs, by field: all of it as a node goes by it, or the part that a version states. Immutable.
@@ -144,13 +143,11 @@
                 return flag(field, value);
             }
             case REPEAT -> {
-                for (OpType.Repeat repeat : OpType.Repeat.values()) {
-                    if (repeat.name().equals(value)) {
-                        return value;
-                    }
+                if (value instanceof String name && IdempotencyNames.all().contains(name)) {
+                    return value;
                 }
                 throw new IllegalArgumentException(
-                        field + ": found " + value + ", one of " + List.of(OpType.Repeat.values()) + " is expected");
+                        field + ": found " + value + ", one of " + IdempotencyNames.all() + " is expected");
             }
             default -> {
                 boolean share = kind.name().startsWith("SHARE");
@@ -213,9 +210,7 @@
             case LESS, SHARE_LESS, COUNT_LESS -> Math.min((double) one, (double) other);
             case MORE, SHARE_MORE, BUDGET -> Math.max((double) one, (double) other);
             case BOTH -> (boolean) one && (boolean) other;
-            case REPEAT -> OpType.Repeat.valueOf((String) one).compareTo(OpType.Repeat.valueOf((String) other)) >= 0
-                    ? one
-                    : other;
+            case REPEAT -> IdempotencyNames.stricter((String) one, (String) other);
             default -> one;
         };
     }
--- a/core/src/test/java/spartrail/coordination/ColdFleet.java
+++ b/core/src/test/java/spartrail/coordination/ColdFleet.java
@@ -42,26 +42,26 @@
         long wakes;
 
         HollowNode(Node node, int cells) {
-            opType.learned.usualMs = serviceMs;
-            opType.learned.lightMs = serviceMs;
-            opType.learned.deviationMs = serviceMs / 5;
+            opType.latency.meanLatencyMs = serviceMs;
+            opType.latency.unloadedLatencyMs = serviceMs;
+            opType.latency.latencyDeviationMs = serviceMs / 5;
             coordinator = new WindowCoordinator(new Random(random.nextLong()), List.of(opType));
             coordinator
-                    .nodes(node.told, TURN_MS)
+                    .frontNodes(node.told, TURN_MS)
                     .layout(1, cells, cells, 1)
-                    .sends(4, true, true)
-                    .coldStart(SHARE, WARM_MS, TIP, FALL_MS)
-                    .comeback(true, 1000);
+                    .attempts(4, true, true)
+                    .slowStart(SHARE, WARM_MS, TIP, FALL_MS)
+                    .retryAfter(true, 1000);
             List<Server> lines = new ArrayList<>();
             for (int replica = 0; replica < node.replicas; replica++) {
                 lines.add(Script.line("s" + replica, replica % cells, Server.State.LIVE, -1));
             }
             partsPerMs = node.partsPerMs;
-            carryOut(coordinator.listed(lines, true, true, nowMs));
+            carryOut(coordinator.onEndpointUpdate(lines, true, true, nowMs));
             at(nowMs - Math.log(1 - random.nextDouble()) / partsPerMs, this::ask);
             at(
                     BORN_MS,
-                    () -> carryOut(coordinator.listed(
+                    () -> carryOut(coordinator.onEndpointUpdate(
                             List.of(Script.line("s0", 0, Server.State.LIVE, BORN_MS)), false, true, nowMs)));
         }
 
@@ -69,7 +69,7 @@
             Multiget mg = new Multiget();
             mg.id = random.nextLong();
             mg.opType = opType;
-            mg.clientLeftMs = 2000;
+            mg.clientTimeLeftMs = 2000;
             mg.arrivedMs = nowMs;
             Part part = new Part();
             part.multiget = mg;
@@ -81,18 +81,20 @@
         }
 
         private void carryOut(Decisions decisions) {
-            for (Attempt send : decisions.sends) {
+            for (Attempt send : decisions.attempts) {
                 boolean cold = send.server.id.equals("s0") && nowMs >= BORN_MS;
                 if (cold) {
                     sent(nowMs);
                 }
                 double tookMs = serviceMs / (cold ? warmth(nowMs) : 1);
-                at(nowMs + tookMs, () -> carryOut(coordinator.after(send, Attempt.Outcome.ANSWERED, tookMs, nowMs)));
+                at(
+                        nowMs + tookMs,
+                        () -> carryOut(coordinator.onOutcome(send, Attempt.Outcome.ANSWERED, tookMs, nowMs)));
             }
             long wake = ++wakes;
-            at(nowMs + Math.max(0.01, coordinator.waitMs(nowMs)), () -> {
+            at(nowMs + Math.max(0.01, coordinator.timeToNextTimerMs(nowMs)), () -> {
                 if (wake == wakes) {
-                    carryOut(coordinator.waited(nowMs));
+                    carryOut(coordinator.onTimer(nowMs));
                 }
             });
         }
--- a/core/src/test/java/spartrail/coordination/Script.java
+++ b/core/src/test/java/spartrail/coordination/Script.java
@@ -34,24 +34,24 @@
 
     Script() {
         opType.name = "read";
-        opType.importance = 1;
-        opType.budgetMs = 1000;
+        opType.priorityWeight = 1;
+        opType.latencyObjectiveMs = 1000;
         opType.timeoutMs = 2000;
         opType.lateShare = 0.3;
-        opType.repeat = OpType.Repeat.RETRIABLE;
-        opType.need = 1;
-        opType.floor = 1;
+        opType.idempotency = OpType.Idempotency.IDEMPOTENT;
+        opType.completeWeight = 1;
+        opType.minimumWeight = 1;
         opType.partialShare = 0.9;
-        opType.learned.usualMs = 100;
-        opType.learned.lightMs = 100;
-        opType.learned.deviationMs = 20;
+        opType.latency.meanLatencyMs = 100;
+        opType.latency.unloadedLatencyMs = 100;
+        opType.latency.latencyDeviationMs = 20;
     }
 
     /** A further op type, of three times the importance. */
     OpType vital() {
         OpType vital = new Script().opType;
         vital.name = "vital";
-        vital.importance = 3;
+        vital.priorityWeight = 3;
         opTypes.add(vital);
         return vital;
     }
@@ -59,23 +59,23 @@
     /** So many shards, each held by so many cells of one server, and every thing allowed. */
     Script fleet(int shards, int cells, int reach, int partsPerCall) {
         coordinator = new WindowCoordinator(new Random(7), opTypes)
-                .nodes(2, 5)
+                .frontNodes(2, 5)
                 .layout(shards, cells, reach, partsPerCall)
-                .sends(4, true, true)
-                .coldStart(0.2, 10_000, 2, 1000)
-                .comeback(true, 1000);
+                .attempts(4, true, true)
+                .slowStart(0.2, 10_000, 2, 1000)
+                .retryAfter(true, 1000);
         List<Server> lines = new ArrayList<>();
         for (int cell = 0; cell < cells; cell++) {
             lines.add(line("s" + cell, cell, Server.State.LIVE, -1));
         }
-        return print("list", coordinator.listed(lines, true, true, now));
+        return print("list", coordinator.onEndpointUpdate(lines, true, true, now));
     }
 
     static Server line(String id, int cell, Server.State state, double bornMs) {
         Server server = new Server(id);
         server.cell = cell;
         server.state = state;
-        server.bornMs = bornMs;
+        server.startedAtMs = bornMs;
         return server;
     }
 
@@ -86,7 +86,7 @@
     }
 
     Script listed(boolean all, boolean fresh, Server... lines) {
-        return print("list", coordinator.listed(List.of(lines), all, fresh, now));
+        return print("list", coordinator.onEndpointUpdate(List.of(lines), all, fresh, now));
     }
 
     Script place(long id, int... shards) {
@@ -97,7 +97,7 @@
         Multiget mg = new Multiget();
         mg.id = id;
         mg.opType = of;
-        mg.clientLeftMs = leftMs;
+        mg.clientTimeLeftMs = leftMs;
         mg.clientRetry = clientRetry;
         mg.arrivedMs = now;
         multigets.put(id, mg);
@@ -118,32 +118,32 @@
         if (send == null) {
             return this;
         }
-        return print(name + " " + outcome, coordinator.after(send, outcome, now - send.sentMs, now));
+        return print(name + " " + traceName(outcome), coordinator.onOutcome(send, outcome, now - send.sentMs, now));
     }
 
     /** The same outcome for all that is out at a server. */
     Script afterAt(String server, Attempt.Outcome outcome) {
         List.copyOf(sends.keySet()).stream()
-                .filter(name ->
-                        sends.get(name).out() && sends.get(name).server.id.equals(server))
+                .filter(name -> sends.get(name).isInFlight()
+                        && sends.get(name).server.id.equals(server))
                 .forEach(name -> after(name, outcome));
         return this;
     }
 
     Script gone(long id) {
-        return print("gone " + id, coordinator.clientGone(multigets.get(id), now));
+        return print("gone " + id, coordinator.onClientGone(multigets.get(id), now));
     }
 
     Script unlisted() {
-        return print("unlisted", coordinator.unlisted(now));
+        return print("unlisted", coordinator.onDiscoveryUnavailable(now));
     }
 
     /** Time passes, with the calls that the coordinator asks for. */
     Script pass(double ms) {
         double until = now + ms;
-        while (now + coordinator.waitMs(now) <= until) {
-            now += coordinator.waitMs(now);
-            Decisions decisions = coordinator.waited(now);
+        while (now + coordinator.timeToNextTimerMs(now) <= until) {
+            now += coordinator.timeToNextTimerMs(now);
+            Decisions decisions = coordinator.onTimer(now);
             if (!text(decisions).isEmpty()) {
                 print("wait", decisions);
             }
@@ -154,14 +154,15 @@
 
     /** The node has no turn for so long; then its due times come first, what came meanwhile after. */
     Script standStill(double ms) {
-        coordinator.waitMs(now);
+        coordinator.timeToNextTimerMs(now);
         now += ms;
-        return print("back", coordinator.waited(now));
+        return print("back", coordinator.onTimer(now));
     }
 
     /** Until when the frame of a send may begin. */
     Script leaveBy(String name) {
-        trace.append(String.format(Locale.ROOT, "%5.0f %s leaves by %.0f%n", now, name, sends.get(name).leaveByMs));
+        trace.append(
+                String.format(Locale.ROOT, "%5.0f %s leaves by %.0f%n", now, name, sends.get(name).sendDeadlineMs));
         return this;
     }
 
@@ -172,18 +173,35 @@
 
     private String text(Decisions decisions) {
         StringBuilder text = new StringBuilder();
-        for (Attempt send : decisions.sends) {
+        for (Attempt send : decisions.attempts) {
             text.append(' ').append(name(send)).append('@').append(send.server.id);
             sends.put(name(send), send);
         }
         for (Multiget mg : decisions.answers) {
-            text.append(" [").append(mg.id).append(' ').append(mg.answer).append(']');
+            text.append(" [")
+                    .append(mg.id)
+                    .append(' ')
+                    .append(traceName(mg.answer))
+                    .append(']');
         }
-        decisions.cancels.forEach(send -> text.append(" x").append(name(send)));
-        return text.append(decisions.follow ? " follow" : "").toString();
+        decisions.cancellations.forEach(send -> text.append(" x").append(name(send)));
+        return text.append(decisions.watchEndpoints ? " follow" : "").toString();
     }
 
-    /** Multiget, shard, number of the send. */
+    /** The recorded traces keep the names that outcomes and answers had when they were made. */
+    private static String traceName(Attempt.Outcome outcome) {
+        return outcome == Attempt.Outcome.MALFORMED ? "GARBLED" : outcome.name();
+    }
+
+    private static String traceName(Multiget.Answer answer) {
+        return switch (answer) {
+            case COMPLETE -> "WHOLE";
+            case REJECTED -> "PUSHED_BACK";
+            case PARTIAL, FAILED -> answer.name();
+        };
+    }
+
+    /** Multiget, shard, number of the attempt. */
     private static String name(Attempt send) {
         Part part = send.part;
         return part.multiget.id + "." + part.shard.number + "#" + send.number;
--- a/core/src/test/java/spartrail/coordination/WindowCoordinatorTest.java
+++ b/core/src/test/java/spartrail/coordination/WindowCoordinatorTest.java
@@ -100,7 +100,7 @@
     @Test
     void aNonRetriablePartIsRepeatedOnlyIfItNeverRan() {
         Script script = new Script();
-        script.opType.repeat = OpType.Repeat.NON_RETRIABLE;
+        script.opType.idempotency = OpType.Idempotency.NON_IDEMPOTENT;
         script.fleet(1, 3, 3, 1)
                 .place(1, 0)
                 .place(2, 0)
@@ -115,8 +115,8 @@
     @Test
     void aDedupedPartIsRepeatedOnlyWithinItsWindow() {
         Script script = new Script();
-        script.opType.repeat = OpType.Repeat.DEDUPED;
-        script.opType.dedupMs = 400;
+        script.opType.idempotency = OpType.Idempotency.IDEMPOTENCY_KEY;
+        script.opType.deduplicationWindowMs = 400;
         script.fleet(1, 3, 3, 1)
                 .place(1, 0)
                 .place(2, 0)
@@ -132,8 +132,8 @@
     @Test
     void everyAttemptOfADedupedPartLeavesWithinTheWindowOfTheFirst() {
         Script script = new Script();
-        script.opType.repeat = OpType.Repeat.DEDUPED;
-        script.opType.dedupMs = 400;
+        script.opType.idempotency = OpType.Idempotency.IDEMPOTENCY_KEY;
+        script.opType.deduplicationWindowMs = 400;
         script.fleet(1, 3, 3, 1)
                 .place(1, 0)
                 .place(2, 0)
@@ -149,8 +149,8 @@
     @Test
     void aRepeatIsJudgedAgainWhenItLeavesTheQueue() {
         Script script = new Script();
-        script.opType.repeat = OpType.Repeat.DEDUPED;
-        script.opType.dedupMs = 100;
+        script.opType.idempotency = OpType.Idempotency.IDEMPOTENCY_KEY;
+        script.opType.deduplicationWindowMs = 100;
         script.fleet(1, 1, 1, 1)
                 .place(1, 0)
                 .place(2, 0)
@@ -207,7 +207,7 @@
     @Test
     void ofManyNodesEachSendsAColdServerMultigetsOfTheLowerRanksWhole() {
         Script script = new Script().fleet(2, 2, 2, 1);
-        script.coordinator.nodes(20, 5);
+        script.coordinator.frontNodes(20, 5);
         script.listed(true, true, line("s0", 0, Server.State.LIVE, 990), line("s1", 1, Server.State.LIVE, 990));
         script.pass(3000);
         for (int i = 1; i < 13; i++) {
@@ -219,7 +219,7 @@
     @Test
     void furtherSendsKeepTheStatedBudget() {
         Script script = new Script().fleet(1, 3, 3, 1);
-        script.coordinator.furtherSendBudget(1000, 1, 0.25);
+        script.coordinator.retryBudget(1000, 1, 0.25);
         script.place(1, 0)
                 .place(2, 0)
                 .pass(10)
@@ -232,7 +232,7 @@
     @Test
     void aHeldFirstSendIsNoFurtherSendInTheBudget() {
         Script script = new Script().fleet(1, 1, 1, 1);
-        script.coordinator.furtherSendBudget(1000, 1, 0);
+        script.coordinator.retryBudget(1000, 1, 0);
         script.place(1, 0).place(2, 0).place(3, 0).place(4, 0).place(5, 0).pass(50);
         script.after("1.0#0", Outcome.ANSWERED)
                 .after("2.0#0", Outcome.ERROR)
@@ -243,7 +243,7 @@
     @Test
     void aPartialAnswerIsGivenAtTheBudgetAndNotMarkedWhole() {
         Script script = new Script();
-        script.opType.floor = 0.6;
+        script.opType.minimumWeight = 0.6;
         script.fleet(3, 3, 1, 1)
                 .place(1, 0, 1, 2)
                 .place(2, 0, 1, 2)
@@ -287,7 +287,7 @@
     @Test
     void noCopyRacesWhereParallelSendsAreForbidden() {
         Script script = new Script().fleet(1, 2, 2, 1);
-        script.coordinator.sends(2, false, false);
+        script.coordinator.attempts(2, false, false);
         script.place(1, 0)
                 .pass(320)
                 .after("1.0#0", Outcome.TIMED_OUT)
@@ -350,7 +350,7 @@
     @Test
     void theListIsAskedForAgainWithoutFloodingIt() {
         Script script = new Script().fleet(1, 2, 2, 1);
-        script.coordinator.list(true, 10_000);
+        script.coordinator.endpointPolling(true, 10_000);
         script.listed(true, false, line("s0", 0, Server.State.LIVE, -1))
                 .pass(300)
                 .unlisted()
@@ -398,7 +398,7 @@
     @Test
     void whatOneIllServerTakesTurnsNothingAway() {
         Script script = new Script().fleet(4, 4, 1, 1);
-        script.coordinator.sends(1, false, false);
+        script.coordinator.attempts(1, false, false);
         for (int i = 1; i < 5; i++) {
             script.place(i, 0).pass(900).afterAt("s0", Outcome.ANSWERED);
         }
@@ -469,7 +469,7 @@
     @Test
     void aBadWayToHalfOfTheServersIsToldFromASlownessOfAll() {
         Script script = new Script().fleet(1, 4, 4, 1);
-        script.coordinator.sends(1, false, false);
+        script.coordinator.attempts(1, false, false);
         script.listed(true, true, zoned("s0", 0, "a"), zoned("s1", 1, "a"), zoned("s2", 2, "b"), zoned("s3", 3, "b"));
         script.place(1, 0)
                 .place(2, 0)
@@ -494,8 +494,8 @@
     @Test
     void aDedupedMultigetIsPushedBackOnlyWhereItsClientComesWithinTheTime() {
         Script script = new Script();
-        script.opType.repeat = OpType.Repeat.DEDUPED;
-        script.opType.dedupMs = 1000;
+        script.opType.idempotency = OpType.Idempotency.IDEMPOTENCY_KEY;
+        script.opType.deduplicationWindowMs = 1000;
         script.fleet(1, 1, 1, 1)
                 .place(1, 0)
                 .place(2, 0)
@@ -545,12 +545,12 @@
     @Test
     void aSwitchOfSettingsKeepsWhatIsLearnedAndWaitsForALongerBudgetSpan() {
         Script script = new Script().fleet(1, 3, 3, 1);
-        script.coordinator.sends(4, false, true).furtherSendBudget(1000, 1, 0);
+        script.coordinator.attempts(4, false, true).retryBudget(1000, 1, 0);
         script.listed(false, true, line("s2", 2, Server.State.LIVE, 990));
         // s0 cannot be reached, and the repeat at the cold s2 is its share there for the first second.
         script.place(1, 0).after("1.0#0", Outcome.CONNECT_FAILED).pass(150);
-        script.opType.budgetMs = 1500;
-        script.coordinator.sends(4, false, true).furtherSendBudget(2000, 1, 0).coldStart(0.2, 10_000, 2, 1000);
+        script.opType.latencyObjectiveMs = 1500;
+        script.coordinator.attempts(4, false, true).retryBudget(2000, 1, 0).slowStart(0.2, 10_000, 2, 1000);
         script.place(2, 0)
                 .place(3, 0)
                 .place(4, 0)
@@ -566,8 +566,8 @@
     @Test
     void whatIsGivenUpOnTheWayLeavesNoMore() {
         Script script = new Script();
-        script.opType.repeat = OpType.Repeat.DEDUPED;
-        script.opType.dedupMs = 100;
+        script.opType.idempotency = OpType.Idempotency.IDEMPOTENCY_KEY;
+        script.opType.deduplicationWindowMs = 100;
         script.fleet(2, 1, 1, 1)
                 .place(1, 0, 1)
                 .place(2, 0, 1)
@@ -607,8 +607,8 @@
     @Test
     void whatFirstAnswersTookDoesNotTurnAnOpTypeAwayForGood() {
         Script script = new Script();
-        script.opType.learned.usualMs = 1990;
-        script.opType.learned.lightMs = 1100;
+        script.opType.latency.meanLatencyMs = 1990;
+        script.opType.latency.unloadedLatencyMs = 1100;
         script.fleet(1, 2, 2, 1)
                 .place(1, 0)
                 .pass(1500)
@@ -629,7 +629,7 @@
     @Test
     void theLightTimeFallsWithTheUsualTimeWhereNoServerIsIdle() {
         Script script = new Script();
-        script.opType.learned.lightMs = 1100;
+        script.opType.latency.unloadedLatencyMs = 1100;
         script.fleet(1, 1, 1, 1)
                 .place(1, 0)
                 .pass(500)
@@ -651,7 +651,7 @@
                 .place(5, 0)
                 .place(6, 0)
                 .pass(20)
-                .afterAt("s0", Outcome.GARBLED)
+                .afterAt("s0", Outcome.MALFORMED)
                 .afterAt("s1", Outcome.ANSWERED)
                 .pass(100)
                 .place(7, 0)
@@ -665,9 +665,9 @@
                 .fleet(3, 6, 2, 1)
                 .place(1, 0, 1, 2)
                 .pass(10)
-                .after("1.0#0", Outcome.GARBLED)
-                .after("1.1#0", Outcome.GARBLED)
-                .after("1.2#0", Outcome.GARBLED)
+                .after("1.0#0", Outcome.MALFORMED)
+                .after("1.1#0", Outcome.MALFORMED)
+                .after("1.2#0", Outcome.MALFORMED)
                 .matches("spoilt-twice");
     }
 
@@ -690,7 +690,7 @@
         }
         script.pass(5000);
         assertThat(coordinator.servers.keySet()).containsExactly("s0.99", "s0.100");
-        assertThat(coordinator.timetable.size()).isZero();
+        assertThat(coordinator.timers.size()).isZero();
     }
 
     @Test
--- a/dns/src/main/java/spartrail/dns/DnsTransport.java
+++ b/dns/src/main/java/spartrail/dns/DnsTransport.java
@@ -32,7 +32,7 @@
     private final class Udp {
         private final Question question;
         private final DatagramChannel channel;
-        private TimerQueue.Due due;
+        private TimerQueue.Timer due;
 
         Udp(Question question) throws IOException {
             this.question = question;
@@ -48,7 +48,7 @@
                 channel.close();
                 throw e;
             }
-            due = timetable.add(nowMs() + question.timeOutMs(), () -> {
+            due = timetable.schedule(nowMs() + question.timeOutMs(), () -> {
                 close();
                 resolver.timedOut(question, nowMs());
             });
@@ -77,7 +77,7 @@
         }
 
         private void close() {
-            timetable.remove(due);
+            timetable.cancel(due);
             udp.remove(question.number());
             DnsTransport.close(channel);
         }
@@ -89,12 +89,12 @@
         private final SocketChannel channel;
         private final SelectionKey key;
         private final Map<Integer, Question> out = new HashMap<>();
-        private final Map<Integer, TimerQueue.Due> dues = new HashMap<>();
+        private final Map<Integer, TimerQueue.Timer> dues = new HashMap<>();
         private final Deque<ByteBuffer> unwritten = new ArrayDeque<>();
         private ByteBuffer in = ByteBuffer.allocate(2);
         private boolean head = true;
         private boolean up;
-        private TimerQueue.Due unused;
+        private TimerQueue.Timer unused;
 
         Tcp(InetSocketAddress server) throws IOException {
             this.server = server;
@@ -112,7 +112,7 @@
 
         void ask(Question question) {
             out.put(question.id(), question);
-            dues.put(question.id(), timetable.add(nowMs() + question.timeOutMs(), () -> {
+            dues.put(question.id(), timetable.schedule(nowMs() + question.timeOutMs(), () -> {
                 out.remove(question.id());
                 dues.remove(question.id());
                 resolver.timedOut(question, nowMs());
@@ -190,10 +190,10 @@
                 Question question = out.get(id);
                 if (question != null && resolver.answer(question, bytes, server, nowMs())) {
                     out.remove(id);
-                    timetable.remove(dues.remove(id));
+                    timetable.cancel(dues.remove(id));
                 }
                 if (out.isEmpty() && unused == null) {
-                    unused = timetable.add(nowMs() + UNUSED_TCP_MS, () -> {
+                    unused = timetable.schedule(nowMs() + UNUSED_TCP_MS, () -> {
                         unused = null;
                         if (out.isEmpty()) {
                             end();
@@ -206,12 +206,12 @@
         private void end() {
             tcp.remove(server, this);
             if (unused != null) {
-                timetable.remove(unused);
+                timetable.cancel(unused);
             }
             DnsTransport.close(channel);
             List<Question> open = List.copyOf(out.values());
             out.clear();
-            dues.values().forEach(timetable::remove);
+            dues.values().forEach(timetable::cancel);
             dues.clear();
             open.forEach(question -> resolver.failed(question, nowMs()));
         }
@@ -264,7 +264,7 @@
                 for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
                     task.run();
                 }
-                timetable.run(nowMs());
+                timetable.runDue(nowMs());
                 resolver.advance(nowMs());
                 // Each question may fail at once and leave further ones.
                 for (List<Question> questions = resolver.questions();
@@ -273,7 +273,7 @@
                     questions.forEach(this::send);
                 }
                 resolver.listings(nowMs()).forEach(lists);
-                double waitMs = Math.min(timetable.nextMs(), resolver.nextMs()) - nowMs();
+                double waitMs = Math.min(timetable.nextDueMs(), resolver.nextMs()) - nowMs();
                 if (waitMs > 0 && tasks.isEmpty()) {
                     selector.select((long) Math.ceil(Math.min(1000, waitMs)));
                 } else {
--- a/dns/src/main/java/spartrail/dns/Resolver.java
+++ b/dns/src/main/java/spartrail/dns/Resolver.java
@@ -73,7 +73,7 @@
         private double chainLeastMs = Double.MAX_VALUE;
         private NameServer asked;
         private double askedMs;
-        private TimerQueue.Due due;
+        private TimerQueue.Timer due;
 
         Entry(Name name, int type) {
             this.name = name;
@@ -172,13 +172,13 @@
     /** Does what is due. */
     public void advance(double atMs) {
         nowMs = atMs;
-        timetable.run(atMs);
+        timetable.runDue(atMs);
         // A name whose records have become too old in between.
         touched.addAll(srvs.values());
     }
 
     public double nextMs() {
-        return timetable.nextMs();
+        return timetable.nextDueMs();
     }
 
     /** Questions that are to be sent now. */
@@ -439,7 +439,7 @@
 
     private void plan(Entry entry, double atMs) {
         unplan(entry);
-        entry.due = timetable.add(atMs, () -> {
+        entry.due = timetable.schedule(atMs, () -> {
             entry.due = null;
             if (!entry.users.isEmpty() && entry.asking == null && !entry.queued) {
                 ask(entry);
@@ -451,7 +451,7 @@
 
     private void unplan(Entry entry) {
         if (entry.due != null) {
-            timetable.remove(entry.due);
+            timetable.cancel(entry.due);
             entry.due = null;
         }
     }
--- a/dns/src/test/java/spartrail/dns/Zone.java
+++ b/dns/src/test/java/spartrail/dns/Zone.java
@@ -83,17 +83,17 @@
             Manner manner = manners.getOrDefault(question.server(), Manner.ANSWER);
             boolean[] over = new boolean[1];
             if (question.tcp() && tcpRefused) {
-                wire.add(nowMs + TRIP_MS, () -> resolver.failed(question, nowMs));
+                wire.schedule(nowMs + TRIP_MS, () -> resolver.failed(question, nowMs));
                 continue;
             }
-            wire.add(nowMs + question.timeOutMs(), () -> {
+            wire.schedule(nowMs + question.timeOutMs(), () -> {
                 if (!over[0]) {
                     resolver.timedOut(question, nowMs);
                 }
             });
             if (manner != Manner.SILENT) {
                 double tripMs = manner == Manner.LATE ? question.timeOutMs() + 50 : TRIP_MS;
-                wire.add(nowMs + tripMs, () -> over[0] |= give(question, manner));
+                wire.schedule(nowMs + tripMs, () -> over[0] |= give(question, manner));
             }
         }
         mostOut = Math.max(mostOut, resolver.outstanding());
@@ -179,9 +179,9 @@
     /** Goes on to this time and prints what the lists become. */
     void until(double ms) {
         print();
-        while (Math.min(wire.nextMs(), resolver.nextMs()) <= ms) {
-            nowMs = Math.min(wire.nextMs(), resolver.nextMs());
-            wire.run(nowMs);
+        while (Math.min(wire.nextDueMs(), resolver.nextMs()) <= ms) {
+            nowMs = Math.min(wire.nextDueMs(), resolver.nextMs());
+            wire.runDue(nowMs);
             resolver.advance(nowMs);
             carry();
             print();
--- a/lab/src/main/java/spartrail/lab/fleet/Roll.java
+++ b/lab/src/main/java/spartrail/lab/fleet/Roll.java
@@ -29,7 +29,7 @@
         }
     }
 
-    private record Watch(HttpStand.Request request, long since, TimerQueue.Due end) {}
+    private record Watch(HttpStand.Request request, long since, TimerQueue.Timer end) {}
 
     private final SocketLoop loop;
     private final int node;
--- a/lab/src/main/java/spartrail/lab/fleet/ServerStand.java
+++ b/lab/src/main/java/spartrail/lab/fleet/ServerStand.java
@@ -79,7 +79,7 @@
     private final Deque<Object[]> reports = new ArrayDeque<>();
     private final Map<String, Long> counts = new HashMap<>();
     ServerModel model;
-    private TimerQueue.Due due;
+    private TimerQueue.Timer due;
     private boolean down;
     private boolean silent;
     private boolean hanging;
--- a/lab/src/main/java/spartrail/lab/load/Ask.java
+++ b/lab/src/main/java/spartrail/lab/load/Ask.java
@@ -31,8 +31,8 @@
     LoadPlan.Target target;
 
     private String text;
-    TimerQueue.Due end;
-    TimerQueue.Due leave;
+    TimerQueue.Timer end;
+    TimerQueue.Timer leave;
 
     Ask(Arrival arrival, Story story, int tryNumber, double intendedMs, double storyMs) {
         this.arrival = arrival;
--- a/lab/src/main/java/spartrail/lab/load/Generator.java
+++ b/lab/src/main/java/spartrail/lab/load/Generator.java
@@ -83,7 +83,7 @@
 
     /** When the host is to call {@link #run} at the latest. */
     public double nextMs() {
-        return Math.min(timetable.nextMs(), next == null ? Double.MAX_VALUE : startMs + next.atMs());
+        return Math.min(timetable.nextDueMs(), next == null ? Double.MAX_VALUE : startMs + next.atMs());
     }
 
     /** Nothing is to come and nothing is out. */
@@ -122,7 +122,7 @@
             Story story = new Story(arrival.stream().habit, Stream.chance(arrival.chance() + 1));
             begin(new Ask(arrival, story, 1, intendedMs, intendedMs));
         }
-        timetable.run(nowMs);
+        timetable.runDue(nowMs);
     }
 
     /** A front node says that it is ready, or is not. */
@@ -140,9 +140,9 @@
         recorder.intended(ask);
         double leavesMs = ask.story.tries(ask.arrival.clientMs());
         if (Double.isFinite(leavesMs)) {
-            ask.leave = timetable.add(ask.intendedMs + leavesMs, () -> end(ask, Kind.LEFT, null, true));
+            ask.leave = timetable.schedule(ask.intendedMs + leavesMs, () -> end(ask, Kind.LEFT, null, true));
         }
-        ask.end = timetable.add(ask.intendedMs + ask.arrival.clientMs(), () -> lapse(ask));
+        ask.end = timetable.schedule(ask.intendedMs + ask.arrival.clientMs(), () -> lapse(ask));
         place(ask, ask.arrival.fresh() || ask.arrival.stream().habit.ownConnection());
     }
 
@@ -178,7 +178,7 @@
         recorder.opened++;
         try {
             sockets.open(conn);
-            timetable.add(nowMs + plan.connectMs(), () -> {
+            timetable.schedule(nowMs + plan.connectMs(), () -> {
                 if (!conn.up && !conn.gone) {
                     drop(conn);
                     if (conn.ask != null) {
@@ -357,7 +357,7 @@
     private void lapse(Ask ask) {
         ask.end = null;
         if (ask.leave != null) {
-            timetable.remove(ask.leave);
+            timetable.cancel(ask.leave);
         }
         if (Double.isNaN(ask.sentMs)) {
             Conn conn = ask.conn;
@@ -372,7 +372,7 @@
         }
         ask.lapsed = true;
         again(ask, 0);
-        ask.end = timetable.add(nowMs + plan.lingerMs(), () -> end(ask, Kind.NONE, null, true));
+        ask.end = timetable.schedule(nowMs + plan.lingerMs(), () -> end(ask, Kind.NONE, null, true));
     }
 
     private void end(Ask ask, Kind kind, Answer answer, boolean leaves) {
@@ -382,10 +382,10 @@
         ask.over = true;
         open.remove(ask);
         if (ask.end != null) {
-            timetable.remove(ask.end);
+            timetable.cancel(ask.end);
         }
         if (ask.leave != null) {
-            timetable.remove(ask.leave);
+            timetable.cancel(ask.leave);
         }
         Conn conn = ask.conn;
         if (conn == null) {
@@ -415,7 +415,7 @@
         }
         storiesWaiting++;
         double dueMs = nowMs + waitMs;
-        timetable.add(dueMs, () -> {
+        timetable.schedule(dueMs, () -> {
             storiesWaiting--;
             if (stopping) {
                 recorder.story(ask, false, nowMs);
--- a/lab/src/main/java/spartrail/lab/load/HttpSockets.java
+++ b/lab/src/main/java/spartrail/lab/load/HttpSockets.java
@@ -15,7 +15,7 @@
 
     private final SocketLoop loop;
     private Generator generator;
-    private TimerQueue.Due due;
+    private TimerQueue.Timer due;
     private boolean closed;
 
     public HttpSockets(SocketLoop loop) {
@@ -40,7 +40,7 @@
     /** Danger: one entry for each call would fill the timetable; there is one, and it is moved. */
     private void plan() {
         double nextMs = generator.nextMs();
-        if (due != null && due.atMs() <= nextMs && due.atMs() > loop.nowMs()) {
+        if (due != null && due.dueMs() <= nextMs && due.dueMs() > loop.nowMs()) {
             return;
         }
         loop.cancel(due);
--- a/lab/src/main/java/spartrail/lab/load/VirtualSockets.java
+++ b/lab/src/main/java/spartrail/lab/load/VirtualSockets.java
@@ -31,8 +31,8 @@
         generator = played;
         generator.start(0);
         while (!generator.over()) {
-            nowMs = Math.min(generator.nextMs(), timetable.nextMs());
-            timetable.run(nowMs);
+            nowMs = Math.min(generator.nextMs(), timetable.nextDueMs());
+            timetable.runDue(nowMs);
             if (generator.nextMs() <= nowMs) {
                 generator.run(nowMs);
             }
@@ -42,7 +42,7 @@
 
     @Override
     public void open(Conn conn) {
-        timetable.add(nowMs, () -> generator.connected(conn, nowMs));
+        timetable.schedule(nowMs, () -> generator.connected(conn, nowMs));
     }
 
     @Override
@@ -53,7 +53,7 @@
         if (!Double.isFinite(answeredMs)) {
             return;
         }
-        timetable.add(answeredMs, () -> {
+        timetable.schedule(answeredMs, () -> {
             if (!conn.gone) {
                 generator.answered(conn, decoded(body(ask)), nowMs);
             }
--- a/lab/src/main/java/spartrail/lab/net/SocketLoop.java
+++ b/lab/src/main/java/spartrail/lab/net/SocketLoop.java
@@ -49,7 +49,7 @@
 
     private double standstillMs;
     /** Made once: a loop that makes garbage at each round stands still for the collector. */
-    private final Runnable due = () -> timetable.run(nowMs());
+    private final Runnable due = () -> timetable.runDue(nowMs());
 
     public SocketLoop(String name) {
         this(name, false);
@@ -124,13 +124,13 @@
         }
     }
 
-    public TimerQueue.Due at(double ms, Runnable what) {
-        return timetable.add(ms, what);
+    public TimerQueue.Timer at(double ms, Runnable what) {
+        return timetable.schedule(ms, what);
     }
 
-    public void cancel(TimerQueue.Due due) {
+    public void cancel(TimerQueue.Timer due) {
         if (due != null) {
-            timetable.remove(due);
+            timetable.cancel(due);
         }
     }
 
@@ -204,7 +204,7 @@
     }
 
     private void select() throws IOException {
-        double waitMs = timetable.nextMs() - nowMs();
+        double waitMs = timetable.nextDueMs() - nowMs();
         waiting = true;
         try {
             if (waitMs <= 0 || !tasks.isEmpty()) {
--- a/lab/src/main/java/spartrail/lab/nodes/Links.java
+++ b/lab/src/main/java/spartrail/lab/nodes/Links.java
@@ -120,7 +120,7 @@
     private void run() {
         while (!ended) {
             try {
-                double waitMs = timetable.nextMs() - clock.nowMs();
+                double waitMs = timetable.nextDueMs() - clock.nowMs();
                 if (waitMs <= 0) {
                     selector.selectNow();
                 } else {
@@ -134,7 +134,7 @@
                     }
                 }
                 selector.selectedKeys().clear();
-                timetable.run(clock.nowMs());
+                timetable.runDue(clock.nowMs());
             } catch (IOException e) {
                 if (!ended) {
                     System.getLogger("spartrail.lab.nodes")
@@ -206,7 +206,7 @@
             if (atMs <= nowMs) {
                 forward(sent, from, to);
             } else {
-                timetable.add(atMs, () -> forward(sent, from, to));
+                timetable.schedule(atMs, () -> forward(sent, from, to));
             }
         }
     }
--- a/lab/src/main/java/spartrail/lab/scale/HollowNode.java
+++ b/lab/src/main/java/spartrail/lab/scale/HollowNode.java
@@ -42,11 +42,11 @@
     public HollowNode(int servers, int replicasPerShard) {
         filter = replicasPerShard == 0 ? null : filter(replicasPerShard);
         coordinator = new WindowCoordinator(new Random(1), List.of(opType))
-                .nodes(3900, 1)
+                .frontNodes(3900, 1)
                 .layout(SHARDS, SHARDS, 1, 1)
-                .sends(3, true, true)
-                .coldStart(0.2, 10_000, 2, 1000)
-                .comeback(true, 1000);
+                .attempts(3, true, true)
+                .slowStart(0.2, 10_000, 2, 1000)
+                .retryAfter(true, 1000);
         wholeList(HollowServers.list(servers, SHARDS, ZONES));
     }
 
@@ -60,16 +60,16 @@
     private static OpType opType() {
         OpType opType = new OpType();
         opType.name = "query";
-        opType.importance = 1;
-        opType.budgetMs = 54;
+        opType.priorityWeight = 1;
+        opType.latencyObjectiveMs = 54;
         opType.timeoutMs = 500;
-        opType.repeat = OpType.Repeat.RETRIABLE;
-        opType.need = 1;
-        opType.floor = 1;
+        opType.idempotency = OpType.Idempotency.IDEMPOTENT;
+        opType.completeWeight = 1;
+        opType.minimumWeight = 1;
         opType.partialShare = 0.9;
-        opType.learned.usualMs = 10;
-        opType.learned.lightMs = 10;
-        opType.learned.deviationMs = 2;
+        opType.latency.meanLatencyMs = 10;
+        opType.latency.unloadedLatencyMs = 10;
+        opType.latency.latencyDeviationMs = 2;
         return opType;
     }
 
@@ -80,7 +80,7 @@
 
     public Decisions wholeList(EndpointList list) {
         EndpointList own = filter == null ? list : filter.own(list, nowMs);
-        return coordinator.listed(own.servers(CLOCK), own.all(), true, nowMs);
+        return coordinator.onEndpointUpdate(own.servers(CLOCK), own.all(), true, nowMs);
     }
 
     /** One server drains, or is back. */
@@ -94,8 +94,8 @@
 
     /** The next tick of the module, with nothing in hand. */
     public Decisions idleTick() {
-        nowMs += coordinator.waitMs(nowMs);
-        return coordinator.waited(nowMs);
+        nowMs += coordinator.timeToNextTimerMs(nowMs);
+        return coordinator.onTimer(nowMs);
     }
 
     /** A query over so many shards: placed, all its parts answered. */
@@ -104,7 +104,7 @@
         Multiget multiget = new Multiget();
         multiget.id = multigets++;
         multiget.opType = opType;
-        multiget.clientLeftMs = opType.timeoutMs;
+        multiget.clientTimeLeftMs = opType.timeoutMs;
         multiget.arrivedMs = nowMs;
         for (int shard = 0; shard < parts; shard++) {
             Part part = new Part();
@@ -116,12 +116,13 @@
         }
         Decisions placed = coordinator.place(multiget, nowMs);
         int answered = 0;
-        List<Attempt> sends = List.copyOf(placed.sends);
-        nowMs += opType.learned.usualMs;
+        List<Attempt> sends = List.copyOf(placed.attempts);
+        nowMs += opType.latency.meanLatencyMs;
         while (!sends.isEmpty()) {
             List<Attempt> further = new ArrayList<>();
             for (Attempt send : sends) {
-                further.addAll(coordinator.after(send, Attempt.Outcome.ANSWERED, nowMs - send.sentMs, nowMs).sends);
+                further.addAll(
+                        coordinator.onOutcome(send, Attempt.Outcome.ANSWERED, nowMs - send.sentMs, nowMs).attempts);
                 answered++;
             }
             sends = further;
--- a/node/src/main/java/spartrail/config/PolicyFields.java
+++ b/node/src/main/java/spartrail/config/PolicyFields.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import spartrail.model.OpType;
+import spartrail.policy.IdempotencyNames;
 import spartrail.policy.Terms;
 
 /** Which setting of the file is which field of policy, both ways. Times are seconds there and milliseconds here. */
@@ -50,21 +51,21 @@
             String at = "/opTypes/" + op.name + "/";
             values.putAll(Map.of(
                     at + "importance",
-                    op.importance,
+                    op.priorityWeight,
                     at + "budgetMs",
-                    op.budgetMs,
+                    op.latencyObjectiveMs,
                     at + "timeoutMs",
                     op.timeoutMs,
                     at + "lateShare",
                     op.lateShare,
                     at + "repeat",
-                    op.repeat.name(),
+                    IdempotencyNames.nameOf(op.idempotency),
                     at + "dedupMs",
-                    op.dedupMs,
+                    op.deduplicationWindowMs,
                     at + "need",
-                    op.need,
+                    op.completeWeight,
                     at + "floor",
-                    op.floor,
+                    op.minimumWeight,
                     at + "partialShare",
                     op.partialShare));
         }
--- a/node/src/main/java/spartrail/config/Provisioning.java
+++ b/node/src/main/java/spartrail/config/Provisioning.java
@@ -30,23 +30,23 @@
                 throw new IllegalArgumentException(
                         "'classes': found " + op.name + " twice, each name once is expected");
             }
-            op.importance = number(line, "worth", 1);
-            op.budgetMs = 1000 * needed(line, "aim", " of class " + op.name);
+            op.priorityWeight = number(line, "worth", 1);
+            op.latencyObjectiveMs = 1000 * needed(line, "aim", " of class " + op.name);
             op.timeoutMs = 1000 * needed(line, "deadline", " of class " + op.name);
-            if (op.budgetMs > op.timeoutMs) {
+            if (op.latencyObjectiveMs > op.timeoutMs) {
                 throw new IllegalArgumentException("class " + op.name + ": found aim " + line.get("aim")
                         + " over deadline " + line.get("deadline") + ", an aim of no more is expected");
             }
             op.lateShare = share(line, "late-share", 0);
-            op.repeat = repeat(need(line, "effect", " of class " + op.name), op.name);
+            op.idempotency = repeat(need(line, "effect", " of class " + op.name), op.name);
             // Danger: the rules rest on what a deduped class, the bounds and the rules state; no default stands in for
             // them.
-            op.dedupMs = 1000
-                    * (op.repeat == OpType.Repeat.DEDUPED
+            op.deduplicationWindowMs = 1000
+                    * (op.idempotency == OpType.Idempotency.IDEMPOTENCY_KEY
                             ? needed(line, "key-ttl", " of class " + op.name)
                             : number(line, "key-ttl", 0));
-            op.need = at(layout, "class-need", at, 1);
-            op.floor = at(layout, "class-floor", at, op.need);
+            op.completeWeight = at(layout, "class-need", at, 1);
+            op.minimumWeight = at(layout, "class-floor", at, op.completeWeight);
             op.partialShare = at(layout, "class-partial", at, 1);
             List<?> fetched = list(layout.get("fetch-parts"));
             if (at < fetched.size() && number("fetch-parts", fetched.get(at)) > 0 || flag(line, "stream")) {
@@ -81,19 +81,19 @@
         }
         need(rules, "cold-share", " of rules");
         return coordinator
-                .nodes((int) above0(info, "peers-total", ""), 1000 * needed(info, "tick", ""))
-                .sends(
+                .frontNodes((int) above0(info, "peers-total", ""), 1000 * needed(info, "tick", ""))
+                .attempts(
                         (int) above0(bounds, "try-limit", " of bounds"),
                         flag(bounds, "parallel-tries"),
                         flag(bounds, "cancelling"))
-                .furtherSendBudget(1000 * spanS, number(rules, "min-extra", 0), number(rules, "further-ratio", 0))
-                .coldStart(
+                .retryBudget(1000 * spanS, number(rules, "min-extra", 0), number(rules, "further-ratio", 0))
+                .slowStart(
                         share(rules, "cold-share", 1),
                         1000 * needed(rules, "warm-within", " of rules"),
                         needed(rules, "tip-multiple", " of rules"),
                         1000 * needed(rules, "fall", " of rules"))
-                .comeback(flag(bounds, "retry-after"), 1000 * number(bounds, "max-retry-after", 0))
-                .list("ask".equals(info.get("discovery")), 1000 * number(rules, "ask-within", 0));
+                .retryAfter(flag(bounds, "retry-after"), 1000 * number(bounds, "max-retry-after", 0))
+                .endpointPolling("ask".equals(info.get("discovery")), 1000 * number(rules, "ask-within", 0));
     }
 
     /**
@@ -106,26 +106,26 @@
                     .filter(other -> other.name.equals(op.name))
                     .findFirst()
                     .orElseThrow();
-            OpType next = new OpType(op.learned);
+            OpType next = new OpType(op.latency);
             next.name = now.name;
-            next.importance = now.importance;
-            next.budgetMs = now.budgetMs;
+            next.priorityWeight = now.priorityWeight;
+            next.latencyObjectiveMs = now.latencyObjectiveMs;
             next.timeoutMs = now.timeoutMs;
             next.lateShare = now.lateShare;
-            next.repeat = now.repeat;
-            next.dedupMs = now.dedupMs;
-            next.need = now.need;
-            next.floor = now.floor;
+            next.idempotency = now.idempotency;
+            next.deduplicationWindowMs = now.deduplicationWindowMs;
+            next.completeWeight = now.completeWeight;
+            next.minimumWeight = now.minimumWeight;
             next.partialShare = now.partialShare;
             return next;
         });
     }
 
-    private static OpType.Repeat repeat(Object effect, String opType) {
+    private static OpType.Idempotency repeat(Object effect, String opType) {
         return switch (String.valueOf(effect)) {
-            case "free" -> OpType.Repeat.RETRIABLE;
-            case "guarded" -> OpType.Repeat.DEDUPED;
-            case "single_shot" -> OpType.Repeat.NON_RETRIABLE;
+            case "free" -> OpType.Idempotency.IDEMPOTENT;
+            case "guarded" -> OpType.Idempotency.IDEMPOTENCY_KEY;
+            case "single_shot" -> OpType.Idempotency.NON_IDEMPOTENT;
             default -> throw new IllegalArgumentException("unknown effect '" + effect + "' of class " + opType);
         };
     }
--- a/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
+++ b/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
@@ -133,7 +133,7 @@
                     line.cell(),
                     line.state(),
                     line.rating(),
-                    line.bootMs() > 0 ? clock.at(line.bootMs()) : -1,
+                    line.bootMs() > 0 ? clock.toNodeTimeMs(line.bootMs()) : -1,
                     0));
         }
         return lines;
--- a/node/src/main/java/spartrail/shard/PartRequest.java
+++ b/node/src/main/java/spartrail/shard/PartRequest.java
@@ -35,7 +35,7 @@
         this.shard = shard;
         this.text = text;
         this.untilMs = untilMs;
-        this.leaveByMs = Math.min(untilMs, send.leaveByMs);
+        this.leaveByMs = Math.min(untilMs, send.sendDeadlineMs);
         this.wanted = wanted;
     }
 
--- a/node/src/main/java/spartrail/shard/ShardConnection.java
+++ b/node/src/main/java/spartrail/shard/ShardConnection.java
@@ -29,7 +29,7 @@
  *                     OPENING               IDLE                  IN USE                          RETIRED
  * call given          waits                 read once, written    written if there is room        (never chosen)
  * comes up            OPENING to IN USE     -                     -                               goes if nothing is out
- * answer              -                     GARBLED, closed       part ended; IDLE after the last part ended; closed after the last
+ * answer              -                     MALFORMED, closed     part ended; IDLE after the last part ended; closed after the last
  * end, reset          never ran             closed                written: may have run; not written or in part: never ran
  * part taken back     unsent                -                     unsent, or A frame if it began  the same, then closed
  * server drains,
@@ -368,7 +368,7 @@
      */
     private void garbled(String why) {
         pool.garbled("server " + address + ": unusable frame, connection closed: " + why);
-        end(null, Outcome.NOT_SENT, Outcome.GARBLED);
+        end(null, Outcome.NOT_SENT, Outcome.MALFORMED);
     }
 
     void end(String why) {
--- a/node/src/main/java/spartrail/shard/ShardPool.java
+++ b/node/src/main/java/spartrail/shard/ShardPool.java
@@ -107,7 +107,7 @@
     /** So many lists have been taken, and what they end has been barred. */
     public void go(int lists) {
         held -= lists;
-        invariants.holds(held >= 0, "no list is taken that was not read");
+        invariants.check(held >= 0, "no list is taken that was not read");
         writeAll();
     }
 
@@ -198,7 +198,7 @@
 
     void forget(InetSocketAddress address, ShardConnection connection) {
         List<ShardConnection> open = connections.get(address);
-        if (invariants.holds(open != null && open.remove(connection), "a connection is in its pool")
+        if (invariants.check(open != null && open.remove(connection), "a connection is in its pool")
                 && open.isEmpty()) {
             connections.remove(address);
         }
--- a/node/src/main/java/spartrail/sim/SimHost.java
+++ b/node/src/main/java/spartrail/sim/SimHost.java
@@ -37,23 +37,23 @@
             number++;
             Map<?, ?> batch;
             try {
-                batch = batch(line);
+                batch = parseBatch(line);
             } catch (JsonProcessingException e) {
-                return refuse(number, "no JSON: " + JsonTree.fault(e));
+                return reject(number, "no JSON: " + JsonTree.fault(e));
             } catch (IllegalArgumentException e) {
-                return refuse(number, "no batch: " + e.getMessage());
+                return reject(number, "no batch: " + e.getMessage());
             }
-            answer(batch);
+            handleBatch(batch);
         }
         return 0;
     }
 
-    private int refuse(int number, String why) {
-        err.println("line " + number + ": " + why);
+    private int reject(int number, String reason) {
+        err.println("line " + number + ": " + reason);
         return 2;
     }
 
-    private Map<?, ?> batch(String line) throws IOException {
+    private Map<?, ?> parseBatch(String line) throws IOException {
         Object value;
         try (JsonParser parser = json.createParser(line)) {
             if (parser.nextToken() == null) {
@@ -85,9 +85,9 @@
         return batch;
     }
 
-    private void answer(Map<?, ?> batch) throws IOException {
+    private void handleBatch(Map<?, ?> batch) throws IOException {
         double nowMs = 1000 * ((Number) batch.get("t")).doubleValue();
-        Map<Integer, SimNode> spoken = new LinkedHashMap<>();
+        Map<Integer, SimNode> touched = new LinkedHashMap<>();
         for (Object entry : (List<?>) batch.get("groups")) {
             Map<?, ?> group = (Map<?, ?>) entry;
             for (Object item : (List<?>) group.get("items")) {
@@ -97,15 +97,15 @@
                 } else {
                     Integer i = (Integer) group.get("i");
                     SimNode node = nodes.computeIfAbsent(i, number -> new SimNode(rosters, err));
-                    node.take(event, nowMs);
-                    spoken.put(i, node);
+                    node.handleEvent(event, nowMs);
+                    touched.put(i, node);
                 }
             }
         }
         JsonGenerator reply = json.createGenerator(out).disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
         reply.writeStartObject();
         reply.writeArrayFieldStart("groups");
-        for (Map.Entry<Integer, SimNode> entry : spoken.entrySet()) {
+        for (Map.Entry<Integer, SimNode> entry : touched.entrySet()) {
             List<List<Object>> actions = entry.getValue().actions(nowMs);
             if (!actions.isEmpty()) {
                 reply.writeStartObject();
--- a/node/src/main/java/spartrail/sim/SimNode.java
+++ b/node/src/main/java/spartrail/sim/SimNode.java
@@ -48,9 +48,9 @@
 
     private final Map<Long, Part> parts = new HashMap<>();
     /** The multiget whose parts are coming in. */
-    private Multiget incoming;
+    private Multiget pending;
 
-    private double bellAtMs = Double.MAX_VALUE;
+    private double timerAtMs = Double.MAX_VALUE;
 
     SimNode(Map<Integer, List<?>> rosters, PrintStream err) {
         this.rosters = rosters;
@@ -58,31 +58,31 @@
     }
 
     /** Takes an event; an exception in the decisions ends the day in the wire's own words. */
-    void take(List<?> event, double nowMs) {
+    void handleEvent(List<?> event, double nowMs) {
         try {
             if (!"INCOMING".equals(event.get(0))) {
-                placeIncoming(nowMs);
+                placePending(nowMs);
             }
             dispatch(event, nowMs);
         } catch (RuntimeException e) {
-            giveIn(e);
+            reportFailure(e);
         }
     }
 
     /** What this instance does about the events taken since the last call. */
     List<List<Object>> actions(double nowMs) {
         try {
-            placeIncoming(nowMs);
-            armBell(nowMs);
+            placePending(nowMs);
+            armTimer(nowMs);
         } catch (RuntimeException e) {
-            giveIn(e);
+            reportFailure(e);
         }
         List<List<Object>> taken = List.copyOf(actions);
         actions.clear();
         return taken;
     }
 
-    private void giveIn(RuntimeException e) {
+    private void reportFailure(RuntimeException e) {
         e.printStackTrace(err);
         String text = e.getMessage() == null ? e.toString() : e.getMessage();
         actions.add(List.of("GIVE_IN", text));
@@ -91,7 +91,7 @@
     private void dispatch(List<?> event, double nowMs) {
         String name = (String) event.get(0);
         if (name.equals("POWER_ON") || name.equals("POWER_OFF")) {
-            forget();
+            reset();
         }
         if (name.equals("POWER_ON")) {
             Map<?, ?> info = (Map<?, ?>) event.get(2);
@@ -103,107 +103,107 @@
             return;
         }
         switch (name) {
-            case "DISCOVERY" -> listed(event, nowMs);
-            case "INCOMING" -> incoming(event, nowMs);
+            case "DISCOVERY" -> onDiscovery(event, nowMs);
+            case "INCOMING" -> onIncoming(event, nowMs);
             case "COMPLETED" -> {
-                Attempt send = send(event);
+                Attempt attempt = attempt(event);
                 Attempt.Outcome outcome = OUTCOMES.get(event.get(4));
-                if (send != null && outcome != null) {
-                    carryOut(coordinator.after(send, outcome, 1000 * number(event, 5), nowMs));
-                    forgetIfEnded(send.part.multiget);
+                if (attempt != null && outcome != null) {
+                    appendActions(coordinator.onOutcome(attempt, outcome, 1000 * number(event, 5), nowMs));
+                    removeIfFinished(attempt.part.multiget);
                 }
             }
             case "CLIENT_GONE" -> {
-                Multiget mg = multigets.get(id(event));
-                if (mg != null) {
-                    carryOut(coordinator.clientGone(mg, nowMs));
-                    forgetIfEnded(mg);
+                Multiget multiget = multigets.get(id(event));
+                if (multiget != null) {
+                    appendActions(coordinator.onClientGone(multiget, nowMs));
+                    removeIfFinished(multiget);
                 }
             }
             case "BELL" -> {
                 // The wire's clock counts microseconds, so a bell may come a rounding error early.
-                if (nowMs >= bellAtMs - 0.001) {
-                    bellAtMs = Double.MAX_VALUE;
+                if (nowMs >= timerAtMs - 0.001) {
+                    timerAtMs = Double.MAX_VALUE;
                 }
-                carryOut(coordinator.waited(nowMs));
+                appendActions(coordinator.onTimer(nowMs));
             }
             default -> {}
         }
     }
 
-    private void forget() {
+    private void reset() {
         coordinator = null;
         opTypes.clear();
         multigets.clear();
         multigetsByNumber.clear();
         parts.clear();
-        incoming = null;
-        bellAtMs = Double.MAX_VALUE;
+        pending = null;
+        timerAtMs = Double.MAX_VALUE;
         actions.clear();
     }
 
-    private void armBell(double nowMs) {
+    private void armTimer(double nowMs) {
         if (coordinator == null) {
             return;
         }
-        double waitMs = Math.ceil(1000 * coordinator.waitMs(nowMs)) / 1000;
-        if (nowMs + waitMs < bellAtMs) {
-            bellAtMs = nowMs + waitMs;
+        double waitMs = Math.ceil(1000 * coordinator.timeToNextTimerMs(nowMs)) / 1000;
+        if (nowMs + waitMs < timerAtMs) {
+            timerAtMs = nowMs + waitMs;
             actions.add(List.of("ARM", "wait", waitMs / 1000));
         }
     }
 
-    private void incoming(List<?> event, double nowMs) {
+    private void onIncoming(List<?> event, double nowMs) {
         long number = ((Number) event.get(7)).longValue();
         double shard = number(event, 8);
         if (shard < 0) {
-            placeIncoming(nowMs);
-            Multiget mg = new Multiget();
-            mg.id = id(event);
-            mg.number = number;
-            mg.opType = opTypes.get(event.get(2));
-            mg.tenant = event.get(3) instanceof String tenant ? tenant : null;
-            mg.key = (String) event.get(4);
-            mg.clientLeftMs = 1000 * number(event, 5);
-            mg.costMs = 1000 * number(event, 6);
-            mg.clientRetry = Boolean.TRUE.equals(event.get(10));
-            mg.write = Boolean.TRUE.equals(event.get(11));
-            mg.arrivedMs = nowMs;
-            if (mg.opType == null) {
+            placePending(nowMs);
+            Multiget multiget = new Multiget();
+            multiget.id = id(event);
+            multiget.number = number;
+            multiget.opType = opTypes.get(event.get(2));
+            multiget.tenant = event.get(3) instanceof String tenant ? tenant : null;
+            multiget.key = (String) event.get(4);
+            multiget.clientTimeLeftMs = 1000 * number(event, 5);
+            multiget.costMs = 1000 * number(event, 6);
+            multiget.clientRetry = Boolean.TRUE.equals(event.get(10));
+            multiget.write = Boolean.TRUE.equals(event.get(11));
+            multiget.arrivedMs = nowMs;
+            if (multiget.opType == null) {
                 throw new IllegalArgumentException("INCOMING of a class that boot-info lacks: " + event.get(2));
             }
-            multigets.put(mg.id, mg);
-            multigetsByNumber.put(number, mg);
-            incoming = mg;
+            multigets.put(multiget.id, multiget);
+            multigetsByNumber.put(number, multiget);
+            pending = multiget;
             return;
         }
-        Multiget mg = multigetsByNumber.get(number);
-        if (mg == null || incoming != mg) {
+        Multiget multiget = multigetsByNumber.get(number);
+        if (multiget == null || pending != multiget) {
             return;
         }
         Part part = new Part();
         part.id = id(event);
-        part.multiget = mg;
+        part.multiget = multiget;
         part.costMs = 1000 * number(event, 6);
         part.weight = number(event, 9);
         part.shard = coordinator.shard((int) shard);
-        mg.parts.add(part);
+        multiget.parts.add(part);
         parts.put(part.id, part);
     }
 
-    private void placeIncoming(double nowMs) {
-        if (incoming != null) {
-            Multiget mg = incoming;
-            incoming = null;
-            carryOut(coordinator.place(mg, nowMs));
-            forgetIfEnded(mg);
+    private void placePending(double nowMs) {
+        if (pending != null) {
+            Multiget multiget = pending;
+            pending = null;
+            appendActions(coordinator.place(multiget, nowMs));
+            removeIfFinished(multiget);
         }
     }
 
-    private void listed(List<?> event, double nowMs) {
+    private void onDiscovery(List<?> event, double nowMs) {
         String how = (String) event.get(2);
         if (how.equals("X")) {
-            carryOut(coordinator.unlisted(nowMs));
+            appendActions(coordinator.onDiscoveryUnavailable(nowMs));
             return;
         }
         List<Server> lines = new ArrayList<>();
@@ -214,44 +214,44 @@
             server.kind = (String) line.get(2);
             server.cell = ((Number) line.get(3)).intValue();
             server.state = STATES.getOrDefault(line.get(4), Server.State.GONE);
-            server.rating = line.get(5) instanceof Number rating ? rating.doubleValue() : 1;
-            double born = line.size() > 6 ? number(line, 6) : 0;
-            server.bornMs = born > 0 ? 1000 * born : -1;
+            server.weight = line.get(5) instanceof Number weight ? weight.doubleValue() : 1;
+            double startedAt = line.size() > 6 ? number(line, 6) : 0;
+            server.startedAtMs = startedAt > 0 ? 1000 * startedAt : -1;
             lines.add(server);
         }
-        carryOut(coordinator.listed(lines, !how.equals("D"), !how.equals("C"), nowMs));
+        appendActions(coordinator.onEndpointUpdate(lines, !how.equals("D"), !how.equals("C"), nowMs));
     }
 
-    private Attempt send(List<?> event) {
+    private Attempt attempt(List<?> event) {
         Part part = parts.get(id(event));
         int number = ((Number) event.get(2)).intValue();
-        return part == null || number < 0 || number >= part.sends.size() ? null : part.sends.get(number);
+        return part == null || number < 0 || number >= part.attempts.size() ? null : part.attempts.get(number);
     }
 
-    private void forgetIfEnded(Multiget mg) {
-        if (mg.over && mg.sendsOut == 0) {
-            multigets.remove(mg.id);
-            multigetsByNumber.remove(mg.number);
-            mg.parts.forEach(part -> parts.remove(part.id));
+    private void removeIfFinished(Multiget multiget) {
+        if (multiget.finished && multiget.attemptsInFlight == 0) {
+            multigets.remove(multiget.id);
+            multigetsByNumber.remove(multiget.number);
+            multiget.parts.forEach(part -> parts.remove(part.id));
         }
     }
 
-    private void carryOut(Decisions decisions) {
-        for (Attempt send : decisions.sends) {
-            actions.add(List.of("TRY", send.part.id, send.timeoutMs / 1000, send.server.id));
+    private void appendActions(Decisions decisions) {
+        for (Attempt attempt : decisions.attempts) {
+            actions.add(List.of("TRY", attempt.part.id, attempt.timeoutMs / 1000, attempt.server.id));
         }
-        for (Multiget mg : decisions.answers) {
-            switch (mg.answer) {
-                case WHOLE -> actions.add(List.of("REPLY_NOW", mg.id, true));
-                case PARTIAL -> actions.add(List.of("REPLY_NOW", mg.id, false));
-                case PUSHED_BACK -> actions.add(List.of("PUSH_BACK", mg.id, mg.comebackMs / 1000));
-                default -> actions.add(List.of("ERROR", mg.id));
+        for (Multiget multiget : decisions.answers) {
+            switch (multiget.answer) {
+                case COMPLETE -> actions.add(List.of("REPLY_NOW", multiget.id, true));
+                case PARTIAL -> actions.add(List.of("REPLY_NOW", multiget.id, false));
+                case REJECTED -> actions.add(List.of("PUSH_BACK", multiget.id, multiget.retryAfterMs / 1000));
+                default -> actions.add(List.of("ERROR", multiget.id));
             }
         }
-        for (Attempt send : decisions.cancels) {
-            actions.add(List.of("UNDO_SEND", send.part.id, send.number));
+        for (Attempt attempt : decisions.cancellations) {
+            actions.add(List.of("UNDO_SEND", attempt.part.id, attempt.number));
         }
-        if (decisions.follow) {
+        if (decisions.watchEndpoints) {
             actions.add(List.of("STREAM_CHANGES", true));
         }
     }
--- a/node/src/test/java/spartrail/discovery/RetryTimesTest.java
+++ b/node/src/test/java/spartrail/discovery/RetryTimesTest.java
@@ -32,16 +32,16 @@
         Random seeds = new Random(5);
         for (int node = 0; node < 100; node++) {
             Coordinator coordinator = new WindowCoordinator(new Random(seeds.nextLong()), List.of(new OpType()))
-                    .nodes(2, 5)
+                    .frontNodes(2, 5)
                     .layout(1, 1, 1, 1)
-                    .list(true, 10_000);
+                    .endpointPolling(true, 10_000);
             double nowMs = 1000;
             for (int failure = 0; failure < 20; failure++) {
                 double failedMs = nowMs;
-                coordinator.unlisted(failedMs);
+                coordinator.onDiscoveryUnavailable(failedMs);
                 do {
-                    nowMs += coordinator.waitMs(nowMs);
-                } while (!coordinator.waited(nowMs).follow);
+                    nowMs += coordinator.timeToNextTimerMs(nowMs);
+                } while (!coordinator.onTimer(nowMs).watchEndpoints);
                 double callMs = failure == 0 ? DiscoveryClient.WAITING_CALL_MS : DiscoveryClient.RETRY_CALL_MS;
                 assertThat(callMs + (nowMs - failedMs) + ANSWERED_MS)
                         .as("failure %d of node %d", failure, node)
--- a/node/src/test/java/spartrail/front/FrontNodeTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeTest.java
@@ -73,7 +73,7 @@
         }
         node.close();
         fleet.close();
-        assertThat(node.invariants().broken()).isEqualTo(broken);
+        assertThat(node.invariants().violations()).isEqualTo(broken);
     }
 
     /** A raw client connection. */
@@ -492,7 +492,7 @@
                 Coordinator.class.getClassLoader(), new Class<?>[] {Coordinator.class}, (proxy, method, args) -> {
                     Object decided = method.invoke(module, args);
                     if (method.getName().equals("place") && armed.getAndSet(false)) {
-                        String uid = ((Decisions) decided).sends.get(0).server.id;
+                        String uid = ((Decisions) decided).attempts.get(0).server.id;
                         ToyFleet.Toy toy = fleet.servers.stream()
                                 .filter(each -> each.uid.equals(uid))
                                 .findFirst()
@@ -656,7 +656,7 @@
     void aFaultInTheDecisionsCostsNoOtherMultigetAndNoClientItsAnswer() throws Exception {
         wrapping = module -> (Coordinator) Proxy.newProxyInstance(
                 Coordinator.class.getClassLoader(), new Class<?>[] {Coordinator.class}, (proxy, method, args) -> {
-                    if (method.getName().equals("place") && ((Multiget) args[0]).clientLeftMs < 1000) {
+                    if (method.getName().equals("place") && ((Multiget) args[0]).clientTimeLeftMs < 1000) {
                         throw new IllegalStateException("a fault made by the test");
                     }
                     try {
--- a/node/src/test/java/spartrail/shard/ShardPoolTest.java
+++ b/node/src/test/java/spartrail/shard/ShardPoolTest.java
@@ -59,7 +59,7 @@
         for (AutoCloseable each : opened) {
             each.close();
         }
-        assertThat(invariants.broken()).isEmpty();
+        assertThat(invariants.violations()).isEmpty();
     }
 
     private void pool(int partsPerConnection, double connectTimeoutMs, double keepAliveMs) {
@@ -86,7 +86,7 @@
 
     private PartRequest part(String id, int bytes) {
         Attempt send = new Attempt(null, null, 0, clock.nowMs(), 10_000);
-        send.leaveByMs = leaveByMs;
+        send.sendDeadlineMs = leaveByMs;
         return new PartRequest(send, id, 0, new byte[bytes], clock.nowMs() + 10_000, () -> !gone.contains(id));
     }
 
@@ -516,7 +516,7 @@
                 .array();
         byte[] endless = good.clone();
         endless[3] += 20;
-        String neither = "1.0 GARBLED, 2.0 GARBLED";
+        String neither = "1.0 MALFORMED, 2.0 MALFORMED";
         for (byte[] bytes : List.of(
                 "noise".getBytes(StandardCharsets.US_ASCII),
                 new byte[] {-80, 0, 0, 0, 'Y'},
@@ -532,7 +532,7 @@
                 .put(good)
                 .put(new byte[] {9, 9, 9})
                 .array();
-        assertThat(spoilt(behind)).isEqualTo("1.0 ANSWERED, 2.0 GARBLED");
+        assertThat(spoilt(behind)).isEqualTo("1.0 ANSWERED, 2.0 MALFORMED");
     }
 
     @Test
