--- a/core/src/test/java/spartrail/coordination/WindowCoordinatorTest.java
+++ b/core/src/test/java/spartrail/coordination/WindowCoordinatorTest.java
@@ -689,8 +689,8 @@
                     .pass(1000);
         }
         script.pass(5000);
-        assertThat(coordinator.servers.keySet()).containsExactly("s0.99", "s0.100");
-        assertThat(coordinator.timers.size()).isZero();
+        assertThat(coordinator.knownServerIds()).containsExactly("s0.99", "s0.100");
+        assertThat(coordinator.pendingTimers()).isZero();
     }
 
     @Test
