--- a/core/src/main/java/spartrail/coordination/Coordinator.java
+++ b/core/src/main/java/spartrail/coordination/Coordinator.java
@@ -8,67 +8,70 @@
 import spartrail.model.Shard;
 
 /**
- * What a front node asks of the module that decides. Times are milliseconds on the caller's clock. A front
- * end of any protocol builds multigets, makes the three calls, passes on news, and carries out the decisions
- * returned; it keeps its own timer and the multigets in hand. An instance belongs to one front node and one
- * thread.
+ * The decisions of a front node. Times are milliseconds on the caller's clock.
+ *
+ * <p>A front end of any protocol configures a coordinator at start, builds multigets, reports events, and carries out the
+ * decisions that each event returns. It keeps its own timer and the multigets in hand. An instance belongs to one front node and
+ * one thread. Configuration other than {@link #layout} may be stated again while it serves.
  */
 public interface Coordinator {
 
-    // What is read at start, each part with its own few figures.
-
-    /** How many front nodes there are, and the shortest time between two turns of this one. */
+    /** States how many front nodes share the servers, and the shortest time between two iterations of this one's event loop. */
     Coordinator frontNodes(int count, double loopIntervalMs);
 
     /**
-     * Shard s is held by the cells (s + j) mod cells, j from 0 to reach - 1; a call carries up to so many
-     * parts.
+     * States which cells hold which shards, and how many parts a batch may carry at most. Shard s is held by the cells (s + j) mod
+     * cells, j from 0 to replicationFactor - 1.
      */
     Coordinator layout(int shards, int cells, int replicationFactor, int maxPartsPerBatch);
 
-    /** Most sends of a part, whether two may be out at a time, and whether a send may be cancelled. */
+    /** States the most attempts of a part, whether two may be in flight at a time, and whether an attempt may be cancelled. */
     Coordinator attempts(int maxPerPart, boolean hedging, boolean cancellation);
 
     /**
-     * Further sends in any span may not pass the free ones plus a share of what was taken; a span of 0 is no
-     * budget.
+     * States the retry budget: in any window no more retries and hedged requests than a minimum and a ratio of the multigets and
+     * parts that were requested. A window of 0 means no budget.
      */
     Coordinator retryBudget(double windowMs, double minRetries, double retryRatio);
 
     /**
-     * A cold server's least share of its capacity, when it is warm, and how much for how long pushes it over.
+     * States how servers warm up: the least share of its full capacity that a server has at its start, the time until it has all
+     * of it, and how many times its capacity for how long makes it collapse.
      */
     Coordinator slowStart(double minCapacityShare, double warmUpMs, double collapseMultiple, double collapseAfterMs);
 
-    /** Whether clients are told when to come back, and the longest time that they heed. */
+    /** States whether rejections carry a Retry-After, and the longest one that clients heed. */
     Coordinator retryAfter(boolean allowed, double maxRetryAfterMs);
 
-    /** Whether the list must be asked for, and how often at the least. */
+    /** States whether the changes of the endpoint list must be asked for, and the longest time between two such polls. */
     Coordinator endpointPolling(boolean polled, double maxPollIntervalMs);
 
-    /** The shard of this number, for the parts of a multiget. */
+    /** Returns the shard of this number, for the parts of a multiget. */
     Shard shard(int number);
 
-    // The three calls.
-
-    /** Where to send this multiget: now, not yet, or never. */
-    Decisions place(Multiget mg, double nowMs);
+    /** Takes a multiget from a client: its parts are sent now, queued, or the multiget is rejected. */
+    Decisions place(Multiget multiget, double nowMs);
 
-    /** What to do after this outcome of a send, so long after it was sent. */
+    /** Takes the outcome of an attempt and the time from its start to this outcome. */
     Decisions onOutcome(Attempt attempt, Attempt.Outcome outcome, double tookMs, double nowMs);
 
-    /** How long to wait, without other calls, until {@link #onTimer}. */
+    /** Returns the time after which {@link #onTimer} is due if there is no other event. */
     double timeToNextTimerMs(double nowMs);
 
-    // News.
-
+    /** Runs what is due. */
     Decisions onTimer(double nowMs);
 
-    Decisions onClientGone(Multiget mg, double nowMs);
+    /** Ends a multiget whose client has closed its connection. */
+    Decisions onClientGone(Multiget multiget, double nowMs);
 
-    /** Lines of the list: all of it or changes only, fresh or as last held before a restart. */
+    /**
+     * Takes lines of the endpoint list.
+     *
+     * @param complete whether these are all servers; otherwise they are the changed ones
+     * @param fresh whether the list comes from discovery now; otherwise it is as it was held before a restart
+     */
     Decisions onEndpointUpdate(List<Server> servers, boolean complete, boolean fresh, double nowMs);
 
-    /** The list could not be had, or its changes no longer come. */
+    /** Learns that the endpoint list could not be had, or that its changes no longer come. */
     Decisions onDiscoveryUnavailable(double nowMs);
 }
--- a/core/src/main/java/spartrail/model/AddressRanges.java
+++ b/core/src/main/java/spartrail/model/AddressRanges.java
@@ -6,11 +6,14 @@
 
 /** Ranges of IPv4 addresses such as 10.0.0.0/8, and whether an endpoint such as 10.1.2.3:7400 lies in one of them. */
 public final class AddressRanges implements Predicate<String> {
+    private static final int ADDRESS_BITS = 32;
+    private static final long ALL_ONES = 0xffffffffL;
+
     private record Range(long address, long mask) {}
 
     private final List<Range> ranges = new ArrayList<>();
 
-    /** An IllegalArgumentException names the place and what was found there. */
+    /** An IllegalArgumentException names the place in the file and what was found there. */
     public AddressRanges(List<?> cidrBlocks, String place) {
         for (Object text : cidrBlocks) {
             String[] parts = String.valueOf(text).split("/");
@@ -19,18 +22,22 @@
                 throw new IllegalArgumentException(
                         place + ": found '" + text + "', a range such as 10.0.0.0/8 is expected");
             }
-            int bits = Integer.parseInt(parts[1]);
-            long mask = bits == 0 ? 0 : 0xffffffffL << 32 - bits & 0xffffffffL;
+            long mask = mask(Integer.parseInt(parts[1]));
             ranges.add(new Range(address & mask, mask));
         }
     }
 
+    private static long mask(int prefixLength) {
+        return prefixLength == 0 ? 0 : ALL_ONES << ADDRESS_BITS - prefixLength & ALL_ONES;
+    }
+
     @Override
     public boolean test(String endpoint) {
         long address = address(endpoint.substring(0, Math.max(0, endpoint.lastIndexOf(':'))));
         return address >= 0 && ranges.stream().anyMatch(range -> (address & range.mask) == range.address);
     }
 
+    /** The address as a number; -1 where the text is none. */
     private static long address(String text) {
         if (!text.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}")) {
             return -1;
--- a/core/src/main/java/spartrail/model/Attempt.java
+++ b/core/src/main/java/spartrail/model/Attempt.java
@@ -1,18 +1,20 @@
 package spartrail.model;
 
-/** One try of a part at one server. */
+/** One attempt of a part at one server. */
 public final class Attempt {
-    /** How a send ended. */
+    /** How an attempt ended. */
     public enum Outcome {
         ANSWERED(true),
         ERROR(true),
+        /** The server rejected it at its capacity. */
         FULL(false),
         TIMED_OUT(true),
         CONNECT_FAILED(false),
+        /** The connection was reset after the part had been sent. */
         RESET(true),
         CANCELLED(true),
         NOT_SENT(false),
-        /** Its answer, or that of another part on the same connection, could not be read. */
+        /** Its answer, or that of another part on the same connection, could not be decoded. */
         MALFORMED(true);
 
         /** False where the outcome proves that the part never ran. */
@@ -25,18 +27,23 @@
 
     public final Part part;
     public final Server server;
+    /** 0 for the part's first attempt. */
     public final int number;
+
     public final double sentMs;
     public final double timeoutMs;
-    /** Its frame may begin until then: a repeat that leaves after its op type's window would take effect twice. */
+    /** Its frame may begin until then: a retry that is sent after its deduplication window would take effect twice. */
     public double sendDeadlineMs = Double.POSITIVE_INFINITY;
 
     public AttemptBatch batch;
+    /** Null while it is in flight. */
     public Outcome outcome;
+
     public boolean cancelRequested;
-    /** The server had nothing else of this node's out. */
+    /** Whether the server had nothing else of this node in flight. */
     public boolean serverWasIdle;
 
+    /** Starts an attempt. */
     public Attempt(Part part, Server server, int number, double sentMs, double timeoutMs) {
         this.part = part;
         this.server = server;
@@ -45,11 +52,12 @@
         this.timeoutMs = timeoutMs;
     }
 
+    /** Whether it has had no outcome yet. */
     public boolean isInFlight() {
         return outcome == null;
     }
 
-    /** Known not to have run. */
+    /** Whether its outcome proves that the part never ran. */
     public boolean hasNotRun() {
         return outcome != null && !outcome.mayHaveRun;
     }
--- a/core/src/main/java/spartrail/model/Decisions.java
+++ b/core/src/main/java/spartrail/model/Decisions.java
@@ -3,13 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is to be done now, to be carried out in the order of the fields. */
+/** What the caller is to do now, in the order of the fields. */
 public final class Decisions {
+    /** Attempts to send. */
     public final List<Attempt> attempts = new ArrayList<>();
     /** Multigets that are answered now; {@link Multiget#answer} says how. */
     public final List<Multiget> answers = new ArrayList<>();
 
+    /** Attempts to cancel. */
     public final List<Attempt> cancellations = new ArrayList<>();
-    /** Ask for the list's changes from now on. */
+    /** Whether to ask for the changes of the endpoint list from now on. */
     public boolean watchEndpoints;
 }
--- a/core/src/main/java/spartrail/model/Invariants.java
+++ b/core/src/main/java/spartrail/model/Invariants.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** What must hold: asserted where assertions are on, counted everywhere. */
+/** Invariants that are checked while the program runs: asserted where assertions are on, counted everywhere. */
 public final class Invariants {
     private final Map<String, LongAdder> violations = new ConcurrentHashMap<>();
 
-    /** Whether it holds; a caller that goes on does so only on the safe side. */
+    /** Returns whether the condition holds; a caller whose invariant is violated takes the safe way. */
     public boolean check(boolean condition, String name) {
         if (!condition) {
             violations.computeIfAbsent(name, key -> new LongAdder()).increment();
@@ -18,7 +18,7 @@
         return condition;
     }
 
-    /** How often each was broken, by name; empty when all is well. */
+    /** How often each invariant was violated, by name. */
     public Map<String, Long> violations() {
         Map<String, Long> counts = new TreeMap<>();
         violations.forEach((name, count) -> counts.put(name, count.sum()));
--- a/core/src/main/java/spartrail/model/Layout.java
+++ b/core/src/main/java/spartrail/model/Layout.java
@@ -5,12 +5,13 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Which cells hold which shards: shard s is held by the cells (s + j) mod cells, j from 0 to reach - 1. */
+/** Which cells hold which shards: shard s is held by the cells (s + j) mod cells, j from 0 to replicationFactor - 1. */
 public final class Layout {
     public final List<Shard> shards = new ArrayList<>();
     private final int cells;
     public final int replicationFactor;
 
+    /** Shards whose queues are in this order. */
     public Layout(int shardCount, int cells, int replicationFactor, Comparator<Part> order) {
         for (int i = 0; i < shardCount; i++) {
             shards.add(new Shard(i, order));
@@ -19,20 +20,23 @@
         this.replicationFactor = Math.min(replicationFactor, this.cells);
     }
 
-    /** Ties shards and servers to each other; only live servers are replicas. */
+    /** Assigns shards and servers to each other; only live servers are replicas. Walks all servers and their shards. */
     public void assignReplicas(Collection<Server> servers) {
         shards.forEach(shard -> shard.replicas.clear());
         for (Server server : servers) {
             server.shards.clear();
             for (int offset = 0; offset < replicationFactor; offset++) {
-                for (int shardNumber = Math.floorMod(server.cell - offset, cells);
-                        shardNumber < shards.size();
-                        shardNumber += cells) {
-                    server.shards.add(shards.get(shardNumber));
-                    if (server.state == Server.State.LIVE) {
-                        shards.get(shardNumber).replicas.add(server);
-                    }
-                }
+                assignShards(server, Math.floorMod(server.cell - offset, cells));
+            }
+        }
+    }
+
+    private void assignShards(Server server, int firstNumber) {
+        for (int number = firstNumber; number < shards.size(); number += cells) {
+            Shard shard = shards.get(number);
+            server.shards.add(shard);
+            if (server.state == Server.State.LIVE) {
+                shard.replicas.add(server);
             }
         }
     }
--- a/core/src/main/java/spartrail/model/Multiget.java
+++ b/core/src/main/java/spartrail/model/Multiget.java
@@ -5,12 +5,13 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a client asked for: an answer put together from parts. A front end may extend it by what it needs. */
+/** A request of a client, answered from parts. A front end may extend it by what it needs. */
 public class Multiget {
     /** How a multiget was answered. */
     public enum Answer {
         COMPLETE,
         PARTIAL,
+        /** Given up where a retry by the client is harmless. */
         REJECTED,
         FAILED
     }
@@ -22,38 +23,45 @@
     public OpType opType;
     public String tenant;
     public String key;
+    /** Whether the client marks it as a retry. */
     public boolean clientRetry;
+
     public boolean write;
     public double arrivedMs;
     public double clientTimeLeftMs;
     public double costMs;
     public List<Part> parts = new ArrayList<>();
 
-    /** Place in every queue: the deadline window, then the rank. */
+    /** Key in every queue: the deadline window, then the rank. */
     public long deadlineWindow;
 
     public int rank;
-    /** When the latency budget and the client's time end. */
+    /** When its latency objective is missed. */
     public double objectiveDeadlineMs;
 
+    /** When the client stops waiting. */
     public double clientDeadlineMs;
+
     public double answeredWeight;
     /** Parts that are neither answered nor abandoned, and their weight. */
     public int openParts;
 
     public double openWeight;
-    /** Shards with a held part of it. */
+    /** Shards with a queued part of it. */
     public final Set<Shard> queuedAt = new HashSet<>();
-    /** Its sends that have had no outcome yet. */
+    /** Its attempts that have had no outcome yet. */
     public int attemptsInFlight;
-    /** Servers that broke the connection of one of its sends. */
+    /** Servers that reset the connection of one of its attempts since a part was last answered. */
     public final Set<Server> connectionsResetBy = new HashSet<>();
     /** Nothing more of it is sent until one of its parts is answered. */
     public boolean awaitingFirstAnswer;
-    /** What is due for it while it is in hand. */
+    /** Timers that are cancelled when it is finished. */
     public final List<TimerQueue.Timer> timers = new ArrayList<>();
 
+    /** Whether its final answer is decided or its client has gone. */
     public boolean finished;
+
     public Answer answer;
+    /** The Retry-After of a rejection; 0 for none. */
     public double retryAfterMs;
 }
--- a/core/src/main/java/spartrail/model/NodeClock.java
+++ b/core/src/main/java/spartrail/model/NodeClock.java
@@ -2,8 +2,8 @@
 
 /**
  * The clock of a node: Unix time in milliseconds with fractions, as it was at the start, moved on by a clock
- * that never steps. Danger: with a clock that begins at the node's start, a server that started shortly
- * before would have a negative time of birth and be taken for warm.
+ * that never steps. With a clock that begins at the node's start, a server that started shortly before would
+ * have a negative start time and be taken for warm.
  *
  * <p>Drills let the machine's clock stand ahead or behind (property {@code spartrail.clock.aheadMs}, milliseconds) and this one
  * run fast or slow ({@code spartrail.clock.pace}, 1 is right).
@@ -15,6 +15,7 @@
     private final double startMs = unixMs();
     private final long startNs = System.nanoTime();
 
+    /** The present time on this clock. */
     public double nowMs() {
         return startMs + (System.nanoTime() - startNs) / 1e6 * RATE;
     }
--- a/core/src/main/java/spartrail/model/OpType.java
+++ b/core/src/main/java/spartrail/model/OpType.java
@@ -1,13 +1,14 @@
 package spartrail.model;
 
 /**
- * One kind of multiget, as the settings describe it, with what a coordinator has learned of it. Where settings change while a
- * node runs, a further one takes its place that shares what was learned; multigets in hand keep the one they were taken by.
+ * One kind of multiget, as the settings describe it, with the latency that a coordinator has seen of it. Where settings change
+ * while a node runs, another op type takes its place that shares these statistics; multigets in hand keep the one they came with.
  */
 public final class OpType {
-    /** What a repeat of one of its parts does. */
+    /** Whether a part may run twice. */
     public enum Idempotency {
         IDEMPOTENT,
+        /** Servers drop duplicates within the deduplication window. */
         IDEMPOTENCY_KEY,
         NON_IDEMPOTENT
     }
@@ -15,34 +16,40 @@
     public String name;
     public double priorityWeight;
     public double latencyObjectiveMs;
+    /** The time that clients usually wait. */
     public double timeoutMs;
+    /** Share of its value that an answer after the latency objective still has. */
     public double lateShare;
+
     public Idempotency idempotency;
     public double deduplicationWindowMs;
+    /** Answered weight from which an answer is complete. */
     public double completeWeight;
+    /** Answered weight from which a partial answer may be given. */
     public double minimumWeight;
+    /** Share of its value that a partial answer has, by its weight. */
     public double partialShare;
 
-    /** Learned of its answers. */
+    /** What is seen of its answers. */
     public final LatencyStatistics latency;
 
+    /** One that nothing has been seen of. */
     public OpType() {
         this(new LatencyStatistics());
     }
 
-    /** Of one of the same name, whose answers are this one's, too. */
+    /** One that shares the statistics of one of the same name. */
     public OpType(LatencyStatistics latency) {
         this.latency = latency;
     }
 
-    /** What a coordinator learns of answers, whatever the settings say. */
+    /** What a coordinator learns from answers, whatever the settings say; 0 where nothing is known. */
     public static final class LatencyStatistics {
-        /** Time of an answer on average, its mean deviation, and that of a server with nothing else of ours. */
         public double meanLatencyMs;
-
         public double latencyDeviationMs;
+        /** Latency of servers that have nothing else of this node in flight. */
         public double unloadedLatencyMs;
-        /** When one was turned away and none has been answered since. */
+        /** When a multiget was rejected that no answer has followed since. */
         public double rejectedSinceMs = Double.MAX_VALUE;
     }
 }
--- a/core/src/main/java/spartrail/model/Part.java
+++ b/core/src/main/java/spartrail/model/Part.java
@@ -6,8 +6,8 @@
 /**
  * The share of a multiget that one shard answers.
  *
- * <p>Cost: each question goes over its sends, a few. Danger: two of them are asked of every replica for every part; a stream
- * for each took most of a query's processor time where a shard has hundreds of replicas.
+ * <p>Cost: each method walks its attempts, a few. {@link #wasAttemptedAt} and {@link #isInFlightAt} are called for every replica of
+ * every part, so they are plain loops: streams took most of the processor time where a shard has hundreds of replicas.
  */
 public final class Part {
     public long id;
@@ -15,17 +15,20 @@
     public Shard shard;
     public double weight;
     public double costMs;
+    /** Whether it is in its shard's queue. */
     public boolean queued;
+
     public double queuedSinceMs;
     public boolean answered;
     public boolean abandoned;
     public final List<Attempt> attempts = new ArrayList<>();
 
-    /** Its answer is still waited for. */
+    /** Whether an answer is still waited for. */
     public boolean isOpen() {
         return !answered && !abandoned;
     }
 
+    /** Whether an attempt has had no outcome yet. */
     public boolean hasAttemptInFlight() {
         for (Attempt attempt : attempts) {
             if (attempt.isInFlight()) {
@@ -35,17 +38,19 @@
         return false;
     }
 
-    /** The end of the deduplication window of what may have run of it; endless where there is none. */
+    /** The end of the deduplication window of the attempts that may have run; infinite where there is none. */
     public double deduplicationEndMs() {
-        return multiget.opType.idempotency != OpType.Idempotency.IDEMPOTENCY_KEY
-                ? Double.POSITIVE_INFINITY
-                : attempts.stream()
-                        .filter(attempt -> !attempt.hasNotRun())
-                        .mapToDouble(attempt -> attempt.sentMs + multiget.opType.deduplicationWindowMs)
-                        .min()
-                        .orElse(Double.POSITIVE_INFINITY);
+        if (multiget.opType.idempotency != OpType.Idempotency.IDEMPOTENCY_KEY) {
+            return Double.POSITIVE_INFINITY;
+        }
+        return attempts.stream()
+                .filter(attempt -> !attempt.hasNotRun())
+                .mapToDouble(attempt -> attempt.sentMs + multiget.opType.deduplicationWindowMs)
+                .min()
+                .orElse(Double.POSITIVE_INFINITY);
     }
 
+    /** Whether an attempt was made at this server, whatever became of it. */
     public boolean wasAttemptedAt(Server server) {
         for (Attempt attempt : attempts) {
             if (attempt.server == server) {
@@ -55,6 +60,7 @@
         return false;
     }
 
+    /** Whether an attempt at this server has had no outcome yet. */
     public boolean isInFlightAt(Server server) {
         for (Attempt attempt : attempts) {
             if (attempt.isInFlight() && attempt.server == server) {
--- a/core/src/main/java/spartrail/model/Server.java
+++ b/core/src/main/java/spartrail/model/Server.java
@@ -5,57 +5,75 @@
 import java.util.List;
 import java.util.Set;
 
-/** A server of the list, with what this node has out there and has seen of it. */
+/**
+ * A server of the endpoint list, with what this node has in flight there and has seen of it.
+ *
+ * <p>The fields are public as decisions read them for each replica of each part, of which there may be hundreds; a map beside the
+ * server would be looked up as often. Each group names the class of {@code spartrail.coordination} that writes it.
+ */
 public final class Server {
-    /** What the list says of the process. */
+    /** What the endpoint list says of the process. */
     public enum State {
         LIVE,
         DRAINING,
         GONE
     }
 
+    // EndpointTracker, from the endpoint list.
+
     public final String id;
     public String zone;
     public String kind;
     public int cell;
     public State state = State.LIVE;
     public double weight = 1;
-    /** Clock time of its latest start; negative where the list names none. */
+    /** Time of its latest start on the node's clock; negative where the list names none. */
     public double startedAtMs = -1;
     /** The shards it holds. */
     public List<Shard> shards = new ArrayList<>();
 
-    /** Sends out, in order of sending, and the number of calls that carry them. */
+    /** Ticks since it was last listed. */
+    public int ticksSinceRemoval;
+
+    // ReleaseQueue: what is in flight there.
+
+    /** Attempts in flight, in order of sending. */
     public final Set<Attempt> inFlight = new LinkedHashSet<>();
 
+    /** Batches that carry them. */
     public int batchesInFlight;
-    /** The latest call; parts of the same turn may still join it. */
+    /** The latest batch; attempts of the same event loop iteration may still join it. */
     public AttemptBatch latestBatch;
-    /** Order in which replicas are taken in turn. */
+    /** Number of the latest pick, so that equal replicas are picked in turn. */
     public long lastPickNumber;
-    /** Most parts that may be out. */
+    // ConcurrencyLimiter.
+
+    /** Most attempts that may be in flight; 0 until the server is first listed. */
     public int concurrencyLimit;
 
     public double limitHalvedMs;
-    /** Time of answers over what their op type usually takes; 1 is as usual. */
+    // OutlierDetector.
+
+    /** Latency of its answers over the mean of their op types; 1 is as usual. */
     public double relativeLatency = 1;
 
     public double lastAnswerMs;
-    /** When the latest sent of the answered sends was sent. */
+    /** When the latest sent of the answered attempts was sent. */
     public double lastAnsweredSentMs;
 
     public boolean ejected;
-    /** When an answer of it could last not be read. */
+    /** When an answer of it could last not be decoded. */
     public double lastMalformedMs;
-    /** Beats since it was last listed. */
-    public int ticksSinceRemoval;
-    /** Parts answered in the present beat, and in a millisecond lately. */
+    // SlowStart.
+
+    /** Parts answered in this tick, and in a millisecond lately. */
     public int answersThisTick;
 
     public double answerRate;
-    /** Times of sends while cold, not older than the span that counts. */
+    /** Attempts while it warms up, as far back as they count. */
     public final SlidingWindowCounter warmUpAttempts = new SlidingWindowCounter();
 
+    /** One that nothing is known of. */
     public Server(String id) {
         this.id = id;
     }
--- a/core/src/main/java/spartrail/model/Shard.java
+++ b/core/src/main/java/spartrail/model/Shard.java
@@ -5,14 +5,15 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** A shard: who holds it, and its queue of held parts in key order. */
+/** A shard: the servers that hold it, and its queue of parts in release order. */
 public final class Shard {
     public final int number;
     public final List<Server> replicas = new ArrayList<>();
     public final TreeSet<Part> queue;
-    /** How long parts have lately been held, smoothed. */
+    /** How long parts were lately queued, a moving average. */
     public double queueDelayMs;
 
+    /** A shard without replicas. */
     public Shard(int number, Comparator<Part> queueOrder) {
         this.number = number;
         this.queue = new TreeSet<>(queueOrder);
