--- a/core/src/main/java/spartrail/membership/EndpointList.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointList.java
@@ -1,4 +1,4 @@
-package spartrail.membership;
+package spartrail.endpoint;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
--- a/core/src/main/java/spartrail/membership/Member.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointRecord.java
@@ -1,11 +1,11 @@
-package spartrail.membership;
+package spartrail.endpoint;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 import spartrail.model.Server;
 
 /** A server in the view. */
-public final class Member {
+public final class EndpointRecord {
     /** How a server stands in the view. */
     public enum Standing {
         /** No source has a word on it. */
@@ -21,7 +21,7 @@
 
     /** One source's word on it. */
     static final class Word {
-        Said said;
+        SourceReport said;
         double sinceMs;
         /** The source's whole answers have left it out since then; NaN while they name it. */
         double absentSinceMs = Double.NaN;
@@ -41,7 +41,7 @@
     String uid;
 
     String endpoint;
-    final Map<Source, Word> words = new LinkedHashMap<>();
+    final Map<EndpointSource, Word> words = new LinkedHashMap<>();
     Standing standing = Standing.UNKNOWN;
     String rule = "no source names it";
     double sinceMs;
@@ -58,12 +58,12 @@
     /** The cell it is counted in. */
     int cell;
     /** What was last handed on, and whether that is still so. */
-    Said handed;
+    SourceReport handed;
 
     boolean changed;
     boolean standby;
 
-    Member(String id, String endpoint, double nowMs) {
+    EndpointRecord(String id, String endpoint, double nowMs) {
         this.id = id;
         this.endpoint = endpoint;
         this.seenMs = nowMs;
@@ -93,12 +93,12 @@
     }
 
     /** What the module is to know of it. */
-    public Said line() {
+    public SourceReport line() {
         return handed;
     }
 
-    Word word(Source.Kind kind) {
-        for (Map.Entry<Source, Word> entry : words.entrySet()) {
+    Word word(EndpointSource.Kind kind) {
+        for (Map.Entry<EndpointSource, Word> entry : words.entrySet()) {
             if (entry.getKey().kind == kind) {
                 return entry.getValue();
             }
@@ -107,11 +107,11 @@
     }
 
     /** The word that tells most: the roll's, else one that names it. */
-    Said best() {
-        Said best = null;
-        for (Map.Entry<Source, Word> entry : words.entrySet()) {
+    SourceReport best() {
+        SourceReport best = null;
+        for (Map.Entry<EndpointSource, Word> entry : words.entrySet()) {
             Word word = entry.getValue();
-            if (entry.getKey().kind == Source.Kind.ROLL) {
+            if (entry.getKey().kind == EndpointSource.Kind.ROLL) {
                 return word.said;
             }
             if (best == null || !word.gone && !word.absent()) {
--- a/core/src/main/java/spartrail/membership/Membership.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointRegistry.java
@@ -1,4 +1,4 @@
-package spartrail.membership;
+package spartrail.endpoint;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import spartrail.membership.Member.Standing;
-import spartrail.membership.Member.Word;
+import spartrail.endpoint.EndpointRecord.Standing;
+import spartrail.endpoint.EndpointRecord.Word;
 import spartrail.model.Server;
 import spartrail.model.TimerQueue;
 
@@ -42,24 +42,24 @@
  * <p>What a change costs is bounded by the server, its cell and the cells beside it, never by the fleet; a source that goes
  * out costs its own lines.
  */
-public class Membership {
+public class EndpointRegistry {
     private static final double NEVER = Double.MAX_VALUE;
 
     private final int cells;
     private final int reach;
-    private final Bounds bounds;
+    private final MergeLimits bounds;
     private final Predicate<String> allowed;
-    private final Map<String, Source> sources = new LinkedHashMap<>();
-    private final Map<String, Member> byUid = new HashMap<>();
-    private final Map<String, Member> byEndpoint = new HashMap<>();
-    private final Map<String, Member> members = new LinkedHashMap<>();
+    private final Map<String, EndpointSource> sources = new LinkedHashMap<>();
+    private final Map<String, EndpointRecord> byUid = new HashMap<>();
+    private final Map<String, EndpointRecord> byEndpoint = new HashMap<>();
+    private final Map<String, EndpointRecord> members = new LinkedHashMap<>();
     /** Servers in use by cell, and members by cell. */
     private final int[] live;
 
-    private final Map<Integer, Set<Member>> byCell = new HashMap<>();
-    private final Set<Member> changed = new LinkedHashSet<>();
+    private final Map<Integer, Set<EndpointRecord>> byCell = new HashMap<>();
+    private final Set<EndpointRecord> changed = new LinkedHashSet<>();
     private final TimerQueue timetable = new TimerQueue();
-    private final Map<Member, TimerQueue.Due> dues = new HashMap<>();
+    private final Map<EndpointRecord, TimerQueue.Due> dues = new HashMap<>();
     private double nowMs;
     private long refused;
     private long notAllowed;
@@ -69,7 +69,7 @@
     private long steps;
 
     /** Shard s is held by the cells (s + j) mod cells, j from 0 to reach - 1; endpoints that are not allowed are refused. */
-    public Membership(int cells, int reach, Bounds bounds, Predicate<String> allowed) {
+    public EndpointRegistry(int cells, int reach, MergeLimits bounds, Predicate<String> allowed) {
         this.cells = Math.max(1, cells);
         this.reach = Math.max(1, Math.min(reach, this.cells));
         this.bounds = bounds;
@@ -78,14 +78,14 @@
     }
 
     /** The source of this name; a new one counts as out until it says something. */
-    public Source source(String name, Source.Kind kind, double atMs) {
-        return sources.computeIfAbsent(name, key -> new Source(key, kind, atMs));
+    public EndpointSource source(String name, EndpointSource.Kind kind, double atMs) {
+        return sources.computeIfAbsent(name, key -> new EndpointSource(key, kind, atMs));
     }
 
     // ---- News ----
 
     /** A source says this; where it is all that it knows, what it lacks is left out. */
-    public void said(Source source, boolean whole, List<Said> lines, double lifetimeMs, double atMs) {
+    public void said(EndpointSource source, boolean whole, List<SourceReport> lines, double lifetimeMs, double atMs) {
         nowMs = atMs;
         boolean back = !source.in;
         source.in = true;
@@ -93,10 +93,10 @@
         if (Double.isNaN(source.firstAnswerMs)) {
             source.firstAnswerMs = atMs;
         }
-        Set<Member> touched = new LinkedHashSet<>();
-        Set<Member> named = new LinkedHashSet<>();
-        for (Said line : lines) {
-            Member member = member(source, line);
+        Set<EndpointRecord> touched = new LinkedHashSet<>();
+        Set<EndpointRecord> named = new LinkedHashSet<>();
+        for (SourceReport line : lines) {
+            EndpointRecord member = member(source, line);
             if (member != null) {
                 named.add(member);
                 if (word(source, member, line)) {
@@ -106,7 +106,7 @@
         }
         if (whole) {
             source.answers++;
-            for (Map.Entry<Member, Word> entry : List.copyOf(source.words.entrySet())) {
+            for (Map.Entry<EndpointRecord, Word> entry : List.copyOf(source.words.entrySet())) {
                 if (!named.contains(entry.getKey()) && leftOut(entry.getValue())) {
                     touched.add(entry.getKey());
                 }
@@ -118,7 +118,7 @@
         // Danger: one that goes now because it is confirmed must not count for the floor of one that is left out first
         // now.
         touched.stream()
-                .sorted(Comparator.comparingInt((Member member) -> {
+                .sorted(Comparator.comparingInt((EndpointRecord member) -> {
                     Word word = member.words.get(source);
                     return word == null ? 0 : -word.absentAnswers;
                 }))
@@ -127,7 +127,7 @@
     }
 
     /** A source does not answer. */
-    public void out(Source source, double atMs) {
+    public void out(EndpointSource source, double atMs) {
         nowMs = atMs;
         if (source.in) {
             source.in = false;
@@ -149,14 +149,14 @@
 
     // ---- Who ----
 
-    private Member member(Source source, Said said) {
+    private EndpointRecord member(EndpointSource source, SourceReport said) {
         if (said.endpoint() != null && !allowed.test(said.endpoint())) {
             notAllowed++;
             return null;
         }
-        Member known = said.id() != null ? byUid.get(said.id()) : byEndpoint.get(said.endpoint());
+        EndpointRecord known = said.id() != null ? byUid.get(said.id()) : byEndpoint.get(said.endpoint());
         if (known == null && said.id() != null && said.endpoint() != null) {
-            Member there = byEndpoint.get(said.endpoint());
+            EndpointRecord there = byEndpoint.get(said.endpoint());
             if (there != null && there.uid == null) {
                 known = there;
                 known.uid = said.id();
@@ -171,7 +171,7 @@
                 refused++;
                 return null;
             }
-            known = new Member(said.id() != null ? said.id() : said.endpoint(), said.endpoint(), nowMs);
+            known = new EndpointRecord(said.id() != null ? said.id() : said.endpoint(), said.endpoint(), nowMs);
             // Danger: the name of one that was known by its endpoint may be taken by another's uid.
             if (members.containsKey(known.id)) {
                 refused++;
@@ -191,12 +191,12 @@
     }
 
     /** It is at this endpoint from now on; whoever was there before is not, and words without ids stay with the endpoint. */
-    private void settle(Member member, String endpoint) {
-        Member before = byEndpoint.put(endpoint, member);
+    private void settle(EndpointRecord member, String endpoint) {
+        EndpointRecord before = byEndpoint.put(endpoint, member);
         member.endpoint = endpoint;
         if (before != null && before != member) {
-            for (Map.Entry<Source, Word> entry : List.copyOf(before.words.entrySet())) {
-                if (entry.getKey().kind != Source.Kind.ROLL) {
+            for (Map.Entry<EndpointSource, Word> entry : List.copyOf(before.words.entrySet())) {
+                if (entry.getKey().kind != EndpointSource.Kind.ROLL) {
                     before.words.remove(entry.getKey());
                     entry.getKey().words.remove(before);
                     member.words.put(entry.getKey(), entry.getValue());
@@ -210,7 +210,7 @@
     // ---- Words ----
 
     /** Whether it is news. */
-    private boolean word(Source source, Member member, Said said) {
+    private boolean word(EndpointSource source, EndpointRecord member, SourceReport said) {
         Word word = member.words.get(source);
         boolean first = word == null;
         if (first) {
@@ -232,7 +232,7 @@
         if (said.tellsStart() && !(said.bornMs() <= member.bornMs)) {
             member.bornMs = said.bornMs();
         }
-        if (again && source.kind != Source.Kind.ROLL && mayLift(source, member, leftOutSinceMs)) {
+        if (again && source.kind != EndpointSource.Kind.ROLL && mayLift(source, member, leftOutSinceMs)) {
             lift(member);
         }
         return !same;
@@ -251,8 +251,8 @@
     }
 
     /** Danger: a source that never heard of the roll's drain would bring a drained server back. */
-    boolean mayLift(Source source, Member member, double leftOutSinceMs) {
-        Word roll = member.word(Source.Kind.ROLL);
+    boolean mayLift(EndpointSource source, EndpointRecord member, double leftOutSinceMs) {
+        Word roll = member.word(EndpointSource.Kind.ROLL);
         if (roll == null || !roll.gone && roll.said.state() == Server.State.LIVE) {
             return false;
         }
@@ -260,10 +260,10 @@
         return rollOut() && nowMs - Math.max(leftOutSinceMs, tombMs) >= source.lifetimeMs;
     }
 
-    private void lift(Member member) {
+    private void lift(EndpointRecord member) {
         lifted++;
         sources.values().stream()
-                .filter(source -> source.kind == Source.Kind.ROLL)
+                .filter(source -> source.kind == EndpointSource.Kind.ROLL)
                 .forEach(roll -> {
                     roll.words.remove(member);
                     member.words.remove(roll);
@@ -273,7 +273,7 @@
     }
 
     private boolean rollOut() {
-        return sources.values().stream().noneMatch(source -> source.kind == Source.Kind.ROLL && source.in);
+        return sources.values().stream().noneMatch(source -> source.kind == EndpointSource.Kind.ROLL && source.in);
     }
 
     // ---- Judgement ----
@@ -281,7 +281,7 @@
     /** A standing with the rule that made it, and when it may change by itself. */
     private record Verdict(Standing standing, String rule, double againMs) {}
 
-    private void judge(Member member) {
+    private void judge(EndpointRecord member) {
         steps++;
         Verdict verdict = verdict(member);
         move(member, verdict.standing(), verdict.rule());
@@ -297,11 +297,11 @@
         }
     }
 
-    private Verdict verdict(Member member) {
-        Source rollSource = null;
+    private Verdict verdict(EndpointRecord member) {
+        EndpointSource rollSource = null;
         Word roll = null;
-        for (Map.Entry<Source, Word> entry : member.words.entrySet()) {
-            if (entry.getKey().kind == Source.Kind.ROLL) {
+        for (Map.Entry<EndpointSource, Word> entry : member.words.entrySet()) {
+            if (entry.getKey().kind == EndpointSource.Kind.ROLL) {
                 rollSource = entry.getKey();
                 roll = entry.getValue();
             }
@@ -315,7 +315,7 @@
         return byOthers(member);
     }
 
-    private Verdict byRoll(Member member, Source source, Word roll) {
+    private Verdict byRoll(EndpointRecord member, EndpointSource source, Word roll) {
         String tomb = source.in ? "" : ", a tombstone while the roll is out";
         if (roll.said.state() == Server.State.DRAINING) {
             return new Verdict(Standing.DRAINING, "1 the roll says it drains" + tomb, NEVER);
@@ -340,7 +340,7 @@
     }
 
     /** When the last of the sources that name it went out. */
-    private static double lastOutMs(Member member) {
+    private static double lastOutMs(EndpointRecord member) {
         return member.words.entrySet().stream()
                 .filter(entry -> !entry.getValue().absent())
                 .mapToDouble(entry -> entry.getKey().outSinceMs)
@@ -349,23 +349,23 @@
     }
 
     /** Whether a source other than the roll names it and answers. */
-    private static boolean others(Member member) {
+    private static boolean others(EndpointRecord member) {
         return member.words.entrySet().stream()
-                .anyMatch(entry -> entry.getKey().kind != Source.Kind.ROLL
+                .anyMatch(entry -> entry.getKey().kind != EndpointSource.Kind.ROLL
                         && entry.getKey().in
                         && !entry.getValue().absent());
     }
 
-    private Verdict byOthers(Member member) {
-        Source names = null;
+    private Verdict byOthers(EndpointRecord member) {
+        EndpointSource names = null;
         Word held = null;
         double outSinceMs = Double.NEGATIVE_INFINITY;
         boolean frozen = false;
         double confirmMs = nowMs;
-        for (Map.Entry<Source, Word> entry : member.words.entrySet()) {
-            Source source = entry.getKey();
+        for (Map.Entry<EndpointSource, Word> entry : member.words.entrySet()) {
+            EndpointSource source = entry.getKey();
             Word word = entry.getValue();
-            if (word.gone || source.kind == Source.Kind.ROLL && source.in) {
+            if (word.gone || source.kind == EndpointSource.Kind.ROLL && source.in) {
                 continue;
             }
             if (!source.in) {
@@ -399,7 +399,7 @@
         return forgetting(member, "7 no source names it any more");
     }
 
-    private Verdict joining(Member member, Source names) {
+    private Verdict joining(EndpointRecord member, EndpointSource names) {
         if (member.standing == Standing.JOINING) {
             return nowMs >= member.joinAtMs
                     ? new Verdict(Standing.LIVE, "6 " + names + " names it", NEVER)
@@ -423,7 +423,7 @@
     }
 
     /** How long one that comes back waits; not at all where a shard has nobody else. */
-    double flapWait(Member member) {
+    double flapWait(EndpointRecord member) {
         if (!atFloor(member.cell, bounds.floor())) {
             return 0;
         }
@@ -431,7 +431,7 @@
         return lately < 0.5 ? 0 : Math.min(bounds.flapMostMs(), bounds.flapMs() * Math.pow(2, Math.round(lately) - 1));
     }
 
-    private Verdict frozen(Member member, double outSinceMs, String why) {
+    private Verdict frozen(EndpointRecord member, double outSinceMs, String why) {
         double suspectMs = outSinceMs + bounds.freezeMs();
         if (nowMs < suspectMs) {
             return new Verdict(
@@ -450,8 +450,8 @@
         return forgetting(member, why + " for far too long");
     }
 
-    private boolean confirmed(Member member) {
-        for (Map.Entry<Source, Word> entry : member.words.entrySet()) {
+    private boolean confirmed(EndpointRecord member) {
+        for (Map.Entry<EndpointSource, Word> entry : member.words.entrySet()) {
             Word word = entry.getValue();
             if (word.absent() && !word.gone && !isConfirmed(word)) {
                 return false;
@@ -465,7 +465,7 @@
     }
 
     /** Whether each shard that it holds keeps its floor of servers in use without it. */
-    boolean floorAllows(Member member) {
+    boolean floorAllows(EndpointRecord member) {
         if (!member.counted) {
             return true;
         }
@@ -487,7 +487,7 @@
     }
 
     /** Gone; it is forgotten altogether when nobody speaks of it any more. */
-    private Verdict forgetting(Member member, String rule) {
+    private Verdict forgetting(EndpointRecord member, String rule) {
         double sinceMs = member.standing == Standing.GONE ? member.sinceMs : nowMs;
         // Danger: a tombstone that is forgotten while another source still names the server would let it back.
         boolean named = member.words.values().stream()
@@ -499,7 +499,7 @@
         return new Verdict(Standing.GONE, rule, Math.max(nowMs, sinceMs) + bounds.keptMs());
     }
 
-    private void forget(Member member) {
+    private void forget(EndpointRecord member) {
         members.remove(member.id, member);
         byUid.remove(member.uid, member);
         byEndpoint.remove(member.endpoint, member);
@@ -509,7 +509,7 @@
 
     // ---- What follows ----
 
-    private void move(Member member, Standing standing, String rule) {
+    private void move(EndpointRecord member, Standing standing, String rule) {
         if (standing != member.standing) {
             if (standing == Standing.GONE && member.standing != Standing.JOINING) {
                 member.flaps = member.flaps * Math.pow(0.5, (nowMs - member.flapMs) / bounds.flapForgetMs()) + 1;
@@ -519,7 +519,7 @@
             member.sinceMs = nowMs;
         }
         member.rule = rule;
-        Said best = member.best();
+        SourceReport best = member.best();
         int cell = best == null ? member.cell : best.cell();
         if (member.counted) {
             live[member.cell]--;
@@ -536,21 +536,21 @@
         hand(cell(member.cell));
     }
 
-    private Set<Member> cell(int cell) {
+    private Set<EndpointRecord> cell(int cell) {
         return byCell.computeIfAbsent(cell, key -> new LinkedHashSet<>());
     }
 
     /** What the module is to know of the servers of one cell: those of its best tier, the others when there is nobody. */
-    private void hand(Collection<Member> cell) {
+    private void hand(Collection<EndpointRecord> cell) {
         int best = cell.stream()
-                .filter(Member::inUse)
-                .map(Member::best)
+                .filter(EndpointRecord::inUse)
+                .map(EndpointRecord::best)
                 .filter(said -> said != null)
-                .mapToInt(Said::tier)
+                .mapToInt(SourceReport::tier)
                 .min()
                 .orElse(0);
-        for (Member member : cell) {
-            Said said = member.best();
+        for (EndpointRecord member : cell) {
+            SourceReport said = member.best();
             if (said == null) {
                 said = member.handed;
             }
@@ -558,9 +558,9 @@
                 continue;
             }
             member.standby = member.inUse() && said.tier() > best;
-            Server.State state = member.standby ? Server.State.DRAINING : Member.state(member.standing);
+            Server.State state = member.standby ? Server.State.DRAINING : EndpointRecord.state(member.standing);
             double bornMs = Double.isNaN(member.bornMs) ? member.seenMs : member.bornMs;
-            Said line = new Said(
+            SourceReport line = new SourceReport(
                     member.id,
                     member.endpoint,
                     said.zone(),
@@ -579,8 +579,8 @@
     }
 
     /** Lines that are others than when this was last asked. */
-    public List<Said> changes() {
-        List<Said> lines = new ArrayList<>();
+    public List<SourceReport> changes() {
+        List<SourceReport> lines = new ArrayList<>();
         changed.forEach(member -> lines.add(member.handed));
         changed.clear();
         return lines;
@@ -588,23 +588,23 @@
 
     // ---- For operators and snapshots ----
 
-    public Collection<Member> members() {
+    public Collection<EndpointRecord> members() {
         return members.values();
     }
 
-    public Collection<Source> sources() {
+    public Collection<EndpointSource> sources() {
         return sources.values();
     }
 
     /** By name, uid or endpoint; null if there is none. */
-    public Member find(String words) {
-        Member member = members.get(words);
+    public EndpointRecord find(String words) {
+        EndpointRecord member = members.get(words);
         member = member == null ? byUid.get(words) : member;
         return member == null ? byEndpoint.get(words) : member;
     }
 
     /** What each source says of it, the rule that decided, and since when. */
-    public String explain(Member member, double atMs) {
+    public String explain(EndpointRecord member, double atMs) {
         StringBuilder out = new StringBuilder(String.format(
                 Locale.ROOT,
                 "%s%s at %s, cell %d: %s%s since %.1f s%n  rule: %s%n",
@@ -653,11 +653,17 @@
 
     /** What a snapshot keeps of one source's word on one server; absences and tombstones are kept with it. */
     public record Kept(
-            String source, Source.Kind kind, String id, String endpoint, Said said, boolean gone, double seenMs) {}
+            String source,
+            EndpointSource.Kind kind,
+            String id,
+            String endpoint,
+            SourceReport said,
+            boolean gone,
+            double seenMs) {}
 
     public List<Kept> snapshot() {
         List<Kept> kept = new ArrayList<>();
-        for (Member member : members.values()) {
+        for (EndpointRecord member : members.values()) {
             member.words.forEach((source, word) -> kept.add(new Kept(
                     source.name, source.kind, member.id, member.endpoint, word.said, word.gone, member.seenMs)));
         }
@@ -667,17 +673,17 @@
     /** Takes up a snapshot that was saved then; its sources count as out since, until they answer. */
     public void restore(List<Kept> kept, double savedMs, double atMs) {
         nowMs = atMs;
-        Set<Member> touched = new LinkedHashSet<>();
+        Set<EndpointRecord> touched = new LinkedHashSet<>();
         for (Kept line : kept) {
-            Source source = source(line.source(), line.kind(), savedMs);
+            EndpointSource source = source(line.source(), line.kind(), savedMs);
             source.outSinceMs = Math.min(source.outSinceMs, savedMs);
-            Member member = members.get(line.id());
+            EndpointRecord member = members.get(line.id());
             if (member == null) {
                 // What ends a server need not tell where it was.
-                Said said = line.said();
+                SourceReport said = line.said();
                 member = member(
                         source,
-                        new Said(
+                        new SourceReport(
                                 said.id(),
                                 line.endpoint(),
                                 said.zone(),
--- a/core/src/main/java/spartrail/membership/Source.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointSource.java
@@ -1,10 +1,10 @@
-package spartrail.membership;
+package spartrail.endpoint;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** Where words on servers come from. A DNS name is one source, the roll is one, a file is one. */
-public final class Source {
+public final class EndpointSource {
     /** The roll's word is law on what drains and ends; the others can only add, and leave out. */
     public enum Kind {
         ROLL,
@@ -25,9 +25,9 @@
     /** How long what it says is good for. */
     double lifetimeMs;
     /** Members it has a word on. */
-    final Map<Member, Member.Word> words = new LinkedHashMap<>();
+    final Map<EndpointRecord, EndpointRecord.Word> words = new LinkedHashMap<>();
 
-    Source(String name, Kind kind, double nowMs) {
+    EndpointSource(String name, Kind kind, double nowMs) {
         this.name = name;
         this.kind = kind;
         this.outSinceMs = nowMs;
--- a/core/src/main/java/spartrail/membership/Bounds.java
+++ b/core/src/main/java/spartrail/endpoint/MergeLimits.java
@@ -1,4 +1,4 @@
-package spartrail.membership;
+package spartrail.endpoint;
 
 /**
  * The figures of the view; times in milliseconds.
@@ -15,7 +15,7 @@
  * @param keptMs a server that is gone is remembered for so long
  * @param mostMembers no more are known; further ones are refused and counted
  */
-public record Bounds(
+public record MergeLimits(
         int floor,
         double freezeMs,
         double suspectMs,
@@ -27,6 +27,6 @@
         double flapForgetMs,
         double keptMs,
         int mostMembers) {
-    public static final Bounds USUAL =
-            new Bounds(1, 300_000, 300_000, 400, 30_000, 3, 2000, 60_000, 60_000, 600_000, 10_000);
+    public static final MergeLimits USUAL =
+            new MergeLimits(1, 300_000, 300_000, 400, 30_000, 3, 2000, 60_000, 60_000, 600_000, 10_000);
 }
--- a/core/src/main/java/spartrail/membership/Said.java
+++ b/core/src/main/java/spartrail/endpoint/SourceReport.java
@@ -1,4 +1,4 @@
-package spartrail.membership;
+package spartrail.endpoint;
 
 import spartrail.model.Server;
 
@@ -11,7 +11,7 @@
  * @param bornMs when its process started, on the node's clock; negative if long ago; NaN where the source does not tell
  * @param tier 0 is used first, a higher one only where the cell has nobody better
  */
-public record Said(
+public record SourceReport(
         String id,
         String endpoint,
         String zone,
--- a/core/src/main/java/spartrail/peers/PeerTimes.java
+++ b/core/src/main/java/spartrail/peers/GossipTimings.java
@@ -14,7 +14,7 @@
  * @param wordBytes a message carries at most about so many bytes of words
  * @param answersPerS at most so many answers a second, half of them to those who are not known
  */
-public record PeerTimes(
+public record GossipTimings(
         double roundMs,
         double answerMs,
         double suspectRounds,
@@ -24,11 +24,11 @@
         int mostPeers,
         int wordBytes,
         int answersPerS) {
-    public static final PeerTimes USUAL = new PeerTimes(500, 200, 3, 250, 5000, 600_000, 1024, 1000, 200);
+    public static final GossipTimings USUAL = new GossipTimings(500, 200, 3, 250, 5000, 600_000, 1024, 1000, 200);
 
     /** All times so many times as long. */
-    public PeerTimes paced(double times) {
-        return new PeerTimes(
+    public GossipTimings paced(double times) {
+        return new GossipTimings(
                 roundMs * times,
                 answerMs * times,
                 suspectRounds,
--- a/core/src/main/java/spartrail/peers/Life.java
+++ b/core/src/main/java/spartrail/peers/Incarnation.java
@@ -5,9 +5,9 @@
  * later one counts. It survives a restart without a disk, as a restarted process begins later; one whose machine's clock was
  * set back hears of its former life and begins one after it.
  */
-public record Life(long startMs, int nonce) implements Comparable<Life> {
+public record Incarnation(long startMs, int nonce) implements Comparable<Incarnation> {
     @Override
-    public int compareTo(Life other) {
+    public int compareTo(Incarnation other) {
         int order = Long.compare(startMs, other.startMs);
         return order != 0 ? order : Integer.compare(nonce, other.nonce);
     }
--- a/core/src/main/java/spartrail/peers/PeersView.java
+++ b/core/src/main/java/spartrail/peers/MembershipView.java
@@ -13,9 +13,9 @@
  * @param most as many can be there: also those that may live on behind a cut
  * @param counts what was refused, dropped or doubted, by name
  */
-public record PeersView(
+public record MembershipView(
         String name,
-        Standing standing,
+        PeerState standing,
         String doubt,
         double atMs,
         int there,
@@ -38,7 +38,13 @@
      * @param heardMs when it last answered this node, or NaN
      */
     public record Seen(
-            Card card, Standing standing, double sinceMs, String from, Sure sure, double heardMs, String why) {}
+            PeerDescriptor card,
+            PeerState standing,
+            double sinceMs,
+            String from,
+            Sure sure,
+            double heardMs,
+            String why) {}
 
     /** What the module is told of it. */
     public FleetView word() {
--- a/core/src/main/java/spartrail/peers/Outgoing.java
+++ b/core/src/main/java/spartrail/peers/OutgoingMessage.java
@@ -1,4 +1,4 @@
 package spartrail.peers;
 
 /** A message and the address that it goes to. */
-public record Outgoing(String address, Message message) {}
+public record OutgoingMessage(String address, PeerMessage message) {}
--- a/core/src/main/java/spartrail/peers/Member.java
+++ b/core/src/main/java/spartrail/peers/Peer.java
@@ -5,9 +5,9 @@
 import spartrail.model.TimerQueue;
 
 /** What a node holds of another one. */
-final class Member {
-    Card card;
-    Standing standing;
+final class Peer {
+    PeerDescriptor card;
+    PeerState standing;
     double sinceMs;
     String from;
     String why = "";
@@ -38,7 +38,7 @@
     /** Its part of the digest. */
     long hash;
 
-    Member(Card card, Standing standing) {
+    Peer(PeerDescriptor card, PeerState standing) {
         this.card = card;
         this.standing = standing;
     }
--- a/core/src/main/java/spartrail/peers/PeerLane.java
+++ b/core/src/main/java/spartrail/peers/PeerChannel.java
@@ -7,7 +7,7 @@
  * Another subsystem whose messages travel by the same socket as talk among nodes, on a lane of their own. Called on the talk's
  * thread, so none of these may wait.
  */
-public interface PeerLane {
+public interface PeerChannel {
     /** What the lane's frames bear; 0 to 2 are the talk's own. */
     int number();
 
@@ -18,7 +18,7 @@
     void heard(String from, byte[] bytes);
 
     /** What is known of the other nodes has changed, or a while has passed. */
-    void seen(PeersView view);
+    void seen(MembershipView view);
 
     /** What a lane may use of the talk, from any thread. */
     interface Carrier {
@@ -53,5 +53,5 @@
     }
 
     /** None. */
-    List<PeerLane> NONE = List.of();
+    List<PeerChannel> NONE = List.of();
 }
--- a/core/src/main/java/spartrail/peers/Card.java
+++ b/core/src/main/java/spartrail/peers/PeerDescriptor.java
@@ -10,8 +10,15 @@
  * @param program version of the program
  * @param settings version of the settings that it goes by, empty where none is known
  */
-public record Card(
-        String name, String address, String zone, double weight, String program, String settings, Life life, int turn) {
+public record PeerDescriptor(
+        String name,
+        String address,
+        String zone,
+        double weight,
+        String program,
+        String settings,
+        Incarnation life,
+        int turn) {
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]{1,64}");
     private static final Pattern ADDRESS = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}");
     private static final int LONGEST = 64;
@@ -33,8 +40,8 @@
         return NAME.matcher(text).matches();
     }
 
-    Card at(Life newLife, int newTurn) {
-        return new Card(name, address, zone, weight, program, settings, newLife, newTurn);
+    PeerDescriptor at(Incarnation newLife, int newTurn) {
+        return new PeerDescriptor(name, address, zone, weight, program, settings, newLife, newTurn);
     }
 
     /** At most so many bytes it takes in a message, with what a word adds to it. */
--- a/core/src/main/java/spartrail/peers/PeerEvent.java
+++ b/core/src/main/java/spartrail/peers/PeerEvent.java
@@ -8,4 +8,5 @@
  * @param by who says so: this node itself, where it is its own verdict
  * @param doubt why this node doubted itself then; empty where it did not
  */
-public record PeerEvent(double atMs, Card card, Standing was, Standing is, String by, String why, String doubt) {}
+public record PeerEvent(
+        double atMs, PeerDescriptor card, PeerState was, PeerState is, String by, String why, String doubt) {}
--- a/core/src/main/java/spartrail/peers/Message.java
+++ b/core/src/main/java/spartrail/peers/PeerMessage.java
@@ -12,16 +12,16 @@
  * @param digest of whom the sender holds for being there; two that are equal need not compare
  * @param about whom a helper is to ask, or was asked to; else null
  */
-public record Message(
+public record PeerMessage(
         Kind kind,
-        Card from,
-        Standing standing,
+        PeerDescriptor from,
+        PeerState standing,
         double ageMs,
         String to,
         long nonce,
         long digest,
-        Card about,
-        List<Word> words) {
+        PeerDescriptor about,
+        List<PeerUpdate> words) {
     /** What it is for. New ones go at the end: a node drops kinds that it does not know. */
     public enum Kind {
         /** Are you there? */
--- a/core/src/main/java/spartrail/peers/Standing.java
+++ b/core/src/main/java/spartrail/peers/PeerState.java
@@ -1,7 +1,7 @@
 package spartrail.peers;
 
 /** How a node stands; the later one outranks the earlier one where life and turn are the same. */
-public enum Standing {
+public enum PeerState {
     /** It has started and not heard from anybody yet. */
     JOINING,
     ALIVE,
--- a/core/src/main/java/spartrail/peers/PeerTalk.java
+++ b/core/src/main/java/spartrail/peers/PeerTransport.java
@@ -9,7 +9,7 @@
  * How a node talks to others, found by the service loader; on the class path only where it is asked for. Nothing of it is
  * loaded else.
  */
-public interface PeerTalk {
+public interface PeerTransport {
     /** Reads and checks a peers' file; an IllegalArgumentException says in one line what is wrong with it. */
     void check(Path file);
 
@@ -20,7 +20,7 @@
      * @param historyBytes it ends at so many bytes
      * @param lanes whose messages travel along
      */
-    Running start(Path file, Path history, long historyBytes, Consumer<PeersView> views, List<PeerLane> lanes)
+    Running start(Path file, Path history, long historyBytes, Consumer<MembershipView> views, List<PeerChannel> lanes)
             throws IOException;
 
     /** Talk that has begun. */
--- a/core/src/main/java/spartrail/peers/Word.java
+++ b/core/src/main/java/spartrail/peers/PeerUpdate.java
@@ -7,11 +7,11 @@
  * @param ageMs how old that life is by the clock of who says so; 0 where it does not know
  * @param by who accuses, where it is a suspicion or its end; else empty
  */
-public record Word(Card card, Standing standing, double ageMs, String by) {
+public record PeerUpdate(PeerDescriptor card, PeerState standing, double ageMs, String by) {
     /** Above 0 where the first outranks the second. */
-    static int compare(Card card, Standing standing, Card other, Standing otherStanding) {
+    static int compare(PeerDescriptor card, PeerState standing, PeerDescriptor other, PeerState otherStanding) {
         int order = card.life().compareTo(other.life());
-        order = order != 0 ? order : Boolean.compare(standing == Standing.LEFT, otherStanding == Standing.LEFT);
+        order = order != 0 ? order : Boolean.compare(standing == PeerState.LEFT, otherStanding == PeerState.LEFT);
         order = order != 0 ? order : Integer.compare(card.turn(), other.turn());
         return order != 0 ? order : standing.compareTo(otherStanding);
     }
--- a/core/src/main/java/spartrail/peers/Peers.java
+++ b/core/src/main/java/spartrail/peers/SwimMembership.java
@@ -12,9 +12,9 @@
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 import spartrail.model.TimerQueue;
-import spartrail.peers.Message.Kind;
-import spartrail.peers.PeersView.Seen;
-import spartrail.peers.PeersView.Sure;
+import spartrail.peers.MembershipView.Seen;
+import spartrail.peers.MembershipView.Sure;
+import spartrail.peers.PeerMessage.Kind;
 
 /**
  * Who of the front nodes is there. SWIM (Das, Gupta, Motivala 2002) with suspicion and turns, and Lifeguard's local health
@@ -47,7 +47,7 @@
  * <li>What is sent in a second is bounded by {@link #mostMessagesPerS}, whatever the size of the fleet and whatever comes in.
  * </ol>
  */
-public final class Peers {
+public final class SwimMembership {
     /** Helpers that are asked when somebody does not answer, and accusers that make a suspicion as short as it gets. */
     private static final int HELPERS = 3;
 
@@ -89,8 +89,8 @@
 
     /** A round in which this member was asked. */
     private static final class Round {
-        Member asked;
-        Life life;
+        Peer asked;
+        Incarnation life;
         long nonce;
         boolean answered;
         int helpers;
@@ -112,18 +112,18 @@
     }
 
     /** Somebody asked this node to ask somebody else. */
-    private record Errand(String address, long nonce, Card about) {}
+    private record Errand(String address, long nonce, PeerDescriptor about) {}
 
-    private final PeerTimes times;
+    private final GossipTimings times;
     private final RandomGenerator chance;
-    private final Map<String, Member> members = new HashMap<>();
+    private final Map<String, Peer> members = new HashMap<>();
     private final Map<String, Contact> contacts = new LinkedHashMap<>();
     private final Map<Long, Errand> errands = new LinkedHashMap<>();
     /** Nonces of members asked lately, so that a late answer counts, too. */
     private final Map<Long, String> asked = new LinkedHashMap<>();
 
     private final TimerQueue timetable = new TimerQueue();
-    private final List<Outgoing> out = new ArrayList<>();
+    private final List<OutgoingMessage> out = new ArrayList<>();
     private final Deque<PeerEvent> events = new ArrayDeque<>();
     private final Map<String, Long> counts = new TreeMap<>();
     /** Whom to ask in the next rounds. */
@@ -131,16 +131,16 @@
     /** Whom to tell of next where two views differ. */
     private final Deque<String> slice = new ArrayDeque<>();
     /** Of whom others are to hear: first those of whom nobody has heard yet, then by turns. */
-    private final Deque<Member> fresh = new ArrayDeque<>();
+    private final Deque<Peer> fresh = new ArrayDeque<>();
 
-    private final Deque<Member> news = new ArrayDeque<>();
+    private final Deque<Peer> news = new ArrayDeque<>();
     /** Those held for alive, and how many are held to be there; so that no message costs more the larger the fleet is. */
-    private final List<Member> alive = new ArrayList<>();
+    private final List<Peer> alive = new ArrayList<>();
 
     private int others;
 
-    private Card self;
-    private Standing standing = Standing.JOINING;
+    private PeerDescriptor self;
+    private PeerState standing = PeerState.JOINING;
     private final double bornMs;
     private double nowMs;
     private double meantMs;
@@ -163,9 +163,9 @@
      * A later life of this name, from elsewhere; once it has answered this process takes no part. It is asked on and on, and
      * counts as over when so many rounds have passed without an answer.
      */
-    private Card claimed;
+    private PeerDescriptor claimed;
 
-    private Card rival;
+    private PeerDescriptor rival;
     private int rivalRounds;
     private double answers;
     private double answersToUnknown;
@@ -174,7 +174,8 @@
     /**
      * Begins a life of a node. Seeds are addresses to ask who is there; the own one among them is passed over.
      */
-    public Peers(Card self, List<String> seeds, PeerTimes times, RandomGenerator chance, double nowMs) {
+    public SwimMembership(
+            PeerDescriptor self, List<String> seeds, GossipTimings times, RandomGenerator chance, double nowMs) {
         this.self = self;
         this.times = times;
         this.chance = chance;
@@ -200,14 +201,14 @@
             }
         }
         if (addresses.stream().allMatch(self.address()::equals) && members.isEmpty()) {
-            become(Standing.ALIVE);
+            become(PeerState.ALIVE);
         }
     }
 
     /** The version of the settings that this node goes by has changed; others hear of it. */
     public void settings(String version) {
         if (!version.equals(self.settings())) {
-            reborn(new Card(
+            reborn(new PeerDescriptor(
                     self.name(),
                     self.address(),
                     self.zone(),
@@ -224,7 +225,7 @@
      * lost ones, further ones while views differ (a round is at least nine tenths of its length); and what others ask of it: an
      * answer, or an errand's two messages.
      */
-    public static double mostMessagesPerS(PeerTimes times) {
+    public static double mostMessagesPerS(GossipTimings times) {
         return (1 + HELPERS + CONTACTS_A_ROUND + SUSPECTS_A_ROUND + 1 + HURRIED) * 1000 / (0.9 * times.roundMs())
                 + 2.0 * times.answersPerS();
     }
@@ -271,7 +272,7 @@
         health = Math.min(WORST_HEALTH, health + 1);
         round = null;
         errands.clear();
-        for (Member member : members.values()) {
+        for (Peer member : members.values()) {
             if (member.due != null) {
                 timetable.remove(member.due);
                 member.accusedMs += lateMs;
@@ -290,7 +291,7 @@
                                 ? "it gets no answers"
                                 : runsLate()
                                         ? "it runs late, by " + Math.round(usuallyLateMs) + " ms on average"
-                                        : standing == Standing.JOINING
+                                        : standing == PeerState.JOINING
                                                 ? "it has not heard from anybody yet"
                                                 : gettingToKnow() ? "it is getting to know the others" : "";
     }
@@ -323,7 +324,7 @@
                 && !cutOff()
                 && !runsLate()
                 && !gettingToKnow()
-                && standing == Standing.ALIVE;
+                && standing == PeerState.ALIVE;
     }
 
     // ---- Rounds ----
@@ -333,7 +334,7 @@
         double lastsMs = times.roundMs() * (1 + health) * (0.9 + 0.2 * chance.nextDouble());
         timetable.add(nowMs + lastsMs, this::round);
         roundNumber++;
-        if (standing == Standing.LEFT) {
+        if (standing == PeerState.LEFT) {
             return;
         }
         contact();
@@ -341,7 +342,7 @@
             return;
         }
         lookForLost();
-        Member next = next();
+        Peer next = next();
         if (next == null) {
             return;
         }
@@ -356,7 +357,7 @@
     }
 
     /** Each other node once before any one twice, in an order by chance. */
-    private Member next() {
+    private Peer next() {
         for (int i = 0; i <= members.size(); i++) {
             String name = turnOf.poll();
             if (name == null) {
@@ -366,7 +367,7 @@
                 turnOf.addAll(names);
                 name = turnOf.poll();
             }
-            Member member = name == null ? null : members.get(name);
+            Peer member = name == null ? null : members.get(name);
             if (member != null && member.standing.there()) {
                 return member;
             }
@@ -384,7 +385,7 @@
         if (asking != round || asking.answered) {
             return;
         }
-        for (Member helper : some(HELPERS, asking.asked.card.name())) {
+        for (Peer helper : some(HELPERS, asking.asked.card.name())) {
             asking.helpers++;
             send(
                     helper.card.address(),
@@ -397,11 +398,11 @@
     }
 
     /** So many others by chance that are held to be alive. */
-    private List<Member> some(int most, String butNot) {
-        List<Member> some = new ArrayList<>();
+    private List<Peer> some(int most, String butNot) {
+        List<Peer> some = new ArrayList<>();
         for (int i = 0; i < alive.size() && some.size() < most; i++) {
             int at = i + chance.nextInt(alive.size() - i);
-            Member picked = alive.get(at);
+            Peer picked = alive.get(at);
             alive.set(at, alive.get(i));
             alive.get(i).aliveAt = at;
             alive.set(i, picked);
@@ -427,7 +428,7 @@
         // Danger: a node that is slow itself takes others for dead. Helpers that do not even say that they found nobody
         // speak against this node, not against the one that was asked.
         health = Math.min(WORST_HEALTH, health + (ended.helpers > 0 ? ended.helpers - ended.notFound : 0));
-        Member member = members.get(ended.asked.card.name());
+        Peer member = members.get(ended.asked.card.name());
         if (member == ended.asked && member.card.life().equals(ended.life) && judges()) {
             accuse(
                     member,
@@ -463,12 +464,12 @@
      */
     private void askSuspects() {
         timetable.add(nowMs + times.roundMs(), this::askSuspects);
-        if (standing == Standing.LEFT || rival != null) {
+        if (standing == PeerState.LEFT || rival != null) {
             return;
         }
         List<String> names = new ArrayList<>();
         members.forEach((name, member) -> {
-            if (member.standing == Standing.SUSPECT && member.accusers.contains(self.name())) {
+            if (member.standing == PeerState.SUSPECT && member.accusers.contains(self.name())) {
                 names.add(name);
             }
         });
@@ -480,7 +481,7 @@
     }
 
     /** Asks one beside the rounds: an answer counts, none does not. */
-    private void ask(Member member) {
+    private void ask(Peer member) {
         member.askedAgain = true;
         long nonce = chance.nextLong();
         remember(nonce, member.card.name());
@@ -496,7 +497,7 @@
     }
 
     private void hurry() {
-        if (nowMs >= differUntilMs || standing == Standing.LEFT || rival != null) {
+        if (nowMs >= differUntilMs || standing == PeerState.LEFT || rival != null) {
             return;
         }
         // Danger: hundreds that start at once know only the seeds, and would ask nobody else ever faster.
@@ -568,7 +569,7 @@
     // ---- What is heard ----
 
     /** A message has come. */
-    public void heard(Message message, double atMs) {
+    public void heard(PeerMessage message, double atMs) {
         moveTo(atMs);
         meantMs = Math.max(meantMs, atMs);
         if (!message.from().wellFormed()) {
@@ -583,15 +584,15 @@
             namesake(message.from(), proof);
             return;
         }
-        if (rival != null || standing == Standing.LEFT) {
+        if (rival != null || standing == PeerState.LEFT) {
             return;
         }
-        Member sender = members.get(message.from().name());
+        Peer sender = members.get(message.from().name());
         boolean sameLife =
                 sender != null && sender.card.life().equals(message.from().life());
-        if (sameLife && message.standing() == Standing.LEFT) {
+        if (sameLife && message.standing() == PeerState.LEFT) {
             // However old the message is and whatever is held of its sender: a life that has left stays so.
-            take(message.from(), Standing.LEFT, message.from().name(), message.ageMs(), "it says so");
+            take(message.from(), PeerState.LEFT, message.from().name(), message.ageMs(), "it says so");
             return;
         }
         boolean trusted = sameLife && sender.standing.there();
@@ -624,7 +625,7 @@
                 ask(met);
             }
         }
-        for (Word word : message.words()) {
+        for (PeerUpdate word : message.words()) {
             // Danger: two sides of a cut that hold each other for gone would trust no word that they are not. What a
             // new answer says of this node itself it may refute, whoever says so.
             if (trusted || proof && word.card().name().equals(self.name())) {
@@ -660,18 +661,18 @@
         return true;
     }
 
-    private void answer(Message message, boolean known) {
+    private void answer(PeerMessage message, boolean known) {
         if (!allowed(known)) {
             return;
         }
-        Member asker = members.get(message.from().name());
-        List<Word> words = known ? words(asker) : asker == null ? List.of() : List.of(word(asker));
+        Peer asker = members.get(message.from().name());
+        List<PeerUpdate> words = known ? words(asker) : asker == null ? List.of() : List.of(word(asker));
         send(message.from().address(), Kind.ACK, message.from().name(), message.nonce(), null, words);
     }
 
     /** An answer to what this node asked lately; what it holds of the sender is taken up. */
-    private boolean proves(Message message) {
-        Card from = message.from();
+    private boolean proves(PeerMessage message) {
+        PeerDescriptor from = message.from();
         Errand errand = errands.remove(message.nonce());
         if (errand != null && errand.about.name().equals(from.name())) {
             send(errand.address, Kind.FOUND, "", errand.nonce, from, List.of());
@@ -694,7 +695,7 @@
         if (from.name().equals(self.name())) {
             return true;
         }
-        Member member = members.get(from.name());
+        Peer member = members.get(from.name());
         if (member != null && from.life().compareTo(member.card.life()) < 0) {
             return false;
         }
@@ -709,15 +710,15 @@
         return true;
     }
 
-    private void answered(Member member, long nonce) {
+    private void answered(Peer member, long nonce) {
         heardSomebody(1);
         if (round != null && round.nonce == nonce && round.asked == member) {
             round.answered = true;
             health = Math.max(0, health - 1);
         }
-        if (standing == Standing.JOINING) {
-            become(Standing.ALIVE);
-            event(self, Standing.JOINING, Standing.ALIVE, self.name(), "it has heard from " + member.card.name());
+        if (standing == PeerState.JOINING) {
+            become(PeerState.ALIVE);
+            event(self, PeerState.JOINING, PeerState.ALIVE, self.name(), "it has heard from " + member.card.name());
         }
     }
 
@@ -735,8 +736,8 @@
     }
 
     private void suspicionsBeginAnew() {
-        for (Member member : members.values()) {
-            if (member.standing == Standing.SUSPECT) {
+        for (Peer member : members.values()) {
+            if (member.standing == PeerState.SUSPECT) {
                 member.accusers.clear();
                 member.accusedMs = nowMs;
                 accuse(member, self.name(), member.why);
@@ -744,8 +745,8 @@
         }
     }
 
-    private void errand(Message message, boolean known) {
-        Card about = message.about();
+    private void errand(PeerMessage message, boolean known) {
+        PeerDescriptor about = message.about();
         if (!known || about == null || !about.wellFormed() || errands.size() >= MOST_ERRANDS || !allowed(true)) {
             count("errands refused");
             return;
@@ -761,8 +762,8 @@
         });
     }
 
-    private void found(Message message, boolean known) {
-        Card about = message.about();
+    private void found(PeerMessage message, boolean known) {
+        PeerDescriptor about = message.about();
         if (!known
                 || about == null
                 || round == null
@@ -770,7 +771,7 @@
                 || !about.name().equals(round.asked.card.name())) {
             return;
         }
-        word(new Word(about, Standing.ALIVE, 0, ""), message.from().name());
+        word(new PeerUpdate(about, PeerState.ALIVE, 0, ""), message.from().name());
         if (about.life().compareTo(round.life) >= 0) {
             round.answered = true;
             heardSomebody(0);
@@ -779,7 +780,7 @@
 
     // ---- What is held ----
 
-    private void word(Word word, String from) {
+    private void word(PeerUpdate word, String from) {
         if (!word.card().wellFormed()) {
             count("unusable cards");
             return;
@@ -788,14 +789,14 @@
             ofMyself(word, from);
             return;
         }
-        Member member = members.get(word.card().name());
+        Peer member = members.get(word.card().name());
         if (member == null && !word.standing().there()) {
             // Danger: whom all have forgotten would be handed round without end.
             return;
         }
-        if (word.standing() == Standing.SUSPECT
+        if (word.standing() == PeerState.SUSPECT
                 && member != null
-                && member.standing == Standing.SUSPECT
+                && member.standing == PeerState.SUSPECT
                 && member.card.life().equals(word.card().life())
                 && member.card.turn() == word.card().turn()) {
             accuse(member, word.by(), "accused by " + word.by());
@@ -812,8 +813,8 @@
             if (word.standing().there()) {
                 member.toldMs = nowMs;
             }
-            if (word.standing() == Standing.SUSPECT
-                    && member.standing == Standing.SUSPECT
+            if (word.standing() == PeerState.SUSPECT
+                    && member.standing == PeerState.SUSPECT
                     && member.accusers.isEmpty()) {
                 accuse(member, word.by(), "accused by " + word.by());
             }
@@ -821,18 +822,18 @@
     }
 
     /** Takes up what outranks the word held; the one place where what is held moves. */
-    private void take(Card card, Standing is, String from, double ageMs, String why) {
-        Member member = members.get(card.name());
-        if (member != null && Word.compare(card, is, member.card, member.standing) <= 0) {
+    private void take(PeerDescriptor card, PeerState is, String from, double ageMs, String why) {
+        Peer member = members.get(card.name());
+        if (member != null && PeerUpdate.compare(card, is, member.card, member.standing) <= 0) {
             return;
         }
-        Standing was = member == null ? null : member.standing;
+        PeerState was = member == null ? null : member.standing;
         if (member == null) {
             if (members.size() >= times.mostPeers() && !forgetOne()) {
                 count("peers refused");
                 return;
             }
-            member = new Member(card, is);
+            member = new Peer(card, is);
             members.put(card.name(), member);
             // At a place by chance among those to be asked, so that news of many does not make all ask in one order.
             List<String> names = new ArrayList<>(turnOf);
@@ -864,13 +865,13 @@
         member.hash = is.there() ? hash(card, is) : 0;
         digest ^= member.hash;
         if (!is.there()) {
-            Member kept = member;
+            Peer kept = member;
             member.due = timetable.add(nowMs + times.keptMs(), () -> forget(kept));
         }
         event(card, was, is, from, why);
     }
 
-    private void tell(Member member, int passedOn) {
+    private void tell(Peer member, int passedOn) {
         member.passedOn = passedOn;
         if (!member.standingIsNews) {
             member.standingIsNews = true;
@@ -879,14 +880,14 @@
     }
 
     /** It stands so from now on; null: it is forgotten. */
-    private void there(Member member, Standing is) {
+    private void there(Peer member, PeerState is) {
         others += (is != null && is.there() ? 1 : 0) - (member.isThere ? 1 : 0);
         member.isThere = is != null && is.there();
-        if (is == Standing.ALIVE && member.aliveAt < 0) {
+        if (is == PeerState.ALIVE && member.aliveAt < 0) {
             member.aliveAt = alive.size();
             alive.add(member);
-        } else if (is != Standing.ALIVE && member.aliveAt >= 0) {
-            Member last = alive.remove(alive.size() - 1);
+        } else if (is != PeerState.ALIVE && member.aliveAt >= 0) {
+            Peer last = alive.remove(alive.size() - 1);
             if (last != member) {
                 alive.set(member.aliveAt, last);
                 last.aliveAt = member.aliveAt;
@@ -896,12 +897,12 @@
     }
 
     /** The accuser's own rounds, or word of another one's. Each further accuser makes the time to refute shorter. */
-    private void accuse(Member member, String by, String why) {
+    private void accuse(Peer member, String by, String why) {
         if (!member.standing.there() || by.isEmpty() || member.accusers.contains(by)) {
             return;
         }
-        if (member.standing != Standing.SUSPECT) {
-            take(member.card, Standing.SUSPECT, self.name(), 0, why);
+        if (member.standing != PeerState.SUSPECT) {
+            take(member.card, PeerState.SUSPECT, self.name(), 0, why);
         }
         if (member.accusers.isEmpty()) {
             member.accusedMs = nowMs;
@@ -922,7 +923,7 @@
         member.due = timetable.add(Math.max(nowMs, endsMs), () -> unrefuted(member));
     }
 
-    private void unrefuted(Member member) {
+    private void unrefuted(Peer member) {
         member.due = null;
         if (!judges()) {
             // In doubt of itself it ends no suspicion; it looks again when a round has passed.
@@ -939,14 +940,14 @@
         String accusers = String.join(", ", member.accusers);
         take(
                 member.card,
-                Standing.GONE,
+                PeerState.GONE,
                 self.name(),
                 0,
                 "accused by " + accusers + ", and it did not refute that in " + Math.round(nowMs - member.accusedMs)
                         + " ms");
     }
 
-    private void forget(Member member) {
+    private void forget(Peer member) {
         members.remove(member.card.name(), member);
         member.standingIsNews = false;
         there(member, null);
@@ -956,9 +957,9 @@
 
     /** Makes room: who has been over for the longest goes. */
     private boolean forgetOne() {
-        Member oldest = members.values().stream()
+        Peer oldest = members.values().stream()
                 .filter(member -> !member.standing.there())
-                .min(Comparator.comparingDouble((Member member) -> member.sinceMs)
+                .min(Comparator.comparingDouble((Peer member) -> member.sinceMs)
                         .thenComparing(member -> member.card.name()))
                 .orElse(null);
         if (oldest != null) {
@@ -970,17 +971,17 @@
 
     // ---- This node itself ----
 
-    private void ofMyself(Word word, String from) {
+    private void ofMyself(PeerUpdate word, String from) {
         int order = word.card().life().compareTo(self.life());
         if (order > 0) {
             namesake(word.card(), false);
-        } else if (order == 0 && word.standing() == Standing.LEFT && standing != Standing.LEFT) {
+        } else if (order == 0 && word.standing() == PeerState.LEFT && standing != PeerState.LEFT) {
             count("told that it has left");
-            reborn(self.at(new Life(self.life().startMs() + 1, chance.nextInt()), 0));
+            reborn(self.at(new Incarnation(self.life().startMs() + 1, chance.nextInt()), 0));
         } else if (order == 0
-                && word.standing() != Standing.LEFT
+                && word.standing() != PeerState.LEFT
                 && word.card().turn() >= self.turn()
-                && word.standing().compareTo(Standing.ALIVE) > 0) {
+                && word.standing().compareTo(PeerState.ALIVE) > 0) {
             health = Math.min(WORST_HEALTH, health + 1);
             count("refuted");
             reborn(self.at(self.life(), word.card().turn() + 1));
@@ -1000,7 +1001,7 @@
      * this address can only be a former life, by a clock that was set back since: this one begins after it. A later one
      * elsewhere is asked: if it answers, this process steps back, and if not, it is over.
      */
-    private void namesake(Card other, boolean answered) {
+    private void namesake(PeerDescriptor other, boolean answered) {
         if (other.life().compareTo(self.life()) <= 0) {
             if (!other.life().equals(self.life())) {
                 meet(other.address());
@@ -1027,24 +1028,24 @@
 
     /** The other process of this name has not answered for a while. */
     private void outbid() {
-        Card over = claimed;
+        PeerDescriptor over = claimed;
         rival = null;
         claimed = null;
         begin(over.life());
     }
 
-    private void begin(Life former) {
-        reborn(self.at(new Life(Math.max(former.startMs(), self.life().startMs()) + 1, chance.nextInt()), 0));
+    private void begin(Incarnation former) {
+        reborn(self.at(new Incarnation(Math.max(former.startMs(), self.life().startMs()) + 1, chance.nextInt()), 0));
         event(self, standing, standing, self.name(), "begins a life after its former one");
     }
 
-    private void reborn(Card card) {
+    private void reborn(PeerDescriptor card) {
         digest ^= hash(self, standing);
         self = card;
         digest ^= hash(self, standing);
     }
 
-    private void become(Standing is) {
+    private void become(PeerState is) {
         digest ^= hash(self, standing);
         standing = is;
         digest ^= hash(self, standing);
@@ -1053,51 +1054,51 @@
     /** Says at once that this node ends, to as many as pass it on. */
     public void leave(double atMs) {
         moveTo(atMs);
-        if (standing == Standing.LEFT) {
+        if (standing == PeerState.LEFT) {
             return;
         }
-        standing = Standing.LEFT;
-        event(self, Standing.ALIVE, Standing.LEFT, self.name(), "it ends");
+        standing = PeerState.LEFT;
+        event(self, PeerState.ALIVE, PeerState.LEFT, self.name(), "it ends");
         int most = 2 + 2 * (32 - Integer.numberOfLeadingZeros(members.size()));
-        List<Member> told = new ArrayList<>(some(most, ""));
+        List<Peer> told = new ArrayList<>(some(most, ""));
         // Those that it holds for lost may be alive; where hardly anybody else is left, they hear of it, too.
         members.values().stream()
-                .filter(member -> member.standing == Standing.SUSPECT
-                        || member.standing == Standing.GONE
-                        || member.standing == Standing.JOINING)
+                .filter(member -> member.standing == PeerState.SUSPECT
+                        || member.standing == PeerState.GONE
+                        || member.standing == PeerState.JOINING)
                 .sorted(Comparator.comparing(member -> member.card.name()))
                 .limit(Math.max(0, most - told.size()))
                 .forEach(told::add);
-        for (Member member : told) {
+        for (Peer member : told) {
             send(member.card.address(), Kind.PING, member.card.name(), chance.nextLong(), null, List.of());
         }
     }
 
     // ---- What is sent ----
 
-    private void send(String address, Kind kind, String to, long nonce, Card about, List<Word> words) {
-        out.add(new Outgoing(
-                address, new Message(kind, self, standing, nowMs - bornMs, to, nonce, digest, about, words)));
+    private void send(String address, Kind kind, String to, long nonce, PeerDescriptor about, List<PeerUpdate> words) {
+        out.add(new OutgoingMessage(
+                address, new PeerMessage(kind, self, standing, nowMs - bornMs, to, nonce, digest, about, words)));
     }
 
     /** First what this node holds against the one it writes to; then news; then, where views differ, the next of the rest. */
-    private List<Word> words(Member other) {
+    private List<PeerUpdate> words(Peer other) {
         return words(other, null);
     }
 
-    private List<Word> words(Member other, Card about) {
-        List<Word> words = new ArrayList<>();
+    private List<PeerUpdate> words(Peer other, PeerDescriptor about) {
+        List<PeerUpdate> words = new ArrayList<>();
         // Danger: cards with long texts would make the message too large for a datagram, and the node mute.
         int left = times.wordBytes() - Math.max(0, self.bytes() - USUAL_CARD) - (about == null ? 0 : about.bytes());
-        if (other != null && other.standing != Standing.ALIVE && other.standing != Standing.JOINING) {
+        if (other != null && other.standing != PeerState.ALIVE && other.standing != PeerState.JOINING) {
             words.add(word(other));
             left -= bytes(other);
         }
         int most = (int) Math.ceil(PASSED_ON * Math.log10(members.size() + 2));
-        List<Member> told = new ArrayList<>();
-        for (Deque<Member> each : List.of(fresh, news)) {
+        List<Peer> told = new ArrayList<>();
+        for (Deque<Peer> each : List.of(fresh, news)) {
             for (int i = each.size(); i > 0 && (each.peek() == other || bytes(each.peek()) <= left); i--) {
-                Member member = each.poll();
+                Peer member = each.poll();
                 if (member == other || !member.standingIsNews || told.contains(member)) {
                     told.add(member);
                     continue;
@@ -1108,7 +1109,7 @@
                 member.passedOn++;
             }
         }
-        for (Member member : told) {
+        for (Peer member : told) {
             member.standingIsNews = member.standingIsNews && member.passedOn < most;
             if (member.standingIsNews) {
                 news.add(member);
@@ -1122,7 +1123,7 @@
                     shuffle(names);
                     slice.addAll(names);
                 }
-                Member member = members.get(slice.peek());
+                Peer member = members.get(slice.peek());
                 if (member != null && bytes(member) > left) {
                     break;
                 }
@@ -1136,32 +1137,32 @@
         return words;
     }
 
-    private static int bytes(Member member) {
+    private static int bytes(Peer member) {
         return member.card.bytes()
                 + (member.accusers.isEmpty() ? 0 : member.accusers.get(0).length());
     }
 
-    private Word word(Member member) {
-        return new Word(
+    private PeerUpdate word(Peer member) {
+        return new PeerUpdate(
                 member.card,
                 member.standing,
                 member.ageMs(nowMs),
-                member.standing == Standing.SUSPECT && !member.accusers.isEmpty()
+                member.standing == PeerState.SUSPECT && !member.accusers.isEmpty()
                         ? member.accusers.get(
                                 member.accusers.contains(self.name()) ? member.accusers.indexOf(self.name()) : 0)
                         : "");
     }
 
     /** What is to be sent now; handed out once. */
-    public List<Outgoing> take() {
-        List<Outgoing> taken = List.copyOf(out);
+    public List<OutgoingMessage> take() {
+        List<OutgoingMessage> taken = List.copyOf(out);
         out.clear();
         return taken;
     }
 
     // ---- What is known ----
 
-    public Card self() {
+    public PeerDescriptor self() {
         return self;
     }
 
@@ -1172,7 +1173,7 @@
         return taken;
     }
 
-    private void event(Card card, Standing was, Standing is, String by, String why) {
+    private void event(PeerDescriptor card, PeerState was, PeerState is, String by, String why) {
         if (events.size() >= MOST_EVENTS) {
             events.poll();
             count("events left out");
@@ -1188,19 +1189,19 @@
         return 1 + others;
     }
 
-    public PeersView view(double atMs) {
+    public MembershipView view(double atMs) {
         List<Seen> seen = new ArrayList<>();
         String doubt = doubt();
         seen.add(new Seen(self, standing, bornMs, self.name(), Sure.HEARD, atMs, "this node"));
         int least = 1;
         int most = 1;
-        for (Member member : members.values()) {
+        for (Peer member : members.values()) {
             boolean heard = atMs - member.heardMs < 4 * times.roundMs() * Math.max(4, members.size());
-            Sure sure = member.standing == Standing.SUSPECT || !doubt.isEmpty()
+            Sure sure = member.standing == PeerState.SUSPECT || !doubt.isEmpty()
                     ? Sure.DOUBTED
                     : heard ? Sure.HEARD : Sure.TOLD;
-            least += member.standing == Standing.ALIVE && doubt.isEmpty() ? 1 : 0;
-            most += member.standing == Standing.LEFT ? 0 : 1;
+            least += member.standing == PeerState.ALIVE && doubt.isEmpty() ? 1 : 0;
+            most += member.standing == PeerState.LEFT ? 0 : 1;
             seen.add(new Seen(
                     member.card, member.standing, member.sinceMs, member.from, sure, member.heardMs, member.why));
         }
@@ -1210,7 +1211,7 @@
                         && members.values().stream()
                                 .noneMatch(member -> member.card.address().equals(contact.address)))
                 .count();
-        return new PeersView(
+        return new MembershipView(
                 self.name(), standing, doubt, atMs, there(), least, most, List.copyOf(seen), Map.copyOf(counts));
     }
 
@@ -1219,12 +1220,12 @@
      * news that one of them has may miss a node, which would hold it for joining until the two happen to talk. Suspicions are
      * left out, they end by themselves.
      */
-    private static long hash(Card card, Standing standing) {
+    private static long hash(PeerDescriptor card, PeerState standing) {
         long hash = card.name().hashCode() * 0x9E3779B97F4A7C15L
                 ^ card.life().startMs() * 0xC2B2AE3D27D4EB4FL
                 ^ card.life().nonce() * 0x165667B19E3779F9L
                 ^ card.turn() * 0xD6E8FEB86659FD93L
-                ^ (standing == Standing.JOINING ? 0x2545F4914F6CDD1DL : 0);
+                ^ (standing == PeerState.JOINING ? 0x2545F4914F6CDD1DL : 0);
         hash ^= hash >>> 32;
         hash *= 0x9FB21C651E98DF25L;
         return hash ^ hash >>> 28;
--- a/core/src/main/java/spartrail/policy/Op.java
+++ b/core/src/main/java/spartrail/policy/LogOperation.java
@@ -10,7 +10,7 @@
  * @param who who proposes, refuses or asks
  * @param token by chance: the same proposal sent twice is one
  */
-public record Op(Kind kind, long number, String text, String who, String token) {
+public record LogOperation(Kind kind, long number, String text, String who, String token) {
     /** What it does; LED opens a new leader's time, and changes nothing. */
     public enum Kind {
         LED,
@@ -21,14 +21,14 @@
         HOLD
     }
 
-    public static final Op LEADS = new Op(Kind.LED, 0, "", "", "");
+    public static final LogOperation LEADS = new LogOperation(Kind.LED, 0, "", "", "");
 
     public List<Object> plain() {
         return List.of(kind.name(), number, text, who, token);
     }
 
-    public static Op of(List<?> plain) {
-        return new Op(
+    public static LogOperation of(List<?> plain) {
+        return new LogOperation(
                 Kind.valueOf((String) plain.get(0)),
                 ((Number) plain.get(1)).longValue(),
                 (String) plain.get(2),
--- a/core/src/main/java/spartrail/policy/PolicyFollower.java
+++ b/core/src/main/java/spartrail/policy/PolicyFollower.java
@@ -22,7 +22,7 @@
  * <ol>
  * <li>A lease counts from when the node asked, by its own monotonic clock.
  * <li>What is older than what was heard last is not taken up.
- * <li>What a node goes by is a {@link Ruling}, which says itself when it is over: whoever decides looks at the clock first, so
+ * <li>What a node goes by is a {@link PolicyLease}, which says itself when it is over: whoever decides looks at the clock first, so
  *     that a node that stood still finds out before its next decision, not after it.
  * </ol>
  */
@@ -33,26 +33,31 @@
 
     private final String name;
     private final List<String> deciders;
-    private final PolicyTimes times;
+    private final PolicyTimings times;
     private final RandomGenerator chance;
     private final double bornMs;
     private final Map<Long, Double> asked = new LinkedHashMap<>();
-    private Terms own;
-    private Told last;
+    private PolicySettings own;
+    private PolicyResponse last;
     private double leaseMs;
     private double nextAskMs;
     private double askedMs = Double.NEGATIVE_INFINITY;
     private String whom = "";
     private boolean unanswered;
     private int turn;
-    private Ruling ruling;
+    private PolicyLease ruling;
     private long vote;
     private String no = "";
     private String unfit = "";
 
     /** Begins with the node's own settings; {@code deciders} are who can say what holds. */
     public PolicyFollower(
-            String name, List<String> deciders, Terms own, PolicyTimes times, RandomGenerator chance, double nowMs) {
+            String name,
+            List<String> deciders,
+            PolicySettings own,
+            PolicyTimings times,
+            RandomGenerator chance,
+            double nowMs) {
         this.name = name;
         this.deciders = deciders;
         this.turn = chance.nextInt(Math.max(1, deciders.size()));
@@ -64,7 +69,7 @@
     }
 
     /** The node's own settings are others now. */
-    public void own(Terms changed) {
+    public void own(PolicySettings changed) {
         own = changed;
         if (last != null) {
             rule();
@@ -104,9 +109,9 @@
     }
 
     /** The question that is due, or null. */
-    public Ask ask(double nowMs) {
+    public PolicyRequest ask(double nowMs) {
         if (ruling == null && nowMs - bornMs >= times.readyMs()) {
-            ruling = new Ruling("0?", own, true, Double.POSITIVE_INFINITY, null);
+            ruling = new PolicyLease("0?", own, true, Double.POSITIVE_INFINITY, null);
         }
         if (nowMs < nextAskMs) {
             return null;
@@ -119,12 +124,12 @@
         if (asked.size() > MOST_ASKED) {
             asked.remove(asked.keySet().iterator().next());
         }
-        return new Ask(
+        return new PolicyRequest(
                 nonce, name, vote, no, ruling == null ? "" : ruling.at(nowMs).name());
     }
 
     /** An answer has come. */
-    public void told(Told told, double nowMs) {
+    public void told(PolicyResponse told, double nowMs) {
         Double sinceMs = asked.remove(told.nonce());
         unanswered &= sinceMs == null;
         if (sinceMs == null || last != null && told.index() < last.index()) {
@@ -139,9 +144,9 @@
     }
 
     private void rule() {
-        Terms holds;
+        PolicySettings holds;
         try {
-            holds = own.with(Terms.parse(last.holds().settings()));
+            holds = own.with(PolicySettings.parse(last.holds().settings()));
             unfit = "";
         } catch (IllegalArgumentException e) {
             // Its settings do not go with the version that holds: it takes no part until they do.
@@ -150,10 +155,11 @@
         }
         boolean decided = last.open() != null && last.open().stage() == Stage.DECIDED;
         String named = Long.toString(last.holds().number());
-        Terms guarded = holds;
+        PolicySettings guarded = holds;
         if (last.open() != null) {
             try {
-                guarded = holds.stricter(own.with(Terms.parse(last.open().settings())));
+                guarded =
+                        holds.stricter(own.with(PolicySettings.parse(last.open().settings())));
                 named += "|" + last.open().number();
             } catch (IllegalArgumentException e) {
                 if (decided) {
@@ -166,8 +172,8 @@
                 guarded = holds;
             }
         }
-        Ruling after = new Ruling(named + "?", guarded, true, Double.POSITIVE_INFINITY, null);
-        ruling = new Ruling(
+        PolicyLease after = new PolicyLease(named + "?", guarded, true, Double.POSITIVE_INFINITY, null);
+        ruling = new PolicyLease(
                 decided ? named : Long.toString(last.holds().number()),
                 decided ? guarded : holds,
                 decided,
@@ -190,8 +196,8 @@
     }
 
     /** The settings that a proposal would make of this node's own; an IllegalArgumentException where it cannot apply them. */
-    public Terms applied(Entry proposal) {
-        return own.with(Terms.parse(proposal.settings()));
+    public PolicySettings applied(Entry proposal) {
+        return own.with(PolicySettings.parse(proposal.settings()));
     }
 
     /** It can apply the proposal, or not because of this. The next question, which says so, is due at once. */
@@ -202,7 +208,7 @@
     }
 
     /** By what this node decides; null while it is to decide nothing yet. */
-    public Ruling ruling() {
+    public PolicyLease ruling() {
         return ruling;
     }
 
@@ -212,7 +218,7 @@
     }
 
     /** What it was told last, or null. */
-    public Told last() {
+    public PolicyResponse last() {
         return last;
     }
 }
--- a/core/src/main/java/spartrail/policy/PolicyLeader.java
+++ b/core/src/main/java/spartrail/policy/PolicyLeader.java
@@ -12,7 +12,7 @@
  * What the leading one of the deciding nodes does: it gathers what nodes say of the open proposal, and moves the log on.
  *
  * <p>A node is told what holds only by a read of the log that a majority has confirmed after it asked. So whoever was told of
- * the version before alone had asked before {@code DECIDE} was applied here, and its lease is over {@link PolicyTimes#overMs}
+ * the version before alone had asked before {@code DECIDE} was applied here, and its lease is over {@link PolicyTimings#overMs}
  * later: no list of leases is needed, none can be lost with a leader. A new leader counts from when it leads.
  *
  * <ol>
@@ -26,7 +26,7 @@
 
     private record Vote(long number, String no) {}
 
-    private final PolicyTimes times;
+    private final PolicyTimings times;
     private final Map<String, Vote> votes = new HashMap<>();
     private final Map<String, Double> leaseMs = new HashMap<>();
     private boolean leads;
@@ -36,7 +36,7 @@
     private long askedFor;
     private double askedForMs;
 
-    public PolicyLeader(PolicyTimes times) {
+    public PolicyLeader(PolicyTimings times) {
         this.times = times;
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** A node has asked; the lease that it is about to get may last so long at the most. */
-    public void asked(Ask ask, double nowMs) {
+    public void asked(PolicyRequest ask, double nowMs) {
         if (leads && (leaseMs.containsKey(ask.name()) || leaseMs.size() < MOST_NODES)) {
             leaseMs.put(ask.name(), nowMs + times.overMs());
             votes.put(ask.name(), new Vote(ask.vote(), ask.no()));
@@ -59,7 +59,7 @@
     }
 
     /** What is to be appended to the log now, if anything; {@code there} names the nodes that are there. */
-    public Op due(PolicyLog log, Collection<String> there, double nowMs) {
+    public LogOperation due(PolicyLog log, Collection<String> there, double nowMs) {
         Entry open = log.open();
         if (!leads || open == null) {
             known = null;
@@ -74,7 +74,7 @@
         if (askedFor == log.applied() && nowMs - askedForMs < times.askMs()) {
             return null;
         }
-        Op op = open.stage() == Stage.DECIDED ? held(open, nowMs) : decided(open, there, nowMs);
+        LogOperation op = open.stage() == Stage.DECIDED ? held(open, nowMs) : decided(open, there, nowMs);
         if (op != null) {
             askedFor = log.applied();
             askedForMs = nowMs;
@@ -82,11 +82,13 @@
         return op;
     }
 
-    private Op held(Entry open, double nowMs) {
-        return nowMs - knownMs < times.overMs() ? null : new Op(Op.Kind.HOLD, open.number(), "", "", "");
+    private LogOperation held(Entry open, double nowMs) {
+        return nowMs - knownMs < times.overMs()
+                ? null
+                : new LogOperation(LogOperation.Kind.HOLD, open.number(), "", "", "");
     }
 
-    private Op decided(Entry open, Collection<String> there, double nowMs) {
+    private LogOperation decided(Entry open, Collection<String> there, double nowMs) {
         TreeSet<String> missing = new TreeSet<>(there);
         leaseMs.forEach((name, untilMs) -> {
             if (untilMs > nowMs) {
@@ -97,19 +99,19 @@
             Vote vote = votes.get(name);
             if (vote != null && vote.number() == open.number()) {
                 if (!vote.no().isEmpty()) {
-                    return new Op(Op.Kind.REFUSE, open.number(), vote.no(), name, "");
+                    return new LogOperation(LogOperation.Kind.REFUSE, open.number(), vote.no(), name, "");
                 }
                 missing.remove(name);
             }
         }
         // Danger: a leader of a moment ago has heard of nobody yet, and would decide for nodes that cannot apply it.
         if (missing.isEmpty() && nowMs - knownMs >= times.askMs()) {
-            return new Op(Op.Kind.DECIDE, open.number(), "", "", "");
+            return new LogOperation(LogOperation.Kind.DECIDE, open.number(), "", "", "");
         }
         return nowMs - knownMs < times.prepareMs()
                 ? null
-                : new Op(
-                        Op.Kind.REFUSE,
+                : new LogOperation(
+                        LogOperation.Kind.REFUSE,
                         open.number(),
                         "said nothing in " + Math.round(times.prepareMs()) + " ms",
                         String.join(", ", new ArrayList<>(missing).subList(0, Math.min(5, missing.size()))),
--- a/core/src/main/java/spartrail/policy/Ruling.java
+++ b/core/src/main/java/spartrail/policy/PolicyLease.java
@@ -7,10 +7,10 @@
  *     node knew when it last heard {@code 3?} or {@code 3|4?}
  * @param untilMs on the node's clock; endless for the last one
  */
-public record Ruling(String name, Terms terms, boolean guarded, double untilMs, Ruling next) {
+public record PolicyLease(String name, PolicySettings terms, boolean guarded, double untilMs, PolicyLease next) {
     /** The one that holds at this time. */
-    public Ruling at(double nowMs) {
-        Ruling ruling = this;
+    public PolicyLease at(double nowMs) {
+        PolicyLease ruling = this;
         while (nowMs >= ruling.untilMs) {
             ruling = ruling.next;
         }
--- a/core/src/main/java/spartrail/policy/PolicyLog.java
+++ b/core/src/main/java/spartrail/policy/PolicyLog.java
@@ -53,19 +53,19 @@
     private long applied;
 
     /** Applies an entry; what came of it, as the proposer is told: a number, or {@code !} and what is wrong. */
-    public String apply(long index, Op op) {
+    public String apply(long index, LogOperation op) {
         applied = index;
-        if (op.kind() == Op.Kind.LED) {
+        if (op.kind() == LogOperation.Kind.LED) {
             return "";
         }
-        if (op.kind() == Op.Kind.PROPOSE) {
+        if (op.kind() == LogOperation.Kind.PROPOSE) {
             return propose(op);
         }
         if (open == null || open.number() != op.number()) {
             return "!no proposal " + op.number() + " is open";
         }
         boolean decided = open.stage() == Stage.DECIDED;
-        if (decided != (op.kind() == Op.Kind.HOLD)) {
+        if (decided != (op.kind() == LogOperation.Kind.HOLD)) {
             return decided ? "!" + op.number() + " is decided and will hold" : "!" + op.number() + " is not decided";
         }
         switch (op.kind()) {
@@ -80,7 +80,7 @@
         return Long.toString(op.number());
     }
 
-    private String propose(Op op) {
+    private String propose(LogOperation op) {
         for (Entry entry : entries) {
             if (entry.token().equals(op.token())) {
                 return Long.toString(entry.number());
@@ -96,7 +96,8 @@
                 throw new IllegalArgumentException(
                         op.text().length() + " characters, at most " + MOST_TEXT + " are expected");
             }
-            open = new Entry(last + 1, Terms.parse(op.text()).json(), op.who(), Stage.PROPOSED, "", op.token());
+            open = new Entry(
+                    last + 1, PolicySettings.parse(op.text()).json(), op.who(), Stage.PROPOSED, "", op.token());
         } catch (IllegalArgumentException e) {
             return "!" + e.getMessage();
         }
--- a/core/src/main/java/spartrail/policy/Ask.java
+++ b/core/src/main/java/spartrail/policy/PolicyRequest.java
@@ -7,6 +7,6 @@
  * @param name of the node
  * @param vote on this proposal; 0 for none
  * @param no why it cannot apply that; empty: it can
- * @param by what it goes by, as {@link Ruling#name}
+ * @param by what it goes by, as {@link PolicyLease#name}
  */
-public record Ask(long nonce, String name, long vote, String no, String by) {}
+public record PolicyRequest(long nonce, String name, long vote, String no, String by) {}
--- a/core/src/main/java/spartrail/policy/Told.java
+++ b/core/src/main/java/spartrail/policy/PolicyResponse.java
@@ -7,4 +7,4 @@
  * @param index the log was applied up to there
  * @param open the proposal that is open, or null
  */
-public record Told(long nonce, long index, PolicyLog.Entry holds, PolicyLog.Entry open) {}
+public record PolicyResponse(long nonce, long index, PolicyLog.Entry holds, PolicyLog.Entry open) {}
--- a/core/src/main/java/spartrail/policy/PolicyTalk.java
+++ b/core/src/main/java/spartrail/policy/PolicyService.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import spartrail.peers.PeerLane;
+import spartrail.peers.PeerChannel;
 
 /**
  * How a node takes part in versions of policy, found by the service loader; on the class path only where it is asked for.
  */
-public interface PolicyTalk {
+public interface PolicyService {
     /**
      * Begins to take part on a thread of its own.
      *
@@ -21,19 +21,19 @@
         double nowMs();
 
         /** What of the node's own settings policy may change. */
-        Terms own();
+        PolicySettings own();
 
         /** Tries these terms out of the way of all that is served; why they cannot be gone by, or empty. */
-        String rehearse(Terms terms);
+        String rehearse(PolicySettings terms);
 
         /** The node goes by this from now on. */
-        void rule(Ruling ruling);
+        void rule(PolicyLease ruling);
     }
 
     /** A part that has been begun. */
-    interface Running extends PeerLane, AutoCloseable {
+    interface Running extends PeerChannel, AutoCloseable {
         /** The node's own settings are others now. */
-        void own(Terms changed);
+        void own(PolicySettings changed);
 
         /** Waits until the node knows by what to decide. */
         void awaitRuling() throws InterruptedException;
--- a/core/src/main/java/spartrail/policy/Terms.java
+++ b/core/src/main/java/spartrail/policy/PolicySettings.java
@@ -42,7 +42,7 @@
  *  inHand/most                    the fewer
  * </pre>
  */
-public final class Terms {
+public final class PolicySettings {
     /** What stands in a field, and which of two is the stricter. */
     private enum Kind {
         LESS,
@@ -85,19 +85,19 @@
 
     private final SortedMap<String, Object> fields;
 
-    private Terms(SortedMap<String, Object> fields) {
+    private PolicySettings(SortedMap<String, Object> fields) {
         this.fields = fields;
     }
 
     /** Of values by field; an IllegalArgumentException says in one line which one is wrong. */
-    public static Terms of(Map<String, ?> values) {
+    public static PolicySettings of(Map<String, ?> values) {
         TreeMap<String, Object> fields = new TreeMap<>();
         values.forEach((field, value) -> fields.put(field, checked(field, value)));
-        return new Terms(fields);
+        return new PolicySettings(fields);
     }
 
     /** What a version states, as a JSON object, nested or by fields. */
-    public static Terms parse(String text) {
+    public static PolicySettings parse(String text) {
         try (JsonParser parser = new JsonFactory().createParser(text)) {
             if (parser.nextToken() == null || !(JsonTree.value(parser) instanceof Map<?, ?> tree)) {
                 throw new IllegalArgumentException("a JSON object is expected");
@@ -174,14 +174,14 @@
     }
 
     /** These, and of that what it states; an IllegalArgumentException where it states what a node does not have. */
-    public Terms with(Terms version) {
+    public PolicySettings with(PolicySettings version) {
         TreeMap<String, Object> all = new TreeMap<>(fields);
         version.fields.forEach((field, value) -> {
             if (all.put(field, value) == null) {
                 throw new IllegalArgumentException(field + ": this node has no such op type");
             }
         });
-        Terms made = new Terms(all);
+        PolicySettings made = new PolicySettings(all);
         made.opTypes().forEach(name -> {
             if (made.number(OP_TYPES + name + "/budgetMs") > made.number(OP_TYPES + name + "/timeoutMs")) {
                 throw new IllegalArgumentException(OP_TYPES + name + "/budgetMs: found "
@@ -193,19 +193,19 @@
     }
 
     /** Field by field the stricter of both, as the table above says. Both are of one node, so that they have the same fields. */
-    public Terms stricter(Terms other) {
+    public PolicySettings stricter(PolicySettings other) {
         TreeMap<String, Object> all = new TreeMap<>();
         fields.forEach((field, value) -> all.put(field, stricter(kind(field), value, other.fields.get(field))));
         if (!Objects.equals(fields.get(SPAN), other.fields.get(SPAN))) {
-            Terms without = number(SPAN) == 0 ? this : other;
-            Terms with = without == this ? other : this;
+            PolicySettings without = number(SPAN) == 0 ? this : other;
+            PolicySettings with = without == this ? other : this;
             if (without.number(SPAN) == 0) {
                 with.fields.subMap("/furtherSends/", "/furtherSends0").forEach(all::put);
             } else {
                 all.put(SHARE, 0.0);
             }
         }
-        return new Terms(all);
+        return new PolicySettings(all);
     }
 
     private static Object stricter(Kind kind, Object one, Object other) {
@@ -221,7 +221,7 @@
     }
 
     /** Whether whoever keeps to these keeps to those, too; what only orders work is not asked. */
-    public boolean within(Terms wider) {
+    public boolean within(PolicySettings wider) {
         return wider.stricter(this).fields.entrySet().stream()
                 .allMatch(each -> kind(each.getKey()).name().endsWith("FIRST")
                         || each.getValue().equals(fields.get(each.getKey())));
@@ -249,7 +249,7 @@
     }
 
     /** What differs, a line each: field, here, there. */
-    public List<String> difference(Terms other) {
+    public List<String> difference(PolicySettings other) {
         List<String> lines = new ArrayList<>();
         TreeSet<String> all = new TreeSet<>(fields.keySet());
         all.addAll(other.fields.keySet());
@@ -286,7 +286,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Terms terms && terms.fields.equals(fields);
+        return other instanceof PolicySettings terms && terms.fields.equals(fields);
     }
 
     @Override
--- a/core/src/main/java/spartrail/policy/PolicyTimes.java
+++ b/core/src/main/java/spartrail/policy/PolicyTimings.java
@@ -9,8 +9,8 @@
  * @param readyMs a node that starts and hears nothing serves guarded after so long
  * @param drift a clock is fast or slow by so much at the most, as a part
  */
-public record PolicyTimes(double leaseMs, double askMs, double prepareMs, double readyMs, double drift) {
-    public static final PolicyTimes USUAL = new PolicyTimes(6000, 1000, 20_000, 10_000, 0.02);
+public record PolicyTimings(double leaseMs, double askMs, double prepareMs, double readyMs, double drift) {
+    public static final PolicyTimings USUAL = new PolicyTimings(6000, 1000, 20_000, 10_000, 0.02);
 
     /** When all leases of a time are over, on any clock within the drift: the holder's may be slow, and the giver's fast. */
     public double overMs() {
--- a/core/src/main/java/spartrail/subset/SubsetFilter.java
+++ b/core/src/main/java/spartrail/subset/SubsetFilter.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import spartrail.membership.EndpointList;
-import spartrail.membership.EndpointList.Endpoint;
+import spartrail.endpoint.EndpointList;
+import spartrail.endpoint.EndpointList.Endpoint;
 import spartrail.model.Server;
 import spartrail.subset.SubsetSelector.LiveServer;
 
--- a/core/src/test/java/spartrail/subset/SubsetFilterTest.java
+++ b/core/src/test/java/spartrail/subset/SubsetFilterTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import spartrail.membership.EndpointList;
-import spartrail.membership.EndpointList.Endpoint;
+import spartrail.endpoint.EndpointList;
+import spartrail.endpoint.EndpointList.Endpoint;
 import spartrail.model.Server;
 
 class SubsetFilterTest {
--- a/dns/src/main/java/spartrail/dns/Question.java
+++ b/dns/src/main/java/spartrail/dns/DnsQuery.java
@@ -8,7 +8,7 @@
  * @param message its bytes; over TCP the transport puts the length before them (RFC 1035, section 4.2.2)
  * @param timeOutMs the transport gives up after so long and says so
  */
-public record Question(
+public record DnsQuery(
         long number,
         String name,
         int type,
--- a/dns/src/main/java/spartrail/dns/DnsSources.java
+++ b/dns/src/main/java/spartrail/dns/DnsSources.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.random.RandomGenerator;
-import spartrail.membership.Said;
-import spartrail.membership.ServerSources;
-import spartrail.membership.Source;
+import spartrail.endpoint.EndpointSource;
+import spartrail.endpoint.EndpointSourceProvider;
+import spartrail.endpoint.SourceReport;
 import spartrail.model.NodeClock;
 import spartrail.model.Server;
 
 /** DNS SRV names as sources: each name is one source and lists the servers of one cell. */
-public final class DnsSources implements ServerSources {
+public final class DnsSources implements EndpointSourceProvider {
     @Override
     public String section() {
         return "dns";
@@ -40,7 +40,7 @@
                 servers,
                 bailiwick,
                 Boolean.TRUE.equals(settings.get("ipv6")),
-                Lifetimes.USUAL,
+                ResolverSettings.USUAL,
                 RandomGenerator.of("L64X128MixRandom"));
         NodeClock clock = new NodeClock();
         DnsTransport transport = new DnsTransport(resolver, clock, listing -> tell(listing, cells, words));
@@ -69,19 +69,19 @@
         throw new IllegalArgumentException("dns: found '" + text + "', a name server such as 127.0.0.1:53 is expected");
     }
 
-    private static void tell(Listing listing, Map<String, Integer> cells, Words words) {
+    private static void tell(SrvTargets listing, Map<String, Integer> cells, Words words) {
         String source = "dns " + listing.name();
         if (listing.out() || listing.stale()) {
-            words.out(source, Source.Kind.DNS);
+            words.out(source, EndpointSource.Kind.DNS);
             return;
         }
         double mean = listing.targets().stream()
-                .mapToInt(Listing.Target::weight)
+                .mapToInt(SrvTargets.Target::weight)
                 .average()
                 .orElse(0);
-        List<Said> lines = new ArrayList<>();
-        for (Listing.Target target : listing.targets()) {
-            lines.add(new Said(
+        List<SourceReport> lines = new ArrayList<>();
+        for (SrvTargets.Target target : listing.targets()) {
+            lines.add(new SourceReport(
                     null,
                     target.endpoint(),
                     "",
@@ -92,6 +92,6 @@
                     Double.NaN,
                     target.priority()));
         }
-        words.said(source, Source.Kind.DNS, listing.whole(), lines, listing.lifetimeMs());
+        words.said(source, EndpointSource.Kind.DNS, listing.whole(), lines, listing.lifetimeMs());
     }
 }
--- a/dns/src/main/java/spartrail/dns/DnsTransport.java
+++ b/dns/src/main/java/spartrail/dns/DnsTransport.java
@@ -30,11 +30,11 @@
 
     /** A question that is out over UDP. */
     private final class Udp {
-        private final Question question;
+        private final DnsQuery question;
         private final DatagramChannel channel;
         private TimerQueue.Due due;
 
-        Udp(Question question) throws IOException {
+        Udp(DnsQuery question) throws IOException {
             this.question = question;
             channel = DatagramChannel.open();
             try {
@@ -88,7 +88,7 @@
         private final InetSocketAddress server;
         private final SocketChannel channel;
         private final SelectionKey key;
-        private final Map<Integer, Question> out = new HashMap<>();
+        private final Map<Integer, DnsQuery> out = new HashMap<>();
         private final Map<Integer, TimerQueue.Due> dues = new HashMap<>();
         private final Deque<ByteBuffer> unwritten = new ArrayDeque<>();
         private ByteBuffer in = ByteBuffer.allocate(2);
@@ -110,7 +110,7 @@
             }
         }
 
-        void ask(Question question) {
+        void ask(DnsQuery question) {
             out.put(question.id(), question);
             dues.put(question.id(), timetable.add(nowMs() + question.timeOutMs(), () -> {
                 out.remove(question.id());
@@ -187,7 +187,7 @@
                 in = ByteBuffer.allocate(2);
                 head = true;
                 int id = bytes.length < 2 ? -1 : (bytes[0] & 0xff) << 8 | bytes[1] & 0xff;
-                Question question = out.get(id);
+                DnsQuery question = out.get(id);
                 if (question != null && resolver.answer(question, bytes, server, nowMs())) {
                     out.remove(id);
                     timetable.remove(dues.remove(id));
@@ -209,7 +209,7 @@
                 timetable.remove(unused);
             }
             DnsTransport.close(channel);
-            List<Question> open = List.copyOf(out.values());
+            List<DnsQuery> open = List.copyOf(out.values());
             out.clear();
             dues.values().forEach(timetable::remove);
             dues.clear();
@@ -218,7 +218,7 @@
     }
 
     private final Resolver resolver;
-    private final Consumer<Listing> lists;
+    private final Consumer<SrvTargets> lists;
     private final NodeClock clock;
     private final Selector selector;
     private final TimerQueue timetable = new TimerQueue();
@@ -229,7 +229,7 @@
     private volatile boolean ended;
 
     /** Lists that change are handed over on this transport's thread, which owns the resolver from here on. */
-    public DnsTransport(Resolver resolver, NodeClock clock, Consumer<Listing> lists) throws IOException {
+    public DnsTransport(Resolver resolver, NodeClock clock, Consumer<SrvTargets> lists) throws IOException {
         this.resolver = resolver;
         this.clock = clock;
         this.lists = lists;
@@ -267,7 +267,7 @@
                 timetable.run(nowMs());
                 resolver.advance(nowMs());
                 // Each question may fail at once and leave further ones.
-                for (List<Question> questions = resolver.questions();
+                for (List<DnsQuery> questions = resolver.questions();
                         !questions.isEmpty();
                         questions = resolver.questions()) {
                     questions.forEach(this::send);
@@ -296,7 +296,7 @@
         close(selector);
     }
 
-    private void send(Question question) {
+    private void send(DnsQuery question) {
         try {
             if (question.tcp()) {
                 Tcp connection = tcp.get(question.server());
--- a/dns/src/main/java/spartrail/dns/Resolver.java
+++ b/dns/src/main/java/spartrail/dns/Resolver.java
@@ -64,7 +64,7 @@
 
         private double endsMs = Double.NEGATIVE_INFINITY;
         private double lifetimeMs;
-        private Question asking;
+        private DnsQuery asking;
         private boolean queued;
         private int tries;
         private int failures;
@@ -93,7 +93,7 @@
     private static final class Srv {
         private final String name;
         private final Entry entry;
-        private Listing told;
+        private SrvTargets told;
 
         Srv(String name, Entry entry) {
             this.name = name;
@@ -111,7 +111,7 @@
         }
     }
 
-    private final Lifetimes lifetimes;
+    private final ResolverSettings lifetimes;
     private final RandomGenerator chance;
     private final boolean six;
     private final List<NameServer> servers = new ArrayList<>();
@@ -119,7 +119,7 @@
     private final Map<String, Srv> srvs = new LinkedHashMap<>();
     private final Map<Long, Entry> asking = new HashMap<>();
     private final Deque<Entry> waiting = new ArrayDeque<>();
-    private final List<Question> questions = new ArrayList<>();
+    private final List<DnsQuery> questions = new ArrayList<>();
     private final Set<Srv> touched = new LinkedHashSet<>();
     private final TimerQueue timetable = new TimerQueue();
     private final Map<String, Long> counts = new TreeMap<>();
@@ -132,7 +132,7 @@
             List<InetSocketAddress> nameServers,
             String bailiwick,
             boolean six,
-            Lifetimes lifetimes,
+            ResolverSettings lifetimes,
             RandomGenerator chance) {
         nameServers.forEach(address -> servers.add(new NameServer(address)));
         this.bailiwick = ("." + bailiwick.toLowerCase(Locale.ROOT) + ".").replaceAll("\\.+", ".");
@@ -182,8 +182,8 @@
     }
 
     /** Questions that are to be sent now. */
-    public List<Question> questions() {
-        List<Question> now = List.copyOf(questions);
+    public List<DnsQuery> questions() {
+        List<DnsQuery> now = List.copyOf(questions);
         questions.clear();
         return now;
     }
@@ -236,7 +236,7 @@
         entry.tries++;
         entry.asked = server;
         entry.askedMs = nowMs;
-        entry.asking = new Question(
+        entry.asking = new DnsQuery(
                 number++, entry.chainName.toString(), entry.type, server.address, tcp, id, message.toWire(), waitMs);
         asking.put(entry.asking.number(), entry);
         questions.add(entry.asking);
@@ -246,7 +246,7 @@
     // ---- What comes back ----
 
     /** What came for a question; whether it was its answer. If not, the host goes on waiting. */
-    public boolean answer(Question question, byte[] bytes, InetSocketAddress from, double atMs) {
+    public boolean answer(DnsQuery question, byte[] bytes, InetSocketAddress from, double atMs) {
         nowMs = atMs;
         Entry entry = asking.get(question.number());
         if (entry == null) {
@@ -292,7 +292,7 @@
         return message.getHeader().getFlag(Flags.TC);
     }
 
-    boolean fits(Question question, Message message) {
+    boolean fits(DnsQuery question, Message message) {
         if (message.getHeader().getID() != question.id()) {
             count("dropped: another id");
             return false;
@@ -311,7 +311,7 @@
         return true;
     }
 
-    public void timedOut(Question question, double atMs) {
+    public void timedOut(DnsQuery question, double atMs) {
         nowMs = atMs;
         Entry entry = asking.get(question.number());
         if (entry != null) {
@@ -323,7 +323,7 @@
     }
 
     /** The connection was refused or broke, or there was no socket. */
-    public void failed(Question question, double atMs) {
+    public void failed(DnsQuery question, double atMs) {
         nowMs = atMs;
         Entry entry = asking.get(question.number());
         if (entry != null) {
@@ -508,11 +508,11 @@
     // ---- Lists ----
 
     /** Lists that are others than when this was last asked; none while a name's first answers are still coming. */
-    public List<Listing> listings(double atMs) {
+    public List<SrvTargets> listings(double atMs) {
         nowMs = atMs;
-        List<Listing> changed = new ArrayList<>();
+        List<SrvTargets> changed = new ArrayList<>();
         for (Srv srv : touched) {
-            Listing listing = listing(srv);
+            SrvTargets listing = listing(srv);
             if (listing != null && !listing.equals(srv.told)) {
                 srv.told = listing;
                 changed.add(listing);
@@ -522,15 +522,15 @@
         return changed;
     }
 
-    private Listing listing(Srv srv) {
+    private SrvTargets listing(Srv srv) {
         Entry entry = srv.entry;
         if (!entry.usable()) {
-            return entry.had() || entry.failures > 0 ? new Listing(srv.name, false, true, true, List.of(), 0) : null;
+            return entry.had() || entry.failures > 0 ? new SrvTargets(srv.name, false, true, true, List.of(), 0) : null;
         }
         boolean whole = true;
         boolean stale = nowMs >= entry.endsMs;
         double lifetimeMs = entry.lifetimeMs;
-        List<Listing.Target> targets = new ArrayList<>();
+        List<SrvTargets.Target> targets = new ArrayList<>();
         for (Record record : entry.records) {
             SRVRecord target = (SRVRecord) record;
             if (target.getTarget().equals(Name.root)) {
@@ -564,14 +564,14 @@
                 whole &= known;
                 continue;
             }
-            targets.add(new Listing.Target(
+            targets.add(new SrvTargets.Target(
                     target.getTarget().toString(true),
                     address + ":" + target.getPort(),
                     target.getPriority(),
                     target.getWeight()));
         }
         targets.sort((a, b) -> a.endpoint().compareTo(b.endpoint()));
-        return new Listing(srv.name, whole, stale, false, List.copyOf(targets), lifetimeMs);
+        return new SrvTargets(srv.name, whole, stale, false, List.copyOf(targets), lifetimeMs);
     }
 
     /** Its address was looked for, and that came to an end, good or bad. */
--- a/dns/src/main/java/spartrail/dns/Lifetimes.java
+++ b/dns/src/main/java/spartrail/dns/ResolverSettings.java
@@ -14,7 +14,7 @@
  * @param mostAsking questions out at a time
  * @param mostTargets targets of one name; more are left out and counted
  */
-public record Lifetimes(
+public record ResolverSettings(
         double leastMs,
         double mostMs,
         double negativeMostMs,
@@ -25,6 +25,6 @@
         int tries,
         int mostAsking,
         int mostTargets) {
-    public static final Lifetimes USUAL =
-            new Lifetimes(1000, 86_400_000, 300_000, 1000, 30_000, 3_600_000, 500, 4, 64, 512);
+    public static final ResolverSettings USUAL =
+            new ResolverSettings(1000, 86_400_000, 300_000, 1000, 30_000, 3_600_000, 500, 4, 64, 512);
 }
--- a/dns/src/main/java/spartrail/dns/Listing.java
+++ b/dns/src/main/java/spartrail/dns/SrvTargets.java
@@ -10,7 +10,8 @@
  * @param out nothing can be said: never answered, or stale for longer than allowed
  * @param lifetimeMs the least lifetime of all records that it was put together from
  */
-public record Listing(String name, boolean whole, boolean stale, boolean out, List<Target> targets, double lifetimeMs) {
+public record SrvTargets(
+        String name, boolean whole, boolean stale, boolean out, List<Target> targets, double lifetimeMs) {
     /** A server: the endpoint as a number address and port. */
     public record Target(String host, String endpoint, int priority, int weight) {}
 }
--- a/lab/src/main/java/spartrail/lab/cli/Stored.java
+++ b/lab/src/main/java/spartrail/lab/cli/ExperimentCommand.java
@@ -3,14 +3,14 @@
 import java.nio.file.Path;
 import java.sql.SQLException;
 import org.kohsuke.args4j.Option;
-import spartrail.lab.experiment.Store;
+import spartrail.lab.experiment.ExperimentStore;
 
 /** A command on the store of experiments. */
-abstract class Stored extends Command {
+abstract class ExperimentCommand extends Command {
     @Option(name = "--store", metaVar = "FILE", usage = "the store, without its ending .mv.db (default ./experiments)")
     private Path file = Path.of("experiments");
 
-    Store store() throws SQLException {
-        return new Store(file);
+    ExperimentStore store() throws SQLException {
+        return new ExperimentStore(file);
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/ExperimentCompare.java
+++ b/lab/src/main/java/spartrail/lab/cli/ExperimentCompare.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
-import spartrail.lab.experiment.Compare;
-import spartrail.lab.experiment.Store;
+import spartrail.lab.experiment.ExperimentComparison;
+import spartrail.lab.experiment.ExperimentStore;
 import spartrail.lab.file.Document;
 
 /** Holds two experiments against each other. */
-final class ExperimentCompare extends Stored {
+final class ExperimentCompare extends ExperimentCommand {
     @Argument(required = true, index = 0, metaVar = "A", usage = "an experiment's id or name")
     private String first;
 
@@ -29,17 +29,17 @@
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
         boolean worse = false;
-        try (Store store = store()) {
+        try (ExperimentStore store = store()) {
             Map<String, Map<Long, JsonNode>> one =
-                    Compare.groups(store.runs(store.find(first).id()));
+                    ExperimentComparison.groups(store.runs(store.find(first).id()));
             Map<String, Map<Long, JsonNode>> other =
-                    Compare.groups(store.runs(store.find(second).id()));
+                    ExperimentComparison.groups(store.runs(store.find(second).id()));
             for (Map.Entry<String, Map<Long, JsonNode>> group : one.entrySet()) {
                 Map<Long, JsonNode> partner = other.get(group.getKey());
                 if (partner == null) {
                     continue;
                 }
-                List<Compare.Line> lines = Compare.lines(group.getValue(), partner);
+                List<ExperimentComparison.Line> lines = ExperimentComparison.lines(group.getValue(), partner);
                 worse |= lines.stream().anyMatch(line -> line.verdict().equals("worse"));
                 int pairs = (int) group.getValue().keySet().stream()
                         .filter(partner::containsKey)
@@ -47,7 +47,7 @@
                 out.print(
                         json
                                 ? Document.JSON.writeValueAsString(lines) + "\n"
-                                : Compare.table(
+                                : ExperimentComparison.table(
                                         first + ": " + group.getKey(), second + ": " + group.getKey(), lines, pairs));
             }
         }
--- a/lab/src/main/java/spartrail/lab/cli/ExperimentList.java
+++ b/lab/src/main/java/spartrail/lab/cli/ExperimentList.java
@@ -2,11 +2,11 @@
 
 import java.io.PrintStream;
 import org.kohsuke.args4j.Option;
-import spartrail.lab.experiment.Store;
+import spartrail.lab.experiment.ExperimentStore;
 import spartrail.lab.file.Document;
 
 /** Lists the store. */
-final class ExperimentList extends Stored {
+final class ExperimentList extends ExperimentCommand {
     @Option(name = "--json", usage = "as JSON")
     private boolean json;
 
@@ -17,7 +17,7 @@
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        try (Store store = store()) {
+        try (ExperimentStore store = store()) {
             if (json) {
                 out.println(Document.JSON.writeValueAsString(store.list()));
                 return 0;
--- a/lab/src/main/java/spartrail/lab/cli/ExperimentRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/ExperimentRun.java
@@ -8,14 +8,14 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
+import spartrail.lab.experiment.ExperimentPage;
 import spartrail.lab.experiment.ExperimentPlan;
+import spartrail.lab.experiment.ExperimentStore;
 import spartrail.lab.experiment.Runner;
-import spartrail.lab.experiment.Showing;
-import spartrail.lab.experiment.Store;
 import sun.misc.Signal;
 
 /** Plays a matrix of runs into the store. */
-final class ExperimentRun extends Stored {
+final class ExperimentRun extends ExperimentCommand {
     @Argument(required = true, metaVar = "FILE", usage = "the experiment")
     private Path file;
 
@@ -32,8 +32,8 @@
         ExperimentPlan plan = ExperimentPlan.read(file);
         AtomicBoolean stopped = new AtomicBoolean();
         boolean good = true;
-        try (Store store = store();
-                Live live = new Live(err, List::of)) {
+        try (ExperimentStore store = store();
+                LiveView live = new LiveView(err, List::of)) {
             Signal.handle(new Signal("INT"), signal -> stopped.set(true));
             long experiment = store.begin(plan);
             Runner runner = new Runner(plan, live::show, stopped::get);
@@ -62,10 +62,10 @@
                                 ? ""
                                 : ", UNFIT: " + report.get("unfitWhy").asText());
             }
-            List<Store.Run> runs = store.runs(experiment);
-            out.print(Showing.tables(runs));
+            List<ExperimentStore.Run> runs = store.runs(experiment);
+            out.print(ExperimentPage.tables(runs));
             if (folder != null) {
-                Showing.folder(folder, plan.name(), runs);
+                ExperimentPage.folder(folder, plan.name(), runs);
                 out.println("report: " + folder.resolve("index.html"));
             }
         }
--- a/lab/src/main/java/spartrail/lab/cli/ExperimentShow.java
+++ b/lab/src/main/java/spartrail/lab/cli/ExperimentShow.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
-import spartrail.lab.experiment.Showing;
-import spartrail.lab.experiment.Store;
+import spartrail.lab.experiment.ExperimentPage;
+import spartrail.lab.experiment.ExperimentStore;
 import spartrail.lab.file.Document;
 
 /** Shows one experiment. */
-final class ExperimentShow extends Stored {
+final class ExperimentShow extends ExperimentCommand {
     @Argument(required = true, metaVar = "NAME", usage = "an experiment's id or name")
     private String name;
 
@@ -27,16 +27,16 @@
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        try (Store store = store()) {
-            Store.Kept kept = store.find(name);
-            List<Store.Run> runs = store.runs(kept.id());
+        try (ExperimentStore store = store()) {
+            ExperimentStore.Kept kept = store.find(name);
+            List<ExperimentStore.Run> runs = store.runs(kept.id());
             if (json) {
                 out.println(Document.JSON.writeValueAsString(runs));
             } else {
-                out.print(Showing.tables(runs));
+                out.print(ExperimentPage.tables(runs));
             }
             if (folder != null) {
-                Showing.folder(folder, kept.name(), runs);
+                ExperimentPage.folder(folder, kept.name(), runs);
             }
         }
         return 0;
--- a/lab/src/main/java/spartrail/lab/cli/FleetFront.java
+++ b/lab/src/main/java/spartrail/lab/cli/FleetFront.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
-import spartrail.lab.file.BadInput;
+import spartrail.lab.file.InvalidInputException;
 import spartrail.lab.fleet.FrontLayer;
 import spartrail.lab.net.SocketLoop;
 import sun.misc.Signal;
@@ -36,7 +36,7 @@
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (String node : nodes) {
             if (!node.matches("127(\\.[0-9]{1,3}){3}:[0-9]{1,5}")) {
-                throw new BadInput(
+                throw new InvalidInputException(
                         "found '" + node + "', an address of the loopback such as 127.0.0.1:3000 is expected");
             }
             addresses.add(new InetSocketAddress(node.split(":")[0], Integer.parseInt(node.split(":")[1])));
--- a/lab/src/main/java/spartrail/lab/cli/FleetRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/FleetRun.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.CountDownLatch;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
-import spartrail.lab.file.BadInput;
+import spartrail.lab.file.InvalidInputException;
 import spartrail.lab.fleet.Fleet;
+import spartrail.lab.fleet.FleetListener;
 import spartrail.lab.fleet.FleetPlan;
-import spartrail.lab.fleet.FleetWatcher;
 import sun.misc.Signal;
 
 /** Runs stand-in servers and the roll that lists them until it is ended. */
@@ -31,7 +31,7 @@
     int run(PrintStream out, PrintStream err) throws Exception {
         FleetPlan plan = FleetPlan.read(file);
         CountDownLatch over = new CountDownLatch(1);
-        try (Fleet fleet = new Fleet(plan, new FleetWatcher() {
+        try (Fleet fleet = new Fleet(plan, new FleetListener() {
             @Override
             public void fell(String server, double load, double atMs) {
                 out.println(server + " fell over");
@@ -79,7 +79,7 @@
                 }
                 try {
                     fleet.order(line);
-                } catch (BadInput e) {
+                } catch (InvalidInputException e) {
                     out.println(e.getMessage());
                 }
             }
--- a/lab/src/main/java/spartrail/lab/cli/LabCommandLine.java
+++ b/lab/src/main/java/spartrail/lab/cli/LabCommandLine.java
@@ -7,7 +7,7 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.ParserProperties;
-import spartrail.lab.file.BadInput;
+import spartrail.lab.file.InvalidInputException;
 
 /** Finds the sub-command that the first words name, reads its options, runs it. */
 public final class LabCommandLine {
@@ -38,10 +38,10 @@
         COMMANDS.put("peers show", () -> new PeersShow(PeersShow.What.SHOW));
         COMMANDS.put("peers watch", () -> new PeersShow(PeersShow.What.WATCH));
         COMMANDS.put("peers explain", PeersExplain::new);
-        COMMANDS.put("policy found", PolicyFound::new);
+        COMMANDS.put("policy found", PolicyBootstrap::new);
         COMMANDS.put("policy propose", PolicyPropose::new);
-        COMMANDS.put("policy abort", () -> new PolicyOrder(PolicyOrder.What.ABORT));
-        COMMANDS.put("policy rollback", () -> new PolicyOrder(PolicyOrder.What.ROLLBACK));
+        COMMANDS.put("policy abort", () -> new PolicyCommand(PolicyCommand.What.ABORT));
+        COMMANDS.put("policy rollback", () -> new PolicyCommand(PolicyCommand.What.ROLLBACK));
         COMMANDS.put("policy show", () -> new PolicyShow(PolicyShow.What.SHOW));
         COMMANDS.put("policy history", () -> new PolicyShow(PolicyShow.What.HISTORY));
         COMMANDS.put("policy who", () -> new PolicyShow(PolicyShow.What.WHO));
@@ -90,7 +90,7 @@
             }
             Logs.set(command.log);
             return command.run(out, err);
-        } catch (CmdLineException | BadInput e) {
+        } catch (CmdLineException | InvalidInputException e) {
             err.println("spartrail: " + e.getMessage());
             return 2;
         } catch (Exception e) {
--- a/lab/src/main/java/spartrail/lab/cli/Live.java
+++ b/lab/src/main/java/spartrail/lab/cli/LiveView.java
@@ -13,7 +13,7 @@
 import spartrail.lab.load.LoadSession;
 
 /** What a run looks like while it goes: redrawn on a terminal, a line in ten seconds elsewhere. */
-final class Live implements AutoCloseable {
+final class LiveView implements AutoCloseable {
     private static final double PLAIN_EVERY_MS = 10_000;
 
     private final PrintStream err;
@@ -23,7 +23,7 @@
     private double plainMs;
 
     /** The further lines are asked each time: rules, say. */
-    Live(PrintStream err, Supplier<List<String>> more) {
+    LiveView(PrintStream err, Supplier<List<String>> more) {
         this.err = err;
         this.more = more;
         if (System.console() != null) {
--- a/lab/src/main/java/spartrail/lab/cli/Sending.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadCommand.java
@@ -9,7 +9,7 @@
 import spartrail.lab.plan.LoadPlan;
 
 /** What all commands that send have in common: where to, and what becomes of the report. */
-abstract class Sending extends Command {
+abstract class LoadCommand extends Command {
     @Option(name = "--target", metaVar = "HOST:PORT", usage = "a front node on the loopback; may be repeated")
     private List<String> targets = new ArrayList<>();
 
--- a/lab/src/main/java/spartrail/lab/cli/LoadRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadRun.java
@@ -9,7 +9,7 @@
 import spartrail.lab.plan.LoadPlan;
 
 /** Sends what a plan says, when it says. */
-final class LoadRun extends Sending {
+final class LoadRun extends LoadCommand {
     @Argument(required = true, metaVar = "FILE", usage = "the plan")
     private Path file;
 
@@ -31,6 +31,6 @@
         plan = plan.varied(seed == null ? plan.seed() : seed, times);
         List<LoadPlan.Target> named = targets(document);
         plan = plan.against(named.isEmpty() ? plan.targets() : named);
-        return Running.run(plan, plan.arrivals(), plan.lastsMs(), json, report, out, err);
+        return LoadRunner.run(plan, plan.arrivals(), plan.lastsMs(), json, report, out, err);
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/Running.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadRunner.java
@@ -8,16 +8,16 @@
 import java.util.Iterator;
 import java.util.List;
 import spartrail.lab.file.Document;
+import spartrail.lab.load.LoadListener;
+import spartrail.lab.load.LoadReport;
 import spartrail.lab.load.LoadSession;
-import spartrail.lab.load.Report;
-import spartrail.lab.load.Watcher;
 import spartrail.lab.plan.Arrival;
 import spartrail.lab.plan.LoadPlan;
 import sun.misc.Signal;
 
 /** A run from the command line: a live view, SIGINT that ends it in order, a report that is written in any case. */
-final class Running {
-    private Running() {}
+final class LoadRunner {
+    private LoadRunner() {}
 
     static int run(
             LoadPlan plan,
@@ -28,8 +28,8 @@
             PrintStream out,
             PrintStream err)
             throws Exception {
-        try (LoadSession session = new LoadSession(plan, arrivals, lastsMs, Watcher.NONE);
-                Live live = new Live(err, List::of)) {
+        try (LoadSession session = new LoadSession(plan, arrivals, lastsMs, LoadListener.NONE);
+                LiveView live = new LiveView(err, List::of)) {
             Signal.handle(new Signal("INT"), signal -> session.stop("ended by SIGINT before the plan was through"));
             while (!session.await(500)) {
                 live.show(session.glance());
@@ -39,7 +39,7 @@
             if (json) {
                 out.println(Document.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(tree));
             } else {
-                out.print(Report.text(tree));
+                out.print(LoadReport.text(tree));
             }
             return tree.get("fit").asBoolean() ? 0 : 1;
         }
--- a/lab/src/main/java/spartrail/lab/cli/LoadSpeed.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadSpeed.java
@@ -12,12 +12,12 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.kohsuke.args4j.Option;
-import spartrail.lab.drill.Plans;
+import spartrail.lab.drill.DrillPlans;
 import spartrail.lab.file.Document;
 import spartrail.lab.fleet.NullResponder;
+import spartrail.lab.load.LoadListener;
+import spartrail.lab.load.LoadReport;
 import spartrail.lab.load.LoadSession;
-import spartrail.lab.load.Report;
-import spartrail.lab.load.Watcher;
 import spartrail.lab.plan.LoadPlan;
 
 /** How fast the generator itself is: it sends to a responder in the same process that has nothing to do. */
@@ -52,8 +52,8 @@
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        LoadPlan warming = Plans.even(2000, 4000, 60_000, 50, 1);
-        LoadPlan plan = Plans.parse(String.format(
+        LoadPlan warming = DrillPlans.even(2000, 4000, 60_000, 50, 1);
+        LoadPlan plan = DrillPlans.parse(String.format(
                 Locale.ROOT,
                 "{'gaps':{'kind':'poisson'},'lagBoundMs':1,'connections':"
                         + "{'most':%d},'phases':[{'lastsMs':%.0f,'rate':{'shape':'steady','perS':%.3f}}],'streams':[{'opTypes':"
@@ -66,7 +66,10 @@
             // Danger: a responder that still compiles answers late, connections pile up, and that is what would be
             // measured.
             try (LoadSession warm = new LoadSession(
-                    Plans.at(warming, responder.address()), warming.arrivals(), warming.lastsMs(), Watcher.NONE)) {
+                    DrillPlans.at(warming, responder.address()),
+                    warming.arrivals(),
+                    warming.lastsMs(),
+                    LoadListener.NONE)) {
                 warm.await(60_000);
             }
             laterMs[0] = answerMs;
@@ -78,8 +81,8 @@
         long[] heapMb = new long[4];
         int mostConnections = 0;
         try (LoadSession session = new LoadSession(
-                        Plans.at(plan, responder.address()), plan.arrivals(), plan.lastsMs(), Watcher.NONE);
-                Live live = new Live(err, List::of)) {
+                        DrillPlans.at(plan, responder.address()), plan.arrivals(), plan.lastsMs(), LoadListener.NONE);
+                LiveView live = new LiveView(err, List::of)) {
             while (!session.await(250)) {
                 LoadSession.Glance glance = session.glance();
                 live.show(glance);
@@ -93,7 +96,7 @@
             if (json) {
                 out.println(Document.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(tree));
             } else {
-                out.print(Report.text(tree));
+                out.print(LoadReport.text(tree));
                 out.printf(
                         "most connections %d, heap after collections by quarters of the run %d, %d, %d, %d MB%n",
                         mostConnections, heapMb[0], heapMb[1], heapMb[2], heapMb[3]);
--- a/lab/src/main/java/spartrail/lab/cli/NodesFigures.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesFigures.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Locale;
 import org.kohsuke.args4j.Option;
-import spartrail.lab.virtual.PeersFigures;
-import spartrail.peers.PeerTimes;
+import spartrail.lab.simulation.PeersFigures;
+import spartrail.peers.GossipTimings;
 
 /** Tables of what peers take and cost, on the virtual network. */
 final class NodesFigures extends Command {
@@ -28,7 +28,7 @@
         out.println("|---|---|---|---|---|---|---|---|---|---|---|");
         for (int size : sizes.isEmpty() ? List.of(10, 100, 400) : sizes) {
             for (String fault : PeersFigures.FAULTS) {
-                PeersFigures.Row row = PeersFigures.of(size, fault, runs, PeerTimes.USUAL);
+                PeersFigures.Row row = PeersFigures.of(size, fault, runs, GossipTimings.USUAL);
                 out.printf(
                         Locale.ROOT,
                         "| %d | %s | %s | %s | %s | %.0f | %.2f | %.2f | %.0f | %.0f | %.0f |%n",
--- a/lab/src/main/java/spartrail/lab/cli/NodesJudge.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesJudge.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
-import spartrail.lab.file.BadInput;
-import spartrail.lab.nodes.History;
-import spartrail.lab.nodes.Judge;
+import spartrail.lab.cluster.ClusterHistory;
+import spartrail.lab.cluster.HistoryChecker;
+import spartrail.lab.file.InvalidInputException;
 import spartrail.lab.rules.PeersRules;
 
 /** Judges a merged history that was kept. */
@@ -29,13 +29,13 @@
 
     @Override
     int run(PrintStream out, PrintStream err) {
-        List<History.Line> lines;
+        List<ClusterHistory.Line> lines;
         try {
-            lines = History.kept(file);
+            lines = ClusterHistory.kept(file);
         } catch (IOException | RuntimeException e) {
-            throw new BadInput(file + ": is no history: " + e.getMessage());
+            throw new InvalidInputException(file + ": is no history: " + e.getMessage());
         }
-        PeersRules rules = new Judge(nodes).read(lines, settled);
+        PeersRules rules = new HistoryChecker(nodes).read(lines, settled);
         out.println(lines.size() + " lines, " + rules.asked() + " changes of views judged, "
                 + rules.breaches().size() + " breaches");
         rules.breaches().forEach(breach -> out.println("BROKEN " + breach));
