--- a/lab/src/main/java/spartrail/lab/cli/NodesRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesRun.java
@@ -11,16 +11,16 @@
 import java.util.List;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
+import spartrail.lab.cluster.ClusterHarness;
+import spartrail.lab.cluster.ClusterHistory;
+import spartrail.lab.cluster.ClusterPlan;
+import spartrail.lab.cluster.HistoryChecker;
+import spartrail.lab.cluster.TimelineChart;
 import spartrail.lab.experiment.ExperimentPlan;
+import spartrail.lab.experiment.ExperimentStore;
 import spartrail.lab.experiment.Runner;
-import spartrail.lab.experiment.Store;
-import spartrail.lab.file.BadInput;
 import spartrail.lab.file.Document;
-import spartrail.lab.nodes.History;
-import spartrail.lab.nodes.Judge;
-import spartrail.lab.nodes.NodesPlan;
-import spartrail.lab.nodes.Picture;
-import spartrail.lab.nodes.Rig;
+import spartrail.lab.file.InvalidInputException;
 import spartrail.lab.rules.PeersRules;
 
 /** Plays a plan with processes and judges what they did. */
@@ -44,16 +44,16 @@
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        NodesPlan plan = NodesPlan.read(file);
+        ClusterPlan plan = ClusterPlan.read(file);
         if (store != null && plan.load() == null) {
-            throw new BadInput(
+            throw new InvalidInputException(
                     "--store: " + file + " has no load, so there is no report to keep; --out keeps the history");
         }
         Path work = folder == null ? Files.createTempDirectory("spartrail-nodes") : Files.createDirectories(folder);
-        try (Rig rig = new Rig(plan, work, line -> err.println(line))) {
-            Rig.Outcome outcome = rig.play();
-            List<History.Line> lines = outcome.history().inOrder();
-            PeersRules rules = new Judge(plan.nodes()).read(lines, false);
+        try (ClusterHarness rig = new ClusterHarness(plan, work, line -> err.println(line))) {
+            ClusterHarness.Outcome outcome = rig.play();
+            List<ClusterHistory.Line> lines = outcome.history().inOrder();
+            PeersRules rules = new HistoryChecker(plan.nodes()).read(lines, false);
             List<String> broken = new ArrayList<>();
             rules.breaches().forEach(breach -> broken.add("peers " + breach));
             outcome.rules().verdicts().stream()
@@ -84,12 +84,12 @@
     }
 
     /** The report, as those of experiments are kept, so that `experiment show` and `compare` take it. */
-    private void enter(Rig.Outcome outcome, NodesPlan plan) throws SQLException {
+    private void enter(ClusterHarness.Outcome outcome, ClusterPlan plan) throws SQLException {
         ObjectNode report = outcome.load().deepCopy();
         report.set("servers", outcome.servers());
         outcome.nodes().forEach(report.withArray("/nodes")::add);
         report.set("rules", Runner.rules(outcome.rules()));
-        try (Store kept = new Store(store)) {
+        try (ExperimentStore kept = new ExperimentStore(store)) {
             long experiment = kept.begin(file.getFileName().toString(), Document.read(file, "nodes").tree);
             kept.complete(
                     kept.begin(
@@ -100,10 +100,11 @@
         }
     }
 
-    private void keep(List<History.Line> lines, Rig.Outcome outcome, NodesPlan plan) throws IOException {
+    private void keep(List<ClusterHistory.Line> lines, ClusterHarness.Outcome outcome, ClusterPlan plan)
+            throws IOException {
         Files.writeString(folder.resolve("history.jsonl"), outcome.history().text());
         JsonNode report = outcome.load() == null ? Document.JSON.createObjectNode() : outcome.load();
         Files.writeString(folder.resolve("report.json"), report.toPrettyString());
-        Files.writeString(folder.resolve("nodes.svg"), Picture.of(lines, plan.nodes()));
+        Files.writeString(folder.resolve("nodes.svg"), TimelineChart.of(lines, plan.nodes()));
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/PeersQuestion.java
+++ b/lab/src/main/java/spartrail/lab/cli/PeersCommand.java
@@ -9,12 +9,12 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.SocketTimeoutException;
-import spartrail.lab.file.BadInput;
 import spartrail.lab.file.Document;
-import spartrail.peering.Frames;
+import spartrail.lab.file.InvalidInputException;
+import spartrail.peers.transport.PeerMessageCodec;
 
 /** Asks a running node what it knows of the others, page by page. */
-final class PeersQuestion {
+final class PeersCommand {
     private static final int TRIES = 5;
     private static final int WAIT_MS = 400;
     private static final int LONGEST = 65_536;
@@ -23,9 +23,9 @@
     private final InetSocketAddress node;
     private final String fleet;
 
-    PeersQuestion(String at, String fleet) {
-        if (!Frames.isAddress(at)) {
-            throw new BadInput(
+    PeersCommand(String at, String fleet) {
+        if (!PeerMessageCodec.isAddress(at)) {
+            throw new InvalidInputException(
                     "--at: found '" + at + "', the node's address for talk, such as 127.0.0.1:7400, is expected");
         }
         this.node = new InetSocketAddress(
@@ -52,21 +52,22 @@
     }
 
     private JsonNode page(DatagramSocket socket, int from) throws IOException {
-        byte[] question = Frames.text(fleet, Frames.QUESTION, "show " + from);
+        byte[] question = PeerMessageCodec.text(fleet, PeerMessageCodec.QUESTION, "show " + from);
         for (int i = 0; i < TRIES; i++) {
             socket.send(new DatagramPacket(question, question.length, node));
             DatagramPacket reply = new DatagramPacket(new byte[LONGEST], LONGEST);
             try {
                 socket.receive(reply);
-                Frames.Frame frame = Frames.read(reply.getData(), reply.getLength(), fleet, LONGEST);
+                PeerMessageCodec.Frame frame =
+                        PeerMessageCodec.read(reply.getData(), reply.getLength(), fleet, LONGEST);
                 JsonNode page =
                         Document.JSON.readTree(String.valueOf(frame.values().get(3)));
                 // A late reply to an earlier try is another page.
                 boolean asked = from == 0 ? page.has("name") : !page.has("name");
-                if (frame.lane() == Frames.REPLY && asked) {
+                if (frame.lane() == PeerMessageCodec.REPLY && asked) {
                     return page;
                 }
-            } catch (SocketTimeoutException | Frames.Unusable e) {
+            } catch (SocketTimeoutException | PeerMessageCodec.Unusable e) {
                 // Asked once more.
             }
         }
--- a/lab/src/main/java/spartrail/lab/cli/PeersExplain.java
+++ b/lab/src/main/java/spartrail/lab/cli/PeersExplain.java
@@ -29,7 +29,7 @@
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        ObjectNode view = new PeersQuestion(at, fleet).view();
+        ObjectNode view = new PeersCommand(at, fleet).view();
         for (JsonNode peer : view.get("peers")) {
             if (peer.get("name").asText().equals(name)) {
                 out.printf(
--- a/lab/src/main/java/spartrail/lab/cli/PeersShow.java
+++ b/lab/src/main/java/spartrail/lab/cli/PeersShow.java
@@ -40,7 +40,7 @@
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        PeersQuestion question = new PeersQuestion(at, fleet);
+        PeersCommand question = new PeersCommand(at, fleet);
         long untilNs = System.nanoTime() + (long) (1e9 * seconds);
         String last = "";
         do {
--- a/lab/src/main/java/spartrail/lab/cli/PolicyAt.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyAt.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.kohsuke.args4j.Option;
-import spartrail.governing.Operator;
-import spartrail.lab.file.BadInput;
 import spartrail.lab.file.Document;
-import spartrail.lab.net.OperatorForm;
-import spartrail.peering.Frames;
-import spartrail.policy.Op;
+import spartrail.lab.file.InvalidInputException;
+import spartrail.lab.net.AdminFrameCodec;
+import spartrail.peers.transport.PeerMessageCodec;
+import spartrail.policy.LogOperation;
+import spartrail.policy.replication.AdminClient;
 
 /** What commands about policy have in common: a running node to ask, and the way to the others. */
 abstract class PolicyAt extends Command {
@@ -28,18 +28,18 @@
     @Option(name = "--fleet", metaVar = "NAME", required = true, usage = "the fleet's name, as in the peers' file")
     String fleet;
 
-    Operator operator() throws IOException {
-        if (!Frames.isAddress(at)) {
-            throw new BadInput(
+    AdminClient operator() throws IOException {
+        if (!PeerMessageCodec.isAddress(at)) {
+            throw new InvalidInputException(
                     "--at: found '" + at + "', the node's address for talk, such as 127.0.0.1:7400, is expected");
         }
-        return new Operator(new OperatorForm(fleet), at.startsWith("127."));
+        return new AdminClient(new AdminFrameCodec(fleet), at.startsWith("127."));
     }
 
     /** Where the nodes are that the one asked knows and holds for there, by name. */
     Map<String, String> nodes() throws IOException {
         Map<String, String> nodes = new TreeMap<>();
-        for (JsonNode peer : new PeersQuestion(at, fleet).view().get("peers")) {
+        for (JsonNode peer : new PeersCommand(at, fleet).view().get("peers")) {
             String standing = peer.get("standing").asText();
             if (!standing.equals("GONE") && !standing.equals("LEFT")) {
                 nodes.put(peer.get("name").asText(), peer.get("address").asText());
@@ -49,7 +49,7 @@
     }
 
     /** The page of a node that decides, which knows what became of proposals; else that of the node asked. */
-    JsonNode decider(Operator operator) throws IOException {
+    JsonNode decider(AdminClient operator) throws IOException {
         JsonNode page = Document.JSON.readTree(operator.page(at));
         if (page.get("decides").asBoolean()) {
             return page;
@@ -70,13 +70,13 @@
                 return page.get(name);
             }
         }
-        throw new BadInput("no version " + number + " is remembered; spartrail policy history lists them");
+        throw new InvalidInputException("no version " + number + " is remembered; spartrail policy history lists them");
     }
 
     /** Gives an order and says what came of it; waits for its end where that is wanted. */
     int ordered(
-            Operator operator,
-            Op.Kind kind,
+            AdminClient operator,
+            LogOperation.Kind kind,
             long number,
             String text,
             String who,
@@ -95,7 +95,7 @@
             out.println(
                     json
                             ? "{\"number\":" + taken + "}"
-                            : (kind == Op.Kind.PROPOSE ? "proposed as " : "aborted ") + taken);
+                            : (kind == LogOperation.Kind.PROPOSE ? "proposed as " : "aborted ") + taken);
             return 0;
         }
         for (long untilNs = System.nanoTime() + (long) (LONGEST_WAIT_MS * 1e6);
--- a/lab/src/main/java/spartrail/lab/cli/PolicyFound.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyBootstrap.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
-import spartrail.governing.Operator;
-import spartrail.lab.file.BadInput;
+import spartrail.lab.file.InvalidInputException;
+import spartrail.policy.replication.AdminClient;
 
 /** Makes the log of one deciding node of a new set. */
-final class PolicyFound extends Command {
+final class PolicyBootstrap extends Command {
     @Argument(required = true, metaVar = "FOLDER", usage = "the node's folder, as serve --state names it")
     private Path folder;
 
@@ -32,10 +32,10 @@
     @Override
     int run(PrintStream out, PrintStream err) throws IOException {
         if (deciders.size() != 3 && deciders.size() != 5 || !deciders.contains(node)) {
-            throw new BadInput(
+            throw new InvalidInputException(
                     "--decider: found " + deciders + ", 3 or 5 names with " + node + " among them are expected");
         }
-        Operator.found(folder, fleet, node, deciders);
+        AdminClient.found(folder, fleet, node, deciders);
         out.println(folder + ": a log of policy for " + node + " of " + deciders);
         return 0;
     }
--- a/lab/src/main/java/spartrail/lab/cli/PolicyOrder.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyCommand.java
@@ -3,11 +3,11 @@
 import java.io.PrintStream;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
-import spartrail.governing.Operator;
-import spartrail.policy.Op;
+import spartrail.policy.LogOperation;
+import spartrail.policy.replication.AdminClient;
 
 /** Aborts a proposal that is not decided yet, or proposes an older version's settings again. */
-final class PolicyOrder extends PolicyAt {
+final class PolicyCommand extends PolicyAt {
     /** Which of both. */
     enum What {
         ABORT,
@@ -28,7 +28,7 @@
     @Option(name = "--json", usage = "one JSON object")
     private boolean json;
 
-    PolicyOrder(What what) {
+    PolicyCommand(What what) {
         this.what = what;
     }
 
@@ -41,12 +41,12 @@
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        try (Operator operator = operator()) {
+        try (AdminClient operator = operator()) {
             return what == What.ABORT
-                    ? ordered(operator, Op.Kind.ABORT, number, "", who, wait, json, out, err)
+                    ? ordered(operator, LogOperation.Kind.ABORT, number, "", who, wait, json, out, err)
                     : ordered(
                             operator,
-                            Op.Kind.PROPOSE,
+                            LogOperation.Kind.PROPOSE,
                             0,
                             number == 0
                                     ? "{}"
--- a/lab/src/main/java/spartrail/lab/cli/PolicyDiff.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyDiff.java
@@ -2,8 +2,8 @@
 
 import java.io.PrintStream;
 import org.kohsuke.args4j.Argument;
-import spartrail.governing.Operator;
-import spartrail.policy.Terms;
+import spartrail.policy.PolicySettings;
+import spartrail.policy.replication.AdminClient;
 
 /** What two versions state differently. */
 final class PolicyDiff extends PolicyAt {
@@ -20,11 +20,11 @@
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        try (Operator operator = operator()) {
+        try (AdminClient operator = operator()) {
             var page = decider(operator);
-            Terms from = Terms.parse(
+            PolicySettings from = PolicySettings.parse(
                     one == 0 ? "{}" : entry(page, one).get("settings").asText());
-            Terms to = Terms.parse(
+            PolicySettings to = PolicySettings.parse(
                     other == 0 ? "{}" : entry(page, other).get("settings").asText());
             from.difference(to).forEach(out::println);
             return 0;
--- a/lab/src/main/java/spartrail/lab/cli/PolicyPropose.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyPropose.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
-import spartrail.governing.Operator;
-import spartrail.lab.file.BadInput;
-import spartrail.policy.Op;
-import spartrail.policy.Terms;
+import spartrail.lab.file.InvalidInputException;
+import spartrail.policy.LogOperation;
+import spartrail.policy.PolicySettings;
+import spartrail.policy.replication.AdminClient;
 
 /** Proposes a version of policy, or asks every node what it would change there. */
 final class PolicyPropose extends PolicyAt {
@@ -40,20 +40,20 @@
     int run(PrintStream out, PrintStream err) throws Exception {
         String settings;
         try {
-            settings = Terms.parse(Files.readString(file)).json();
+            settings = PolicySettings.parse(Files.readString(file)).json();
         } catch (IOException e) {
-            throw new BadInput("cannot read " + file);
+            throw new InvalidInputException("cannot read " + file);
         } catch (IllegalArgumentException e) {
-            throw new BadInput(file + ": " + e.getMessage());
+            throw new InvalidInputException(file + ": " + e.getMessage());
         }
-        try (Operator operator = operator()) {
+        try (AdminClient operator = operator()) {
             return dryRun
                     ? tried(operator, settings, out)
-                    : ordered(operator, Op.Kind.PROPOSE, 0, settings, who, wait, json, out, err);
+                    : ordered(operator, LogOperation.Kind.PROPOSE, 0, settings, who, wait, json, out, err);
         }
     }
 
-    private int tried(Operator operator, String settings, PrintStream out) throws IOException {
+    private int tried(AdminClient operator, String settings, PrintStream out) throws IOException {
         boolean good = true;
         for (Map.Entry<String, String> node : nodes().entrySet()) {
             String said;
--- a/lab/src/main/java/spartrail/lab/cli/PolicyShow.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyShow.java
@@ -6,8 +6,8 @@
 import java.io.PrintStream;
 import java.util.Map;
 import org.kohsuke.args4j.Option;
-import spartrail.governing.Operator;
 import spartrail.lab.file.Document;
+import spartrail.policy.replication.AdminClient;
 
 /** By what a node goes; by what each of them goes; and what became of proposals. */
 final class PolicyShow extends PolicyAt {
@@ -38,7 +38,7 @@
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        try (Operator operator = operator()) {
+        try (AdminClient operator = operator()) {
             switch (what) {
                 case SHOW -> show(Document.JSON.readTree(operator.page(at)), out);
                 case HISTORY -> history(decider(operator), out);
@@ -99,7 +99,7 @@
         }
     }
 
-    private void who(Operator operator, PrintStream out) throws IOException {
+    private void who(AdminClient operator, PrintStream out) throws IOException {
         ArrayNode all = Document.JSON.createArrayNode();
         for (Map.Entry<String, String> node : nodes().entrySet()) {
             try {
--- a/lab/src/main/java/spartrail/lab/cli/ScaleRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/ScaleRun.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
-import spartrail.lab.file.BadInput;
 import spartrail.lab.file.Document;
+import spartrail.lab.file.InvalidInputException;
 import spartrail.lab.scale.Fit;
 import spartrail.lab.scale.ScaleResult;
 import spartrail.lab.scale.ScaleTest;
@@ -76,13 +76,15 @@
 
     private void check() {
         if (!sizes.isEmpty() && sizes.stream().distinct().count() < LEAST_SIZES) {
-            throw new BadInput("--size: found " + sizes + ", " + LEAST_SIZES + " different sizes or more are expected");
+            throw new InvalidInputException(
+                    "--size: found " + sizes + ", " + LEAST_SIZES + " different sizes or more are expected");
         }
         if (sizes.stream().anyMatch(size -> size < 1)) {
-            throw new BadInput("--size: found " + sizes + ", sizes of 1 or more are expected");
+            throw new InvalidInputException("--size: found " + sizes + ", sizes of 1 or more are expected");
         }
         if (replicasPerShard < 0 || replicasPerShard == 1) {
-            throw new BadInput("--subset: found " + replicasPerShard + ", 0 or a number of 2 or more is expected");
+            throw new InvalidInputException(
+                    "--subset: found " + replicasPerShard + ", 0 or a number of 2 or more is expected");
         }
     }
 
--- a/lab/src/main/java/spartrail/lab/cli/SubsetFleet.java
+++ b/lab/src/main/java/spartrail/lab/cli/SubsetFleet.java
@@ -6,10 +6,10 @@
 import java.util.Locale;
 import java.util.stream.IntStream;
 import org.kohsuke.args4j.Option;
-import spartrail.lab.file.BadInput;
+import spartrail.lab.file.InvalidInputException;
 import spartrail.lab.subset.FleetShape;
-import spartrail.lab.subset.SubsetFault;
 import spartrail.lab.subset.SubsetFigures;
+import spartrail.lab.subset.SubsetMutation;
 import spartrail.lab.subset.SubsetRun;
 import spartrail.subset.SubsetSettings;
 
@@ -83,7 +83,7 @@
     @Override
     int run(PrintStream out, PrintStream err) {
         if (nodes < 1 || servers < 1 || shards < 1 || zones < 1 || regions < 1 || changes < 1 || seeds < 0) {
-            throw new BadInput("numbers of 1 or more are expected");
+            throw new InvalidInputException("numbers of 1 or more are expected");
         }
         // Before anything is printed: settings that no subset can keep are refused.
         settings();
@@ -98,7 +98,7 @@
         try {
             return new SubsetSettings(replicas, leastZones);
         } catch (IllegalArgumentException e) {
-            throw new BadInput(e.getMessage());
+            throw new InvalidInputException(e.getMessage());
         }
     }
 
@@ -150,7 +150,7 @@
         out.println("| seed | steps | checks of a shard | broken | hash |");
         out.println("|---|---|---|---|---|");
         for (int seed = 1; seed <= (seeds == 0 ? 100 : seeds); seed++) {
-            SubsetRun.Outcome outcome = SubsetRun.play(whole(), seed, changes, SubsetFault.NONE);
+            SubsetRun.Outcome outcome = SubsetRun.play(whole(), seed, changes, SubsetMutation.NONE);
             broken += outcome.breaches();
             out.printf(
                     "| %d | %d | %d | %d | %s |%n",
@@ -165,7 +165,7 @@
         int count = seeds == 0 ? 10 : seeds;
         out.println("| planted | caught on seeds | first seed | broken there | example |");
         out.println("|---|---|---|---|---|");
-        for (SubsetFault fault : SubsetFault.values()) {
+        for (SubsetMutation fault : SubsetMutation.values()) {
             List<SubsetRun.Outcome> caught = new ArrayList<>();
             for (int seed = 1; seed <= count; seed++) {
                 SubsetRun.Outcome outcome = SubsetRun.play(whole(), seed, changes, fault);
@@ -173,7 +173,7 @@
                     caught.add(outcome);
                 }
             }
-            boolean expected = fault == SubsetFault.NONE ? caught.isEmpty() : !caught.isEmpty();
+            boolean expected = fault == SubsetMutation.NONE ? caught.isEmpty() : !caught.isEmpty();
             uncaught += expected ? 0 : 1;
             out.printf(
                     "| %s | %d of %d | %s | %s | %s |%n",
--- a/lab/src/main/java/spartrail/lab/nodes/Rig.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
@@ -1,4 +1,4 @@
-package spartrail.lab.nodes;
+package spartrail.lab.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -13,30 +13,30 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import spartrail.governing.CrashPoint;
-import spartrail.governing.Operator;
+import spartrail.lab.cluster.ClusterHistory.Line;
+import spartrail.lab.cluster.ClusterPlan.Step;
 import spartrail.lab.experiment.NodeProcess;
 import spartrail.lab.experiment.NodeSettings;
 import spartrail.lab.experiment.Runner;
-import spartrail.lab.file.BadInput;
 import spartrail.lab.file.Document;
+import spartrail.lab.file.InvalidInputException;
 import spartrail.lab.fleet.Fleet;
 import spartrail.lab.load.LoadSession;
-import spartrail.lab.nodes.History.Line;
-import spartrail.lab.nodes.NodesPlan.Step;
 import spartrail.lab.plan.LoadPlan;
 import spartrail.lab.rules.PolicyRules;
 import spartrail.lab.rules.RuleChecker;
+import spartrail.policy.replication.AdminClient;
+import spartrail.policy.replication.CrashPoint;
 
 /**
  * Plays a plan with processes. Steps are tied to times, to what nodes say in their histories, or to other steps; who waits for
  * something to be seen waits until it is, or the plan is over, so that no sleep decides. Run by one thread; links, servers,
  * load and the nodes have theirs.
  */
-public final class Rig implements AutoCloseable {
+public final class ClusterHarness implements AutoCloseable {
     /** What was seen of a run, beside the history. */
     public record Outcome(
-            History history,
+            ClusterHistory history,
             RuleChecker rules,
             ObjectNode load,
             ObjectNode servers,
@@ -67,21 +67,21 @@
 
     private record Due(double atMs, Runnable what) {}
 
-    private final NodesPlan plan;
+    private final ClusterPlan plan;
     private final Path folder;
     private final Consumer<String> progress;
     private final Fleet fleet;
     private final RuleChecker checker;
-    private final History history = new History();
+    private final ClusterHistory history = new ClusterHistory();
     private final List<NodeProcess> nodes = new ArrayList<>();
     private final List<LoadPlan.Target> targets = new ArrayList<>();
-    private final Links links;
+    private final DatagramLinks links;
     private final List<Due> dues = new ArrayList<>();
     private final Map<String, Double> taken = new HashMap<>();
     private final Set<Integer> slowed = new HashSet<>();
-    private final List<Flood> floods = new ArrayList<>();
+    private final List<DatagramFlood> floods = new ArrayList<>();
     private final List<Integer> talkPorts = new ArrayList<>();
-    private Orders orders;
+    private OperatorCommands orders;
     /** Steps as they were taken: when, and whom they concerned. */
     private final List<Step> steps = new ArrayList<>();
 
@@ -93,7 +93,8 @@
     private double startMs;
 
     /** Starts servers, links and processes; returns when all nodes serve, and, where they talk, know each other. */
-    public Rig(NodesPlan plan, Path folder, Consumer<String> progress) throws IOException, InterruptedException {
+    public ClusterHarness(ClusterPlan plan, Path folder, Consumer<String> progress)
+            throws IOException, InterruptedException {
         this.plan = plan;
         this.folder = folder;
         this.progress = progress;
@@ -101,12 +102,12 @@
         this.fleet = new Fleet(
                 plan.fleet().varied(plan.seed(), plan.nodes()),
                 Runner.watching(checker, (what, atMs) -> progress.accept("servers: " + what)));
-        Links made = null;
+        DatagramLinks made = null;
         try {
             for (int node = 0; node < plan.nodes(); node++) {
                 talkPorts.add(NodeProcess.freePort());
             }
-            made = new Links(talkPorts, "rig", plan.seed());
+            made = new DatagramLinks(talkPorts, "rig", plan.seed());
             launch(made);
         } catch (IOException | InterruptedException | RuntimeException e) {
             nodes.forEach(NodeProcess::close);
@@ -122,7 +123,7 @@
         startMs = now();
     }
 
-    private void launch(Links made) throws IOException, InterruptedException {
+    private void launch(DatagramLinks made) throws IOException, InterruptedException {
         List<String> zones = NodeSettings.zones(plan.fleet());
         List<String> seeds = Stream.iterate(0, node -> node + 1)
                 .limit(Math.min(plan.seeds(), plan.nodes()))
@@ -137,7 +138,7 @@
             if (plan.policy()) {
                 state = folder.resolve("n" + node + ".state");
                 if (plan.deciders().contains("n" + node)) {
-                    Operator.found(state, "rig", "n" + node, plan.deciders());
+                    AdminClient.found(state, "rig", "n" + node, plan.deciders());
                 }
             }
             if (plan.peers() != null) {
@@ -152,7 +153,7 @@
             history.done("started", whom(node));
             ObjectNode config = plan.settings().config(node, plan.nodes(), "127.0.0.1:" + port, fleet, plan.seed());
             if (plan.own().has("n" + node)) {
-                Pushed.change(config, plan.own().get("n" + node));
+                ConfigPush.change(config, plan.own().get("n" + node));
             }
             nodes.add(NodeProcess.launched(
                     NodeProcess.ownJar(),
@@ -166,7 +167,7 @@
             node.awaitReady();
         }
         if (plan.policy()) {
-            orders = new Orders(history, talkPorts, address -> {
+            orders = new OperatorCommands(history, talkPorts, address -> {
                 for (int node = 0; node < plan.nodes(); node++) {
                     if (made.address(node).equals(address)) {
                         return "127.0.0.1:" + talkPorts.get(node);
@@ -344,16 +345,16 @@
         for (int node : each.step.nodes()) {
             if (node >= 0) {
                 whom.add(node);
-            } else if (node == NodesPlan.LEADER || node == NodesPlan.FOLLOWER) {
+            } else if (node == ClusterPlan.LEADER || node == ClusterPlan.FOLLOWER) {
                 plan.deciders().stream()
                         .map(name -> Integer.parseInt(name.substring(1)))
-                        .filter(decider -> (decider == leader) == (node == NodesPlan.LEADER))
+                        .filter(decider -> (decider == leader) == (node == ClusterPlan.LEADER))
                         .filter(decider -> nodes.get(decider).handle().isAlive())
                         .findFirst()
                         .ifPresent(whom::add);
-            } else if (node == NodesPlan.SEEN && each.who >= 0) {
+            } else if (node == ClusterPlan.SEEN && each.who >= 0) {
                 whom.add(each.who);
-            } else if (node == NodesPlan.DOWN) {
+            } else if (node == ClusterPlan.DOWN) {
                 for (int down = 0; down < nodes.size(); down++) {
                     if (!nodes.get(down).handle().isAlive()) {
                         whom.add(down);
@@ -393,7 +394,7 @@
     }
 
     private void saw(Pending each, Line line) {
-        NodesPlan.When when = each.step.when();
+        ClusterPlan.When when = each.step.when();
         if (!when.seen() || !Double.isNaN(each.dueMs) || when.step() != null && !taken.containsKey(when.step())) {
             return;
         }
@@ -426,7 +427,7 @@
     private void take(Step step) throws IOException, InterruptedException {
         steps.add(new Step(
                 step.name(),
-                new NodesPlan.When(sinceMs(), null, null, null, null, 1, null, 0),
+                new ClusterPlan.When(sinceMs(), null, null, null, null, 1, null, 0),
                 step.what(),
                 step.nodes(),
                 step.others(),
@@ -486,7 +487,7 @@
             }
             case "flood" -> {
                 done(step, "flooded");
-                Flood flood = new Flood(
+                DatagramFlood flood = new DatagramFlood(
                         step.how().path("perS").asDouble(2000),
                         step.how().path("manner").asText("names"),
                         step.nodes().stream()
@@ -509,7 +510,7 @@
             case "abandon" -> done(step, "abandoned");
             case "harm" -> {
                 for (int node : step.nodes()) {
-                    Harm.to(folder, node, step.how().path("harm").asText());
+                    DiskFault.to(folder, node, step.how().path("harm").asText());
                 }
                 done(step, "harmed");
             }
@@ -537,7 +538,7 @@
                             new Step(step.name(), step.when(), "push", List.of(node), List.of(), 0, step.how()),
                             one -> {
                                 if (nodes.get(one).handle().isAlive()) {
-                                    Pushed.write(
+                                    ConfigPush.write(
                                             nodes.get(one).config(),
                                             step.how().get("settings"),
                                             step.how().path("number").asLong());
@@ -601,12 +602,12 @@
     private void link(Step step) {
         boolean both = step.what().equals("cut") || step.what().equals("link");
         if (!both && !step.what().equals("one-way") && !step.what().equals("link-one-way")) {
-            throw new BadInput("no step is named '" + step.what() + "'");
+            throw new InvalidInputException("no step is named '" + step.what() + "'");
         }
         JsonNode how = step.how();
         double untilMs = links.nowMs() + how.path("heldMs").asDouble(0);
-        java.util.function.Supplier<Links.Trouble> trouble = () -> {
-            Links.Trouble made = new Links.Trouble();
+        java.util.function.Supplier<DatagramLinks.Trouble> trouble = () -> {
+            DatagramLinks.Trouble made = new DatagramLinks.Trouble();
             made.cut = step.what().equals("cut") || step.what().equals("one-way");
             made.loss = how.path("loss").asDouble(0);
             made.delayMs = how.path("delayMs").asDouble(0);
@@ -624,7 +625,7 @@
         later(step, step.what() + " ends", () -> connect(step, both, () -> null));
     }
 
-    private void connect(Step step, boolean both, java.util.function.Supplier<Links.Trouble> trouble) {
+    private void connect(Step step, boolean both, java.util.function.Supplier<DatagramLinks.Trouble> trouble) {
         java.util.function.Predicate<Integer> far = node -> step.others().isEmpty()
                 ? !step.nodes().contains(node)
                 : step.others().contains(node);
@@ -697,7 +698,7 @@
     @Override
     public void close() {
         slowed.clear();
-        floods.forEach(Flood::close);
+        floods.forEach(DatagramFlood::close);
         if (orders != null) {
             orders.close();
         }
--- a/lab/src/main/java/spartrail/lab/nodes/History.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHistory.java
@@ -1,4 +1,4 @@
-package spartrail.lab.nodes;
+package spartrail.lab.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -14,7 +14,7 @@
 import spartrail.lab.file.Document;
 
 /** What all processes wrote of themselves and what the rig did, in the order of the machine's one monotonic clock. */
-public final class History {
+public final class ClusterHistory {
     /**
      * One line.
      *
--- a/lab/src/main/java/spartrail/lab/nodes/NodesPlan.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterPlan.java
@@ -1,4 +1,4 @@
-package spartrail.lab.nodes;
+package spartrail.lab.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -19,7 +19,7 @@
  * @param ends the run ends when the step of this name is taken, or {@code all} are; null: at its time
  * @param load null for none
  */
-public record NodesPlan(
+public record ClusterPlan(
         long seed,
         int nodes,
         int seeds,
@@ -63,11 +63,11 @@
             double lastsMs,
             JsonNode how) {}
 
-    public static NodesPlan read(Path file) {
+    public static ClusterPlan read(Path file) {
         return of(Document.read(file, "nodes"));
     }
 
-    public static NodesPlan of(Document document) {
+    public static ClusterPlan of(Document document) {
         JsonNode tree = document.tree;
         int count = tree.get("nodes").asInt();
         List<Step> steps = new ArrayList<>();
@@ -103,7 +103,7 @@
                     step.path("lastsMs").asDouble(0),
                     step));
         }
-        return new NodesPlan(
+        return new ClusterPlan(
                 tree.path("seed").asLong(1),
                 count,
                 tree.path("seeds").asInt(2),
@@ -141,13 +141,13 @@
     }
 
     /** The same without talk among nodes, for comparison. */
-    public NodesPlan silent() {
-        return new NodesPlan(seed, nodes, seeds, lastsMs, ends, null, own, fleet, settings, load, steps);
+    public ClusterPlan silent() {
+        return new ClusterPlan(seed, nodes, seeds, lastsMs, ends, null, own, fleet, settings, load, steps);
     }
 
     /** The same with other steps, for so long. */
-    public NodesPlan with(List<Step> others, double lasts) {
-        return new NodesPlan(seed, nodes, seeds, lasts, null, peers, own, fleet, settings, load, others);
+    public ClusterPlan with(List<Step> others, double lasts) {
+        return new ClusterPlan(seed, nodes, seeds, lasts, null, peers, own, fleet, settings, load, others);
     }
 
     /** Whether nodes go by versions of policy, and who decides about them. */
--- a/lab/src/main/java/spartrail/lab/nodes/Pushed.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ConfigPush.java
@@ -1,4 +1,4 @@
-package spartrail.lab.nodes;
+package spartrail.lab.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -9,8 +9,8 @@
 import spartrail.lab.file.Document;
 
 /** The easy way to change policy: another file, and SIGHUP. What the drills of policy are measured against. */
-final class Pushed {
-    private Pushed() {}
+final class ConfigPush {
+    private ConfigPush() {}
 
     /** Times of op types, in a node's configuration. */
     static void change(ObjectNode config, JsonNode settings) {
--- a/lab/src/main/java/spartrail/lab/nodes/Flood.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DatagramFlood.java
@@ -1,4 +1,4 @@
-package spartrail.lab.nodes;
+package spartrail.lab.cluster;
 
 import java.io.IOException;
 import java.net.DatagramPacket;
@@ -8,20 +8,20 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
-import spartrail.peering.Frames;
-import spartrail.peers.Card;
-import spartrail.peers.Life;
-import spartrail.peers.Message;
-import spartrail.peers.Standing;
-import spartrail.peers.Word;
+import spartrail.peers.Incarnation;
+import spartrail.peers.PeerDescriptor;
+import spartrail.peers.PeerMessage;
+import spartrail.peers.PeerState;
+import spartrail.peers.PeerUpdate;
+import spartrail.peers.transport.PeerMessageCodec;
 
 /** A stranger that sends nodes what it likes: bytes that are no frame, frames of another fleet, invented names, old words. */
-final class Flood implements AutoCloseable {
+final class DatagramFlood implements AutoCloseable {
     private final Thread thread;
     private volatile boolean ended;
 
     /** So many datagrams a second, to these ports of the loopback in turn. */
-    Flood(double perS, String manner, List<Integer> ports, String fleet, long seed) throws IOException {
+    DatagramFlood(double perS, String manner, List<Integer> ports, String fleet, long seed) throws IOException {
         DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
         RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         thread = new Thread(
@@ -66,28 +66,36 @@
                 return new byte[20_000];
             }
             default -> {
-                Card from = new Card(
-                        "invented-" + number, "127.0.0.1:" + port, "", 1, "", "", new Life(1_000_000 + number, 1), 0);
+                PeerDescriptor from = new PeerDescriptor(
+                        "invented-" + number,
+                        "127.0.0.1:" + port,
+                        "",
+                        1,
+                        "",
+                        "",
+                        new Incarnation(1_000_000 + number, 1),
+                        0);
                 // Names that exist, in lives that are over or never were: whoever believed them would hold live nodes
                 // for gone.
-                List<Word> words = manner.equals("words")
-                        ? List.of(new Word(
-                                new Card(
+                List<PeerUpdate> words = manner.equals("words")
+                        ? List.of(new PeerUpdate(
+                                new PeerDescriptor(
                                         "n" + number % 7,
                                         "127.0.0.1:" + port,
                                         "",
                                         1,
                                         "",
                                         "",
-                                        new Life(9_000_000_000_000L, 1),
+                                        new Incarnation(9_000_000_000_000L, 1),
                                         0),
-                                Standing.GONE,
+                                PeerState.GONE,
                                 0,
                                 "invented-1"))
                         : List.of();
-                return Frames.peers(
+                return PeerMessageCodec.peers(
                         manner.equals("fleet") ? "another" : fleet,
-                        new Message(Message.Kind.PING, from, Standing.ALIVE, 1000, "n0", number, 0, null, words));
+                        new PeerMessage(
+                                PeerMessage.Kind.PING, from, PeerState.ALIVE, 1000, "n0", number, 0, null, words));
             }
         }
     }
--- a/lab/src/main/java/spartrail/lab/nodes/Links.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
@@ -1,4 +1,4 @@
-package spartrail.lab.nodes;
+package spartrail.lab.cluster;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -17,13 +17,13 @@
 import java.util.random.RandomGeneratorFactory;
 import spartrail.model.NodeClock;
 import spartrail.model.TimerQueue;
-import spartrail.peering.Frames;
+import spartrail.peers.transport.PeerMessageCodec;
 
 /**
  * Carries datagrams among nodes. Each node is reached by others at a port of these links, and what it sends comes to its
  * receiver from that port, so that a node cannot tell them from a wire. Every link has a direction and faults of its own.
  */
-public final class Links implements AutoCloseable {
+public final class DatagramLinks implements AutoCloseable {
     /** What is wrong with a link; the next one set replaces it. */
     public static final class Trouble {
         boolean cut;
@@ -61,7 +61,7 @@
     private volatile boolean ended;
 
     /** So many nodes, each listening on the port given. */
-    public Links(List<Integer> nodePorts, String fleet, long seed) throws IOException {
+    public DatagramLinks(List<Integer> nodePorts, String fleet, long seed) throws IOException {
         this.selector = Selector.open();
         this.fleet = fleet;
         this.chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
@@ -213,11 +213,11 @@
 
     private String kind(byte[] datagram) {
         try {
-            return Frames.read(datagram, datagram.length, fleet, LONGEST)
+            return PeerMessageCodec.read(datagram, datagram.length, fleet, LONGEST)
                     .message()
                     .kind()
                     .name();
-        } catch (Frames.Unusable e) {
+        } catch (PeerMessageCodec.Unusable e) {
             return "";
         }
     }
--- a/lab/src/main/java/spartrail/lab/nodes/Harm.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DiskFault.java
@@ -1,4 +1,4 @@
-package spartrail.lab.nodes;
+package spartrail.lab.cluster;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
@@ -8,10 +8,10 @@
 import java.nio.file.StandardOpenOption;
 
 /** What a disk does to a log of policy while its node is down. */
-final class Harm {
+final class DiskFault {
     private static final String LOG = "policy.log";
 
-    private Harm() {}
+    private DiskFault() {}
 
     static void to(Path folder, int node, String harm) throws IOException {
         Path state = folder.resolve("n" + node + ".state");
--- a/lab/src/main/java/spartrail/lab/nodes/Judge.java
+++ b/lab/src/main/java/spartrail/lab/cluster/HistoryChecker.java
@@ -1,4 +1,4 @@
-package spartrail.lab.nodes;
+package spartrail.lab.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -6,17 +6,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import spartrail.lab.nodes.History.Line;
+import spartrail.lab.cluster.ClusterHistory.Line;
 import spartrail.lab.rules.PeersRules;
-import spartrail.peers.Life;
-import spartrail.peers.Standing;
+import spartrail.peers.Incarnation;
+import spartrail.peers.PeerState;
 
 /**
  * Reads a merged history to the rules of peers, from what the rig did and what each node wrote. A line of a history is a
  * machine's; the rules speak of names. A name is its latest life's: of two processes that bear it the other one takes no part,
  * and what it writes meanwhile is not judged.
  */
-public final class Judge {
+public final class HistoryChecker {
     /** What the rig does that is no trouble. */
     private static final Set<String> HARMLESS = Set.of(
             "started",
@@ -38,13 +38,13 @@
     private final Map<Integer, Integer> bears = new HashMap<>();
 
     private final Map<Integer, Integer> has = new HashMap<>();
-    private final Map<Integer, Life> lives = new HashMap<>();
+    private final Map<Integer, Incarnation> lives = new HashMap<>();
     /** What the process on each machine holds, whether it takes part or not. */
     private final Map<Integer, Map<Integer, PeersRules.Held>> holds = new HashMap<>();
 
     private double lastMs;
 
-    public Judge(int size) {
+    public HistoryChecker(int size) {
         rules = new PeersRules(size);
         for (int i = 0; i < size; i++) {
             names.add("n" + i);
@@ -104,7 +104,7 @@
     }
 
     /** The process on this machine has begun a life. */
-    private void began(int machine, int node, Life life) {
+    private void began(int machine, int node, Incarnation life) {
         if (has.getOrDefault(node, machine) != machine
                 && lives.containsKey(node)
                 && life.compareTo(lives.get(node)) <= 0) {
@@ -121,9 +121,9 @@
 
     private static PeersRules.Held held(JsonNode tree) {
         return new PeersRules.Held(
-                new Life(tree.get("startMs").asLong(), tree.get("nonce").asInt()),
+                new Incarnation(tree.get("startMs").asLong(), tree.get("nonce").asInt()),
                 tree.get("turn").asInt(),
-                Standing.valueOf(tree.get("is").asText()));
+                PeerState.valueOf(tree.get("is").asText()));
     }
 
     private void node(Line line) {
@@ -142,7 +142,8 @@
             began(
                     line.node(),
                     viewer,
-                    new Life(tree.get("startMs").asLong(), tree.get("nonce").asInt()));
+                    new Incarnation(
+                            tree.get("startMs").asLong(), tree.get("nonce").asInt()));
         }
         if (has.getOrDefault(viewer, line.node()) != line.node()) {
             return;
--- a/lab/src/main/java/spartrail/lab/nodes/Orders.java
+++ b/lab/src/main/java/spartrail/lab/cluster/OperatorCommands.java
@@ -1,4 +1,4 @@
-package spartrail.lab.nodes;
+package spartrail.lab.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -7,19 +7,19 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.function.Function;
-import spartrail.governing.Operator;
 import spartrail.lab.file.Document;
-import spartrail.lab.net.OperatorForm;
-import spartrail.policy.Op;
+import spartrail.lab.net.AdminFrameCodec;
+import spartrail.policy.LogOperation;
+import spartrail.policy.replication.AdminClient;
 
 /**
  * The rig's operators: they give an order and follow it to its end, each on a thread of its own, and say in the history what they
  * were told: {@code proposed} with its number, {@code ended} with what came of it.
  */
-final class Orders implements AutoCloseable {
+final class OperatorCommands implements AutoCloseable {
     private static final int LOOK_MS = 100;
 
-    private final History history;
+    private final ClusterHistory history;
     private final List<Integer> ports;
     private final Function<String, String> where;
     private final ExecutorService operators = Executors.newCachedThreadPool(task -> {
@@ -31,7 +31,7 @@
     private volatile long last;
 
     /** Nodes listen on these ports; {@code where} tells the port of an address that nodes name to each other. */
-    Orders(History history, List<Integer> ports, Function<String, String> where) {
+    OperatorCommands(ClusterHistory history, List<Integer> ports, Function<String, String> where) {
         this.history = history;
         this.ports = ports;
         this.where = where;
@@ -39,8 +39,8 @@
 
     void propose(String step, int via, JsonNode settings) {
         operators.execute(() -> {
-            try (Operator operator = new Operator(new OperatorForm("rig"), true)) {
-                String came = order(operator, via, Op.Kind.PROPOSE, 0, settings.toString());
+            try (AdminClient operator = new AdminClient(new AdminFrameCodec("rig"), true)) {
+                String came = order(operator, via, LogOperation.Kind.PROPOSE, 0, settings.toString());
                 ObjectNode line = Document.JSON.createObjectNode().put("step", step);
                 if (came.startsWith("!")) {
                     history.done(
@@ -67,13 +67,15 @@
     /** Below 0: the proposal that was taken last. */
     void abort(String step, int via, long number) {
         operators.execute(() -> {
-            try (Operator operator = new Operator(new OperatorForm("rig"), true)) {
+            try (AdminClient operator = new AdminClient(new AdminFrameCodec("rig"), true)) {
                 history.done(
                         "aborted",
                         Document.JSON
                                 .createObjectNode()
                                 .put("step", step)
-                                .put("came", order(operator, via, Op.Kind.ABORT, number < 0 ? last : number, "")));
+                                .put(
+                                        "came",
+                                        order(operator, via, LogOperation.Kind.ABORT, number < 0 ? last : number, "")));
             } catch (IOException e) {
                 history.done(
                         "aborted",
@@ -86,7 +88,7 @@
     void arm(String step, int node, String point) {
         operators.execute(() -> {
             ObjectNode line = Document.JSON.createObjectNode().put("step", step).put("point", point);
-            try (Operator operator = new Operator(new OperatorForm("rig"), true)) {
+            try (AdminClient operator = new AdminClient(new AdminFrameCodec("rig"), true)) {
                 boolean armed = node >= 0 && operator.arm("127.0.0.1:" + ports.get(node), point);
                 history.done("armed", line.put("on", "n" + node).put("armed", armed));
             } catch (IOException e) {
@@ -96,7 +98,8 @@
     }
 
     /** By way of one node, or of the next where that one does not answer. */
-    private String order(Operator operator, int via, Op.Kind kind, long number, String text) throws IOException {
+    private String order(AdminClient operator, int via, LogOperation.Kind kind, long number, String text)
+            throws IOException {
         IOException last = null;
         for (int i = 0; i < ports.size() && !ended; i++) {
             try {
@@ -109,7 +112,7 @@
         throw last == null ? new IOException("the rig has ended") : last;
     }
 
-    private void follow(Operator operator, ObjectNode line, long number) throws IOException {
+    private void follow(AdminClient operator, ObjectNode line, long number) throws IOException {
         for (int node = 0; !ended; node = (node + 1) % ports.size()) {
             try {
                 JsonNode page = Document.JSON.readTree(operator.glance("127.0.0.1:" + ports.get(node)));
--- a/lab/src/main/java/spartrail/lab/nodes/PolicyJudge.java
+++ b/lab/src/main/java/spartrail/lab/cluster/PolicyHistoryChecker.java
@@ -1,4 +1,4 @@
-package spartrail.lab.nodes;
+package spartrail.lab.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import spartrail.lab.nodes.History.Line;
+import spartrail.lab.cluster.ClusterHistory.Line;
 import spartrail.lab.rules.PolicyRules;
 
 /**
  * Reads a merged history and the records of all nodes to the rules of policy. When a node could hear of the log is told from
  * what the rig did alone: which processes ran, which stood still, which links were cut.
  */
-public final class PolicyJudge {
+public final class PolicyHistoryChecker {
     /** The rig's lines that take a link away, and give it back. */
     private static final Map<String, Integer> LINKS =
             Map.of("cut", 1, "cut ends", -1, "one-way", 1, "one-way ends", -1);
@@ -29,7 +29,7 @@
     private final List<long[]> withoutMajority = new ArrayList<>();
     private long noMajoritySince = -1;
 
-    public PolicyJudge(int size, List<Integer> deciders, PolicyRules.Bounds bounds) {
+    public PolicyHistoryChecker(int size, List<Integer> deciders, PolicyRules.Bounds bounds) {
         this.size = size;
         this.deciders = deciders;
         this.rules = new PolicyRules(bounds);
--- a/lab/src/main/java/spartrail/lab/nodes/Picture.java
+++ b/lab/src/main/java/spartrail/lab/cluster/TimelineChart.java
@@ -1,14 +1,14 @@
-package spartrail.lab.nodes;
+package spartrail.lab.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import spartrail.lab.nodes.History.Line;
+import spartrail.lab.cluster.ClusterHistory.Line;
 
 /** A history as a picture: a row for each node over time, faults as bands, below each row how many it held to be there. */
-public final class Picture {
+public final class TimelineChart {
     private static final int WIDTH = 1100;
     private static final int LEFT = 60;
     private static final int ROW = 44;
@@ -26,7 +26,7 @@
         {"flooded", "flood ends", "#009e73"}
     };
 
-    private Picture() {}
+    private TimelineChart() {}
 
     public static String of(List<Line> lines, int nodes) {
         long beginNs = lines.isEmpty() ? 0 : lines.get(0).ns();
--- a/lab/src/main/java/spartrail/lab/nodes/package-info.java
+++ b/lab/src/main/java/spartrail/lab/cluster/package-info.java
@@ -3,4 +3,4 @@
  * among them through links that a script breaks, kills, stops and restarts them, and merges what each knew into one history
  * that is judged. In: a plan. Out: a history, findings, a picture. Every process ends with the rig.
  */
-package spartrail.lab.nodes;
+package spartrail.lab.cluster;
--- a/lab/src/main/java/spartrail/lab/dns/NameServerStand.java
+++ b/lab/src/main/java/spartrail/lab/dns/DnsServerEmulator.java
@@ -26,7 +26,7 @@
 import org.xbill.DNS.Type;
 
 /** One name server. Its zone can be changed while it runs; names are looked up as they stand, lower case, with their dot. */
-public final class NameServerStand implements AutoCloseable {
+public final class DnsServerEmulator implements AutoCloseable {
     /** What becomes of questions. */
     public enum Manner {
         ANSWER,
@@ -58,7 +58,7 @@
     private volatile Manner manner = Manner.ANSWER;
     private volatile boolean closed;
 
-    public NameServerStand(long seed) throws IOException {
+    public DnsServerEmulator(long seed) throws IOException {
         chance = new Random(seed);
         ServerSocket listening = null;
         DatagramSocket datagrams = null;
--- a/lab/src/main/java/spartrail/lab/drill/PushedDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/ConfigPushDrill.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 import java.util.Map;
-import spartrail.lab.nodes.History.Line;
-import spartrail.lab.nodes.NodesPlan;
-import spartrail.lab.nodes.PolicyJudge;
+import spartrail.lab.cluster.ClusterHistory.Line;
+import spartrail.lab.cluster.ClusterPlan;
+import spartrail.lab.cluster.PolicyHistoryChecker;
 import spartrail.lab.rules.PolicyRules;
 
 /**
  * The easy way to change policy, which the rules of policy must catch: new files and SIGHUP, node after node, while some are down,
  * stand still or are cut off; and some pushes are given up halfway.
  */
-final class PushedDrill implements Drill {
+final class ConfigPushDrill implements Drill {
     private static final int NODES = 9;
     private static final int PUSHES = 20;
     private static final double LASTS_MS = 110_000;
@@ -92,11 +92,11 @@
 
     @Override
     public void run(long seed, Findings findings) throws Exception {
-        NodesPlan plan = PolicyDrill.plan(seed, name(), LASTS_MS, "", "{}", steps());
+        ClusterPlan plan = PolicyDrill.plan(seed, name(), LASTS_MS, "", "{}", steps());
         PeersDrill.played(plan, outcome -> {
             List<Line> lines = outcome.history().inOrder();
-            PolicyRules rules =
-                    new PolicyJudge(NODES, List.of(0, 1, 2), PolicyDrill.USUAL_BOUNDS).read(lines, outcome.taken());
+            PolicyRules rules = new PolicyHistoryChecker(NODES, List.of(0, 1, 2), PolicyDrill.USUAL_BOUNDS)
+                    .read(lines, outcome.taken());
             findings.equal("steps that were not taken", "[]", outcome.notTaken().toString());
             findings.least("multigets that were judged", 1000, rules.judged());
             Map<String, Integer> counts = rules.counts();
--- a/lab/src/main/java/spartrail/lab/drill/DnsNode.java
+++ b/lab/src/main/java/spartrail/lab/drill/DnsNodeDrill.java
@@ -6,13 +6,13 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import spartrail.lab.dns.NameServerStand;
+import spartrail.lab.dns.DnsServerEmulator;
 import spartrail.lab.experiment.NodeProcess;
 import spartrail.lab.experiment.NodeSettings;
 import spartrail.lab.file.Document;
 import spartrail.lab.fleet.Fleet;
 import spartrail.lab.fleet.FleetPlan;
-import spartrail.lab.load.Kind;
+import spartrail.lab.load.AttemptResult;
 import spartrail.lab.load.LoadSession;
 import spartrail.lab.plan.LoadPlan;
 import spartrail.lab.rules.RuleChecker;
@@ -22,11 +22,11 @@
  * drains a server that DNS goes on naming, then falls silent. In the outage: the roll is silent from the start and nothing is
  * known, so that all servers come from DNS; later the name servers truncate and refuse TCP, then fall silent.
  */
-final class DnsNode implements Drill {
+final class DnsNodeDrill implements Drill {
     private static final int SERVERS = 4;
     private final boolean contradict;
 
-    DnsNode(boolean contradict) {
+    DnsNodeDrill(boolean contradict) {
         this.contradict = contradict;
     }
 
@@ -65,12 +65,12 @@
         NodeSettings settings = new NodeSettings(Document.JSON.readTree(
                 "{\"opTypes\":[{\"name\":\"orders\",\"budgetMs\":3000,\"timeoutMs\":5000,\"floor\":0.9}]}"));
         RuleChecker checker = new RuleChecker(settings.terms());
-        LoadPlan load = Plans.parse(
+        LoadPlan load = DrillPlans.parse(
                 "{'seed':" + seed + ",'lagBoundMs':60000,'phases':[{'lastsMs':9000,'rate':{'shape':'steady',"
                         + "'perS':60}}],'streams':[{'opTypes':[{'name':'orders'}],'shards':{'of':4,'least':2},'clientMs':5000}]}");
         Path folder = Files.createTempDirectory("spartrail-drill");
         try (Fleet fleet = new Fleet(plan, checker);
-                NameServerStand names = new NameServerStand(seed)) {
+                DnsServerEmulator names = new DnsServerEmulator(seed)) {
             members(fleet, names, folder);
             if (!contradict) {
                 fleet.play();
@@ -87,16 +87,16 @@
                 for (int i = 0; names.asked() < asked && i < 6000; i++) {
                     Thread.sleep(5);
                 }
-                try (LoadSession session =
-                        new LoadSession(Plans.at(load, node.address()), load.arrivals(), load.lastsMs(), checker)) {
+                try (LoadSession session = new LoadSession(
+                        DrillPlans.at(load, node.address()), load.arrivals(), load.lastsMs(), checker)) {
                     if (contradict) {
                         fleet.play();
                     }
                     for (int i = 0; !session.await(1000) && i < 60; i++) {
                         if (!contradict && i == 2) {
-                            names.behave(NameServerStand.Manner.TRUNCATE_AND_REFUSE_TCP);
+                            names.behave(DnsServerEmulator.Manner.TRUNCATE_AND_REFUSE_TCP);
                         } else if (!contradict && i == 5) {
-                            names.behave(NameServerStand.Manner.SILENT);
+                            names.behave(DnsServerEmulator.Manner.SILENT);
                         }
                     }
                     judge(findings, session, checker, fleet, node);
@@ -111,7 +111,7 @@
     }
 
     private void judge(Findings findings, LoadSession session, RuleChecker checker, Fleet fleet, NodeProcess node) {
-        long whole = session.recorder().count(Kind.WHOLE);
+        long whole = session.recorder().count(AttemptResult.WHOLE);
         long all = session.recorder().all();
         checker.verdicts().forEach(verdict -> findings.equal("broken: " + verdict.rule().text, 0L, verdict.broken()));
         findings.least("tries served whole, share", 0.95, whole / (double) Math.max(1, all));
@@ -124,7 +124,7 @@
     }
 
     /** Every server in DNS, a name for each cell, and the file that tells the node so. */
-    private static void members(Fleet fleet, NameServerStand names, Path folder) throws java.io.IOException {
+    private static void members(Fleet fleet, DnsServerEmulator names, Path folder) throws java.io.IOException {
         StringBuilder list = new StringBuilder();
         for (int cell = 0; cell < fleet.plan().cells(); cell++) {
             String name = "_books._tcp.c" + cell + ".books.example.org.";
--- a/lab/src/main/java/spartrail/lab/drill/DnsResolver.java
+++ b/lab/src/main/java/spartrail/lab/drill/DnsResolverDrill.java
@@ -5,15 +5,15 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CopyOnWriteArrayList;
 import spartrail.dns.DnsTransport;
-import spartrail.dns.Lifetimes;
-import spartrail.dns.Listing;
 import spartrail.dns.Resolver;
-import spartrail.lab.dns.NameServerStand;
-import spartrail.lab.dns.NameServerStand.Manner;
-import spartrail.membership.Bounds;
-import spartrail.membership.Membership;
-import spartrail.membership.Said;
-import spartrail.membership.Source;
+import spartrail.dns.ResolverSettings;
+import spartrail.dns.SrvTargets;
+import spartrail.endpoint.EndpointRegistry;
+import spartrail.endpoint.EndpointSource;
+import spartrail.endpoint.MergeLimits;
+import spartrail.endpoint.SourceReport;
+import spartrail.lab.dns.DnsServerEmulator;
+import spartrail.lab.dns.DnsServerEmulator.Manner;
 import spartrail.model.NodeClock;
 import spartrail.model.Server;
 
@@ -21,12 +21,13 @@
  * Resolver, transport and view on real sockets, against name servers in trouble. In each trouble twenty servers stay in
  * use, and when it is over the list is fresh again. Only the stand-ins sleep; no verdict hangs on how long anything takes.
  */
-public final class DnsResolver implements Drill {
+public final class DnsResolverDrill implements Drill {
     private static final String NAME = "_books._tcp.c0.books.example.org.";
     private static final int TARGETS = 20;
-    private static final Lifetimes LIFETIMES = new Lifetimes(300, 3_600_000, 300, 100, 400, 600_000, 100, 4, 16, 512);
-    private static final Bounds BOUNDS =
-            new Bounds(10, 600_000, 600_000, 400, 600_000, 1_000_000, 0, 0, 1, 600_000, 1000);
+    private static final ResolverSettings LIFETIMES =
+            new ResolverSettings(300, 3_600_000, 300, 100, 400, 600_000, 100, 4, 16, 512);
+    private static final MergeLimits BOUNDS =
+            new MergeLimits(10, 600_000, 600_000, 400, 600_000, 1_000_000, 0, 0, 1, 600_000, 1000);
 
     @Override
     public String name() {
@@ -53,13 +54,13 @@
     /** One trouble. */
     static void play(Manner manner, long seed, Findings findings) throws Exception {
         NodeClock clock = new NodeClock();
-        Membership view = new Membership(1, 1, BOUNDS, any -> true);
-        Source source = view.source(NAME, Source.Kind.DNS, clock.nowMs());
-        List<Listing> told = new CopyOnWriteArrayList<>();
+        EndpointRegistry view = new EndpointRegistry(1, 1, BOUNDS, any -> true);
+        EndpointSource source = view.source(NAME, EndpointSource.Kind.DNS, clock.nowMs());
+        List<SrvTargets> told = new CopyOnWriteArrayList<>();
         int[] least = {Integer.MAX_VALUE};
-        try (NameServerStand one = new NameServerStand(seed);
-                NameServerStand other = new NameServerStand(seed + 1)) {
-            for (NameServerStand server : List.of(one, other)) {
+        try (DnsServerEmulator one = new DnsServerEmulator(seed);
+                DnsServerEmulator other = new DnsServerEmulator(seed + 1)) {
+            for (DnsServerEmulator server : List.of(one, other)) {
                 List<String> lines = new ArrayList<>();
                 for (int i = 0; i < TARGETS; i++) {
                     lines.add("1 SRV 0 5 " + (7000 + i) + " s" + i + ".books.example.org.");
@@ -96,7 +97,7 @@
                                 && listing.targets().size() < TARGETS);
                 one.behave(Manner.ANSWER);
                 other.behave(Manner.ANSWER);
-                Listing last =
+                SrvTargets last =
                         await(told, told.size(), !(told.get(told.size() - 1).stale() || shrank));
                 boolean says = manner == Manner.EMPTY || manner == Manner.NXDOMAIN;
                 findings.equal(manner + ": a whole list that lacks servers", says, shrank);
@@ -108,10 +109,11 @@
     }
 
     /** A fresh whole list that was told after so many; the present one will do where nothing changed. */
-    private static Listing await(List<Listing> told, int after, boolean presentWillDo) throws InterruptedException {
+    private static SrvTargets await(List<SrvTargets> told, int after, boolean presentWillDo)
+            throws InterruptedException {
         for (int i = 0; ; i++) {
             if (!told.isEmpty()) {
-                Listing last = told.get(told.size() - 1);
+                SrvTargets last = told.get(told.size() - 1);
                 if ((told.size() > after || presentWillDo)
                         && last.whole()
                         && !last.stale()
@@ -131,20 +133,20 @@
         Thread.sleep(5);
     }
 
-    private static int inUse(Membership view) {
+    private static int inUse(EndpointRegistry view) {
         return (int) view.members().stream()
                 .filter(member -> member.line() != null && member.line().state() == Server.State.LIVE)
                 .count();
     }
 
-    private static void merge(Membership view, Source source, Listing listing, double nowMs) {
+    private static void merge(EndpointRegistry view, EndpointSource source, SrvTargets listing, double nowMs) {
         if (listing.out() || listing.stale()) {
             view.out(source, nowMs);
             return;
         }
-        List<Said> lines = new ArrayList<>();
+        List<SourceReport> lines = new ArrayList<>();
         listing.targets()
-                .forEach(target -> lines.add(new Said(
+                .forEach(target -> lines.add(new SourceReport(
                         null, target.endpoint(), "a", "dns", 0, Server.State.LIVE, 1, Double.NaN, target.priority())));
         view.said(source, listing.whole(), lines, listing.lifetimeMs(), nowMs);
         view.changes();
--- a/lab/src/main/java/spartrail/lab/drill/Plans.java
+++ b/lab/src/main/java/spartrail/lab/drill/DrillPlans.java
@@ -6,8 +6,8 @@
 import spartrail.lab.plan.LoadPlan;
 
 /** Small plans for drills. */
-public final class Plans {
-    private Plans() {}
+public final class DrillPlans {
+    private DrillPlans() {}
 
     /** One op type, evenly spaced, one shard. */
     public static LoadPlan even(double perS, double lastsMs, double clientMs, int connections, long seed) {
--- a/lab/src/main/java/spartrail/lab/drill/Drills.java
+++ b/lab/src/main/java/spartrail/lab/drill/Drills.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.ServiceLoader;
-import spartrail.lab.file.BadInput;
+import spartrail.lab.file.InvalidInputException;
 
 /** All drills: those of the lab and those that other subsystems register as services. */
 public final class Drills {
@@ -11,13 +11,13 @@
 
     public static List<Drill> all() {
         List<Drill> drills = new ArrayList<>(List.of(
-                new LoadDelay(),
-                new LoadStall(),
-                new LoadTraceOrder(),
-                new RulesPlanted(),
-                new DnsResolver(),
-                new DnsNode(true),
-                new DnsNode(false),
+                new LoadDelayDrill(),
+                new LoadStallDrill(),
+                new LoadTraceOrderDrill(),
+                new RuleMutationDrill(),
+                new DnsResolverDrill(),
+                new DnsNodeDrill(true),
+                new DnsNodeDrill(false),
                 new SubsetDrill()));
         drills.addAll(PeersDrill.all());
         drills.addAll(PolicyDrill.all());
@@ -29,7 +29,7 @@
         return all().stream()
                 .filter(drill -> drill.name().equals(name))
                 .findFirst()
-                .orElseThrow(() -> new BadInput("no drill is named '" + name + "'; there are "
+                .orElseThrow(() -> new InvalidInputException("no drill is named '" + name + "'; there are "
                         + all().stream().map(Drill::name).toList()));
     }
 }
--- a/lab/src/main/java/spartrail/lab/drill/LoadDelay.java
+++ b/lab/src/main/java/spartrail/lab/drill/LoadDelayDrill.java
@@ -2,16 +2,16 @@
 
 import org.HdrHistogram.Histogram;
 import spartrail.lab.fleet.NullResponder;
-import spartrail.lab.load.Generator;
-import spartrail.lab.load.Kind;
+import spartrail.lab.load.AttemptResult;
+import spartrail.lab.load.LoadGenerator;
+import spartrail.lab.load.LoadListener;
 import spartrail.lab.load.LoadSession;
 import spartrail.lab.load.Recorder;
-import spartrail.lab.load.VirtualSockets;
-import spartrail.lab.load.Watcher;
+import spartrail.lab.load.VirtualClientTransport;
 import spartrail.lab.plan.LoadPlan;
 
 /** A stand-in answers after scripted delays; the report must give exactly these. */
-final class LoadDelay implements Drill {
+final class LoadDelayDrill implements Drill {
     private static final double USUAL_MS = 50;
     private static final double SLOW_MS = 200;
     private static final double SLOWEST_MS = 900;
@@ -45,10 +45,10 @@
 
     @Override
     public void run(long seed, Findings findings) throws Exception {
-        LoadPlan plan = Plans.even(2000, COUNT / 2.0, 5000, 4000, seed);
+        LoadPlan plan = DrillPlans.even(2000, COUNT / 2.0, 5000, 4000, seed);
         Recorder recorder = new Recorder();
-        VirtualSockets sockets = new VirtualSockets((number, atMs) -> atMs + delayMs(number));
-        sockets.play(new Generator(plan, plan.arrivals(), sockets, recorder, Watcher.NONE));
+        VirtualClientTransport sockets = new VirtualClientTransport((number, atMs) -> atMs + delayMs(number));
+        sockets.play(new LoadGenerator(plan, plan.arrivals(), sockets, recorder, LoadListener.NONE));
         judge(findings, "virtual clock", recorder, 0, 0.0005);
         try (NullResponder responder = new NullResponder(0, (number, atMs) -> atMs + delayMs(number))) {
             Recorder measured = null;
@@ -57,10 +57,10 @@
             // Danger: p99 is the slowest of the usual ones here, so that one standstill of the machine is the verdict.
             while (stoodMs > FIT_MS && ++unfit < MOST_RUNS) {
                 try (LoadSession session = new LoadSession(
-                        Plans.at(loopback(seed), responder.address()),
+                        DrillPlans.at(loopback(seed), responder.address()),
                         loopback(seed).arrivals(),
                         loopback(seed).lastsMs(),
-                        Watcher.NONE,
+                        LoadListener.NONE,
                         true)) {
                     session.await(WARM_MS);
                     responder.loop().standstillMs();
@@ -81,15 +81,16 @@
 
     /** Danger: sides that still compile, or have connections to open, add delays that no script knows of. */
     private static LoadPlan loopback(long seed) {
-        return Plans.parse("{'seed':" + seed + ",'gaps':{'kind':'even'},'lagBoundMs':50,'connections':{'most':4000},"
-                + "'phases':[{'name':'warm','lastsMs':" + WARM_MS + ",'rate':{'shape':'steady','perS':2000}},"
-                + "{'name':'all','lastsMs':" + COUNT / 2.0 + ",'rate':{'shape':'steady','perS':2000}}],"
-                + "'streams':[{'opTypes':[{'name':'orders'}],'shards':{'of':8,'least':2},'clientMs':5000}]}");
+        return DrillPlans.parse(
+                "{'seed':" + seed + ",'gaps':{'kind':'even'},'lagBoundMs':50,'connections':{'most':4000},"
+                        + "'phases':[{'name':'warm','lastsMs':" + WARM_MS + ",'rate':{'shape':'steady','perS':2000}},"
+                        + "{'name':'all','lastsMs':" + COUNT / 2.0 + ",'rate':{'shape':'steady','perS':2000}}],"
+                        + "'streams':[{'opTypes':[{'name':'orders'}],'shards':{'of':8,'least':2},'clientMs':5000}]}");
     }
 
     private static void judge(Findings findings, String where, Recorder recorder, double absolute, double relative) {
         Histogram all = recorder.total(kind -> true, true);
-        findings.equal(where + ": served whole", (long) COUNT, recorder.count(Kind.WHOLE));
+        findings.equal(where + ": served whole", (long) COUNT, recorder.count(AttemptResult.WHOLE));
         double[][] expected = {{50, USUAL_MS}, {99, USUAL_MS}, {99.9, SLOW_MS}, {100, SLOWEST_MS}};
         for (double[] line : expected) {
             findings.same(
--- a/lab/src/main/java/spartrail/lab/drill/LoadStall.java
+++ b/lab/src/main/java/spartrail/lab/drill/LoadStallDrill.java
@@ -2,19 +2,19 @@
 
 import org.HdrHistogram.Histogram;
 import spartrail.lab.fleet.NullResponder;
-import spartrail.lab.load.Generator;
-import spartrail.lab.load.Kind;
+import spartrail.lab.load.AttemptResult;
+import spartrail.lab.load.LoadGenerator;
+import spartrail.lab.load.LoadListener;
 import spartrail.lab.load.LoadSession;
 import spartrail.lab.load.Recorder;
-import spartrail.lab.load.VirtualSockets;
-import spartrail.lab.load.Watcher;
+import spartrail.lab.load.VirtualClientTransport;
 import spartrail.lab.plan.LoadPlan;
 
 /**
  * A front node stands still for two seconds. With arrivals evenly spaced all that an open loop must report follows from
  * arithmetic; a closed loop beside it, one client that waits for each answer, shows what it leaves out.
  */
-final class LoadStall implements Drill {
+final class LoadStallDrill implements Drill {
     private static final double PER_S = 200;
     private static final double LASTS_MS = 10_000;
     private static final double STALL_FROM_MS = 4000;
@@ -54,10 +54,10 @@
 
     @Override
     public void run(long seed, Findings findings) throws Exception {
-        LoadPlan plan = Plans.even(PER_S, LASTS_MS, 10_000, 1000, seed);
+        LoadPlan plan = DrillPlans.even(PER_S, LASTS_MS, 10_000, 1000, seed);
         Recorder recorder = new Recorder();
-        VirtualSockets sockets = new VirtualSockets((number, atMs) -> answeredMs(atMs, 0));
-        sockets.play(new Generator(plan, plan.arrivals(), sockets, recorder, Watcher.NONE));
+        VirtualClientTransport sockets = new VirtualClientTransport((number, atMs) -> answeredMs(atMs, 0));
+        sockets.play(new LoadGenerator(plan, plan.arrivals(), sockets, recorder, LoadListener.NONE));
         judge(findings, "virtual clock, open loop", recorder, 0);
         findings.note("virtual clock, closed loop: p99 in ms", String.valueOf(closedP99Ms()));
         findings.most("closed loop's p99 as a part of the open loop's", 0.05, closedP99Ms() / expectedMs(99));
@@ -68,7 +68,7 @@
                     return answeredMs(atMs, fromMs[0]);
                 });
                 LoadSession session = new LoadSession(
-                        Plans.at(plan, responder.address()), plan.arrivals(), plan.lastsMs(), Watcher.NONE)) {
+                        DrillPlans.at(plan, responder.address()), plan.arrivals(), plan.lastsMs(), LoadListener.NONE)) {
             session.await(60_000);
             judge(findings, "loopback, open loop", session.recorder(), 10);
             findings.most(
@@ -78,7 +78,9 @@
 
     private static void judge(Findings findings, String where, Recorder recorder, double toleranceMs) {
         findings.equal(
-                where + ": sent on, none dropped", Math.round(PER_S * LASTS_MS / 1000), recorder.count(Kind.WHOLE));
+                where + ": sent on, none dropped",
+                Math.round(PER_S * LASTS_MS / 1000),
+                recorder.count(AttemptResult.WHOLE));
         Histogram all = recorder.total(kind -> true, true);
         for (double percentile : new double[] {50, 90, 99, 99.9}) {
             double expected = expectedMs(percentile);
--- a/lab/src/main/java/spartrail/lab/drill/LoadTraceOrder.java
+++ b/lab/src/main/java/spartrail/lab/drill/LoadTraceOrderDrill.java
@@ -9,13 +9,13 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Random;
-import spartrail.lab.file.BadInput;
-import spartrail.lab.plan.Habit;
+import spartrail.lab.file.InvalidInputException;
+import spartrail.lab.plan.ClientBehavior;
 import spartrail.lab.trace.TraceImport;
 import spartrail.lab.trace.TraceReplay;
 
 /** A trace whose times are out of order, doubled, stepped back, torn: what comes out, and what is refused. */
-final class LoadTraceOrder implements Drill {
+final class LoadTraceOrderDrill implements Drill {
     private static final int COUNT = 2000;
 
     @Override
@@ -109,7 +109,7 @@
         try {
             counts(folder, lines, windowMs, false);
             return "taken";
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             return e.getMessage().matches("(?s).*trace\\.csv:[0-9]+: this line is .* earlier.*")
                     ? "refused"
                     : e.getMessage();
@@ -119,7 +119,7 @@
     private static int keys(Path folder, List<String> lines, double windowMs, boolean clamp) throws Exception {
         counts(folder, lines, windowMs, clamp);
         List<String> keys = new ArrayList<>();
-        try (TraceReplay replay = new TraceReplay(folder.resolve("trace"), 1, 1, 1, 1, 1, Habit.ONCE)) {
+        try (TraceReplay replay = new TraceReplay(folder.resolve("trace"), 1, 1, 1, 1, 1, ClientBehavior.ONCE)) {
             replay.forEachRemaining(arrival -> keys.add(arrival.key() + "@" + Math.round(arrival.atMs())));
         }
         return keys.hashCode();
--- a/lab/src/main/java/spartrail/lab/drill/PeersDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/PeersDrill.java
@@ -12,14 +12,14 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Stream;
+import spartrail.lab.cluster.ClusterHarness;
+import spartrail.lab.cluster.ClusterHistory.Line;
+import spartrail.lab.cluster.ClusterPlan;
+import spartrail.lab.cluster.HistoryChecker;
 import spartrail.lab.file.Document;
-import spartrail.lab.nodes.History.Line;
-import spartrail.lab.nodes.Judge;
-import spartrail.lab.nodes.NodesPlan;
-import spartrail.lab.nodes.Rig;
 import spartrail.lab.rules.PeersRules;
-import spartrail.peers.PeerTimes;
-import spartrail.peers.Peers;
+import spartrail.peers.GossipTimings;
+import spartrail.peers.SwimMembership;
 
 /**
  * Seven to ten front nodes, processes of their own, that know who of them is there, under load; some break, stand still or lose
@@ -35,7 +35,7 @@
 
     /** What this drill wants of what was seen, beside what all want. */
     private interface Wants {
-        void judge(Findings findings, List<Line> lines, PeersRules rules, Rig.Outcome outcome);
+        void judge(Findings findings, List<Line> lines, PeersRules rules, ClusterHarness.Outcome outcome);
     }
 
     private final int nodes;
@@ -219,7 +219,7 @@
                                     rules.falseEnds().toString());
                             findings.most(
                                     "messages a second a node, on average while flooded",
-                                    Peers.mostMessagesPerS(PeerTimes.USUAL),
+                                    SwimMembership.mostMessagesPerS(GossipTimings.USUAL),
                                     outcome.nodes().stream()
                                                     .mapToDouble(node -> node.get("sentMessages")
                                                             .asDouble())
@@ -260,7 +260,7 @@
         return "peers";
     }
 
-    private NodesPlan plan(long seed) {
+    private ClusterPlan plan(long seed) {
         String text = ("{'seed':" + seed + ",'nodes':" + nodes + ",'seeds':2,'lastsMs':" + lastsMs + ",'peers':{},"
                         + "'fleet':{'layout':{'shards':8,'cells':4,'reach':2},'kinds':{'std':{'cores':2,'workMs':2,'warmMs':1000,"
                         + "'tipMultiple':1000}},'servers':[{'kind':'std','count':8}]},"
@@ -270,16 +270,16 @@
                         + "'streams':[{'opTypes':[{'name':'orders'}],'shards':{'of':8,'least':3},'clientMs':4000}]},"
                         + "'steps':[" + steps + "]}")
                 .replace('\'', '"');
-        return NodesPlan.of(Document.parse(name, text.getBytes(StandardCharsets.UTF_8), "nodes"));
+        return ClusterPlan.of(Document.parse(name, text.getBytes(StandardCharsets.UTF_8), "nodes"));
     }
 
     @Override
     public void run(long seed, Findings findings) throws Exception {
-        NodesPlan plan = plan(seed);
+        ClusterPlan plan = plan(seed);
         ObjectNode silent = played(plan.silent(), outcome -> {});
         ObjectNode talking = played(plan, outcome -> {
             List<Line> lines = outcome.history().inOrder();
-            PeersRules rules = new Judge(nodes).read(lines, true);
+            PeersRules rules = new HistoryChecker(nodes).read(lines, true);
             findings.equal("steps that were not taken", "[]", outcome.notTaken().toString());
             findings.least("changes of views that were judged", 20, rules.asked());
             findings.equal("rules of peers broken", "[]", rules.breaches().toString());
@@ -297,7 +297,7 @@
         findings.least("served whole, share", without - SERVICE, served(talking));
     }
 
-    private static String bytes(Rig.Outcome outcome, Comparator<Long> order) {
+    private static String bytes(ClusterHarness.Outcome outcome, Comparator<Long> order) {
         return outcome.nodes().stream()
                 .map(node -> Math.round(node.get("sentBytes").asDouble() / outcome.lastedMs() * 1000))
                 .min(order)
@@ -305,7 +305,7 @@
                 .orElse("-");
     }
 
-    private static String memory(Rig.Outcome outcome) {
+    private static String memory(ClusterHarness.Outcome outcome) {
         var held = outcome.nodes().stream()
                 .mapToInt(node -> node.get("memoryMb").asInt())
                 .filter(mb -> mb > 0)
@@ -314,16 +314,16 @@
     }
 
     interface Seen {
-        void of(Rig.Outcome outcome);
+        void of(ClusterHarness.Outcome outcome);
     }
 
-    static ObjectNode played(NodesPlan plan, Seen seen) throws IOException, InterruptedException {
+    static ObjectNode played(ClusterPlan plan, Seen seen) throws IOException, InterruptedException {
         Path folder = KEEP == null
                 ? Files.createTempDirectory("spartrail-nodes")
                 : Files.createTempDirectory(Path.of(KEEP), "nodes");
         System.Logger log = System.getLogger("spartrail.lab.drill");
-        try (Rig rig = new Rig(plan, folder, line -> log.log(System.Logger.Level.DEBUG, line))) {
-            Rig.Outcome outcome = rig.play();
+        try (ClusterHarness rig = new ClusterHarness(plan, folder, line -> log.log(System.Logger.Level.DEBUG, line))) {
+            ClusterHarness.Outcome outcome = rig.play();
             if (KEEP != null) {
                 Files.writeString(
                         folder.resolve("history.jsonl"), outcome.history().text());
@@ -362,7 +362,7 @@
                     "time until it was known, median in ms", String.valueOf(Math.round(known.get(known.size() / 2))));
             findings.most(
                     "time until it was known, longest in ms",
-                    PeerTimes.USUAL.knownWithinMs(USUAL_NODES),
+                    GossipTimings.USUAL.knownWithinMs(USUAL_NODES),
                     known.get(known.size() - 1));
         }
     }
--- a/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import spartrail.governing.CrashPoint;
+import spartrail.lab.cluster.ClusterHarness;
+import spartrail.lab.cluster.ClusterHistory.Line;
+import spartrail.lab.cluster.ClusterPlan;
+import spartrail.lab.cluster.PolicyHistoryChecker;
 import spartrail.lab.file.Document;
-import spartrail.lab.nodes.History.Line;
-import spartrail.lab.nodes.NodesPlan;
-import spartrail.lab.nodes.PolicyJudge;
-import spartrail.lab.nodes.Rig;
 import spartrail.lab.rules.PolicyRules;
-import spartrail.policy.PolicyTimes;
+import spartrail.policy.PolicyTimings;
+import spartrail.policy.replication.CrashPoint;
 
 /**
  * Nine front nodes under load, three of which decide about policy, and change after change of it while processes are lost, stand
@@ -27,7 +27,7 @@
 final class PolicyDrill implements Drill {
     private static final int NODES = 9;
     private static final int USUAL_CHANGES = 20;
-    private static final PolicyTimes TIMES = new PolicyTimes(3000, 500, 8000, 10_000, 0.02);
+    private static final PolicyTimings TIMES = new PolicyTimings(3000, 500, 8000, 10_000, 0.02);
     /** The agreed log has another leader so soon, at the most, once one is lost: its patience, an election, another one. */
     private static final double LEADER_MS = 8000;
 
@@ -139,7 +139,7 @@
     }
 
     static List<Drill> all() {
-        return List.of(kill(), stall(), cut(), oneWay(), majorityLost(), rejoin(), no(), disk(), new PushedDrill());
+        return List.of(kill(), stall(), cut(), oneWay(), majorityLost(), rejoin(), no(), disk(), new ConfigPushDrill());
     }
 
     // ---- The drills ----
@@ -480,11 +480,11 @@
         return "policy";
     }
 
-    private NodesPlan plan(long seed) {
+    private ClusterPlan plan(long seed) {
         return plan(seed, name, lastsMs, POLICY, own, steps);
     }
 
-    static NodesPlan plan(long seed, String name, double lastsMs, String policy, String own, String steps) {
+    static ClusterPlan plan(long seed, String name, double lastsMs, String policy, String own, String steps) {
         String text = ("{'seed':" + seed + ",'nodes':" + NODES + ",'seeds':2,'lastsMs':" + lastsMs
                         + ",'ends':'last','peers':"
                         + (policy.isEmpty() ? "{}" : "{'policy':" + policy + "}") + ",'own':" + own
@@ -496,17 +496,17 @@
                         + "'streams':[{'opTypes':[{'name':'orders'}],'shards':{'of':8,'least':3},'clientMs':4000}]},"
                         + "'steps':[" + steps + "]}")
                 .replace('\'', '"');
-        return NodesPlan.of(Document.parse(name, text.getBytes(StandardCharsets.UTF_8), "nodes"));
+        return ClusterPlan.of(Document.parse(name, text.getBytes(StandardCharsets.UTF_8), "nodes"));
     }
 
     @Override
     public void run(long seed, Findings findings) throws Exception {
-        NodesPlan plan = plan(seed);
-        List<NodesPlan.Step> faults = new ArrayList<>();
+        ClusterPlan plan = plan(seed);
+        List<ClusterPlan.Step> faults = new ArrayList<>();
         double[] lasted = new double[1];
         ObjectNode changing = PeersDrill.played(plan, outcome -> {
             List<Line> lines = outcome.history().inOrder();
-            PolicyRules rules = new PolicyJudge(NODES, List.of(0, 1, 2), bounds).read(lines, outcome.taken());
+            PolicyRules rules = new PolicyHistoryChecker(NODES, List.of(0, 1, 2), bounds).read(lines, outcome.taken());
             faults.addAll(faults(outcome, lines));
             lasted[0] = outcome.lastedMs();
             judge(findings, outcome, lines, rules);
@@ -518,7 +518,7 @@
         findings.least("served whole, share", without * goodput, PeersDrill.served(changing));
     }
 
-    private void judge(Findings findings, Rig.Outcome outcome, List<Line> lines, PolicyRules rules) {
+    private void judge(Findings findings, ClusterHarness.Outcome outcome, List<Line> lines, PolicyRules rules) {
         findings.equal(
                 "steps that were not taken",
                 "[]",
@@ -562,14 +562,14 @@
     }
 
     /** What was done to processes and links, at the times when it was; crashes at a point are kills there. */
-    static List<NodesPlan.Step> faults(Rig.Outcome outcome, List<Line> lines) {
-        List<NodesPlan.Step> faults = new ArrayList<>();
+    static List<ClusterPlan.Step> faults(ClusterHarness.Outcome outcome, List<Line> lines) {
+        List<ClusterPlan.Step> faults = new ArrayList<>();
         long beginNs = lines.stream()
                 .filter(line -> line.node() < 0 && line.what().equals("begins"))
                 .mapToLong(Line::ns)
                 .findFirst()
                 .orElse(0);
-        for (NodesPlan.Step step : outcome.done()) {
+        for (ClusterPlan.Step step : outcome.done()) {
             if (!List.of("propose", "abort", "crash", "push", "kill", "harm").contains(step.what())) {
                 faults.add(step);
             }
@@ -581,9 +581,9 @@
                         .get("nodes")
                         .forEach(
                                 node -> nodes.add(Integer.parseInt(node.asText().substring(1))));
-                faults.add(new NodesPlan.Step(
+                faults.add(new ClusterPlan.Step(
                         "kill" + faults.size(),
-                        new NodesPlan.When((line.ns() - beginNs) / 1e6, null, null, null, null, 1, null, 0),
+                        new ClusterPlan.When((line.ns() - beginNs) / 1e6, null, null, null, null, 1, null, 0),
                         "kill",
                         nodes,
                         List.of(),
--- a/lab/src/main/java/spartrail/lab/drill/SubsetDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/SubsetDrill.java
@@ -8,8 +8,8 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
+import spartrail.lab.cluster.ClusterPlan;
 import spartrail.lab.file.Document;
-import spartrail.lab.nodes.NodesPlan;
 
 /**
  * Eight front nodes, each with its own subset, while servers are killed in groups and come back cold, some drain, and the lists of
@@ -57,7 +57,7 @@
                 .collect(Collectors.joining(",", "[", "]"));
     }
 
-    private static NodesPlan plan(long seed, boolean subsets) {
+    private static ClusterPlan plan(long seed, boolean subsets) {
         String subset = subsets ? ",'subset':{'replicasPerShard':" + REPLICAS + ",'leastZones':2}" : "";
         String text = ("{'seed':" + seed + ",'nodes':" + NODES + ",'seeds':2,'lastsMs':" + LASTS_MS
                         + ",'fleet':{'layout':{'shards':8,'cells':4,'reach':1},'kinds':{'std':{'cores':2,'workMs':4,'warmMs':4000,"
@@ -71,7 +71,7 @@
                         + "'streams':[{'opTypes':[{'name':'orders'}],'shards':{'of':8,'least':3},'clientMs':4000}]},"
                         + "'steps':[]}")
                 .replace('\'', '"');
-        return NodesPlan.of(Document.parse("subset-change", text.getBytes(StandardCharsets.UTF_8), "nodes"));
+        return ClusterPlan.of(Document.parse("subset-change", text.getBytes(StandardCharsets.UTF_8), "nodes"));
     }
 
     @Override
--- a/lab/src/main/java/spartrail/lab/experiment/Charts.java
+++ b/lab/src/main/java/spartrail/lab/experiment/Charts.java
@@ -122,9 +122,9 @@
     }
 
     /** Served share and p99 by the multiple of the load, a line a version. */
-    static List<String> saturation(List<Store.Run> runs, Path folder) throws IOException {
+    static List<String> saturation(List<ExperimentStore.Run> runs, Path folder) throws IOException {
         Map<String, Map<Double, List<JsonNode>>> versions = new TreeMap<>();
-        for (Store.Run run : runs) {
+        for (ExperimentStore.Run run : runs) {
             if (run.report() != null) {
                 versions.computeIfAbsent(
                                 run.cell().version() + ", " + run.cell().nodes() + " nodes", key -> new TreeMap<>())
--- a/lab/src/main/java/spartrail/lab/experiment/Compare.java
+++ b/lab/src/main/java/spartrail/lab/experiment/ExperimentComparison.java
@@ -11,7 +11,7 @@
 import java.util.function.ToDoubleFunction;
 
 /** Holds two groups of runs against each other, metric by metric, with intervals from resampling; no I/O. */
-public final class Compare {
+public final class ExperimentComparison {
     /** A figure of a run and whether more of it is better. */
     public record Metric(String name, boolean moreIsBetter, ToDoubleFunction<JsonNode> of) {}
 
@@ -57,7 +57,7 @@
 
     private static final int RESAMPLES = 10_000;
 
-    private Compare() {}
+    private ExperimentComparison() {}
 
     /** Runs of the same seed are pairs; a difference is told only where the interval leaves out no difference. */
     public static List<Line> lines(Map<Long, JsonNode> first, Map<Long, JsonNode> second) {
@@ -108,9 +108,9 @@
     }
 
     /** Groups of runs by what they have in common, each by seed. */
-    public static Map<String, Map<Long, JsonNode>> groups(List<Store.Run> runs) {
+    public static Map<String, Map<Long, JsonNode>> groups(List<ExperimentStore.Run> runs) {
         Map<String, Map<Long, JsonNode>> groups = new LinkedHashMap<>();
-        for (Store.Run run : runs) {
+        for (ExperimentStore.Run run : runs) {
             if (run.report() != null) {
                 groups.computeIfAbsent(run.cell().group(), group -> new LinkedHashMap<>())
                         .put(run.cell().seed(), run.report());
@@ -120,7 +120,7 @@
     }
 
     /** A table of all groups: each metric's mean with its interval, and how the rules fared. */
-    public static String table(List<Store.Run> runs) {
+    public static String table(List<ExperimentStore.Run> runs) {
         StringBuilder out = new StringBuilder();
         groups(runs).forEach((group, reports) -> {
             long kept = reports.values().stream()
--- a/lab/src/main/java/spartrail/lab/experiment/Showing.java
+++ b/lab/src/main/java/spartrail/lab/experiment/ExperimentPage.java
@@ -10,15 +10,15 @@
 import java.util.Map;
 
 /** Puts an experiment into one folder: tables, charts, a page. */
-public final class Showing {
-    private Showing() {}
+public final class ExperimentPage {
+    private ExperimentPage() {}
 
     /** The tables of an experiment: each group, and each version against the first one where loads are the same. */
-    public static String tables(List<Store.Run> runs) {
-        StringBuilder out = new StringBuilder(Compare.table(runs));
-        Map<String, Map<Long, JsonNode>> groups = Compare.groups(runs);
+    public static String tables(List<ExperimentStore.Run> runs) {
+        StringBuilder out = new StringBuilder(ExperimentComparison.table(runs));
+        Map<String, Map<Long, JsonNode>> groups = ExperimentComparison.groups(runs);
         Map<String, String> firstOf = new LinkedHashMap<>();
-        for (Store.Run run : runs) {
+        for (ExperimentStore.Run run : runs) {
             String rest = run.cell().nodes() + "/" + run.cell().times();
             String group = run.cell().group();
             String first = firstOf.putIfAbsent(rest, group);
@@ -29,21 +29,22 @@
                     && firstOf.putIfAbsent(rest + group, group) == null) {
                 Map<Long, JsonNode> one = groups.get(first);
                 Map<Long, JsonNode> other = groups.get(group);
-                out.append('\n').append(Compare.table(first, group, Compare.lines(one, other), (int)
-                        one.keySet().stream().filter(other::containsKey).count()));
+                out.append('\n')
+                        .append(ExperimentComparison.table(first, group, ExperimentComparison.lines(one, other), (int)
+                                one.keySet().stream().filter(other::containsKey).count()));
             }
         }
         return out.toString();
     }
 
-    public static void folder(Path folder, String title, List<Store.Run> runs) throws IOException {
+    public static void folder(Path folder, String title, List<ExperimentStore.Run> runs) throws IOException {
         Files.createDirectories(folder);
         List<String> charts = new ArrayList<>(Charts.saturation(runs, folder));
-        Map<String, Store.Run> firsts = new LinkedHashMap<>();
+        Map<String, ExperimentStore.Run> firsts = new LinkedHashMap<>();
         runs.stream()
                 .filter(run -> run.report() != null)
                 .forEach(run -> firsts.putIfAbsent(run.cell().group(), run));
-        for (Store.Run run : firsts.values()) {
+        for (ExperimentStore.Run run : firsts.values()) {
             String name = (run.cell().version() + "-" + run.cell().nodes() + "-x"
                             + run.cell().times())
                     .replaceAll("[^0-9A-Za-z.-]", "_");
--- a/lab/src/main/java/spartrail/lab/experiment/ExperimentPlan.java
+++ b/lab/src/main/java/spartrail/lab/experiment/ExperimentPlan.java
@@ -8,8 +8,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import spartrail.lab.file.BadInput;
 import spartrail.lab.file.Document;
+import spartrail.lab.file.InvalidInputException;
 import spartrail.lab.fleet.FleetPlan;
 import spartrail.lab.plan.LoadPlan;
 
@@ -83,8 +83,8 @@
         }
         try {
             return Document.of(document.name + ": /" + name, node, schema);
-        } catch (BadInput e) {
-            throw new BadInput(e.getMessage().replace(": /" + name + ": /", ": /" + name + "/"));
+        } catch (InvalidInputException e) {
+            throw new InvalidInputException(e.getMessage().replace(": /" + name + ": /", ": /" + name + "/"));
         }
     }
 
--- a/lab/src/main/java/spartrail/lab/experiment/Store.java
+++ b/lab/src/main/java/spartrail/lab/experiment/ExperimentStore.java
@@ -14,14 +14,14 @@
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
-import spartrail.lab.file.BadInput;
 import spartrail.lab.file.Document;
+import spartrail.lab.file.InvalidInputException;
 
 /**
  * Experiments and their runs in an embedded database, one file. A run is entered before it is played and completed
  * after it, each in a transaction of its own: what a killed process leaves opens, and its last run counts as broken off.
  */
-public final class Store implements AutoCloseable {
+public final class ExperimentStore implements AutoCloseable {
     /** What is kept of an experiment. */
     public record Kept(long id, String name, String startedAt, int runs, int done) {}
 
@@ -31,10 +31,10 @@
     private static final int VERSION = 1;
     private final Connection connection;
 
-    public Store(Path file) throws SQLException {
+    public ExperimentStore(Path file) throws SQLException {
         if (file.toAbsolutePath().getParent() == null
                 || !Files.isDirectory(file.toAbsolutePath().getParent())) {
-            throw new BadInput(file + ": there is no such folder");
+            throw new InvalidInputException(file + ": there is no such folder");
         }
         // Danger: with its usual delay a run that was completed half a second before a kill would be lost.
         connection = DriverManager.getConnection(
@@ -46,7 +46,8 @@
             int version = found.getInt(1);
             if (version > VERSION) {
                 connection.close();
-                throw new BadInput(file + ": is of form " + version + ", this program knows forms to " + VERSION);
+                throw new InvalidInputException(
+                        file + ": is of form " + version + ", this program knows forms to " + VERSION);
             }
             if (version == 0) {
                 statement.execute("create table experiment (id identity primary key, name varchar not null,"
@@ -130,7 +131,7 @@
             }
         }
         if (found == null) {
-            throw new BadInput("no experiment is named '" + words + "'; there are "
+            throw new InvalidInputException("no experiment is named '" + words + "'; there are "
                     + list.stream().map(kept -> kept.id() + " " + kept.name()).toList());
         }
         return found;
--- a/lab/src/main/java/spartrail/lab/experiment/NodeProcess.java
+++ b/lab/src/main/java/spartrail/lab/experiment/NodeProcess.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import spartrail.governing.CrashPoint;
-import spartrail.lab.file.BadInput;
 import spartrail.lab.file.Document;
+import spartrail.lab.file.InvalidInputException;
+import spartrail.policy.replication.CrashPoint;
 
 /** A front node as a process of its own, sized as operators start it. */
 public final class NodeProcess implements AutoCloseable {
@@ -61,7 +61,7 @@
         String root = System.getenv("SPARTRAIL_ROOT");
         Path jar = Path.of(root == null ? "." : root, "node", "target", "spartrail.jar");
         if (!Files.isReadable(jar)) {
-            throw new BadInput(jar + ": is not there; build it with: mvn -q -DskipTests package");
+            throw new InvalidInputException(jar + ": is not there; build it with: mvn -q -DskipTests package");
         }
         return jar.toAbsolutePath();
     }
--- a/lab/src/main/java/spartrail/lab/experiment/NodeSettings.java
+++ b/lab/src/main/java/spartrail/lab/experiment/NodeSettings.java
@@ -10,7 +10,7 @@
 import spartrail.lab.file.Document;
 import spartrail.lab.fleet.Fleet;
 import spartrail.lab.fleet.FleetPlan;
-import spartrail.lab.rules.Terms;
+import spartrail.lab.rules.RuleLimits;
 
 /** What front nodes are told, in our words; {@link #config} is the door at which these become the file's names. */
 public final class NodeSettings {
@@ -20,7 +20,7 @@
             double timeoutMs,
             double lateShare,
             double importance,
-            Terms.Repeat repeat,
+            RuleLimits.Repeat repeat,
             double dedupMs,
             double need,
             double floor,
@@ -39,7 +39,7 @@
                     op.get("timeoutMs").asDouble(),
                     op.path("lateShare").asDouble(0.3),
                     op.path("importance").asDouble(1),
-                    Terms.Repeat.valueOf(op.path("repeat")
+                    RuleLimits.Repeat.valueOf(op.path("repeat")
                             .asText("retriable")
                             .replace('-', '_')
                             .toUpperCase()),
@@ -55,11 +55,11 @@
     }
 
     /** The figures by which the rules are checked, one for both sides. */
-    public Terms terms() {
-        Map<String, Terms.Op> ops = new HashMap<>();
-        opTypes.forEach(op -> ops.put(op.name(), new Terms.Op(op.repeat(), op.dedupMs(), op.need(), op.floor())));
+    public RuleLimits terms() {
+        Map<String, RuleLimits.Op> ops = new HashMap<>();
+        opTypes.forEach(op -> ops.put(op.name(), new RuleLimits.Op(op.repeat(), op.dedupMs(), op.need(), op.floor())));
         JsonNode budget = tree.path("furtherSends");
-        return new Terms(
+        return new RuleLimits(
                 ops,
                 tree.path("drainGraceMs").asDouble(500),
                 70,
--- a/lab/src/main/java/spartrail/lab/experiment/Runner.java
+++ b/lab/src/main/java/spartrail/lab/experiment/Runner.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 import spartrail.lab.file.Document;
 import spartrail.lab.fleet.Fleet;
+import spartrail.lab.fleet.FleetListener;
 import spartrail.lab.fleet.FleetPlan;
-import spartrail.lab.fleet.FleetWatcher;
 import spartrail.lab.load.LoadSession;
 import spartrail.lab.plan.LoadPlan;
 import spartrail.lab.rules.RuleChecker;
@@ -112,13 +112,13 @@
         return tree;
     }
 
-    private static FleetWatcher watching(RuleChecker checker, List<Event> events) {
+    private static FleetListener watching(RuleChecker checker, List<Event> events) {
         return watching(checker, (what, atMs) -> events.add(new Event(atMs, what)));
     }
 
     /** Hands on what is seen at servers and roll: to the rules, and what was done also elsewhere. */
-    public static FleetWatcher watching(RuleChecker checker, BiConsumer<String, Double> done) {
-        return new FleetWatcher() {
+    public static FleetListener watching(RuleChecker checker, BiConsumer<String, Double> done) {
+        return new FleetListener() {
             @Override
             public void part(int node, String server, String partId, double atMs) {
                 checker.part(node, server, partId, atMs);
--- a/lab/src/main/java/spartrail/lab/file/Document.java
+++ b/lab/src/main/java/spartrail/lab/file/Document.java
@@ -42,7 +42,7 @@
         try {
             bytes = Files.readAllBytes(file);
         } catch (IOException e) {
-            throw new BadInput(file + ": cannot be read");
+            throw new InvalidInputException(file + ": cannot be read");
         }
         return parse(file.toString(), bytes, schema);
     }
@@ -52,7 +52,7 @@
         try {
             tree = JSON.readTree(bytes);
         } catch (JsonProcessingException e) {
-            throw new BadInput(name + ":" + e.getLocation().getLineNr() + ": no JSON: "
+            throw new InvalidInputException(name + ":" + e.getLocation().getLineNr() + ": no JSON: "
                     + e.getOriginalMessage()
                             .lines()
                             .findFirst()
@@ -60,14 +60,14 @@
                             .replaceAll(" \\(for .*", "")
                             .trim());
         } catch (IOException e) {
-            throw new BadInput(name + ": no JSON");
+            throw new InvalidInputException(name + ": no JSON");
         }
         return of(name, tree, schema);
     }
 
     public static Document of(String name, JsonNode tree, String schema) {
         if (tree == null || tree.isMissingNode()) {
-            throw new BadInput(name + ": is empty, a JSON object is expected");
+            throw new InvalidInputException(name + ": is empty, a JSON object is expected");
         }
         List<ValidationMessage> faults = schema(schema).validate(tree).stream()
                 .sorted(Comparator.comparing((ValidationMessage fault) ->
@@ -80,7 +80,8 @@
             JsonNode found = first.getInstanceNode();
             String what = found == null || found.isContainerNode() ? "" : ", found " + found;
             String more = faults.size() == 1 ? "" : " (and " + (faults.size() - 1) + " more)";
-            throw new BadInput(name + ": " + (place.isEmpty() ? "/" : place) + ": " + text(first, place) + what + more);
+            throw new InvalidInputException(
+                    name + ": " + (place.isEmpty() ? "/" : place) + ": " + text(first, place) + what + more);
         }
         return new Document(name, tree);
     }
@@ -91,8 +92,8 @@
     }
 
     /** What a schema cannot say is wrong with the value at this place. */
-    public BadInput wrong(String pointer, String what) {
-        return new BadInput(name + ": " + pointer + ": " + what);
+    public InvalidInputException wrong(String pointer, String what) {
+        return new InvalidInputException(name + ": " + pointer + ": " + what);
     }
 
     private static JsonSchema schema(String name) {
--- a/lab/src/main/java/spartrail/lab/file/BadInput.java
+++ b/lab/src/main/java/spartrail/lab/file/InvalidInputException.java
@@ -1,10 +1,10 @@
 package spartrail.lab.file;
 
 /** What a person gave cannot be used; the message is one line with the place, what was found and what would be right. */
-public final class BadInput extends IllegalArgumentException {
+public final class InvalidInputException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
-    public BadInput(String what) {
+    public InvalidInputException(String what) {
         super(what);
     }
 }
--- a/lab/src/main/java/spartrail/lab/fleet/Roll.java
+++ b/lab/src/main/java/spartrail/lab/fleet/DiscoveryEmulator.java
@@ -13,7 +13,7 @@
 import spartrail.model.TimerQueue;
 
 /** The roll of servers as one front node sees it: the whole list, and watches that wait for what is newer. */
-final class Roll implements AutoCloseable {
+final class DiscoveryEmulator implements AutoCloseable {
     /** What the roll says of a server. */
     static final class Line {
         final FleetPlan.ServerLine server;
@@ -29,21 +29,21 @@
         }
     }
 
-    private record Watch(HttpStand.Request request, long since, TimerQueue.Due end) {}
+    private record Watch(HttpStub.Request request, long since, TimerQueue.Due end) {}
 
     private final SocketLoop loop;
     private final int node;
-    private final FleetWatcher watcher;
+    private final FleetListener watcher;
     private final Map<String, Line> lines = new LinkedHashMap<>();
     private final List<Watch> watches = new ArrayList<>();
-    private final HttpStand stand;
+    private final HttpStub stand;
     private long version = 1;
     /** Takes calls and answers none. */
     private boolean silent;
     /** Answers with what it knew when this began. */
     private boolean stale;
 
-    Roll(SocketLoop loop, int node, InetSocketAddress address, List<Line> lines, FleetWatcher watcher)
+    DiscoveryEmulator(SocketLoop loop, int node, InetSocketAddress address, List<Line> lines, FleetListener watcher)
             throws IOException {
         this.loop = loop;
         this.node = node;
@@ -52,7 +52,7 @@
             line.version = 1;
             this.lines.put(line.server.id(), line);
         });
-        this.stand = new HttpStand(loop, address, this::asked);
+        this.stand = new HttpStub(loop, address, this::asked);
     }
 
     int port() {
@@ -82,7 +82,7 @@
         tell();
     }
 
-    private void asked(HttpStand.Request request) {
+    private void asked(HttpStub.Request request) {
         if (!request.method.equals("GET") || !request.path.startsWith("/discovery/hosts")) {
             request.answer(404, "", new byte[0]);
             return;
--- a/lab/src/main/java/spartrail/lab/fleet/CrookedFront.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FaultyFrontNode.java
@@ -18,7 +18,7 @@
  * A stand-in for a front node that breaks one rule on purpose, so that a checker can be seen to catch it. It sends each
  * part to the first server that holds its shard, whatever the roll says, and puts the answers together.
  */
-public final class CrookedFront implements AutoCloseable {
+public final class FaultyFrontNode implements AutoCloseable {
     /** What it does wrong; NOTHING keeps all rules as long as no server drains. */
     public enum Fault {
         NOTHING,
@@ -39,13 +39,13 @@
 
     private final Fleet fleet;
     private final SocketLoop loop;
-    private final HttpStand stand;
+    private final HttpStub stand;
     private final Fault fault;
     private final Map<String, Server> servers = new HashMap<>();
     private final Map<String, Open> open = new HashMap<>();
 
     private static final class Open {
-        private HttpStand.Request request;
+        private HttpStub.Request request;
         private int parts;
         /** Copies of a part that a server has turned away, by shard. */
         private final Map<Integer, Integer> turnedAway = new HashMap<>();
@@ -57,7 +57,7 @@
         private byte[] bytes = new byte[0];
 
         Server() {
-            super(CrookedFront.this.loop);
+            super(FaultyFrontNode.this.loop);
         }
 
         @Override
@@ -83,11 +83,11 @@
         }
     }
 
-    public CrookedFront(Fleet fleet, Fault fault) throws IOException {
+    public FaultyFrontNode(Fleet fleet, Fault fault) throws IOException {
         this.fleet = fleet;
         this.fault = fault;
         this.loop = new SocketLoop("spartrail-crooked");
-        this.stand = new HttpStand(loop, new InetSocketAddress("127.0.0.1", 0), this::asked);
+        this.stand = new HttpStub(loop, new InetSocketAddress("127.0.0.1", 0), this::asked);
         // It reads the roll, as all do; what it makes of it is another matter.
         Link roll = new Link(loop) {
             @Override
@@ -117,7 +117,7 @@
         return "127.0.0.1:" + stand.port();
     }
 
-    private void asked(HttpStand.Request request) {
+    private void asked(HttpStub.Request request) {
         if (request.path.equals("/up")) {
             request.answer(200, "", new byte[0]);
             return;
@@ -169,7 +169,7 @@
         }
         String line = id + "." + shard + " " + shard + " d=1000 " + text.length + "\n";
         byte[] head = line.getBytes(StandardCharsets.US_ASCII);
-        link.write(PartFrames.frame(
+        link.write(ServerFrameCodec.frame(
                 'R',
                 ByteBuffer.allocate(head.length + text.length)
                         .put(head)
--- a/lab/src/main/java/spartrail/lab/fleet/Fleet.java
+++ b/lab/src/main/java/spartrail/lab/fleet/Fleet.java
@@ -10,21 +10,21 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import spartrail.lab.file.BadInput;
 import spartrail.lab.file.Document;
+import spartrail.lab.file.InvalidInputException;
 import spartrail.lab.net.SocketLoop;
 
 /** Stand-in servers and the roll that lists them; what its script says is done to them in time. */
 public final class Fleet implements AutoCloseable {
     private final FleetPlan plan;
     private final SocketLoop loop;
-    private final FleetWatcher watcher;
-    private final Map<String, ServerStand> servers = new LinkedHashMap<>();
-    private final List<Roll> rolls = new ArrayList<>();
+    private final FleetListener watcher;
+    private final Map<String, IndexServerEmulator> servers = new LinkedHashMap<>();
+    private final List<DiscoveryEmulator> rolls = new ArrayList<>();
     private final SplittableRandom chance;
 
     /** Listens from here on; the script begins with {@link #play}. */
-    public Fleet(FleetPlan plan, FleetWatcher watcher) throws IOException {
+    public Fleet(FleetPlan plan, FleetListener watcher) throws IOException {
         this.plan = plan;
         this.watcher = watcher;
         this.loop = new SocketLoop("spartrail-fleet");
@@ -32,16 +32,17 @@
         try {
             int at = 0;
             for (FleetPlan.ServerLine line : plan.servers()) {
-                ServerStand stand = new ServerStand(loop, line, chance.split(), watcher, () -> fell(line.id()));
+                IndexServerEmulator stand =
+                        new IndexServerEmulator(loop, line, chance.split(), watcher, () -> fell(line.id()));
                 stand.listen(plan.nodes(), plan.firstPort() == 0 ? 0 : plan.firstPort() + plan.nodes() * at++);
                 servers.put(line.id(), stand);
             }
             for (int node = 0; node < plan.nodes(); node++) {
-                List<Roll.Line> lines = new ArrayList<>();
-                for (ServerStand stand : servers.values()) {
-                    lines.add(new Roll.Line(stand.line, "127.0.0.1:" + stand.port(node)));
+                List<DiscoveryEmulator.Line> lines = new ArrayList<>();
+                for (IndexServerEmulator stand : servers.values()) {
+                    lines.add(new DiscoveryEmulator.Line(stand.line, "127.0.0.1:" + stand.port(node)));
                 }
-                rolls.add(new Roll(
+                rolls.add(new DiscoveryEmulator(
                         loop,
                         node,
                         new InetSocketAddress("127.0.0.1", plan.rollPort() == 0 ? 0 : plan.rollPort() + node),
@@ -89,18 +90,18 @@
         List<String> whom = word.length < 2 || word[1].equals("-") ? List.of() : List.of(word[1].split(","));
         for (String id : whom) {
             if (!servers.containsKey(id)) {
-                throw new BadInput("no server is named " + id + "; there are " + servers.keySet());
+                throw new InvalidInputException("no server is named " + id + "; there are " + servers.keySet());
             }
         }
         if (!DEEDS.contains(word[0])) {
-            throw new BadInput("'" + word[0] + "' is none of " + DEEDS);
+            throw new InvalidInputException("'" + word[0] + "' is none of " + DEEDS);
         }
         try {
             double by = word.length > 2 ? Double.parseDouble(word[2]) : 1;
             double lastsMs = word.length > 3 ? Double.parseDouble(word[3]) : 0;
             loop.execute(() -> carryOut(new FleetPlan.Deed(0, word[0], whom, List.of(), by, lastsMs)));
         } catch (NumberFormatException e) {
-            throw new BadInput("'" + words + "': a number is expected after the servers");
+            throw new InvalidInputException("'" + words + "': a number is expected after the servers");
         }
     }
 
@@ -122,7 +123,7 @@
             "roll-silent",
             "roll-stale");
 
-    private List<Roll> rollsOf(FleetPlan.Deed deed) {
+    private List<DiscoveryEmulator> rollsOf(FleetPlan.Deed deed) {
         return deed.nodes().isEmpty()
                 ? rolls
                 : deed.nodes().stream()
@@ -148,7 +149,7 @@
         }
     }
 
-    private void carryOut(String what, ServerStand server, double by, double lastsMs) {
+    private void carryOut(String what, IndexServerEmulator server, double by, double lastsMs) {
         String id = server.line.id();
         switch (what) {
             case "slow" -> {
@@ -200,13 +201,13 @@
         }
     }
 
-    private void start(ServerStand server) {
+    private void start(IndexServerEmulator server) {
         server.start();
         tell(server.line.id(), "SERVING", loop.nowMs(), plan.noticeMs());
     }
 
     private void fell(String id) {
-        ServerStand server = servers.get(id);
+        IndexServerEmulator server = servers.get(id);
         tell(id, "DELETED", 0, plan.silentNoticeMs());
         if (Double.isFinite(server.line.traits().downMs())) {
             after(server.line.traits().downMs(), () -> start(server));
@@ -267,8 +268,8 @@
 
     @Override
     public void close() {
-        loop.call(() -> servers.values().forEach(ServerStand::close));
-        rolls.forEach(Roll::close);
+        loop.call(() -> servers.values().forEach(IndexServerEmulator::close));
+        rolls.forEach(DiscoveryEmulator::close);
         loop.close();
     }
 }
--- a/lab/src/main/java/spartrail/lab/fleet/FleetWatcher.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FleetListener.java
@@ -1,8 +1,8 @@
 package spartrail.lab.fleet;
 
 /** Who looks on at what reaches the servers and what the roll tells; called on the fleet's thread. Nodes by number. */
-public interface FleetWatcher {
-    FleetWatcher NONE = new FleetWatcher() {};
+public interface FleetListener {
+    FleetListener NONE = new FleetListener() {};
 
     /** A part has reached a server. */
     default void part(int node, String server, String partId, double atMs) {}
--- a/lab/src/main/java/spartrail/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FleetPlan.java
@@ -30,7 +30,7 @@
         List<ServerLine> servers,
         List<Deed> script) {
     /** An index server of the plan. */
-    public record ServerLine(String id, int cell, String zone, Traits traits, double rating) {}
+    public record ServerLine(String id, int cell, String zone, ServerProfile traits, double rating) {}
 
     /** What is done to some servers, or to the lists of some nodes (of all where none is named), and when. */
     public record Deed(
@@ -42,7 +42,7 @@
 
     public static FleetPlan of(Document document) {
         JsonNode tree = document.tree;
-        Map<String, Traits> kinds = new LinkedHashMap<>();
+        Map<String, ServerProfile> kinds = new LinkedHashMap<>();
         tree.get("kinds")
                 .fields()
                 .forEachRemaining(kind -> kinds.put(kind.getKey(), traits(kind.getKey(), kind.getValue())));
@@ -51,7 +51,7 @@
         List<ServerLine> servers = new ArrayList<>();
         int at = 0;
         for (JsonNode group : tree.get("servers")) {
-            Traits traits = kinds.get(group.get("kind").asText());
+            ServerProfile traits = kinds.get(group.get("kind").asText());
             if (traits == null) {
                 throw document.wrong(
                         "/servers/" + at + "/kind",
@@ -107,10 +107,10 @@
                 script);
     }
 
-    private static Traits traits(String name, JsonNode node) {
+    private static ServerProfile traits(String name, JsonNode node) {
         int cores = node.path("cores").asInt(2);
         double downMs = node.path("downMs").asDouble(0);
-        return new Traits(
+        return new ServerProfile(
                 name,
                 cores,
                 node.path("speed").asDouble(1),
--- a/lab/src/main/java/spartrail/lab/fleet/HttpStand.java
+++ b/lab/src/main/java/spartrail/lab/fleet/HttpStub.java
@@ -16,7 +16,7 @@
 import spartrail.lab.net.SocketLoop;
 
 /** A small HTTP/1.1 server whose every byte can be chosen, so that it can misbehave. */
-final class HttpStand implements AutoCloseable {
+final class HttpStub implements AutoCloseable {
     /** A request that has come whole; it is answered by its link, now or later. */
     static final class Request {
         final Client from;
@@ -59,7 +59,7 @@
         private int needed;
 
         Client() {
-            super(HttpStand.this.loop);
+            super(HttpStub.this.loop);
         }
 
         @Override
@@ -129,7 +129,7 @@
     private final Set<Client> clients = new HashSet<>();
     private final ServerSocketChannel listening;
 
-    HttpStand(SocketLoop loop, InetSocketAddress address, Consumer<Request> taker) throws IOException {
+    HttpStub(SocketLoop loop, InetSocketAddress address, Consumer<Request> taker) throws IOException {
         this.loop = loop;
         this.taker = taker;
         this.listening = loop.listen(address, 4096, channel -> {
--- a/lab/src/main/java/spartrail/lab/fleet/ServerStand.java
+++ b/lab/src/main/java/spartrail/lab/fleet/IndexServerEmulator.java
@@ -19,21 +19,21 @@
 import spartrail.model.TimerQueue;
 
 /** One stand-in server on sockets: frames in, frames out; what it does with its load is its model's. */
-final class ServerStand {
+final class IndexServerEmulator {
     /** Ways in which an answer can be spoilt. */
     private static final int SPOILS = 6;
 
-    private record Sent(PartFrames.Sent part, Wire wire) {}
+    private record Sent(ServerFrameCodec.Sent part, Wire wire) {}
 
     /** A connection from a front node. */
     private final class Wire extends Link {
         private final int node;
-        private final PartFrames frames = new PartFrames();
+        private final ServerFrameCodec frames = new ServerFrameCodec();
         /** Its handshake is paid; until then nothing of it is read. */
         private boolean open;
 
         Wire(int node) {
-            super(ServerStand.this.loop);
+            super(IndexServerEmulator.this.loop);
             this.node = node;
         }
 
@@ -51,12 +51,12 @@
                     switch (frames.letter) {
                         case 'R' -> call(this, new ArrayList<>(frames.parts));
                         case 'A' -> model.giveUp(frames.id);
-                        case 'G' -> write(PartFrames.frame('G', "OK"));
-                        default -> write(PartFrames.frame('T', model.report()));
+                        case 'G' -> write(ServerFrameCodec.frame('G', "OK"));
+                        default -> write(ServerFrameCodec.frame('T', model.report()));
                     }
                 }
-            } catch (PartFrames.Unusable e) {
-                write(PartFrames.frame('N', e.getMessage()));
+            } catch (ServerFrameCodec.Unusable e) {
+                write(ServerFrameCodec.frame('N', e.getMessage()));
                 close();
                 gone(this);
             }
@@ -71,7 +71,7 @@
     final FleetPlan.ServerLine line;
     private final SocketLoop loop;
     private final RandomGenerator chance;
-    private final FleetWatcher watcher;
+    private final FleetListener watcher;
     private final Runnable onFall;
     private final List<ServerSocketChannel> listening = new ArrayList<>();
     private final List<Integer> ports = new ArrayList<>();
@@ -86,8 +86,12 @@
     private double spoilShare;
     private double handshakeMs;
 
-    ServerStand(
-            SocketLoop loop, FleetPlan.ServerLine line, RandomGenerator chance, FleetWatcher watcher, Runnable onFall) {
+    IndexServerEmulator(
+            SocketLoop loop,
+            FleetPlan.ServerLine line,
+            RandomGenerator chance,
+            FleetListener watcher,
+            Runnable onFall) {
         this.loop = loop;
         this.line = line;
         this.chance = chance;
@@ -151,11 +155,11 @@
         // What runs for it runs on, as in a server that notices late; its answer has nobody to go to.
     }
 
-    private void call(Wire wire, List<PartFrames.Sent> parts) {
+    private void call(Wire wire, List<ServerFrameCodec.Sent> parts) {
         double nowMs = loop.nowMs();
         turn();
         boolean first = true;
-        for (PartFrames.Sent part : parts) {
+        for (ServerFrameCodec.Sent part : parts) {
             count("parts");
             watcher.part(wire.node, line.id(), part.id(), nowMs);
             double workMs =
@@ -228,7 +232,7 @@
                 ? Arrival.value(job.id, sent.part().shard(), sent.part().text())
                 : "";
         sent.wire()
-                .write(PartFrames.frame(
+                .write(ServerFrameCodec.frame(
                         'Y', job.id + " " + job.end + " " + chance.nextInt(1 << 30) + " " + report() + "\n" + value));
     }
 
@@ -240,10 +244,10 @@
                     .putInt(Integer.MAX_VALUE)
                     .put((byte) 'Y')
                     .flip());
-            case 2 -> wire.write(PartFrames.frame('Q', "what is this"));
-            case 3 -> wire.write(PartFrames.frame('Y', "no line"));
-            case 4 -> wire.write(PartFrames.frame('Y', "0000.77 OK 1 -\n" + "x"));
-            default -> wire.write(PartFrames.frame('Y', sent.part().id() + " PERHAPS 1 -\n"));
+            case 2 -> wire.write(ServerFrameCodec.frame('Q', "what is this"));
+            case 3 -> wire.write(ServerFrameCodec.frame('Y', "no line"));
+            case 4 -> wire.write(ServerFrameCodec.frame('Y', "0000.77 OK 1 -\n" + "x"));
+            default -> wire.write(ServerFrameCodec.frame('Y', sent.part().id() + " PERHAPS 1 -\n"));
         }
     }
 
--- a/lab/src/main/java/spartrail/lab/fleet/NullResponder.java
+++ b/lab/src/main/java/spartrail/lab/fleet/NullResponder.java
@@ -33,14 +33,14 @@
     }
 
     private final SocketLoop loop = new SocketLoop("spartrail-responder", true);
-    private final HttpStand stand;
+    private final HttpStub stand;
     private final Delay delay;
     private volatile Manner manner = Manner.RIGHT;
     private long count;
 
     public NullResponder(int port, Delay delay) throws IOException {
         this.delay = delay;
-        this.stand = new HttpStand(loop, new InetSocketAddress("127.0.0.1", port), this::asked);
+        this.stand = new HttpStub(loop, new InetSocketAddress("127.0.0.1", port), this::asked);
     }
 
     public String address() {
@@ -61,7 +61,7 @@
         return count[0];
     }
 
-    private void asked(HttpStand.Request request) {
+    private void asked(HttpStub.Request request) {
         if (request.path.equals("/up")) {
             request.answer(200, "", new byte[0]);
             return;
@@ -75,7 +75,7 @@
         }
     }
 
-    private void answer(HttpStand.Request request) {
+    private void answer(HttpStub.Request request) {
         byte[] body = body(request, manner == Manner.WRONG_VALUE);
         switch (manner) {
             case TWICE -> request.answerTwice(body);
@@ -95,7 +95,7 @@
         }
     }
 
-    private static void raw(HttpStand.Request request, String head, byte[] body) {
+    private static void raw(HttpStub.Request request, String head, byte[] body) {
         byte[] bytes = head.getBytes(StandardCharsets.US_ASCII);
         request.from.write(ByteBuffer.allocate(bytes.length + body.length)
                 .put(bytes)
@@ -103,7 +103,7 @@
                 .flip());
     }
 
-    private static byte[] body(HttpStand.Request request, boolean wrong) {
+    private static byte[] body(HttpStub.Request request, boolean wrong) {
         String id = request.headers.get("req-id");
         StringBuilder body = new StringBuilder("{\"all_in\":true,\"matches\":[");
         try {
--- a/lab/src/main/java/spartrail/lab/fleet/PartFrames.java
+++ b/lab/src/main/java/spartrail/lab/fleet/ServerFrameCodec.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /** The frames between front nodes and servers, seen from a server: a length, a letter, the rest. */
-final class PartFrames {
+final class ServerFrameCodec {
     /** A part as it was sent. */
     record Sent(String id, int shard, double waitMs, byte[] text) {}
 
--- a/lab/src/main/java/spartrail/lab/fleet/ServerModel.java
+++ b/lab/src/main/java/spartrail/lab/fleet/ServerModel.java
@@ -52,7 +52,7 @@
     /** Danger: a step below what a time in milliseconds since 1970 can hold would never end. */
     private static final double LEAST_STEP_MS = 0.001;
 
-    private final Traits traits;
+    private final ServerProfile traits;
     private final RandomGenerator chance;
     private final List<Job> running = new ArrayList<>();
     private final Deque<Job> waiting = new ArrayDeque<>();
@@ -71,7 +71,7 @@
     private double worstLoad;
     private double busyMs;
 
-    public ServerModel(Traits traits, RandomGenerator chance, double bornMs, double nowMs) {
+    public ServerModel(ServerProfile traits, RandomGenerator chance, double bornMs, double nowMs) {
         this.traits = traits;
         this.chance = chance;
         this.bornMs = bornMs;
--- a/lab/src/main/java/spartrail/lab/fleet/Traits.java
+++ b/lab/src/main/java/spartrail/lab/fleet/ServerProfile.java
@@ -19,7 +19,7 @@
  * @param pauseMs length of the pauses it makes on its own, about every {@code pauseEveryMs}; 0 makes none
  * @param reportLateMs age of the load reports it sends along
  */
-public record Traits(
+public record ServerProfile(
         String name,
         int cores,
         double speed,
--- a/lab/src/main/java/spartrail/lab/load/Kind.java
+++ b/lab/src/main/java/spartrail/lab/load/AttemptResult.java
@@ -1,7 +1,7 @@
 package spartrail.lab.load;
 
 /** What became of one try; each has exactly one. */
-public enum Kind {
+public enum AttemptResult {
     /** All parts are in and said to be. */
     WHOLE,
     /** Some parts are in, and the answer says so. */
--- a/lab/src/main/java/spartrail/lab/load/Ask.java
+++ b/lab/src/main/java/spartrail/lab/load/ClientAttempt.java
@@ -1,14 +1,14 @@
 package spartrail.lab.load;
 
 import spartrail.lab.plan.Arrival;
+import spartrail.lab.plan.ClientSession;
 import spartrail.lab.plan.LoadPlan;
-import spartrail.lab.plan.Story;
 import spartrail.model.TimerQueue;
 
 /** One try of one client. Times are the host's clock. */
-public final class Ask {
+public final class ClientAttempt {
     public final Arrival arrival;
-    final Story story;
+    final ClientSession story;
     final int tryNumber;
     /** When it was meant to be sent, and when the first try of its client was. */
     final double intendedMs;
@@ -26,7 +26,7 @@
     boolean lapsed;
 
     boolean over;
-    Conn conn;
+    ClientConnection conn;
     /** The node that it was sent to last. */
     LoadPlan.Target target;
 
@@ -34,7 +34,7 @@
     TimerQueue.Due end;
     TimerQueue.Due leave;
 
-    Ask(Arrival arrival, Story story, int tryNumber, double intendedMs, double storyMs) {
+    ClientAttempt(Arrival arrival, ClientSession story, int tryNumber, double intendedMs, double storyMs) {
         this.arrival = arrival;
         this.story = story;
         this.tryNumber = tryNumber;
--- a/lab/src/main/java/spartrail/lab/load/HttpSockets.java
+++ b/lab/src/main/java/spartrail/lab/load/HttpClientTransport.java
@@ -10,20 +10,20 @@
 import spartrail.model.TimerQueue;
 
 /** The generator on real sockets: its loop's thread runs it when it is due and tells it what came. */
-public final class HttpSockets implements Sockets {
+public final class HttpClientTransport implements ClientTransport {
     private static final double LOOKED_MS = 500;
 
     private final SocketLoop loop;
-    private Generator generator;
+    private LoadGenerator generator;
     private TimerQueue.Due due;
     private boolean closed;
 
-    public HttpSockets(SocketLoop loop) {
+    public HttpClientTransport(SocketLoop loop) {
         this.loop = loop;
     }
 
     /** Starts the plan's time; from here on the loop's thread owns the generator. */
-    public void drive(Generator driven, LoadPlan plan) {
+    public void drive(LoadGenerator driven, LoadPlan plan) {
         loop.execute(() -> {
             generator = driven;
             generator.start(loop.nowMs());
@@ -52,7 +52,7 @@
         if (closed || generator.over()) {
             return;
         }
-        AnswerReader reader = new AnswerReader();
+        HttpResponseReader reader = new HttpResponseReader();
         Link link = new Link(loop) {
             private boolean told;
 
@@ -68,11 +68,11 @@
             protected void bytes(ByteBuffer in) {
                 try {
                     reader.take(in);
-                    Answer answer = reader.next();
+                    HttpResponse answer = reader.next();
                     if (answer != null) {
                         tell(answer.status() == 200);
                     }
-                } catch (AnswerReader.Unusable e) {
+                } catch (HttpResponseReader.Unusable e) {
                     tell(false);
                 }
             }
@@ -102,7 +102,7 @@
     }
 
     @Override
-    public void open(Conn conn) {
+    public void open(ClientConnection conn) {
         Client client = new Client(conn);
         conn.carrier = client;
         try {
@@ -113,18 +113,18 @@
     }
 
     @Override
-    public void send(Conn conn, Ask ask, double leftMs) {
+    public void send(ClientConnection conn, ClientAttempt ask, double leftMs) {
         ((Client) conn.carrier).write(request(conn, ask, leftMs));
     }
 
     @Override
-    public void close(Conn conn) {
+    public void close(ClientConnection conn) {
         if (conn.carrier != null) {
             ((Client) conn.carrier).close();
         }
     }
 
-    static ByteBuffer request(Conn conn, Ask ask, double leftMs) {
+    static ByteBuffer request(ClientConnection conn, ClientAttempt ask, double leftMs) {
         var arrival = ask.arrival;
         StringBuilder body = new StringBuilder(64 + 48 * arrival.shards().length + arrival.textBytes());
         body.append("{\"segments\":[");
@@ -167,11 +167,11 @@
 
     /** One client's connection. */
     private final class Client extends Link {
-        private final Conn conn;
-        private final AnswerReader reader = new AnswerReader();
+        private final ClientConnection conn;
+        private final HttpResponseReader reader = new HttpResponseReader();
 
-        Client(Conn conn) {
-            super(HttpSockets.this.loop);
+        Client(ClientConnection conn) {
+            super(HttpClientTransport.this.loop);
             this.conn = conn;
         }
 
@@ -190,13 +190,13 @@
         protected void bytes(ByteBuffer in) {
             try {
                 reader.take(in);
-                for (Answer answer = reader.next(); answer != null && isOpen(); answer = reader.next()) {
+                for (HttpResponse answer = reader.next(); answer != null && isOpen(); answer = reader.next()) {
                     generator.answered(conn, answer, loop.nowMs());
                 }
                 if (isOpen() && conn.ask == null && reader.begun()) {
                     generator.extra(conn, loop.nowMs());
                 }
-            } catch (AnswerReader.Unusable e) {
+            } catch (HttpResponseReader.Unusable e) {
                 generator.spoilt(conn, e.kind, loop.nowMs());
             }
             plan();
@@ -204,7 +204,7 @@
 
         @Override
         protected void ended(String why) {
-            Answer answer = reader.atEnd();
+            HttpResponse answer = reader.atEnd();
             if (answer != null) {
                 generator.answered(conn, answer, loop.nowMs());
             } else {
--- a/lab/src/main/java/spartrail/lab/load/AnswerReader.java
+++ b/lab/src/main/java/spartrail/lab/load/HttpResponseReader.java
@@ -8,13 +8,13 @@
  * Reads HTTP/1.1 answers as bytes come (RFC 9112, sections 4, 6 and 7.1). It is our own, as a library would hide what a
  * load generator is to see: answers without length, cut ones, a second one, lengths that nobody should believe.
  */
-public final class AnswerReader {
+public final class HttpResponseReader {
     /** What came cannot be used. */
     public static final class Unusable extends Exception {
         private static final long serialVersionUID = 1;
-        public final Kind kind;
+        public final AttemptResult kind;
 
-        Unusable(Kind kind, String what) {
+        Unusable(AttemptResult kind, String what) {
             super(what);
             this.kind = kind;
         }
@@ -43,7 +43,7 @@
     public void take(ByteBuffer in) throws Unusable {
         int more = in.remaining();
         if (size + more > 2 * (LONGEST_HEAD + LONGEST_BODY)) {
-            throw new Unusable(Kind.TOO_LONG, "an answer of more than " + LONGEST_BODY + " bytes");
+            throw new Unusable(AttemptResult.TOO_LONG, "an answer of more than " + LONGEST_BODY + " bytes");
         }
         if (size + more > bytes.length) {
             bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, size + more));
@@ -53,7 +53,7 @@
     }
 
     /** The next whole answer, or null. */
-    public Answer next() throws Unusable {
+    public HttpResponse next() throws Unusable {
         if (bodyAt == 0 && !head()) {
             return null;
         }
@@ -63,16 +63,16 @@
         if (length < 0 || size - bodyAt < length) {
             return null;
         }
-        Answer answer =
-                new Answer(status, Arrays.copyOfRange(bytes, bodyAt, bodyAt + (int) length), comebackMs, lasts, false);
+        HttpResponse answer = new HttpResponse(
+                status, Arrays.copyOfRange(bytes, bodyAt, bodyAt + (int) length), comebackMs, lasts, false);
         done(bodyAt + (int) length);
         return answer;
     }
 
     /** The answer that the end of the connection completes, or null where it is cut. */
-    public Answer atEnd() {
+    public HttpResponse atEnd() {
         return bodyAt > 0 && !chunked && length < 0
-                ? new Answer(status, Arrays.copyOfRange(bytes, bodyAt, size), comebackMs, false, true)
+                ? new HttpResponse(status, Arrays.copyOfRange(bytes, bodyAt, size), comebackMs, false, true)
                 : null;
     }
 
@@ -91,11 +91,11 @@
             }
         }
         if (size >= 5 && !new String(bytes, 0, 5, StandardCharsets.ISO_8859_1).equals("HTTP/")) {
-            throw new Unusable(Kind.GARBLED, "no HTTP");
+            throw new Unusable(AttemptResult.GARBLED, "no HTTP");
         }
         if (end < 0) {
             if (size > LONGEST_HEAD) {
-                throw new Unusable(Kind.GARBLED, "a head of more than " + LONGEST_HEAD + " bytes");
+                throw new Unusable(AttemptResult.GARBLED, "a head of more than " + LONGEST_HEAD + " bytes");
             }
             return false;
         }
@@ -119,13 +119,13 @@
                 }
             }
         } catch (RuntimeException e) {
-            throw new Unusable(Kind.GARBLED, "an unreadable head");
+            throw new Unusable(AttemptResult.GARBLED, "an unreadable head");
         }
         if (length > LONGEST_BODY) {
-            throw new Unusable(Kind.TOO_LONG, "a body of " + length + " bytes");
+            throw new Unusable(AttemptResult.TOO_LONG, "a body of " + length + " bytes");
         }
         if (length < -1) {
-            throw new Unusable(Kind.GARBLED, "a negative length");
+            throw new Unusable(AttemptResult.GARBLED, "a negative length");
         }
         bodyAt = end;
         if (status >= 100 && status < 200) {
@@ -138,7 +138,7 @@
         return true;
     }
 
-    private Answer chunks() throws Unusable {
+    private HttpResponse chunks() throws Unusable {
         java.io.ByteArrayOutputStream body = new java.io.ByteArrayOutputStream();
         int at = bodyAt;
         while (true) {
@@ -154,10 +154,10 @@
                 count = Integer.parseInt(
                         new String(bytes, at, lf - at, StandardCharsets.ISO_8859_1).split(";")[0].trim(), 16);
             } catch (NumberFormatException e) {
-                throw new Unusable(Kind.GARBLED, "a chunk without its length");
+                throw new Unusable(AttemptResult.GARBLED, "a chunk without its length");
             }
             if (count < 0 || body.size() + (long) count > LONGEST_BODY) {
-                throw new Unusable(Kind.TOO_LONG, "chunks of more than " + LONGEST_BODY + " bytes");
+                throw new Unusable(AttemptResult.TOO_LONG, "chunks of more than " + LONGEST_BODY + " bytes");
             }
             if (lf + 1 + count + 2 > size) {
                 return null;
@@ -165,7 +165,7 @@
             body.write(bytes, lf + 1, count);
             at = lf + 1 + count + 2;
             if (count == 0) {
-                Answer answer = new Answer(status, body.toByteArray(), comebackMs, lasts, false);
+                HttpResponse answer = new HttpResponse(status, body.toByteArray(), comebackMs, lasts, false);
                 done(at);
                 return answer;
             }
--- a/lab/src/main/java/spartrail/lab/load/Generator.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadGenerator.java
@@ -10,16 +10,16 @@
 import java.util.Map;
 import java.util.Set;
 import spartrail.lab.plan.Arrival;
+import spartrail.lab.plan.ClientSession;
 import spartrail.lab.plan.LoadPlan;
-import spartrail.lab.plan.Story;
-import spartrail.lab.plan.Stream;
+import spartrail.lab.plan.TrafficStream;
 import spartrail.model.TimerQueue;
 
 /**
  * Load, open loop: arrivals leave when the plan says, whatever became of the ones before. No I/O: the host hands in the
- * time and what its sockets saw, and carries out what is asked of {@link Sockets}.
+ * time and what its sockets saw, and carries out what is asked of {@link ClientTransport}.
  *
- * <p>A try goes through these states; each ends in exactly one {@link Kind}.
+ * <p>A try goes through these states; each ends in exactly one {@link AttemptResult}.
  *
  * <pre>
  * state    what happens                                 next
@@ -37,22 +37,22 @@
  *
  * Latency is counted from the time at which the try was meant to leave, service time from its last byte written.
  */
-public final class Generator {
+public final class LoadGenerator {
     /** A connection that closes this soon after a request was written on it may not have been read. */
     private static final double CROSSED_MS = 50;
 
     private final LoadPlan plan;
     private final Iterator<Arrival> arrivals;
-    private final Sockets sockets;
+    private final ClientTransport sockets;
     private final Recorder recorder;
-    private final Watcher watcher;
+    private final LoadListener watcher;
     private final TimerQueue timetable = new TimerQueue();
-    private final Map<String, Deque<Conn>> idle = new HashMap<>();
-    private final Map<String, Deque<Ask>> waiting = new HashMap<>();
-    private final Set<Conn> conns = new HashSet<>();
+    private final Map<String, Deque<ClientConnection>> idle = new HashMap<>();
+    private final Map<String, Deque<ClientAttempt>> waiting = new HashMap<>();
+    private final Set<ClientConnection> conns = new HashSet<>();
     private final Set<LoadPlan.Target> down = new HashSet<>();
-    private final Set<Ask> open = new HashSet<>();
-    private final Check check = new Check();
+    private final Set<ClientAttempt> open = new HashSet<>();
+    private final ResponseCheck check = new ResponseCheck();
     private Arrival next;
     private double startMs;
     private double nowMs;
@@ -61,7 +61,12 @@
     private boolean stopping;
     private String fault;
 
-    public Generator(LoadPlan plan, Iterator<Arrival> arrivals, Sockets sockets, Recorder recorder, Watcher watcher) {
+    public LoadGenerator(
+            LoadPlan plan,
+            Iterator<Arrival> arrivals,
+            ClientTransport sockets,
+            Recorder recorder,
+            LoadListener watcher) {
         this.plan = plan;
         this.arrivals = arrivals;
         this.sockets = sockets;
@@ -119,8 +124,8 @@
             Arrival arrival = next;
             advance();
             double intendedMs = startMs + arrival.atMs();
-            Story story = new Story(arrival.stream().habit, Stream.chance(arrival.chance() + 1));
-            begin(new Ask(arrival, story, 1, intendedMs, intendedMs));
+            ClientSession story = new ClientSession(arrival.stream().habit, TrafficStream.chance(arrival.chance() + 1));
+            begin(new ClientAttempt(arrival, story, 1, intendedMs, intendedMs));
         }
         timetable.run(nowMs);
     }
@@ -134,28 +139,28 @@
         }
     }
 
-    private void begin(Ask ask) {
+    private void begin(ClientAttempt ask) {
         open.add(ask);
         ask.lagMs = nowMs - ask.intendedMs;
         recorder.intended(ask);
         double leavesMs = ask.story.tries(ask.arrival.clientMs());
         if (Double.isFinite(leavesMs)) {
-            ask.leave = timetable.add(ask.intendedMs + leavesMs, () -> end(ask, Kind.LEFT, null, true));
+            ask.leave = timetable.add(ask.intendedMs + leavesMs, () -> end(ask, AttemptResult.LEFT, null, true));
         }
         ask.end = timetable.add(ask.intendedMs + ask.arrival.clientMs(), () -> lapse(ask));
         place(ask, ask.arrival.fresh() || ask.arrival.stream().habit.ownConnection());
     }
 
-    private void place(Ask ask, boolean own) {
+    private void place(ClientAttempt ask, boolean own) {
         String zone = ask.arrival.stream().zone;
-        Deque<Conn> free = idle.computeIfAbsent(zone, name -> new ArrayDeque<>());
+        Deque<ClientConnection> free = idle.computeIfAbsent(zone, name -> new ArrayDeque<>());
         if (!own && !free.isEmpty()) {
             send(free.pollLast(), ask);
             return;
         }
         if (conns.size() >= plan.connections()) {
             // One that is idle for another zone makes room.
-            Deque<Conn> other = idle.values().stream()
+            Deque<ClientConnection> other = idle.values().stream()
                     .filter(queue -> !queue.isEmpty())
                     .findFirst()
                     .orElse(null);
@@ -169,8 +174,8 @@
         open(ask, own);
     }
 
-    private void open(Ask ask, boolean own) {
-        Conn conn = new Conn(target(ask.arrival.stream().zone), own);
+    private void open(ClientAttempt ask, boolean own) {
+        ClientConnection conn = new ClientConnection(target(ask.arrival.stream().zone), own);
         conn.ask = ask;
         ask.conn = conn;
         ask.target = conn.target;
@@ -182,7 +187,7 @@
                 if (!conn.up && !conn.gone) {
                     drop(conn);
                     if (conn.ask != null) {
-                        end(conn.ask, Kind.NO_CONNECTION, null, false);
+                        end(conn.ask, AttemptResult.NO_CONNECTION, null, false);
                     }
                 }
             });
@@ -191,7 +196,7 @@
             conn.gone = true;
             recorder.noSocket++;
             stop("no socket is to be had with " + conns.size() + " open: " + e.getMessage());
-            end(ask, Kind.NO_CONNECTION, null, false);
+            end(ask, AttemptResult.NO_CONNECTION, null, false);
         }
     }
 
@@ -212,7 +217,7 @@
         return fit.isEmpty() ? null : fit.get((int) (turn++ % fit.size()));
     }
 
-    private void send(Conn conn, Ask ask) {
+    private void send(ClientConnection conn, ClientAttempt ask) {
         conn.ask = ask;
         ask.conn = conn;
         ask.target = conn.target;
@@ -224,7 +229,7 @@
 
     // ---- What the host's sockets saw ----
 
-    public void connected(Conn conn, double atMs) {
+    public void connected(ClientConnection conn, double atMs) {
         nowMs = atMs;
         conn.up = true;
         if (conn.gone) {
@@ -238,28 +243,28 @@
     }
 
     /** The last byte of its request has been handed to the system. */
-    public void written(Conn conn, double atMs) {
-        Ask ask = conn.ask;
+    public void written(ClientConnection conn, double atMs) {
+        ClientAttempt ask = conn.ask;
         if (ask != null && Double.isNaN(ask.writtenMs)) {
             ask.writtenMs = atMs;
             recorder.lag(ask.lagMs + atMs - ask.sentMs);
         }
     }
 
-    public void answered(Conn conn, Answer answer, double atMs) {
+    public void answered(ClientConnection conn, HttpResponse answer, double atMs) {
         nowMs = atMs;
-        Ask ask = conn.ask;
+        ClientAttempt ask = conn.ask;
         if (ask == null) {
             extra(conn, atMs);
             return;
         }
         conn.used = true;
-        Kind kind = answer.lengthless() ? Kind.NO_LENGTH : check.kind(ask, answer);
+        AttemptResult kind = answer.lengthless() ? AttemptResult.NO_LENGTH : check.kind(ask, answer);
         boolean lasts = answer.lasts() && !answer.lengthless() && !conn.own;
         if (!lasts) {
             drop(conn);
         }
-        end(ask, ask.lapsed ? Kind.LATE : kind, answer, false);
+        end(ask, ask.lapsed ? AttemptResult.LATE : kind, answer, false);
         if (lasts && !conn.gone) {
             conn.ask = null;
             free(conn);
@@ -267,16 +272,16 @@
     }
 
     /** What came is not an answer, or no whole one. */
-    public void spoilt(Conn conn, Kind kind, double atMs) {
+    public void spoilt(ClientConnection conn, AttemptResult kind, double atMs) {
         nowMs = atMs;
         drop(conn);
         if (conn.ask != null) {
-            end(conn.ask, conn.ask.lapsed ? Kind.NONE : kind, null, false);
+            end(conn.ask, conn.ask.lapsed ? AttemptResult.NONE : kind, null, false);
         }
     }
 
     /** Bytes where no answer was owed: an answer was given twice, say. */
-    public void extra(Conn conn, double atMs) {
+    public void extra(ClientConnection conn, double atMs) {
         nowMs = atMs;
         recorder.twice++;
         watcher.extra(atMs);
@@ -284,16 +289,16 @@
     }
 
     /** The other side ended it, or it never came up. */
-    public void broken(Conn conn, boolean answerBegun, double atMs) {
+    public void broken(ClientConnection conn, boolean answerBegun, double atMs) {
         nowMs = atMs;
-        Ask ask = conn.ask;
+        ClientAttempt ask = conn.ask;
         drop(conn);
         if (ask == null) {
             recorder.closedIdle++;
         } else if (!conn.up) {
-            end(ask, Kind.NO_CONNECTION, null, false);
+            end(ask, AttemptResult.NO_CONNECTION, null, false);
         } else if (answerBegun) {
-            end(ask, ask.lapsed ? Kind.NONE : Kind.CUT, null, false);
+            end(ask, ask.lapsed ? AttemptResult.NONE : AttemptResult.CUT, null, false);
         } else if (conn.used && !ask.resent && !ask.lapsed && atMs - ask.sentMs < CROSSED_MS && !stopping) {
             // It crossed a close: the front node may end an unused connection at any time.
             ask.resent = true;
@@ -301,13 +306,13 @@
             ask.conn = null;
             open(ask, conn.own);
         } else {
-            end(ask, ask.lapsed ? Kind.NONE : Kind.CLOSED, null, false);
+            end(ask, ask.lapsed ? AttemptResult.NONE : AttemptResult.CLOSED, null, false);
         }
     }
 
     // ---- Ends ----
 
-    private void drop(Conn conn) {
+    private void drop(ClientConnection conn) {
         if (!conn.gone) {
             conn.gone = true;
             conns.remove(conn);
@@ -317,10 +322,10 @@
         }
     }
 
-    private void free(Conn conn) {
-        for (Map.Entry<String, Deque<Ask>> entry : waiting.entrySet()) {
+    private void free(ClientConnection conn) {
+        for (Map.Entry<String, Deque<ClientAttempt>> entry : waiting.entrySet()) {
             if (fits(entry.getKey(), conn)) {
-                Ask ask = entry.getValue().poll();
+                ClientAttempt ask = entry.getValue().poll();
                 if (ask != null) {
                     send(conn, ask);
                     return;
@@ -330,11 +335,11 @@
         idle.computeIfAbsent(zoneOf(conn), name -> new ArrayDeque<>()).add(conn);
     }
 
-    private boolean fits(String zone, Conn conn) {
+    private boolean fits(String zone, ClientConnection conn) {
         return zone.isEmpty() || conn.target != null && zone.equals(conn.target.zone());
     }
 
-    private String zoneOf(Conn conn) {
+    private String zoneOf(ClientConnection conn) {
         boolean zoned = conn.target != null
                 && plan.streams().stream().anyMatch(stream -> stream.zone.equals(conn.target.zone()));
         return zoned ? conn.target.zone() : "";
@@ -343,8 +348,8 @@
     /** A connection less: whoever waits for the cap may open one. */
     private void admit() {
         if (conns.size() < plan.connections() && !stopping) {
-            for (Deque<Ask> queue : waiting.values()) {
-                Ask ask = queue.poll();
+            for (Deque<ClientAttempt> queue : waiting.values()) {
+                ClientAttempt ask = queue.poll();
                 if (ask != null) {
                     open(ask, ask.arrival.fresh() || ask.arrival.stream().habit.ownConnection());
                     return;
@@ -354,28 +359,28 @@
     }
 
     /** The client's time is over: it goes on, but what still comes is looked at. */
-    private void lapse(Ask ask) {
+    private void lapse(ClientAttempt ask) {
         ask.end = null;
         if (ask.leave != null) {
             timetable.remove(ask.leave);
         }
         if (Double.isNaN(ask.sentMs)) {
-            Conn conn = ask.conn;
+            ClientConnection conn = ask.conn;
             if (conn == null) {
                 waiting.values().forEach(queue -> queue.remove(ask));
-                end(ask, Kind.NOT_SENT, null, false);
+                end(ask, AttemptResult.NOT_SENT, null, false);
             } else {
                 drop(conn);
-                end(ask, Kind.NO_CONNECTION, null, false);
+                end(ask, AttemptResult.NO_CONNECTION, null, false);
             }
             return;
         }
         ask.lapsed = true;
         again(ask, 0);
-        ask.end = timetable.add(nowMs + plan.lingerMs(), () -> end(ask, Kind.NONE, null, true));
+        ask.end = timetable.add(nowMs + plan.lingerMs(), () -> end(ask, AttemptResult.NONE, null, true));
     }
 
-    private void end(Ask ask, Kind kind, Answer answer, boolean leaves) {
+    private void end(ClientAttempt ask, AttemptResult kind, HttpResponse answer, boolean leaves) {
         if (ask.over) {
             return;
         }
@@ -387,7 +392,7 @@
         if (ask.leave != null) {
             timetable.remove(ask.leave);
         }
-        Conn conn = ask.conn;
+        ClientConnection conn = ask.conn;
         if (conn == null) {
             waiting.values().forEach(queue -> queue.remove(ask));
         } else if (conn.ask == ask) {
@@ -399,7 +404,7 @@
         recorder.ended(ask, kind, nowMs);
         watcher.ended(ask, kind, answer, nowMs);
         if (!ask.lapsed) {
-            if (kind.served() || kind == Kind.LEFT) {
+            if (kind.served() || kind == AttemptResult.LEFT) {
                 recorder.story(ask, kind.served(), nowMs);
             } else {
                 again(ask, answer == null ? 0 : answer.comebackMs());
@@ -407,7 +412,7 @@
         }
     }
 
-    private void again(Ask ask, double comebackMs) {
+    private void again(ClientAttempt ask, double comebackMs) {
         double waitMs = stopping ? -1 : ask.story.unserved(comebackMs);
         if (waitMs < 0) {
             recorder.story(ask, false, nowMs);
@@ -420,7 +425,7 @@
             if (stopping) {
                 recorder.story(ask, false, nowMs);
             } else {
-                begin(new Ask(ask.arrival, ask.story, ask.tryNumber + 1, dueMs, ask.storyMs));
+                begin(new ClientAttempt(ask.arrival, ask.story, ask.tryNumber + 1, dueMs, ask.storyMs));
             }
         });
     }
--- a/lab/src/main/java/spartrail/lab/load/Report.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadReport.java
@@ -8,10 +8,10 @@
 import spartrail.lab.plan.LoadPlan;
 
 /** A run in words and figures: one tree, from which the JSON and the tables are both made. Times are milliseconds. */
-public final class Report {
+public final class LoadReport {
     public static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
 
-    private Report() {}
+    private LoadReport() {}
 
     public static ObjectNode tree(LoadPlan plan, Recorder recorder, String fault, double lastedMs) {
         ObjectNode tree = Document.JSON.createObjectNode();
@@ -38,9 +38,9 @@
         all.set("latencyMs", percentiles(recorder.total(kind -> true, true)));
         all.set("serviceMs", percentiles(recorder.total(kind -> true, false)));
         ObjectNode served = tree.putObject("served");
-        served.put("count", recorder.count(Kind.WHOLE) + recorder.count(Kind.PARTIAL));
-        served.set("latencyMs", percentiles(recorder.total(Kind::served, true)));
-        served.set("serviceMs", percentiles(recorder.total(Kind::served, false)));
+        served.put("count", recorder.count(AttemptResult.WHOLE) + recorder.count(AttemptResult.PARTIAL));
+        served.set("latencyMs", percentiles(recorder.total(AttemptResult::served, true)));
+        served.set("serviceMs", percentiles(recorder.total(AttemptResult::served, false)));
         ObjectNode clients = tree.putObject("clients");
         clients.put("served", recorder.served.getTotalCount());
         clients.put("unserved", recorder.unserved);
@@ -48,7 +48,7 @@
         clients.put("triesMean", round(recorder.tries.getTotalCount() == 0 ? 0 : recorder.tries.getMean()));
         clients.put("triesMost", recorder.tries.getMaxValue());
         ObjectNode kinds = tree.putObject("kinds");
-        for (Kind kind : Kind.values()) {
+        for (AttemptResult kind : AttemptResult.values()) {
             kinds.put(kind.name(), recorder.count(kind));
         }
         ObjectNode connections = tree.putObject("connections");
@@ -73,8 +73,11 @@
             ObjectNode line = slices.addObject();
             line.put("atMs", round(atMs));
             line.put("intended", slice.intended);
-            line.put("served", slice.kinds.getOrDefault(Kind.WHOLE, 0L) + slice.kinds.getOrDefault(Kind.PARTIAL, 0L));
-            line.put("pushedBack", slice.kinds.getOrDefault(Kind.PUSHED_BACK, 0L));
+            line.put(
+                    "served",
+                    slice.kinds.getOrDefault(AttemptResult.WHOLE, 0L)
+                            + slice.kinds.getOrDefault(AttemptResult.PARTIAL, 0L));
+            line.put("pushedBack", slice.kinds.getOrDefault(AttemptResult.PUSHED_BACK, 0L));
             line.put("p50Ms", slice.latency.getValueAtPercentile(50) / 1000.0);
             line.put("p99Ms", slice.latency.getValueAtPercentile(99) / 1000.0);
             atMs += recorder.sliceMs();
--- a/lab/src/main/java/spartrail/lab/load/LoadSession.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadSession.java
@@ -21,31 +21,31 @@
             double p50Ms,
             double p99Ms,
             double lagP99Ms,
-            Map<Kind, Long> kinds) {}
+            Map<AttemptResult, Long> kinds) {}
 
     private static final long REHEARSED_NS = 400_000_000;
     private static final int REHEARSED = 2000;
 
     private final LoadPlan plan;
     private final SocketLoop loop;
-    private final HttpSockets sockets;
+    private final HttpClientTransport sockets;
     private final Recorder recorder = new Recorder();
-    private final Generator generator;
+    private final LoadGenerator generator;
     private final double lastsMs;
     private final double startMs;
 
     /** Starts at once; {@code lastsMs} is only for showing how far it is. */
-    public LoadSession(LoadPlan plan, Iterator<Arrival> arrivals, double lastsMs, Watcher watcher) {
+    public LoadSession(LoadPlan plan, Iterator<Arrival> arrivals, double lastsMs, LoadListener watcher) {
         this(plan, arrivals, lastsMs, watcher, false);
     }
 
     /** One that is awake has a core for itself and never naps before a send. */
-    public LoadSession(LoadPlan plan, Iterator<Arrival> arrivals, double lastsMs, Watcher watcher, boolean awake) {
+    public LoadSession(LoadPlan plan, Iterator<Arrival> arrivals, double lastsMs, LoadListener watcher, boolean awake) {
         this.loop = new SocketLoop("spartrail-load", awake);
-        this.sockets = new HttpSockets(loop);
+        this.sockets = new HttpClientTransport(loop);
         this.plan = plan;
         this.lastsMs = lastsMs;
-        this.generator = new Generator(plan, arrivals, sockets, recorder, watcher);
+        this.generator = new LoadGenerator(plan, arrivals, sockets, recorder, watcher);
         rehearse(plan);
         this.startMs = loop.nowMs();
         sockets.drive(generator, plan);
@@ -73,8 +73,8 @@
                     return all.next();
                 }
             };
-            VirtualSockets virtual = new VirtualSockets((number, atMs) -> atMs + 1);
-            virtual.play(new Generator(plan, some, virtual, new Recorder(), Watcher.NONE));
+            VirtualClientTransport virtual = new VirtualClientTransport((number, atMs) -> atMs + 1);
+            virtual.play(new LoadGenerator(plan, some, virtual, new Recorder(), LoadListener.NONE));
         }
     }
 
@@ -103,8 +103,8 @@
         Glance[] glance = new Glance[1];
         loop.call(() -> {
             Histogram all = recorder.total(kind -> true, true);
-            Map<Kind, Long> kinds = new EnumMap<>(Kind.class);
-            for (Kind kind : Kind.values()) {
+            Map<AttemptResult, Long> kinds = new EnumMap<>(AttemptResult.class);
+            for (AttemptResult kind : AttemptResult.values()) {
                 if (recorder.count(kind) > 0) {
                     kinds.put(kind, recorder.count(kind));
                 }
@@ -125,7 +125,7 @@
 
     public ObjectNode report() {
         ObjectNode[] tree = new ObjectNode[1];
-        loop.call(() -> tree[0] = Report.tree(plan, recorder, generator.fault(), loop.nowMs() - startMs));
+        loop.call(() -> tree[0] = LoadReport.tree(plan, recorder, generator.fault(), loop.nowMs() - startMs));
         return tree[0];
     }
 
--- a/lab/src/main/java/spartrail/lab/load/Recorder.java
+++ b/lab/src/main/java/spartrail/lab/load/Recorder.java
@@ -11,7 +11,7 @@
  */
 public final class Recorder {
     /** A group of tries that ended alike. */
-    public record Group(int phase, String opType, Kind kind) implements Comparable<Group> {
+    public record Group(int phase, String opType, AttemptResult kind) implements Comparable<Group> {
         @Override
         public int compareTo(Group other) {
             int order = Integer.compare(phase, other.phase);
@@ -29,7 +29,7 @@
     /** A second of the run, by the time at which its tries were meant to leave. */
     public static final class Slice {
         public long intended;
-        public final Map<Kind, Long> kinds = new EnumMap<>(Kind.class);
+        public final Map<AttemptResult, Long> kinds = new EnumMap<>(AttemptResult.class);
         public final Histogram latency = new Histogram(2);
 
         private void add(Slice other) {
@@ -63,7 +63,7 @@
         startMs = atMs;
     }
 
-    void intended(Ask ask) {
+    void intended(ClientAttempt ask) {
         slice(ask.intendedMs).intended++;
     }
 
@@ -71,7 +71,7 @@
         lag.recordValue(micros(ms));
     }
 
-    void ended(Ask ask, Kind kind, double nowMs) {
+    void ended(ClientAttempt ask, AttemptResult kind, double nowMs) {
         Times times = groups.computeIfAbsent(
                 new Group(ask.arrival.phase(), ask.arrival.opType(), kind), group -> new Times());
         times.latency.recordValue(micros(nowMs - ask.intendedMs));
@@ -83,7 +83,7 @@
         slice.latency.recordValue(micros(nowMs - ask.intendedMs));
     }
 
-    void story(Ask ask, boolean wasServed, double nowMs) {
+    void story(ClientAttempt ask, boolean wasServed, double nowMs) {
         if (wasServed) {
             served.recordValue(micros(nowMs - ask.storyMs));
         } else {
@@ -136,7 +136,7 @@
         return list;
     }
 
-    public long count(Kind kind) {
+    public long count(AttemptResult kind) {
         return groups.entrySet().stream()
                 .filter(entry -> entry.getKey().kind() == kind)
                 .mapToLong(entry -> entry.getValue().latency.getTotalCount())
@@ -150,7 +150,7 @@
     }
 
     /** Latencies, or service times, of all tries of these kinds. */
-    public Histogram total(java.util.function.Predicate<Kind> kinds, boolean latency) {
+    public Histogram total(java.util.function.Predicate<AttemptResult> kinds, boolean latency) {
         Histogram sum = new Histogram(3);
         groups.forEach((group, times) -> {
             if (kinds.test(group.kind())) {
--- a/lab/src/main/java/spartrail/lab/load/Check.java
+++ b/lab/src/main/java/spartrail/lab/load/ResponseCheck.java
@@ -10,23 +10,23 @@
 import spartrail.lab.plan.Arrival;
 
 /** Reads an answer as a client does and holds its values against what our stand-in servers make for this very request. */
-public final class Check {
+public final class ResponseCheck {
     /** A readable answer of 200: whether it says that it is whole, and the values by shard. */
     public record Body(boolean whole, Map<Integer, String> values) {}
 
     private static final JsonFactory JSON = new JsonFactory();
 
     /** What an answer counts as. */
-    Kind kind(Ask ask, Answer answer) {
+    AttemptResult kind(ClientAttempt ask, HttpResponse answer) {
         if (answer.status() == 429 || answer.status() == 503) {
-            return Kind.PUSHED_BACK;
+            return AttemptResult.PUSHED_BACK;
         }
         if (answer.status() != 200) {
-            return Kind.FAILED;
+            return AttemptResult.FAILED;
         }
         Body body = read(answer.body());
         if (body == null || body.values().isEmpty()) {
-            return Kind.WRONG;
+            return AttemptResult.WRONG;
         }
         byte[] text = ask.text().getBytes(StandardCharsets.UTF_8);
         int known = 0;
@@ -35,14 +35,14 @@
             if (value != null) {
                 known++;
                 if (!value.equals(Arrival.value(ask.id + '.' + shard, shard, text))) {
-                    return Kind.WRONG;
+                    return AttemptResult.WRONG;
                 }
             }
         }
         if (known != body.values().size()) {
-            return Kind.WRONG;
+            return AttemptResult.WRONG;
         }
-        return body.whole() ? Kind.WHOLE : Kind.PARTIAL;
+        return body.whole() ? AttemptResult.WHOLE : AttemptResult.PARTIAL;
     }
 
     /** The body's form, or null where it is none. */
--- a/lab/src/main/java/spartrail/lab/load/VirtualSockets.java
+++ b/lab/src/main/java/spartrail/lab/load/VirtualClientTransport.java
@@ -9,7 +9,7 @@
  * The generator on a virtual clock, against a responder whose delays are a script: what a report must say then follows
  * from arithmetic. Connections come up at once.
  */
-public class VirtualSockets implements Sockets {
+public class VirtualClientTransport implements ClientTransport {
     /** When a request that came at a time is answered. */
     public interface Responder {
         double answeredMs(long number, double atMs);
@@ -17,17 +17,17 @@
 
     private final Responder responder;
     private final TimerQueue timetable = new TimerQueue();
-    private Generator generator;
+    private LoadGenerator generator;
     private double nowMs;
     private long count;
     private long encoded;
 
-    public VirtualSockets(Responder responder) {
+    public VirtualClientTransport(Responder responder) {
         this.responder = responder;
     }
 
     /** Plays the whole plan; the time at its end. */
-    public final double play(Generator played) {
+    public final double play(LoadGenerator played) {
         generator = played;
         generator.start(0);
         while (!generator.over()) {
@@ -41,13 +41,13 @@
     }
 
     @Override
-    public void open(Conn conn) {
+    public void open(ClientConnection conn) {
         timetable.add(nowMs, () -> generator.connected(conn, nowMs));
     }
 
     @Override
-    public void send(Conn conn, Ask ask, double leftMs) {
-        encoded += HttpSockets.request(conn, ask, leftMs).remaining();
+    public void send(ClientConnection conn, ClientAttempt ask, double leftMs) {
+        encoded += HttpClientTransport.request(conn, ask, leftMs).remaining();
         generator.written(conn, nowMs);
         double answeredMs = responder.answeredMs(count++, nowMs);
         if (!Double.isFinite(answeredMs)) {
@@ -61,22 +61,22 @@
     }
 
     @Override
-    public void close(Conn conn) {
+    public void close(ClientConnection conn) {
         // Nothing is held for it.
     }
 
     /** By way of its bytes, so that a virtual run goes through all that a real one does but sockets. */
-    private static Answer decoded(byte[] body) {
+    private static HttpResponse decoded(byte[] body) {
         byte[] head =
                 ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
-        AnswerReader reader = new AnswerReader();
+        HttpResponseReader reader = new HttpResponseReader();
         try {
             reader.take(ByteBuffer.allocate(head.length + body.length)
                     .put(head)
                     .put(body)
                     .flip());
             return reader.next();
-        } catch (AnswerReader.Unusable e) {
+        } catch (HttpResponseReader.Unusable e) {
             throw new IllegalStateException(e);
         }
     }
@@ -87,7 +87,7 @@
     }
 
     /** What front nodes and servers would make of this request. */
-    static byte[] body(Ask ask) {
+    static byte[] body(ClientAttempt ask) {
         byte[] text = ask.arrival.text().getBytes(StandardCharsets.UTF_8);
         StringBuilder body = new StringBuilder("{\"all_in\":true,\"matches\":[");
         for (int i = 0; i < ask.arrival.shards().length; i++) {
--- a/lab/src/main/java/spartrail/lab/plan/Arrival.java
+++ b/lab/src/main/java/spartrail/lab/plan/Arrival.java
@@ -16,7 +16,7 @@
         long number,
         double atMs,
         int phase,
-        Stream stream,
+        TrafficStream stream,
         String opType,
         String key,
         int[] shards,
--- a/lab/src/main/java/spartrail/lab/plan/Arrivals.java
+++ b/lab/src/main/java/spartrail/lab/plan/Arrivals.java
@@ -16,8 +16,8 @@
     private final LoadPlan plan;
     private final DoubleSupplier gaps;
     private final RandomGenerator chance;
-    private final List<Stream.Drawing> drawings = new ArrayList<>();
-    private final List<Stream> streams;
+    private final List<TrafficStream.Drawing> drawings = new ArrayList<>();
+    private final List<TrafficStream> streams;
     /** Times of crowds, in order, with the stream of each. */
     private final List<double[]> crowd;
 
@@ -42,7 +42,7 @@
         }
         this.crowd = crowd(factory.create(Arrival.mix(plan.seed() + 1_000_003)));
         // Evenly spaced arrivals begin with the plan; others after their first gap.
-        this.toCome = plan.gaps() == Gaps.EVEN ? 0 : gaps.getAsDouble();
+        this.toCome = plan.gaps() == GapDistribution.EVEN ? 0 : gaps.getAsDouble();
         place();
     }
 
@@ -124,7 +124,7 @@
     private int stream(int inPhase) {
         String name = plan.phases().get(inPhase).name();
         double sum = 0;
-        for (Stream stream : streams) {
+        for (TrafficStream stream : streams) {
             sum += stream.in(name) ? stream.share : 0;
         }
         double at = chance.nextDouble() * sum;
--- a/lab/src/main/java/spartrail/lab/plan/Habit.java
+++ b/lab/src/main/java/spartrail/lab/plan/ClientBehavior.java
@@ -13,7 +13,7 @@
  * @param leavesAt after which share of its time it then does
  * @param ownConnection each try comes on a connection of its own, closed after it
  */
-public record Habit(
+public record ClientBehavior(
         int tries,
         Wait pause,
         double waitMs,
@@ -31,5 +31,5 @@
         EXPONENTIAL
     }
 
-    public static final Habit ONCE = new Habit(1, Wait.NONE, 0, 1, 0, 0, 0, 0, 1, false);
+    public static final ClientBehavior ONCE = new ClientBehavior(1, Wait.NONE, 0, 1, 0, 0, 0, 0, 1, false);
 }
--- a/lab/src/main/java/spartrail/lab/plan/Story.java
+++ b/lab/src/main/java/spartrail/lab/plan/ClientSession.java
@@ -13,12 +13,12 @@
  * waiting    its wait is over                    trying
  * </pre>
  */
-public final class Story {
-    private final Habit habit;
+public final class ClientSession {
+    private final ClientBehavior habit;
     private final RandomGenerator chance;
     private int tries;
 
-    public Story(Habit habit, RandomGenerator chance) {
+    public ClientSession(ClientBehavior habit, RandomGenerator chance) {
         this.habit = habit;
         this.chance = chance;
     }
--- a/lab/src/main/java/spartrail/lab/plan/Gaps.java
+++ b/lab/src/main/java/spartrail/lab/plan/GapDistribution.java
@@ -8,7 +8,7 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /** The gaps between arrivals as multiples of the mean gap. */
-public enum Gaps {
+public enum GapDistribution {
     /** All the same. */
     EVEN,
     /** As independent clients make them: exponential. */
--- a/lab/src/main/java/spartrail/lab/plan/LoadPlan.java
+++ b/lab/src/main/java/spartrail/lab/plan/LoadPlan.java
@@ -5,8 +5,8 @@
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
-import spartrail.lab.file.BadInput;
 import spartrail.lab.file.Document;
+import spartrail.lab.file.InvalidInputException;
 
 /**
  * A plan of load as its file tells it; its arrivals follow from it alone.
@@ -20,9 +20,9 @@
 public record LoadPlan(
         long seed,
         List<Phase> phases,
-        Gaps gaps,
+        GapDistribution gaps,
         double variation,
-        List<Stream> streams,
+        List<TrafficStream> streams,
         List<Crowd> crowds,
         List<Target> targets,
         int connections,
@@ -56,7 +56,7 @@
                     phase.get("lastsMs").asDouble(),
                     rate(document, phase.get("rate"), "/phases/" + phases.size() + "/rate")));
         }
-        List<Stream> streams = new ArrayList<>();
+        List<TrafficStream> streams = new ArrayList<>();
         for (JsonNode stream : tree.get("streams")) {
             streams.add(stream(document, stream, "/streams/" + streams.size(), phases));
         }
@@ -87,7 +87,7 @@
         return new LoadPlan(
                 tree.path("seed").asLong(1),
                 phases,
-                Gaps.valueOf(gaps.path("kind").asText("poisson").toUpperCase()),
+                GapDistribution.valueOf(gaps.path("kind").asText("poisson").toUpperCase()),
                 gaps.path("variation").asDouble(1),
                 streams,
                 crowds,
@@ -160,7 +160,7 @@
         }
     }
 
-    private static Stream stream(Document document, JsonNode node, String place, List<Phase> known) {
+    private static TrafficStream stream(Document document, JsonNode node, String place, List<Phase> known) {
         List<String> phases = new ArrayList<>();
         for (JsonNode name : node.path("phases")) {
             if (known.stream().noneMatch(phase -> phase.name().equals(name.asText()))) {
@@ -168,9 +168,9 @@
             }
             phases.add(name.asText());
         }
-        List<Stream.Share<String>> opTypes = new ArrayList<>();
+        List<TrafficStream.Share<String>> opTypes = new ArrayList<>();
         node.get("opTypes")
-                .forEach(one -> opTypes.add(new Stream.Share<>(
+                .forEach(one -> opTypes.add(new TrafficStream.Share<>(
                         one.get("name").asText(), one.path("share").asDouble(1))));
         JsonNode shards = node.get("shards");
         int of = shards.get("of").asInt();
@@ -183,31 +183,31 @@
         }
         JsonNode work = node.path("work");
         JsonNode keys = node.path("keys");
-        List<Stream.Share<Integer>> texts = new ArrayList<>();
+        List<TrafficStream.Share<Integer>> texts = new ArrayList<>();
         node.path("texts")
-                .forEach(one -> texts.add(new Stream.Share<>(
+                .forEach(one -> texts.add(new TrafficStream.Share<>(
                         one.get("bytes").asInt(), one.path("share").asDouble(1))));
         if (texts.isEmpty()) {
-            texts.add(new Stream.Share<>(16, 1));
+            texts.add(new TrafficStream.Share<>(16, 1));
         }
-        return new Stream(
+        return new TrafficStream(
                 node.path("name").asText("stream"),
                 node.path("share").asDouble(1),
                 phases,
                 opTypes,
-                new Stream.Touches(
+                new TrafficStream.Touches(
                         of,
                         least,
                         most,
                         shards.path("exponent").asDouble(1.5),
                         !"scattered".equals(shards.path("spread").asText("run"))),
                 !"drawn".equals(node.path("weights").asText("even")),
-                new Stream.Work(
+                new TrafficStream.Work(
                         work.path("meanMs").asDouble(0),
                         work.path("variation").asDouble(0),
                         work.path("hintShare").asDouble(0),
                         work.path("hintNoise").asDouble(0)),
-                new Stream.Keys(
+                new TrafficStream.Keys(
                         keys.path("count").asInt(1000),
                         keys.path("zipf").asDouble(0.9),
                         keys.path("hotMovesEveryMs").asDouble(0)),
@@ -217,11 +217,11 @@
                 habit(node.path("habit")));
     }
 
-    private static Habit habit(JsonNode node) {
+    private static ClientBehavior habit(JsonNode node) {
         JsonNode leaves = node.path("leaves");
-        return new Habit(
+        return new ClientBehavior(
                 node.path("tries").asInt(1),
-                Habit.Wait.valueOf(node.path("wait").asText("none").toUpperCase()),
+                ClientBehavior.Wait.valueOf(node.path("wait").asText("none").toUpperCase()),
                 node.path("waitMs").asDouble(0),
                 node.path("factor").asDouble(2),
                 node.path("mostWaitMs").asDouble(60_000),
@@ -255,7 +255,7 @@
     /** The same plan against these front nodes. */
     public LoadPlan against(List<Target> nodes) {
         if (nodes.isEmpty()) {
-            throw new BadInput("no front node to send to: give 'targets' in the plan");
+            throw new InvalidInputException("no front node to send to: give 'targets' in the plan");
         }
         return new LoadPlan(
                 seed, phases, gaps, variation, streams, crowds, nodes, connections, connectMs, lagBoundMs, lingerMs);
--- a/lab/src/main/java/spartrail/lab/plan/Stream.java
+++ b/lab/src/main/java/spartrail/lab/plan/TrafficStream.java
@@ -9,7 +9,7 @@
 import org.apache.commons.rng.sampling.distribution.SharedStateDiscreteSampler;
 
 /** One kind of traffic within a plan: what its clients ask and how they behave. Draws are in a fixed order. */
-public final class Stream {
+public final class TrafficStream {
     /** A value and how often it is drawn, as a part of the sum of all shares. */
     public record Share<T>(T value, double share) {}
 
@@ -33,9 +33,9 @@
     final List<Share<Integer>> texts;
     public final String zone;
     public final double clientMs;
-    public final Habit habit;
+    public final ClientBehavior habit;
 
-    public Stream(
+    public TrafficStream(
             String name,
             double share,
             List<String> phases,
@@ -47,7 +47,7 @@
             List<Share<Integer>> texts,
             String zone,
             double clientMs,
-            Habit habit) {
+            ClientBehavior habit) {
         this.name = name;
         this.share = share;
         this.phases = phases;
@@ -99,7 +99,7 @@
                     number,
                     atMs,
                     phase,
-                    Stream.this,
+                    TrafficStream.this,
                     opType,
                     "k" + key,
                     shards,
--- a/lab/src/main/java/spartrail/lab/rules/PeersRules.java
+++ b/lab/src/main/java/spartrail/lab/rules/PeersRules.java
@@ -6,12 +6,12 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import spartrail.peers.Life;
-import spartrail.peers.Standing;
+import spartrail.peers.Incarnation;
+import spartrail.peers.PeerState;
 
 /**
  * What must hold of what front nodes know of each other, told by who looks on from outside: which processes ran when, and what
- * each node came to hold. Numbers are those of {@code spartrail.peers.Peers}. The same judge for processes and for a virtual
+ * each node came to hold. Numbers are those of {@code spartrail.peers.SwimMembership}. The same judge for processes and for a virtual
  * network.
  */
 public final class PeersRules {
@@ -24,7 +24,7 @@
     }
 
     /** What a node holds of another one. */
-    public record Held(Life life, int turn, Standing standing) {}
+    public record Held(Incarnation life, int turn, PeerState standing) {}
 
     /** A node came to hold this of another one, by its own verdict or by what it was told; why it doubts itself, or empty. */
     public record Change(double atMs, int viewer, int other, Held now, boolean own, String doubt) {}
@@ -34,7 +34,7 @@
     private final int size;
     private final List<Breach> breaches = new ArrayList<>();
     private final List<Map<Integer, Held>> held = new ArrayList<>();
-    private final Life[] lives;
+    private final Incarnation[] lives;
     private final boolean[] runs;
     private final boolean[] said;
     private final double[] endedMs;
@@ -49,7 +49,7 @@
 
     public PeersRules(int size) {
         this.size = size;
-        this.lives = new Life[size];
+        this.lives = new Incarnation[size];
         this.runs = new boolean[size];
         this.said = new boolean[size];
         this.endedMs = new double[size];
@@ -75,7 +75,7 @@
     }
 
     /** The life by which it goes. */
-    public void lives(int node, Life life) {
+    public void lives(int node, Incarnation life) {
         lives[node] = life;
     }
 
@@ -116,24 +116,24 @@
         if (before != null && compare(change.now(), before) <= 0) {
             breach(change.atMs(), "1 never back", names + " in " + change.now() + " after " + before);
         }
-        Standing is = change.now().standing();
+        PeerState is = change.now().standing();
         if (change.own()
-                && (is == Standing.SUSPECT || is == Standing.GONE)
+                && (is == PeerState.SUSPECT || is == PeerState.GONE)
                 && !change.doubt().isEmpty()) {
             breach(change.atMs(), "4 no verdict in doubt", names + " while in doubt: " + change.doubt());
         }
-        if (change.own() && (is == Standing.SUSPECT || is == Standing.GONE) && deaf[change.viewer()]) {
+        if (change.own() && (is == PeerState.SUSPECT || is == PeerState.GONE) && deaf[change.viewer()]) {
             breach(change.atMs(), "4 no verdict in doubt", names + ", having stood still and heard nothing since");
         }
         boolean current = change.now().life().equals(lives[other]);
-        if (is == Standing.LEFT && current && !said[other]) {
+        if (is == PeerState.LEFT && current && !said[other]) {
             breach(change.atMs(), "2 only its own word", names + ", and it has not said so");
         }
-        if (change.own() && is == Standing.SUSPECT && current && runs[other]) {
+        if (change.own() && is == PeerState.SUSPECT && current && runs[other]) {
             falseSuspicions++;
             suspicionsInFault += change.atMs() >= firstFaultMs ? 1 : 0;
         }
-        goneThoughSaid += is == Standing.GONE && current && !runs[other] && said[other] ? 1 : 0;
+        goneThoughSaid += is == PeerState.GONE && current && !runs[other] && said[other] ? 1 : 0;
         if (!is.there() && current && runs[other]) {
             falseEnds.merge(other, 1, Integer::sum);
             if (change.atMs() < firstFaultMs) {
@@ -148,7 +148,7 @@
         int order = one.life().compareTo(other.life());
         order = order != 0
                 ? order
-                : Boolean.compare(one.standing() == Standing.LEFT, other.standing() == Standing.LEFT);
+                : Boolean.compare(one.standing() == PeerState.LEFT, other.standing() == PeerState.LEFT);
         order = order != 0 ? order : Integer.compare(one.turn(), other.turn());
         return order != 0 ? order : one.standing().compareTo(other.standing());
     }
@@ -163,7 +163,7 @@
             for (int other = 0; runs[viewer] && other < size; other++) {
                 Held of = held.get(viewer).get(other);
                 boolean current = of != null && of.life().equals(lives[other]);
-                if (other != viewer && runs[other] && (!current || of.standing() != Standing.ALIVE)) {
+                if (other != viewer && runs[other] && (!current || of.standing() != PeerState.ALIVE)) {
                     breach(atMs, "views agree", "n" + viewer + " holds n" + other + " for " + of + ", and it runs");
                 } else if (other != viewer
                         && !runs[other]
--- a/lab/src/main/java/spartrail/lab/rules/RuleChecker.java
+++ b/lab/src/main/java/spartrail/lab/rules/RuleChecker.java
@@ -9,19 +9,19 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import spartrail.lab.fleet.FleetWatcher;
+import spartrail.lab.fleet.FleetListener;
 import spartrail.lab.fleet.ServerModel;
-import spartrail.lab.load.Answer;
-import spartrail.lab.load.Ask;
-import spartrail.lab.load.Check;
-import spartrail.lab.load.Kind;
-import spartrail.lab.load.Watcher;
+import spartrail.lab.load.AttemptResult;
+import spartrail.lab.load.ClientAttempt;
+import spartrail.lab.load.HttpResponse;
+import spartrail.lab.load.LoadListener;
+import spartrail.lab.load.ResponseCheck;
 
 /**
  * Holds the six rules against what is seen of clients and servers. Called by several threads; what is over is forgotten
  * after a while, so its memory is bounded by the rate, not by the run.
  */
-public final class RuleChecker implements Watcher, FleetWatcher {
+public final class RuleChecker implements LoadListener, FleetListener {
     /** The rules; the last one stands under the first of the six, and is told apart here. */
     public enum Rule {
         ONE_ANSWER("each multiget taken gets exactly one final answer in the client's time"),
@@ -88,7 +88,7 @@
 
     private static final double ROUNDING = 2e-3;
 
-    private final Terms terms;
+    private final RuleLimits terms;
     private final Map<Rule, Tallied> tallies = new LinkedHashMap<>();
     private final LinkedHashMap<String, Asked> asked = new LinkedHashMap<>();
     /** By node and server. */
@@ -116,7 +116,7 @@
     private long lateParts;
     private double worstCold;
 
-    public RuleChecker(Terms terms) {
+    public RuleChecker(RuleLimits terms) {
         this.terms = terms;
         for (Rule rule : Rule.values()) {
             tallies.put(rule, new Tallied());
@@ -157,7 +157,7 @@
     // ---- Clients ----
 
     @Override
-    public synchronized void sent(Ask ask, double nowMs) {
+    public synchronized void sent(ClientAttempt ask, double nowMs) {
         var arrival = ask.arrival;
         Asked one = new Asked(arrival.opType(), nowMs);
         for (int i = 0; i < arrival.shards().length; i++) {
@@ -181,15 +181,15 @@
     }
 
     @Override
-    public synchronized void ended(Ask ask, Kind kind, Answer answer, double nowMs) {
+    public synchronized void ended(ClientAttempt ask, AttemptResult kind, HttpResponse answer, double nowMs) {
         Asked one = asked.get(ask.id());
         if (one == null) {
             return;
         }
         one.endedMs = nowMs;
         String who = ask.id() + " (" + one.opType + ") ";
-        if (kind != Kind.LEFT) {
-            boolean inTime = !kind.unanswered() || kind == Kind.LATE && -ask.leftMs(nowMs) <= terms.slackMs();
+        if (kind != AttemptResult.LEFT) {
+            boolean inTime = !kind.unanswered() || kind == AttemptResult.LATE && -ask.leftMs(nowMs) <= terms.slackMs();
             boolean isExcused =
                     !inTime && excused.stream().anyMatch(excuse -> excuse.covers(ask.target(), one.atMs, nowMs));
             if (!inTime && !isExcused && missed.size() < MOST_MISSED) {
@@ -197,19 +197,19 @@
             }
             hold(Rule.ONE_ANSWER, inTime || isExcused, who + "ended as " + kind);
         }
-        Terms.Op op = terms.opTypes().get(one.opType);
+        RuleLimits.Op op = terms.opTypes().get(one.opType);
         if (op != null && answer != null && answer.status() == 200) {
             values(one, op, who, kind, answer);
         }
-        if (op != null && kind == Kind.PUSHED_BACK && op.repeat() == Terms.Repeat.NON_RETRIABLE) {
+        if (op != null && kind == AttemptResult.PUSHED_BACK && op.repeat() == RuleLimits.Repeat.NON_RETRIABLE) {
             boolean ran = one.sends.values().stream().flatMap(List::stream).anyMatch(Sent::mayHaveRun);
             hold(Rule.NO_EFFECT_TWICE, !ran, who + "was pushed back though a part of it may have run");
         }
     }
 
-    private void values(Asked one, Terms.Op op, String who, Kind kind, Answer answer) {
-        Check.Body body = Check.read(answer.body());
-        boolean good = body != null && kind != Kind.WRONG;
+    private void values(Asked one, RuleLimits.Op op, String who, AttemptResult kind, HttpResponse answer) {
+        ResponseCheck.Body body = ResponseCheck.read(answer.body());
+        boolean good = body != null && kind != AttemptResult.WRONG;
         if (good) {
             for (Integer shard : body.values().keySet()) {
                 good &= one.sends.getOrDefault(shard, List.of()).stream()
@@ -311,14 +311,14 @@
     }
 
     private void again(Asked one, String partId, List<Sent> before, double atMs) {
-        Terms.Op op = terms.opTypes().get(one.opType);
+        RuleLimits.Op op = terms.opTypes().get(one.opType);
         boolean out = before.stream().anyMatch(sent -> sent.end == null);
-        if (op != null && op.repeat() == Terms.Repeat.NON_RETRIABLE) {
+        if (op != null && op.repeat() == RuleLimits.Repeat.NON_RETRIABLE) {
             hold(
                     Rule.NO_EFFECT_TWICE,
                     before.stream().noneMatch(Sent::mayHaveRun),
                     partId + " was sent again though it may have run");
-        } else if (op != null && op.repeat() == Terms.Repeat.DEDUPED) {
+        } else if (op != null && op.repeat() == RuleLimits.Repeat.DEDUPED) {
             double firstMs = before.stream()
                     .filter(Sent::mayHaveRun)
                     .mapToDouble(sent -> sent.atMs)
--- a/lab/src/main/java/spartrail/lab/rules/Terms.java
+++ b/lab/src/main/java/spartrail/lab/rules/RuleLimits.java
@@ -12,7 +12,7 @@
  * @param furtherRatio further sends allowed for each multiget taken, and {@code furtherLeast} however few there are,
  *        both within {@code furtherWindowMs}; infinite without a budget
  */
-public record Terms(
+public record RuleLimits(
         Map<String, Op> opTypes,
         double graceMs,
         double slackMs,
--- a/lab/src/main/java/spartrail/lab/scale/HollowNode.java
+++ b/lab/src/main/java/spartrail/lab/scale/HollowNode.java
@@ -5,7 +5,7 @@
 import java.util.Random;
 import spartrail.coordination.Coordinator;
 import spartrail.coordination.WindowCoordinator;
-import spartrail.membership.EndpointList;
+import spartrail.endpoint.EndpointList;
 import spartrail.model.Attempt;
 import spartrail.model.Decisions;
 import spartrail.model.Multiget;
--- a/lab/src/main/java/spartrail/lab/scale/HollowServers.java
+++ b/lab/src/main/java/spartrail/lab/scale/HollowServers.java
@@ -3,8 +3,8 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import spartrail.membership.EndpointList;
-import spartrail.membership.EndpointList.Endpoint;
+import spartrail.endpoint.EndpointList;
+import spartrail.endpoint.EndpointList.Endpoint;
 import spartrail.model.Server;
 
 /** Lists of index servers of any size, without sockets: shards in turn, then zones in turn. */
--- a/lab/src/main/java/spartrail/lab/scale/ListBenchmark.java
+++ b/lab/src/main/java/spartrail/lab/scale/ListBenchmark.java
@@ -12,7 +12,7 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
-import spartrail.membership.EndpointList;
+import spartrail.endpoint.EndpointList;
 import spartrail.model.Server;
 import spartrail.subset.SubsetFilter;
 
--- a/lab/src/main/java/spartrail/lab/scale/ModuleBenchmark.java
+++ b/lab/src/main/java/spartrail/lab/scale/ModuleBenchmark.java
@@ -9,7 +9,7 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
-import spartrail.membership.EndpointList;
+import spartrail.endpoint.EndpointList;
 
 /** Processor time of what the module does, in microseconds for each call. */
 @State(Scope.Thread)
--- a/lab/src/main/java/spartrail/lab/scale/ScaleTests.java
+++ b/lab/src/main/java/spartrail/lab/scale/ScaleTests.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Map;
 import org.openjdk.jol.info.GraphLayout;
-import spartrail.lab.file.BadInput;
-import spartrail.lab.virtual.PeersFigures;
-import spartrail.membership.EndpointList;
-import spartrail.peers.PeerTimes;
+import spartrail.endpoint.EndpointList;
+import spartrail.lab.file.InvalidInputException;
+import spartrail.lab.simulation.PeersFigures;
+import spartrail.peers.GossipTimings;
 import spartrail.subset.SubsetFilter;
 
 /** All scale tests, with or without subsets. */
@@ -58,7 +58,7 @@
         return all.stream()
                 .filter(test -> test.name().equals(name))
                 .findFirst()
-                .orElseThrow(() -> new BadInput("no scale test is named '" + name + "'; there are "
+                .orElseThrow(() -> new InvalidInputException("no scale test is named '" + name + "'; there are "
                         + all.stream().map(ScaleTest::name).toList()));
     }
 
@@ -192,7 +192,7 @@
         static PeersRun of(int nodes, String fault) {
             var system = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
             long fromNs = system.getProcessCpuTime();
-            PeersFigures.Row row = PeersFigures.of(nodes, fault, PEER_RUNS, PeerTimes.USUAL);
+            PeersFigures.Row row = PeersFigures.of(nodes, fault, PEER_RUNS, GossipTimings.USUAL);
             double usedS = (system.getProcessCpuTime() - fromNs) / 1e9;
             return new PeersRun(row, 100 * usedS / (PEER_RUNS * nodes * PeersFigures.RUN_S));
         }
