--- a/lab/src/main/java/spartrail/lab/virtual/Exploration.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Exploration.java
@@ -1,4 +1,4 @@
-package spartrail.lab.virtual;
+package spartrail.lab.simulation;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -10,7 +10,7 @@
 import java.util.function.UnaryOperator;
 import java.util.stream.LongStream;
 import spartrail.lab.rules.PeersRules;
-import spartrail.peers.PeerTimes;
+import spartrail.peers.GossipTimings;
 
 /** Many seeds, side by side. */
 public final class Exploration {
@@ -34,8 +34,8 @@
         long hash = LongStream.range(from, from + count)
                 .parallel()
                 .map(seed -> {
-                    PeersTrial trial = PeersTrial.drawn(seed, least, most);
-                    PeersTrial.Outcome outcome = trial.play(PeerTimes.USUAL, false);
+                    PeersScenario trial = PeersScenario.drawn(seed, least, most);
+                    PeersScenario.Outcome outcome = trial.play(GossipTimings.USUAL, false);
                     messages.addAndGet(outcome.messages());
                     changes.addAndGet(outcome.scene().rules().asked());
                     if (!outcome.breaches().isEmpty()) {
@@ -53,9 +53,9 @@
     /** The first seed of these that breaks anything, as one line; empty where none does. For plants in another loader. */
     public static String firstBreach(long from, long count, int most) {
         for (long seed = from; seed < from + count; seed++) {
-            PeersTrial trial = PeersTrial.drawn(seed, most);
+            PeersScenario trial = PeersScenario.drawn(seed, most);
             List<PeersRules.Breach> breaches =
-                    trial.play(PeerTimes.USUAL, false).breaches();
+                    trial.play(GossipTimings.USUAL, false).breaches();
             if (!breaches.isEmpty()) {
                 return seed + "\t" + breaches.get(0).rule() + "\t" + trial.size();
             }
@@ -64,12 +64,12 @@
     }
 
     /** A seed's shortest script that still breaks the rule which it broke first; the trial itself where it breaks none. */
-    public static PeersTrial shrunk(long seed, int least, int most) {
-        PeersTrial trial = PeersTrial.drawn(seed, least, most);
+    public static PeersScenario shrunk(long seed, int least, int most) {
+        PeersScenario trial = PeersScenario.drawn(seed, least, most);
         List<PeersRules.Breach> breaches =
-                new ArrayList<>(trial.play(PeerTimes.USUAL, false).breaches());
+                new ArrayList<>(trial.play(GossipTimings.USUAL, false).breaches());
         return breaches.isEmpty()
                 ? trial
-                : trial.shrunk(PeerTimes.USUAL, breaches.get(0).rule(), UnaryOperator.identity());
+                : trial.shrunk(GossipTimings.USUAL, breaches.get(0).rule(), UnaryOperator.identity());
     }
 }
--- a/lab/src/main/java/spartrail/lab/virtual/Fault.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Fault.java
@@ -1,4 +1,4 @@
-package spartrail.lab.virtual;
+package spartrail.lab.simulation;
 
 import java.util.List;
 
--- a/lab/src/main/java/spartrail/lab/virtual/Plants.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Mutations.java
@@ -1,4 +1,4 @@
-package spartrail.lab.virtual;
+package spartrail.lab.simulation;
 
 import java.io.IOException;
 import java.net.URL;
@@ -16,17 +16,17 @@
 import java.util.stream.Stream;
 import javax.tools.JavaCompiler;
 import javax.tools.ToolProvider;
-import spartrail.lab.file.BadInput;
+import spartrail.lab.file.InvalidInputException;
 
 /**
  * Faults planted in the source of what is played on the virtual network, to see whether the checks find them: each one is a text of a
  * file and what stands there instead. The changed class is compiled beside the real ones and the same seeds are played with it.
  */
-public final class Plants {
+public final class Mutations {
     /** A fault, and the one place in the source that it changes; how lines are broken there does not matter. */
     public record Plant(String file, String name, String text, String instead) {
         Plant(String name, String text, String instead) {
-            this("peers/Peers", name, text, instead);
+            this("peers/SwimMembership", name, text, instead);
         }
     }
 
@@ -60,8 +60,7 @@
                     "refuted with the same turn",
                     "reborn(self.at(self.life(), word.card().turn() + 1));",
                     "reborn(self.at(self.life(), word.card().turn()));"),
-            new Plant(
-                    "nobody looks for the lost", "        lookForLost();\n        Member next", "        Member next"),
+            new Plant("nobody looks for the lost", "        lookForLost();\n        Peer next", "        Peer next"),
             new Plant(
                     "what a new answer says of this node is not heard",
                     "if (trusted || proof && word",
@@ -78,8 +77,8 @@
             new Plant("news is passed on for ever", "                member.passedOn++;\n", ""),
             new Plant(
                     "who leaves does not say so",
-                    "        standing = Standing.LEFT;\n",
-                    "        standing = Standing.ALIVE;\n"),
+                    "        standing = PeerState.LEFT;\n",
+                    "        standing = PeerState.ALIVE;\n"),
             new Plant("a former life's later start is not outbid", "            begin(other.life());\n", ""),
             new Plant(
                     "a suspicion never ends",
@@ -89,7 +88,7 @@
             new Plant("suspicions go on where doubt ends", "if (doubted && !inDoubtOfItself()) {", "if (false) {"),
             new Plant(
                     "suspects are not asked again",
-                    "this::askSuspects);\n        if (standing == Standing.LEFT ||",
+                    "this::askSuspects);\n        if (standing == PeerState.LEFT ||",
                     "this::askSuspects);\n        if (true ||"),
             new Plant(
                     "strangers are not met",
@@ -108,12 +107,12 @@
                     "nowMs - knownMs < times.overMs() ?",
                     "false ?"),
             new Plant(
-                    "policy/PolicyTimes",
+                    "policy/PolicyTimings",
                     "the leader waits for half a lease",
                     "return leaseMs * (1 + drift) / (1 - drift);",
                     "return leaseMs / 2;"),
             new Plant(
-                    "policy/PolicyTimes",
+                    "policy/PolicyTimings",
                     "the leader's wait leaves drift out",
                     "return leaseMs * (1 + drift) / (1 - drift);",
                     "return leaseMs;"),
@@ -134,8 +133,8 @@
             new Plant(
                     FOLLOWER,
                     "out of touch the proposal is forgotten",
-                    "new Ruling(named + \"?\", guarded, true",
-                    "new Ruling(named + \"?\", holds, true"),
+                    "new PolicyLease(named + \"?\", guarded, true",
+                    "new PolicyLease(named + \"?\", holds, true"),
             new Plant(
                     FOLLOWER,
                     "a node that starts is ready at once",
@@ -144,8 +143,8 @@
             new Plant(
                     FOLLOWER,
                     "a node that heard nothing is not guarded",
-                    "new Ruling(\"0?\", own, true,",
-                    "new Ruling(\"0\", own, false,"),
+                    "new PolicyLease(\"0?\", own, true,",
+                    "new PolicyLease(\"0\", own, false,"),
             new Plant(FOLLOWER, "nobody says that it can", "        vote = number;\n", ""),
             new Plant(LEADER, "a no is not heard", "if (!vote.no().isEmpty()) {", "if (false) {"),
             new Plant(LEADER, "nobody is waited for", "if (missing.isEmpty() && nowMs", "if (nowMs"),
@@ -157,7 +156,7 @@
             new Plant(
                     LOG,
                     "any stage leads to any other",
-                    "if (decided != (op.kind() == Op.Kind.HOLD)) {",
+                    "if (decided != (op.kind() == LogOperation.Kind.HOLD)) {",
                     "if (false) {"),
             new Plant(
                     LOG,
@@ -165,7 +164,7 @@
                     "            if (entry.token().equals(op.token())) {",
                     "            if (false) {"),
             new Plant(
-                    "policy/Terms",
+                    "policy/PolicySettings",
                     "guarded is the looser of two times",
                     "case LESS, SHARE_LESS, COUNT_LESS -> Math.min(",
                     "case LESS, SHARE_LESS, COUNT_LESS -> Math.max("));
@@ -173,7 +172,7 @@
     private static final Pattern WORD = Pattern.compile("\\w+");
     private static final Pattern TOKEN = Pattern.compile("\\w+|\\S");
 
-    private Plants() {}
+    private Mutations() {}
 
     /** Plays the seeds with each fault planted. */
     public static List<Caught> play(Path root, List<Plant> plants, long from, long count, int most) throws Exception {
@@ -181,13 +180,14 @@
         for (Plant plant : plants) {
             Path source = root.resolve("core/src/main/java/spartrail/" + plant.file() + ".java");
             if (!Files.isReadable(source)) {
-                throw new BadInput(source + ": is not there; faults are planted in the repository's source");
+                throw new InvalidInputException(
+                        source + ": is not there; faults are planted in the repository's source");
             }
             String text = Files.readString(source);
             Matcher place = place(plant.text()).matcher(text);
             long places = place.results().count();
             if (places != 1) {
-                throw new BadInput("the fault '" + plant.name()
+                throw new InvalidInputException("the fault '" + plant.name()
                         + "' does not fit the source any more: its text is there " + (places == 0 ? "never" : "twice"));
             }
             String changed = place.reset().replaceFirst(Matcher.quoteReplacement(plant.instead()));
@@ -239,7 +239,7 @@
             try (URLClassLoader loader =
                     new URLClassLoader(urls.toArray(new URL[0]), ClassLoader.getPlatformClassLoader())) {
                 String line = (String) loader.loadClass(
-                                (plant.file().startsWith("peers") ? Exploration.class : PolicyTrial.class).getName())
+                                (plant.file().startsWith("peers") ? Exploration.class : PolicyScenario.class).getName())
                         .getMethod("firstBreach", long.class, long.class, int.class)
                         .invoke(null, from, count, most);
                 String[] parts = line.split("\t");
--- a/lab/src/main/java/spartrail/lab/virtual/PeersFigures.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
@@ -1,4 +1,4 @@
-package spartrail.lab.virtual;
+package spartrail.lab.simulation;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -7,10 +7,10 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 import java.util.stream.LongStream;
-import spartrail.peering.Frames;
-import spartrail.peers.Message;
-import spartrail.peers.PeerTimes;
-import spartrail.peers.Peers;
+import spartrail.peers.GossipTimings;
+import spartrail.peers.PeerMessage;
+import spartrail.peers.SwimMembership;
+import spartrail.peers.transport.PeerMessageCodec;
 
 /** How soon fleets of a size know of a crash, how often they err under a fault, and what their talk costs. */
 public final class PeersFigures {
@@ -80,7 +80,7 @@
     private record Run(List<Double> knownMs, long suspicions, long ends, double bytes, double mostBytes) {}
 
     /** So many runs, each from a seed of its own. */
-    public static Row of(int size, String fault, int runs, PeerTimes times) {
+    public static Row of(int size, String fault, int runs, GossipTimings times) {
         List<Run> all = LongStream.rangeClosed(1, runs)
                 .parallel()
                 .mapToObj(seed -> run(size, fault, seed, times))
@@ -102,7 +102,7 @@
                 all.stream().mapToLong(Run::ends).sum() / hours,
                 all.stream().mapToDouble(Run::bytes).average().orElse(0),
                 all.stream().mapToDouble(Run::mostBytes).max().orElse(0),
-                Peers.mostMessagesPerS(times) * (Frames.MOST_BYTES + HEADS));
+                SwimMembership.mostMessagesPerS(times) * (PeerMessageCodec.MOST_BYTES + HEADS));
     }
 
     private static double at(List<Double> sorted, double part) {
@@ -111,22 +111,22 @@
                 : sorted.get((int) Math.min(sorted.size() - 1, Math.floor(part * sorted.size())));
     }
 
-    private static Run run(int size, String fault, long seed, PeerTimes times) {
+    private static Run run(int size, String fault, long seed, GossipTimings times) {
         long[] bytes = new long[1];
         long[] ofNode = new long[size];
         boolean[] counts = new boolean[1];
-        PeersScene scene = new PeersScene(size, times, UnaryOperator.identity()) {
+        PeersSimulation scene = new PeersSimulation(size, times, UnaryOperator.identity()) {
             @Override
-            public void sent(int node, Message message, double worldMs) {
+            public void sent(int node, PeerMessage message, double worldMs) {
                 super.sent(node, message, worldMs);
                 if (counts[0]) {
-                    int length = Frames.peers("fleet-1", message).length + HEADS;
+                    int length = PeerMessageCodec.peers("fleet-1", message).length + HEADS;
                     bytes[0] += length;
                     ofNode[node] += length;
                 }
             }
         };
-        World<Message> world = new World<>(size, seed, 4, scene);
+        SimulatedNetwork<PeerMessage> world = new SimulatedNetwork<>(size, seed, 4, scene);
         scene.in(world);
         RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         for (int node = 0; node < size; node++) {
--- a/lab/src/main/java/spartrail/lab/virtual/PeersTrial.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersScenario.java
@@ -1,4 +1,4 @@
-package spartrail.lab.virtual;
+package spartrail.lab.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,11 +7,11 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 import spartrail.lab.rules.PeersRules;
-import spartrail.peers.Message;
-import spartrail.peers.PeerTimes;
+import spartrail.peers.GossipTimings;
+import spartrail.peers.PeerMessage;
 
 /** One seed: so many nodes, a script of faults, a time to settle; what did not hold, and the shortest script that shows it. */
-public record PeersTrial(long seed, int size, List<Fault> faults) {
+public record PeersScenario(long seed, int size, List<Fault> faults) {
     /** Nodes start within the first second; up to a hundred know each other after this, when faults begin. */
     private static final double QUIET_MS = 12_000;
 
@@ -21,15 +21,15 @@
 
     /** How a trial went. */
     public record Outcome(
-            List<PeersRules.Breach> breaches, long hash, long messages, PeersScene scene, double lastedMs) {}
+            List<PeersRules.Breach> breaches, long hash, long messages, PeersSimulation scene, double lastedMs) {}
 
     /** What a seed stands for: 3 to {@code most} nodes, none to six faults of any kind. */
-    public static PeersTrial drawn(long seed, int most) {
+    public static PeersScenario drawn(long seed, int most) {
         return drawn(seed, 3, most);
     }
 
     /** The same with so many nodes at the least. */
-    public static PeersTrial drawn(long seed, int least, int most) {
+    public static PeersScenario drawn(long seed, int least, int most) {
         RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed ^ 0x5DEECE66DL);
         // Small fleets are drawn more often: they fail in more ways, and a seed of them takes less time.
         int size = (int) Math.round(least * Math.pow(most / (double) least, chance.nextDouble()));
@@ -50,11 +50,11 @@
                             8000,
                             0));
                 }
-                return new PeersTrial(seed, size, List.copyOf(faults));
+                return new PeersScenario(seed, size, List.copyOf(faults));
             }
             case 1 -> {
                 // One leaves, and that is all.
-                return new PeersTrial(
+                return new PeersScenario(
                         seed,
                         size,
                         List.of(new Fault(quietMs, Fault.Kind.LEAVE, some(1, size, chance), List.of(), 0, 0)));
@@ -66,7 +66,7 @@
                     faults.add(new Fault(quietMs, Fault.Kind.CRASH, List.of(0, 1, 2), List.of(), 0, 0));
                     faults.add(new Fault(
                             quietMs + 3000, Fault.Kind.CUT, some(size / 2, size, chance), List.of(), 20_000, 0));
-                    return new PeersTrial(seed, size, List.copyOf(faults));
+                    return new PeersScenario(seed, size, List.copyOf(faults));
                 }
             }
             case 3 -> {
@@ -75,7 +75,7 @@
                     for (int node = 0; node < size; node++) {
                         faults.add(new Fault(quietMs, Fault.Kind.ONE_WAY, List.of(node), List.of(), ALONE_MS, 0));
                     }
-                    return new PeersTrial(seed, size, List.copyOf(faults));
+                    return new PeersScenario(seed, size, List.copyOf(faults));
                 }
             }
             default -> {}
@@ -84,7 +84,7 @@
             faults.add(fault(kinds[chance.nextInt(kinds.length)], size, quietMs, chance));
         }
         faults.sort(java.util.Comparator.comparingDouble(Fault::atMs));
-        return new PeersTrial(seed, size, List.copyOf(faults));
+        return new PeersScenario(seed, size, List.copyOf(faults));
     }
 
     private static Fault fault(Fault.Kind kind, int size, double quietMs, RandomGenerator chance) {
@@ -136,20 +136,20 @@
     }
 
     /** In so much time after the last fault all views are the same again. */
-    public static double settlesMs(int size, PeerTimes times) {
+    public static double settlesMs(int size, GossipTimings times) {
         return times.roundMs() * (40 + 12 * Math.log(size) / Math.log(2)) + 6 * times.leastSuspicionMs(size);
     }
 
-    public Outcome play(PeerTimes times, boolean logs) {
+    public Outcome play(GossipTimings times, boolean logs) {
         return play(times, logs, UnaryOperator.identity());
     }
 
-    public Outcome play(PeerTimes times, boolean logs, UnaryOperator<Message> planted) {
-        PeersScene scene = new PeersScene(size, times, planted);
+    public Outcome play(GossipTimings times, boolean logs, UnaryOperator<PeerMessage> planted) {
+        PeersSimulation scene = new PeersSimulation(size, times, planted);
         if (logs) {
             scene.keepLog();
         }
-        World<Message> world = new World<>(size, seed, 4, scene);
+        SimulatedNetwork<PeerMessage> world = new SimulatedNetwork<>(size, seed, 4, scene);
         scene.in(world);
         RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         for (int node = 0; node < size; node++) {
@@ -171,7 +171,7 @@
         scene.calm();
         world.run(endMs + CALM_MS);
         scene.calmEnded(CALM_MS);
-        if (faults.stream().allMatch(PeersTrial::onePair)
+        if (faults.stream().allMatch(PeersScenario::onePair)
                 && (!scene.rules().falseEnds().isEmpty() || scene.rules().suspicionsInFault() > 0)) {
             scene.rules()
                     .breach(
@@ -210,12 +210,12 @@
     }
 
     /** The shortest script found that still breaks the same rule: faults left out, then shortened, then fewer nodes. */
-    public PeersTrial shrunk(PeerTimes times, String rule, UnaryOperator<Message> planted) {
-        PeersTrial least = this;
+    public PeersScenario shrunk(GossipTimings times, String rule, UnaryOperator<PeerMessage> planted) {
+        PeersScenario least = this;
         boolean smaller = true;
         while (smaller) {
             smaller = false;
-            for (PeersTrial next : least.simpler()) {
+            for (PeersScenario next : least.simpler()) {
                 if (next.play(times, false, planted).breaches().stream()
                         .anyMatch(breach -> breach.rule().equals(rule))) {
                     least = next;
@@ -227,12 +227,12 @@
         return least;
     }
 
-    private List<PeersTrial> simpler() {
-        List<PeersTrial> simpler = new ArrayList<>();
+    private List<PeersScenario> simpler() {
+        List<PeersScenario> simpler = new ArrayList<>();
         for (int i = 0; i < faults.size(); i++) {
             List<Fault> fewer = new ArrayList<>(faults);
             Fault fault = fewer.remove(i);
-            simpler.add(new PeersTrial(seed, size, List.copyOf(fewer)));
+            simpler.add(new PeersScenario(seed, size, List.copyOf(fewer)));
             if (fault.nodes().size() > 1) {
                 fewer.add(
                         i,
@@ -243,7 +243,7 @@
                                 fault.others(),
                                 fault.lastsMs(),
                                 fault.size()));
-                simpler.add(new PeersTrial(seed, size, List.copyOf(fewer)));
+                simpler.add(new PeersScenario(seed, size, List.copyOf(fewer)));
             }
         }
         int most = faults.stream()
@@ -255,7 +255,7 @@
                 + 1;
         for (int fewer : new int[] {Math.max(3, most), (size + Math.max(3, most)) / 2, size - 1}) {
             if (fewer < size && fewer >= Math.max(3, most)) {
-                simpler.add(new PeersTrial(seed, fewer, faults));
+                simpler.add(new PeersScenario(seed, fewer, faults));
             }
         }
         return simpler;
--- a/lab/src/main/java/spartrail/lab/virtual/PeersScene.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersSimulation.java
@@ -1,4 +1,4 @@
-package spartrail.lab.virtual;
+package spartrail.lab.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,33 +8,33 @@
 import java.util.function.UnaryOperator;
 import java.util.random.RandomGenerator;
 import spartrail.lab.rules.PeersRules;
-import spartrail.peers.Card;
-import spartrail.peers.Life;
-import spartrail.peers.Message;
-import spartrail.peers.Outgoing;
+import spartrail.peers.GossipTimings;
+import spartrail.peers.Incarnation;
+import spartrail.peers.MembershipView;
+import spartrail.peers.OutgoingMessage;
+import spartrail.peers.PeerDescriptor;
 import spartrail.peers.PeerEvent;
-import spartrail.peers.PeerTimes;
-import spartrail.peers.Peers;
-import spartrail.peers.PeersView;
-import spartrail.peers.Standing;
+import spartrail.peers.PeerMessage;
+import spartrail.peers.PeerState;
+import spartrail.peers.SwimMembership;
 
-/** Front nodes that know who of them is there, and what must hold of that; the numbers are those of {@link Peers}. */
-public class PeersScene implements World.Scene<Message> {
+/** Front nodes that know who of them is there, and what must hold of that; the numbers are those of {@link SwimMembership}. */
+public class PeersSimulation implements SimulatedNetwork.Scene<PeerMessage> {
     /** A node's guest. */
-    static final class PeersGuest implements Guest<Message> {
-        final Peers peers;
-        private final UnaryOperator<Message> planted;
+    static final class PeersGuest implements SimulatedNode<PeerMessage> {
+        final SwimMembership peers;
+        private final UnaryOperator<PeerMessage> planted;
         private final Runnable heard;
 
-        PeersGuest(Peers peers, UnaryOperator<Message> planted, Runnable heard) {
+        PeersGuest(SwimMembership peers, UnaryOperator<PeerMessage> planted, Runnable heard) {
             this.peers = peers;
             this.planted = planted;
             this.heard = heard;
         }
 
         @Override
-        public void heard(Message message, double nowMs) {
-            Message taken = planted.apply(message);
+        public void heard(PeerMessage message, double nowMs) {
+            PeerMessage taken = planted.apply(message);
             if (taken != null) {
                 peers.heard(taken, nowMs);
                 heard.run();
@@ -52,9 +52,9 @@
         }
 
         @Override
-        public List<Parcel<Message>> sent() {
-            List<Parcel<Message>> parcels = new ArrayList<>();
-            for (Outgoing outgoing : peers.take()) {
+        public List<Parcel<PeerMessage>> sent() {
+            List<Parcel<PeerMessage>> parcels = new ArrayList<>();
+            for (OutgoingMessage outgoing : peers.take()) {
                 parcels.add(new Parcel<>(outgoing.address(), outgoing.message()));
             }
             return parcels;
@@ -72,13 +72,13 @@
     private static final double SUSPECT_ROUNDS = 3;
 
     private final int size;
-    private final PeerTimes times;
-    private final UnaryOperator<Message> planted;
+    private final GossipTimings times;
+    private final UnaryOperator<PeerMessage> planted;
     private final PeersRules rules;
     private final int[] sentThisSecond;
     private final long[] second;
     private final List<String> log = new ArrayList<>();
-    private World<Message> world;
+    private SimulatedNetwork<PeerMessage> world;
     private boolean logs;
     private int seeds = 3;
     private long words;
@@ -90,7 +90,7 @@
     private final List<Map<String, Double>> askedMs = new ArrayList<>();
 
     /** What is planted may change each message that a node takes in, or drop it (null), to see whether a fault is caught. */
-    public PeersScene(int size, PeerTimes times, UnaryOperator<Message> planted) {
+    public PeersSimulation(int size, GossipTimings times, UnaryOperator<PeerMessage> planted) {
         this.size = size;
         this.times = times;
         this.planted = planted;
@@ -116,24 +116,25 @@
         return log;
     }
 
-    public void in(World<Message> playing) {
+    public void in(SimulatedNetwork<PeerMessage> playing) {
         world = playing;
     }
 
     @Override
-    public Guest<Message> start(int node, int startNumber, String address, double nodeMs, RandomGenerator chance) {
-        Life life = new Life(Math.round(nodeMs), chance.nextInt());
+    public SimulatedNode<PeerMessage> start(
+            int node, int startNumber, String address, double nodeMs, RandomGenerator chance) {
+        Incarnation life = new Incarnation(Math.round(nodeMs), chance.nextInt());
         rules.started(node);
         suspectedMs.get(node).clear();
         askedMs.get(node).clear();
         rules.lives(node, life);
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < Math.min(seeds, size); i++) {
-            addresses.add(World.address(i));
+            addresses.add(SimulatedNetwork.address(i));
         }
         return new PeersGuest(
-                new Peers(
-                        new Card("n" + node, address, "z" + node % 2, 1, "1", "", life, 0),
+                new SwimMembership(
+                        new PeerDescriptor("n" + node, address, "z" + node % 2, 1, "1", "", life, 0),
                         addresses,
                         times,
                         chance,
@@ -143,7 +144,7 @@
     }
 
     @Override
-    public long mark(Message message) {
+    public long mark(PeerMessage message) {
         return message.nonce()
                 ^ message.digest() * 31
                         + message.kind().ordinal() * 7L
@@ -151,9 +152,9 @@
     }
 
     @Override
-    public void sent(int node, Message message, double worldMs) {
+    public void sent(int node, PeerMessage message, double worldMs) {
         words += message.words().size();
-        if (message.kind() == Message.Kind.PING && !message.to().isEmpty()) {
+        if (message.kind() == PeerMessage.Kind.PING && !message.to().isEmpty()) {
             askedMs.get(node).put(message.to(), worldMs);
         }
         long now = (long) (worldMs / 1000);
@@ -161,7 +162,7 @@
             second[node] = now;
             sentThisSecond[node] = 0;
         }
-        if (++sentThisSecond[node] == Math.ceil(2 * Peers.mostMessagesPerS(times)) + 1) {
+        if (++sentThisSecond[node] == Math.ceil(2 * SwimMembership.mostMessagesPerS(times)) + 1) {
             rules.breach(worldMs, "5 messages bounded", "n" + node + " sent " + sentThisSecond[node] + " in a second");
         }
     }
@@ -188,8 +189,8 @@
     }
 
     @Override
-    public void stepped(int node, Guest<Message> guest, double worldMs, double nodeMs) {
-        Peers peers = ((PeersGuest) guest).peers;
+    public void stepped(int node, SimulatedNode<PeerMessage> guest, double worldMs, double nodeMs) {
+        SwimMembership peers = ((PeersGuest) guest).peers;
         rules.lives(node, peers.self().life());
         for (PeerEvent event : peers.events()) {
             if (logs) {
@@ -197,7 +198,7 @@
                         + event.card().turn() + "), by " + event.by() + ": " + event.why());
             }
             int other = Integer.parseInt(event.card().name().substring(1));
-            if (event.is() == Standing.SUSPECT && event.by().equals("n" + node)) {
+            if (event.is() == PeerState.SUSPECT && event.by().equals("n" + node)) {
                 suspectedMs.get(node).put(event.card().name(), worldMs);
             } else {
                 suspectedMs.get(node).remove(event.card().name());
@@ -215,10 +216,10 @@
             }
         }
         if (!suspectedMs.get(node).isEmpty() && peers.nextMs() > nodeMs) {
-            PeersView view = peers.view(nodeMs);
-            if (view.standing() != Standing.LEFT
+            MembershipView view = peers.view(nodeMs);
+            if (view.standing() != PeerState.LEFT
                     && view.peers().stream()
-                                    .filter(seen -> seen.standing() == Standing.SUSPECT)
+                                    .filter(seen -> seen.standing() == PeerState.SUSPECT)
                                     .count()
                             <= FEW_SUSPECTS) {
                 suspectsAsked(node, worldMs);
--- a/lab/src/main/java/spartrail/lab/virtual/PolicyTrial.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PolicyScenario.java
@@ -1,4 +1,4 @@
-package spartrail.lab.virtual;
+package spartrail.lab.simulation;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -12,7 +12,7 @@
 import spartrail.lab.rules.PeersRules.Breach;
 
 /** One seed of nodes that go by versions of policy: so many of them, a script of faults, proposals in between. */
-public record PolicyTrial(long seed, int size, int unfit, boolean edge, List<Fault> faults) {
+public record PolicyScenario(long seed, int size, int unfit, boolean edge, List<Fault> faults) {
     private static final double QUIET_MS = 8000;
     private static final double FAULTS_MS = 40_000;
     /** What was proposed meanwhile has ended so long after the last fault; and one that is proposed then so much later. */
@@ -30,7 +30,7 @@
     public record Result(long messages, long changes, long versions, long hash, Map<Long, Breach> found) {}
 
     /** What a seed stands for. */
-    public static PolicyTrial drawn(long seed, int most) {
+    public static PolicyScenario drawn(long seed, int most) {
         RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed ^ 0x2545F491L);
         int size = (int) Math.round(3 * Math.pow(most / 3.0, chance.nextDouble()));
         int deciders = size < 5 ? 3 : 3 + 2 * (size % 2);
@@ -84,7 +84,7 @@
             faults.add(new Fault(0, Fault.Kind.CLOCK, List.of(size - 1), List.of(), 0, 0.9801));
         }
         faults.sort(java.util.Comparator.comparingDouble(Fault::atMs));
-        return new PolicyTrial(
+        return new PolicyScenario(
                 seed,
                 size,
                 !edge && chance.nextInt(4) == 0 ? chance.nextInt(size) : -1,
@@ -104,11 +104,11 @@
     }
 
     public Outcome play(boolean logs) {
-        PolicyScene scene = new PolicyScene(size, unfit);
+        PolicySimulation scene = new PolicySimulation(size, unfit);
         if (logs) {
             scene.keepLog();
         }
-        World<PolicyScene.Message> world = new World<>(size, seed, 4, scene);
+        SimulatedNetwork<PolicySimulation.Message> world = new SimulatedNetwork<>(size, seed, 4, scene);
         scene.in(world);
         if (edge) {
             scene.cutAtDecision(size - 1);
@@ -172,7 +172,7 @@
     /** The first seed of these that breaks anything, as one line; empty where none does. For plants in another loader. */
     public static String firstBreach(long from, long count, int most) {
         for (long seed = from; seed < from + count; seed++) {
-            PolicyTrial trial = drawn(seed, most);
+            PolicyScenario trial = drawn(seed, most);
             List<Breach> breaches = trial.play(false).breaches();
             if (!breaches.isEmpty()) {
                 return seed + "\t" + breaches.get(0).rule() + "\t" + trial.size();
@@ -182,13 +182,13 @@
     }
 
     /** The shortest script found that still breaks the rule which the whole one broke first; the trial itself where it breaks none. */
-    public PolicyTrial shrunk() {
+    public PolicyScenario shrunk() {
         List<Breach> breaches = play(false).breaches();
-        PolicyTrial least = this;
+        PolicyScenario least = this;
         for (int i = 0; !breaches.isEmpty() && i < least.faults.size(); ) {
             List<Fault> fewer = new ArrayList<>(least.faults);
             fewer.remove(i);
-            PolicyTrial next = new PolicyTrial(seed, size, unfit, edge, List.copyOf(fewer));
+            PolicyScenario next = new PolicyScenario(seed, size, unfit, edge, List.copyOf(fewer));
             if (next.play(false).breaches().stream()
                     .anyMatch(breach -> breach.rule().equals(breaches.get(0).rule()))) {
                 least = next;
--- a/lab/src/main/java/spartrail/lab/virtual/PolicyScene.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PolicySimulation.java
@@ -1,4 +1,4 @@
-package spartrail.lab.virtual;
+package spartrail.lab.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,40 +10,41 @@
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 import spartrail.lab.rules.PeersRules.Breach;
-import spartrail.policy.Ask;
-import spartrail.policy.Op;
+import spartrail.policy.LogOperation;
 import spartrail.policy.PolicyFollower;
 import spartrail.policy.PolicyLeader;
+import spartrail.policy.PolicyLease;
 import spartrail.policy.PolicyLog;
 import spartrail.policy.PolicyLog.Entry;
 import spartrail.policy.PolicyLog.Stage;
-import spartrail.policy.PolicyTimes;
-import spartrail.policy.Ruling;
-import spartrail.policy.Terms;
-import spartrail.policy.Told;
+import spartrail.policy.PolicyRequest;
+import spartrail.policy.PolicyResponse;
+import spartrail.policy.PolicySettings;
+import spartrail.policy.PolicyTimings;
 
 /**
  * Nodes that go by versions of policy. The agreed log is a stand-in: one list, a leader that is chosen anew some time after the one
  * before was lost, reads and entries that take time and succeed only where the leader still leads and reaches a majority; an entry
  * that does not may come to be all the same. All else is the program's own.
  */
-public final class PolicyScene implements World.Scene<PolicyScene.Message> {
+public final class PolicySimulation implements SimulatedNetwork.Scene<PolicySimulation.Message> {
     /** What nodes send each other about policy; kinds as in the program's wire form. */
-    public record Message(String kind, String from, Ask ask, Told told, String hint) {}
+    public record Message(String kind, String from, PolicyRequest ask, PolicyResponse told, String hint) {}
 
     /** Short times, so that much happens in a short run. */
-    static final PolicyTimes TIMES = new PolicyTimes(3000, 500, 8000, 5000, 0.02);
+    static final PolicyTimings TIMES = new PolicyTimings(3000, 500, 8000, 5000, 0.02);
 
     private static final double LOOK_MS = 100;
     private static final double LEADER_LOST_MS = 3000;
     private static final double GONE_MS = 5000;
     private static final int MOST_BREACHES = 20;
     private static final String BUDGET = "/opTypes/orders/budgetMs";
-    private static final Terms OWN = Terms.parse("{\"opTypes\":{\"orders\":{\"budgetMs\":2000,\"timeoutMs\":8000}},"
-            + "\"furtherSends\":{\"spanMs\":0,\"free\":0,\"share\":0}}");
+    private static final PolicySettings OWN =
+            PolicySettings.parse("{\"opTypes\":{\"orders\":{\"budgetMs\":2000,\"timeoutMs\":8000}},"
+                    + "\"furtherSends\":{\"spanMs\":0,\"free\":0,\"share\":0}}");
 
     /** A node's guest. */
-    private final class PolicyGuest implements Guest<Message> {
+    private final class PolicyGuest implements SimulatedNode<Message> {
         final int node;
         final int start;
         final PolicyFollower follower;
@@ -51,7 +52,7 @@
         final RandomGenerator chance;
         final Deque<Runnable> tasks = new ArrayDeque<>();
         final List<Parcel<Message>> out = new ArrayList<>();
-        final List<Ask> waiting = new ArrayList<>();
+        final List<PolicyRequest> waiting = new ArrayList<>();
         final double bornMs;
         boolean leads;
         boolean reading;
@@ -60,7 +61,7 @@
         double nextLookMs;
         double nowMs;
 
-        PolicyGuest(int node, int start, Terms own, RandomGenerator chance, double nowMs) {
+        PolicyGuest(int node, int start, PolicySettings own, RandomGenerator chance, double nowMs) {
             this.node = node;
             this.start = start;
             this.chance = chance;
@@ -70,7 +71,7 @@
         }
 
         void send(int to, Message message) {
-            out.add(new Parcel<>(World.address(to), message));
+            out.add(new Parcel<>(SimulatedNetwork.address(to), message));
         }
 
         @Override
@@ -108,13 +109,14 @@
                 return;
             }
             reading = true;
-            List<Ask> batch = List.copyOf(waiting);
+            List<PolicyRequest> batch = List.copyOf(waiting);
             waiting.clear();
             confirmed(this, told -> {
                 reading = false;
-                for (Ask ask : batch) {
+                for (PolicyRequest ask : batch) {
                     if (told != null) {
-                        Told answer = new Told(ask.nonce(), told.index(), told.holds(), told.open());
+                        PolicyResponse answer =
+                                new PolicyResponse(ask.nonce(), told.index(), told.holds(), told.open());
                         if (ask.name().equals("n" + node)) {
                             follower.told(answer, nowMs);
                         } else {
@@ -137,12 +139,12 @@
             if (atMs >= nextLookMs) {
                 nextLookMs = atMs + 50;
                 leader.leads(leads);
-                Op op = leads ? leader.due(log, there(node), atMs) : null;
+                LogOperation op = leads ? leader.due(log, there(node), atMs) : null;
                 if (op != null) {
                     append(this, op);
                 }
             }
-            Ask ask = follower.ask(atMs);
+            PolicyRequest ask = follower.ask(atMs);
             if (ask != null) {
                 ask(ask);
             }
@@ -165,7 +167,7 @@
             }
         }
 
-        private void ask(Ask ask) {
+        private void ask(PolicyRequest ask) {
             if (leads) {
                 leader.leads(true);
                 leader.asked(ask, nowMs);
@@ -205,14 +207,14 @@
     private final PolicyLog log = new PolicyLog();
     private final List<Breach> breaches = new ArrayList<>();
     private final List<String> lines = new ArrayList<>();
-    private final List<Op> maybe = new ArrayList<>();
+    private final List<LogOperation> maybe = new ArrayList<>();
     private final List<Long> held = new ArrayList<>(List.of(0L));
     private final Map<Long, Double> budgets = new HashMap<>(Map.of(0L, 2000.0));
     private final String[] names;
     private final long[] lastAlone;
     private final double[] seenMs;
     private final double[] isolatedMs;
-    private World<Message> world;
+    private SimulatedNetwork<Message> world;
     private long index;
     private int leading = -1;
     private double leaderSeenMs;
@@ -226,7 +228,7 @@
     private int cutAt = -1;
 
     /** So many nodes, the first three or five decide; the node {@code unfit} (none if below 0) cannot apply every proposal. */
-    PolicyScene(int size, int unfit) {
+    PolicySimulation(int size, int unfit) {
         this.size = size;
         this.deciders = size < 5 ? 3 : 3 + 2 * (size % 2);
         this.unfit = unfit;
@@ -242,7 +244,7 @@
         cutAt = node;
     }
 
-    void in(World<Message> playing) {
+    void in(SimulatedNetwork<Message> playing) {
         world = playing;
         world.later(LOOK_MS, this::look);
     }
@@ -353,13 +355,13 @@
         ledMs = world.nowMs();
         guest(leading).leads = true;
         line("n" + leading + " leads");
-        for (Op op : List.copyOf(maybe)) {
+        for (LogOperation op : List.copyOf(maybe)) {
             if (world.chance().nextBoolean()) {
                 commit(op);
             }
         }
         maybe.clear();
-        commit(Op.LEADS);
+        commit(LogOperation.LEADS);
         world.wake(leading);
     }
 
@@ -374,13 +376,13 @@
     }
 
     private interface Answer {
-        void of(Told told);
+        void of(PolicyResponse told);
     }
 
     /** A read that a majority confirms: what was committed when it began, if this node still leads when it ends. */
     private void confirmed(PolicyGuest guest, Answer answer) {
         boolean could = leading == guest.node && eligible(guest.node);
-        Told told = new Told(0, index, log.holds(), log.open());
+        PolicyResponse told = new PolicyResponse(0, index, log.holds(), log.open());
         world.later(1 + 40 * world.chance().nextDouble(), () -> {
             boolean can = could && leading == guest.node && eligible(guest.node) && world.guest(guest.node) == guest;
             guest.tasks.add(() -> answer.of(can ? told : null));
@@ -388,7 +390,7 @@
         });
     }
 
-    private void append(PolicyGuest guest, Op op) {
+    private void append(PolicyGuest guest, LogOperation op) {
         boolean could = leading == guest.node && eligible(guest.node);
         world.later(1 + 60 * world.chance().nextDouble(), () -> {
             if (could && leading == guest.node && eligible(guest.node)) {
@@ -399,20 +401,20 @@
         });
     }
 
-    private void commit(Op op) {
+    private void commit(LogOperation op) {
         Entry was = log.open();
         String came = log.apply(++index, op);
         openedMs =
                 log.open() != null && (was == null || was.number() != log.open().number()) ? world.nowMs() : openedMs;
-        if (op.kind() == Op.Kind.LED) {
+        if (op.kind() == LogOperation.Kind.LED) {
             return;
         }
         line(op.kind() + " " + op.number() + " " + op.who() + " " + op.text() + ": " + came);
         Entry open = log.open();
-        if (op.kind() == Op.Kind.PROPOSE && open != null) {
-            budgets.put(open.number(), Terms.parse(open.settings()).number(BUDGET));
+        if (op.kind() == LogOperation.Kind.PROPOSE && open != null) {
+            budgets.put(open.number(), PolicySettings.parse(open.settings()).number(BUDGET));
         }
-        if (op.kind() == Op.Kind.DECIDE
+        if (op.kind() == LogOperation.Kind.DECIDE
                 && open != null
                 && open.stage() == Stage.DECIDED
                 && was.stage() == Stage.PROPOSED) {
@@ -450,7 +452,7 @@
             if (!world.runs(node)) {
                 continue;
             }
-            Ruling ruling = guest(node).follower.ruling();
+            PolicyLease ruling = guest(node).follower.ruling();
             boolean touch = ruling != null
                     && !ruling.at(world.clock(node)).name().endsWith("?")
                     && world.linked(node, leading)
@@ -470,7 +472,8 @@
 
     /** An operator proposes, and again where nobody answers; some send it twice. */
     void propose(int budgetMs, boolean twice) {
-        Op op = new Op(Op.Kind.PROPOSE, 0, "{\"" + BUDGET + "\":" + budgetMs + "}", "operator", "t" + proposals++);
+        LogOperation op = new LogOperation(
+                LogOperation.Kind.PROPOSE, 0, "{\"" + BUDGET + "\":" + budgetMs + "}", "operator", "t" + proposals++);
         ordered(op, 0);
         if (twice) {
             world.later(1000 + 8000 * world.chance().nextDouble(), () -> ordered(op, 0));
@@ -479,11 +482,11 @@
 
     void abort() {
         if (log.open() != null) {
-            ordered(new Op(Op.Kind.ABORT, log.open().number(), "", "operator", ""), 0);
+            ordered(new LogOperation(LogOperation.Kind.ABORT, log.open().number(), "", "operator", ""), 0);
         }
     }
 
-    private void ordered(Op op, int tries) {
+    private void ordered(LogOperation op, int tries) {
         if (leading >= 0 && eligible(leading) && guest(leading).leads) {
             append(guest(leading), op);
         } else if (tries < 40) {
@@ -494,8 +497,10 @@
     // ---- The world's scene ----
 
     @Override
-    public Guest<Message> start(int node, int startNumber, String address, double nodeMs, RandomGenerator chance) {
-        Terms own = node == unfit ? OWN.with(Terms.parse("{\"opTypes\":{\"orders\":{\"timeoutMs\":2500}}}")) : OWN;
+    public SimulatedNode<Message> start(
+            int node, int startNumber, String address, double nodeMs, RandomGenerator chance) {
+        PolicySettings own =
+                node == unfit ? OWN.with(PolicySettings.parse("{\"opTypes\":{\"orders\":{\"timeoutMs\":2500}}}")) : OWN;
         names[node] = "";
         if (leading == node) {
             leading = -1;
@@ -517,9 +522,9 @@
     }
 
     @Override
-    public void stepped(int node, Guest<Message> guest, double worldMs, double nodeMs) {
+    public void stepped(int node, SimulatedNode<Message> guest, double worldMs, double nodeMs) {
         PolicyGuest stepped = (PolicyGuest) guest;
-        Ruling now = stepped.follower.ruling() == null
+        PolicyLease now = stepped.follower.ruling() == null
                 ? null
                 : stepped.follower.ruling().at(nodeMs);
         String name = now == null ? "" : now.name();
@@ -562,7 +567,7 @@
     }
 
     /** Whatever a node goes by is within each version that it names. */
-    private void strict(int node, Ruling now) {
+    private void strict(int node, PolicyLease now) {
         for (long number : numbers(now.name())) {
             double budgetMs = budgets.getOrDefault(number, 0.0);
             if (now.terms().number(BUDGET) > budgetMs + 1e-9) {
@@ -603,8 +608,8 @@
     }
 
     private void instant(int node, String name, int other) {
-        Ruling ruling = guest(other).follower.ruling();
-        Ruling theirs = ruling == null ? null : ruling.at(world.clock(other));
+        PolicyLease ruling = guest(other).follower.ruling();
+        PolicyLease theirs = ruling == null ? null : ruling.at(world.clock(other));
         if (theirs == null || theirs.name().endsWith("?")) {
             return;
         }
@@ -631,7 +636,7 @@
                     log.open().number() + " is " + log.open().stage());
         }
         for (int node = 0; node < size; node++) {
-            Ruling ruling = world.runs(node) ? guest(node).follower.ruling() : null;
+            PolicyLease ruling = world.runs(node) ? guest(node).follower.ruling() : null;
             String name =
                     ruling == null ? "nothing" : ruling.at(world.clock(node)).name();
             if (world.runs(node)
--- a/lab/src/main/java/spartrail/lab/virtual/World.java
+++ b/lab/src/main/java/spartrail/lab/simulation/SimulatedNetwork.java
@@ -1,4 +1,4 @@
-package spartrail.lab.virtual;
+package spartrail.lab.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -14,13 +14,13 @@
  * Nodes, links and a clock. What happens at one time happens in the order in which it came to be, and all chance is drawn
  * from the seed, so that one seed is one run; {@link #hash} tells whether two runs were the same.
  */
-public final class World<M> {
+public final class SimulatedNetwork<M> {
     /** Who makes the guest of a node at each of its starts, and looks on. */
     public interface Scene<M> {
-        Guest<M> start(int node, int startNumber, String address, double nodeMs, RandomGenerator chance);
+        SimulatedNode<M> start(int node, int startNumber, String address, double nodeMs, RandomGenerator chance);
 
         /** After each step of a node. */
-        default void stepped(int node, Guest<M> guest, double worldMs, double nodeMs) {}
+        default void stepped(int node, SimulatedNode<M> guest, double worldMs, double nodeMs) {}
 
         default void faulted(Fault fault, boolean ends, double worldMs) {}
 
@@ -41,7 +41,7 @@
     private final class Node {
         final int number;
         final String address;
-        Guest<M> guest;
+        SimulatedNode<M> guest;
         int starts;
         double stalledUntilMs;
         double busyUntilMs;
@@ -91,7 +91,7 @@
     private long hash = 17;
     private long messages;
 
-    public World(int size, long seed, double jitterMs, Scene<M> scene) {
+    public SimulatedNetwork(int size, long seed, double jitterMs, Scene<M> scene) {
         this.scene = scene;
         this.chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         this.jitterMs = jitterMs;
@@ -147,7 +147,7 @@
         return nodes.get(node).guest != null;
     }
 
-    public Guest<M> guest(int node) {
+    public SimulatedNode<M> guest(int node) {
         return nodes.get(node).guest;
     }
 
@@ -241,7 +241,7 @@
             node.guest.advance(clockMs);
         }
         node.busyUntilMs = nowMs + node.slowMs;
-        for (Guest.Parcel<M> parcel : node.guest.sent()) {
+        for (SimulatedNode.Parcel<M> parcel : node.guest.sent()) {
             messages++;
             scene.sent(node.number, parcel.message(), nowMs);
             carry(node, byAddress.get(parcel.address()), parcel.message());
@@ -255,12 +255,12 @@
         double dueMs = Math.max(node.world(node.guest.nextMs()), nowMs) + ROUNDED_MS;
         if (dueMs < node.plannedMs) {
             node.plannedMs = dueMs;
-            Guest<M> planned = node.guest;
+            SimulatedNode<M> planned = node.guest;
             at(dueMs, () -> due(node, planned, dueMs));
         }
     }
 
-    private void due(Node node, Guest<M> planned, double plannedMs) {
+    private void due(Node node, SimulatedNode<M> planned, double plannedMs) {
         if (node.guest != planned || node.plannedMs != plannedMs) {
             return;
         }
@@ -314,7 +314,7 @@
                 case LEAVE -> {
                     if (node.guest != null) {
                         node.guest.leave(node.clock(nowMs));
-                        for (Guest.Parcel<M> parcel : node.guest.sent()) {
+                        for (SimulatedNode.Parcel<M> parcel : node.guest.sent()) {
                             carry(node, byAddress.get(parcel.address()), parcel.message());
                         }
                         scene.stepped(node.number, node.guest, nowMs, node.clock(nowMs));
--- a/lab/src/main/java/spartrail/lab/virtual/Guest.java
+++ b/lab/src/main/java/spartrail/lab/simulation/SimulatedNode.java
@@ -1,9 +1,9 @@
-package spartrail.lab.virtual;
+package spartrail.lab.simulation;
 
 import java.util.List;
 
 /** What lives on a virtual node: an I/O-free part of the program. Times are the node's own clock. */
-public interface Guest<M> {
+public interface SimulatedNode<M> {
     /** A message and the address that it goes to. */
     record Parcel<M>(String address, M message) {}
 
--- a/lab/src/main/java/spartrail/lab/subset/SubsetCheck.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetCheck.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import spartrail.membership.EndpointList;
-import spartrail.membership.EndpointList.Endpoint;
+import spartrail.endpoint.EndpointList;
+import spartrail.endpoint.EndpointList.Endpoint;
 import spartrail.model.Server;
 
 /**
--- a/lab/src/main/java/spartrail/lab/subset/SubsetFault.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetMutation.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.function.Predicate;
-import spartrail.membership.EndpointList;
-import spartrail.membership.EndpointList.Endpoint;
+import spartrail.endpoint.EndpointList;
+import spartrail.endpoint.EndpointList.Endpoint;
 import spartrail.model.Server;
 import spartrail.subset.SubsetFilter;
 import spartrail.subset.SubsetSelector;
 import spartrail.subset.SubsetSettings;
 
 /** Faults that the checks of subsets must catch: each makes a node's lists as a subset with that mistake would. */
-public enum SubsetFault {
+public enum SubsetMutation {
     NONE("as it is", node -> node.filter()::own),
     SPARES_FORGOTTEN("no spare follows one that is gone", node -> {
         SubsetFilter filter = node.filter();
@@ -74,7 +74,7 @@
     final String summary;
     private final Function<Node, Lists> making;
 
-    SubsetFault(String summary, Function<Node, Lists> making) {
+    SubsetMutation(String summary, Function<Node, Lists> making) {
         this.summary = summary;
         this.making = making;
     }
--- a/lab/src/main/java/spartrail/lab/subset/SubsetRun.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetRun.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.IntStream;
-import spartrail.membership.EndpointList;
-import spartrail.membership.EndpointList.Endpoint;
+import spartrail.endpoint.EndpointList;
+import spartrail.endpoint.EndpointList.Endpoint;
 
 /**
  * A fleet's nodes through one script, one node after the other on each core; only what a node chose is kept of it. A tenth of the
@@ -28,7 +28,7 @@
     public record Outcome(long seed, long hash, int steps, long checks, int breaches, List<String> examples) {}
 
     private final FleetShape shape;
-    private final SubsetFault fault;
+    private final SubsetMutation fault;
     private final long seed;
     private final List<SubsetScript.Step> steps;
     private final List<List<SubsetCheck.LiveShard>> live = new ArrayList<>();
@@ -38,7 +38,7 @@
     private final AtomicInteger breaches = new AtomicInteger();
     private final List<String> examples = new ArrayList<>();
 
-    private SubsetRun(FleetShape shape, long seed, int changes, SubsetFault fault) {
+    private SubsetRun(FleetShape shape, long seed, int changes, SubsetMutation fault) {
         this.shape = shape;
         this.fault = fault;
         this.seed = seed;
@@ -48,7 +48,7 @@
     }
 
     /** Plays the script to every node, with this fault in all of them. */
-    public static Outcome play(FleetShape shape, long seed, int changes, SubsetFault fault) {
+    public static Outcome play(FleetShape shape, long seed, int changes, SubsetMutation fault) {
         SubsetRun run = new SubsetRun(shape, seed, changes, fault);
         IntStream.range(0, shape.nodes()).parallel().forEach(run::node);
         run.checkSharing();
@@ -60,7 +60,7 @@
         boolean late = random.nextDouble() < LATE_SHARE;
         int lateFrom = 1 + random.nextInt(steps.size() - 1);
         int lateTo = late ? lateFrom + random.nextInt(steps.size() - lateFrom) : -1;
-        SubsetFault.Lists lists = fault.lists(shape, number);
+        SubsetMutation.Lists lists = fault.lists(shape, number);
         SubsetReader reader = new SubsetReader(shape.shards());
         SubsetCheck check = new SubsetCheck(shape);
         long told = 17;
--- a/lab/src/main/java/spartrail/lab/subset/SubsetScript.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetScript.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
+import spartrail.endpoint.EndpointList;
+import spartrail.endpoint.EndpointList.Endpoint;
 import spartrail.lab.scale.HollowServers;
-import spartrail.membership.EndpointList;
-import spartrail.membership.EndpointList.Endpoint;
 import spartrail.model.Server;
 
 /**
--- a/lab/src/main/java/spartrail/lab/trace/Reorder.java
+++ b/lab/src/main/java/spartrail/lab/trace/Reorder.java
@@ -6,7 +6,7 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.function.Consumer;
-import spartrail.lab.file.BadInput;
+import spartrail.lab.file.InvalidInputException;
 
 /**
  * Puts the lines of a trace into order of time, without I/O. Rules, each counted:
@@ -72,7 +72,7 @@
         }
         if (atMs < newestMs - windowMs) {
             if (!clamp) {
-                throw new BadInput(String.format(
+                throw new InvalidInputException(String.format(
                         java.util.Locale.ROOT,
                         "%s:%d: this line is %.3f ms earlier than one"
                                 + " before it, at most %.3f ms can be put into order; give a larger --reorder-ms, or --clamp",
@@ -99,7 +99,7 @@
         newestMs = Math.max(newestMs, atMs);
         held.add(new Entry(atMs, number, line));
         if (held.size() > MOST_HELD) {
-            throw new BadInput(place + ":" + number + ": more than " + MOST_HELD
+            throw new InvalidInputException(place + ":" + number + ": more than " + MOST_HELD
                     + " lines within the reorder window of " + windowMs + " ms; give a smaller --reorder-ms");
         }
         release(newestMs - windowMs);
--- a/lab/src/main/java/spartrail/lab/trace/TraceFile.java
+++ b/lab/src/main/java/spartrail/lab/trace/TraceFile.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.zip.GZIPInputStream;
 import java.util.zip.GZIPOutputStream;
-import spartrail.lab.file.BadInput;
+import spartrail.lab.file.InvalidInputException;
 
 /**
  * The compact form of a trace: a magic, then records under gzip, then an end with their number, so that a cut file is
@@ -101,7 +101,7 @@
             BufferedInputStream raw = new BufferedInputStream(Files.newInputStream(file), 1 << 16);
             if (!Arrays.equals(raw.readNBytes(MAGIC.length), MAGIC)) {
                 raw.close();
-                throw new BadInput(name + ": is no trace; make one with: spartrail load import");
+                throw new InvalidInputException(name + ": is no trace; make one with: spartrail load import");
             }
             in = new DataInputStream(new BufferedInputStream(new GZIPInputStream(raw, 1 << 15), 1 << 15));
         }
@@ -112,7 +112,7 @@
                 int kind = in.readByte();
                 if (kind == END) {
                     if (in.readLong() != count) {
-                        throw new BadInput(name + ": its number of multigets is not what its end says");
+                        throw new InvalidInputException(name + ": its number of multigets is not what its end says");
                     }
                     return null;
                 }
@@ -142,7 +142,7 @@
                 count++;
                 return line;
             } catch (EOFException e) {
-                throw new BadInput(name + ": is cut after " + count + " multigets");
+                throw new InvalidInputException(name + ": is cut after " + count + " multigets");
             }
         }
 
@@ -155,7 +155,7 @@
                     return value;
                 }
             }
-            throw new BadInput(name + ": is spoilt after " + count + " multigets");
+            throw new InvalidInputException(name + ": is spoilt after " + count + " multigets");
         }
 
         @Override
--- a/lab/src/main/java/spartrail/lab/trace/TraceImport.java
+++ b/lab/src/main/java/spartrail/lab/trace/TraceImport.java
@@ -20,8 +20,8 @@
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVParser;
 import org.apache.commons.csv.CSVRecord;
-import spartrail.lab.file.BadInput;
 import spartrail.lab.file.Document;
+import spartrail.lab.file.InvalidInputException;
 
 /** Reads a recorded trace, line by line, into a {@link TraceFile}. */
 public final class TraceImport {
@@ -100,7 +100,7 @@
             boolean keepDuplicates)
             throws IOException {
         if (!Files.isReadable(from)) {
-            throw new BadInput(from + ": cannot be read");
+            throw new InvalidInputException(from + ": cannot be read");
         }
         Path part = to.resolveSibling(to.getFileName() + ".part");
         try (TraceFile.Writer writer = new TraceFile.Writer(part)) {
@@ -150,7 +150,7 @@
             first = reader.read();
             reader.reset();
             if (first < 0) {
-                throw new BadInput(name + ": is empty");
+                throw new InvalidInputException(name + ": is empty");
             }
             if (first == '{') {
                 json(reader);
@@ -176,7 +176,7 @@
                         torn++;
                         return;
                     }
-                    throw new BadInput(name + ":" + number + ": no JSON object");
+                    throw new InvalidInputException(name + ":" + number + ": no JSON object");
                 }
                 take(number, line, column -> {
                     JsonNode value = tree.path(column);
@@ -206,7 +206,8 @@
         try (CSVParser parser =
                 CSVParser.builder().setReader(reader).setFormat(format).get()) {
             if (!parser.getHeaderMap().containsKey(columns.at())) {
-                throw new BadInput(name + ":1: no column '" + columns.at() + "', found " + parser.getHeaderNames());
+                throw new InvalidInputException(
+                        name + ":1: no column '" + columns.at() + "', found " + parser.getHeaderNames());
             }
             CSVRecord before = null;
             long beforeLine = 0;
@@ -226,8 +227,8 @@
                     boolean last = record == null;
                     if (!before.isConsistent()) {
                         if (!last) {
-                            throw new BadInput(name + ":" + beforeLine + ": " + before.size() + " columns, "
-                                    + parser.getHeaderNames().size() + " are expected");
+                            throw new InvalidInputException(name + ":" + beforeLine + ": " + before.size()
+                                    + " columns, " + parser.getHeaderNames().size() + " are expected");
                         }
                         torn++;
                     } else {
@@ -309,14 +310,14 @@
 
     private void leaveOut(long number, String why) {
         if (!columns.skipUnknown()) {
-            throw new BadInput(
+            throw new InvalidInputException(
                     name + ":" + number + ": " + why + "; \"unknown\": \"skip\" in the columns leaves it out");
         }
         unknown++;
     }
 
-    private BadInput wrong(long number, String column, String what) {
-        return new BadInput(name + ":" + number + ": column '" + column + "': " + what);
+    private InvalidInputException wrong(long number, String column, String what) {
+        return new InvalidInputException(name + ":" + number + ": column '" + column + "': " + what);
     }
 
     private double time(long number, String text) {
--- a/lab/src/main/java/spartrail/lab/trace/TraceReplay.java
+++ b/lab/src/main/java/spartrail/lab/trace/TraceReplay.java
@@ -11,8 +11,8 @@
 import java.util.NoSuchElementException;
 import java.util.SplittableRandom;
 import spartrail.lab.plan.Arrival;
-import spartrail.lab.plan.Habit;
-import spartrail.lab.plan.Stream;
+import spartrail.lab.plan.ClientBehavior;
+import spartrail.lab.plan.TrafficStream;
 
 /**
  * A trace as arrivals: faster or slower, looped, thinned, multiplied. Of a multiplied trace each copy has keys of its own
@@ -26,7 +26,7 @@
     private final int loops;
     private final double share;
     private final int copies;
-    private final Stream stream;
+    private final TrafficStream stream;
     private final SplittableRandom chance;
     private final Deque<Arrival> ready = new ArrayDeque<>();
     private final java.util.PriorityQueue<Arrival> later = new java.util.PriorityQueue<>(
@@ -38,7 +38,7 @@
     private long number;
     private boolean ended;
 
-    public TraceReplay(Path file, double speed, int loops, double share, int copies, long seed, Habit habit)
+    public TraceReplay(Path file, double speed, int loops, double share, int copies, long seed, ClientBehavior habit)
             throws IOException {
         this.file = file;
         this.speed = speed;
@@ -46,16 +46,16 @@
         this.share = share;
         this.copies = copies;
         this.chance = new SplittableRandom(seed);
-        this.stream = new Stream(
+        this.stream = new TrafficStream(
                 "trace",
                 1,
                 List.of(),
-                List.of(new Stream.Share<>("any", 1)),
-                new Stream.Touches(1, 1, 1, 1, true),
+                List.of(new TrafficStream.Share<>("any", 1)),
+                new TrafficStream.Touches(1, 1, 1, 1, true),
                 true,
-                new Stream.Work(0, 0, 0, 0),
-                new Stream.Keys(1, 1, 0),
-                List.of(new Stream.Share<>(16, 1)),
+                new TrafficStream.Work(0, 0, 0, 0),
+                new TrafficStream.Keys(1, 1, 0),
+                List.of(new TrafficStream.Share<>(16, 1)),
                 "",
                 0,
                 habit);
@@ -74,7 +74,7 @@
         return scratch;
     }
 
-    public Stream stream() {
+    public TrafficStream stream() {
         return stream;
     }
 
--- a/lab/src/test/java/spartrail/lab/nodes/LinksTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/DatagramLinksTest.java
@@ -1,4 +1,4 @@
-package spartrail.lab.nodes;
+package spartrail.lab.cluster;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -14,20 +14,20 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import spartrail.peering.Frames;
-import spartrail.peers.Card;
-import spartrail.peers.Life;
-import spartrail.peers.Message;
-import spartrail.peers.Standing;
+import spartrail.peers.Incarnation;
+import spartrail.peers.PeerDescriptor;
+import spartrail.peers.PeerMessage;
+import spartrail.peers.PeerState;
+import spartrail.peers.transport.PeerMessageCodec;
 
 /** Each trouble of a link does what it says, one way only. A last message on a sound link tells that nothing more comes. */
-class LinksTest {
+class DatagramLinksTest {
     private static final String LAST = "last";
     private final DatagramSocket[] sockets = {socket(), socket(), socket()};
-    private final Links links = new Links(
+    private final DatagramLinks links = new DatagramLinks(
             List.of(sockets[0].getLocalPort(), sockets[1].getLocalPort(), sockets[2].getLocalPort()), "rig", 1);
 
-    LinksTest() throws IOException {}
+    DatagramLinksTest() throws IOException {}
 
     private static DatagramSocket socket() throws IOException {
         DatagramSocket socket = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -59,8 +59,8 @@
     }
 
     /** What node 1 gets of these from node 0 while that link is so, up to the message that tells that all is through. */
-    private List<byte[]> through(Consumer<Links.Trouble> how, byte[]... sent) throws IOException {
-        Links.Trouble trouble = new Links.Trouble();
+    private List<byte[]> through(Consumer<DatagramLinks.Trouble> how, byte[]... sent) throws IOException {
+        DatagramLinks.Trouble trouble = new DatagramLinks.Trouble();
         how.accept(trouble);
         links.set(0, 1, trouble);
         for (byte[] bytes : sent) {
@@ -77,13 +77,13 @@
         return got;
     }
 
-    private static byte[] message(Message.Kind kind) {
-        return Frames.peers(
+    private static byte[] message(PeerMessage.Kind kind) {
+        return PeerMessageCodec.peers(
                 "rig",
-                new Message(
+                new PeerMessage(
                         kind,
-                        new Card("n0", "127.0.0.1:1", "", 1, "", "", new Life(1, 1), 0),
-                        Standing.ALIVE,
+                        new PeerDescriptor("n0", "127.0.0.1:1", "", 1, "", "", new Incarnation(1, 1), 0),
+                        PeerState.ALIVE,
                         1,
                         "n1",
                         2,
@@ -112,11 +112,11 @@
                             trouble.cut = true;
                             trouble.kind = "PING";
                         },
-                        message(Message.Kind.PING),
-                        message(Message.Kind.ACK)))
-                .containsExactly(message(Message.Kind.ACK));
+                        message(PeerMessage.Kind.PING),
+                        message(PeerMessage.Kind.ACK)))
+                .containsExactly(message(PeerMessage.Kind.ACK));
         links.set(0, 1, null);
-        Links.Trouble cut = new Links.Trouble();
+        DatagramLinks.Trouble cut = new DatagramLinks.Trouble();
         cut.cut = true;
         links.set(0, 1, cut);
         send(1, 0, one);
@@ -125,7 +125,7 @@
 
     @Test
     void whatIsHeldOrThrottledComesLaterThanWhatWasSentAfterIt() throws IOException {
-        for (Consumer<Links.Trouble> how : List.<Consumer<Links.Trouble>>of(
+        for (Consumer<DatagramLinks.Trouble> how : List.<Consumer<DatagramLinks.Trouble>>of(
                 trouble -> trouble.heldUntilMs = links.nowMs() + 300,
                 trouble -> trouble.delayMs = 300,
                 trouble -> trouble.bytesPerS = 10)) {
--- a/lab/src/test/java/spartrail/lab/nodes/JudgeTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/HistoryCheckerTest.java
@@ -1,4 +1,4 @@
-package spartrail.lab.nodes;
+package spartrail.lab.cluster;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,19 +8,19 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import spartrail.lab.nodes.History.Line;
+import spartrail.lab.cluster.ClusterHistory.Line;
 
 /**
  * The judge is trusted once it has caught planted breaches. The history is that of four nodes, one of which was killed and
  * started again; nothing is wrong with it.
  */
-class JudgeTest {
-    private final List<Line> clean = History.kept(Path.of("lab/src/test/resources/history-restart.jsonl"));
+class HistoryCheckerTest {
+    private final List<Line> clean = ClusterHistory.kept(Path.of("lab/src/test/resources/history-restart.jsonl"));
 
-    JudgeTest() throws Exception {}
+    HistoryCheckerTest() throws Exception {}
 
     private static String judged(List<Line> lines) {
-        return new Judge(4)
+        return new HistoryChecker(4)
                 .read(lines, true).breaches().stream()
                         .map(breach -> breach.rule())
                         .distinct()
--- a/lab/src/test/java/spartrail/lab/nodes/HistoryFormTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/HistoryFormTest.java
@@ -1,4 +1,4 @@
-package spartrail.lab.nodes;
+package spartrail.lab.cluster;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -23,12 +23,12 @@
     private Path folder;
 
     private Path file;
-    private List<History.Line> lines;
+    private List<ClusterHistory.Line> lines;
 
     @BeforeEach
     void readTheKeptHistory() throws Exception {
         file = Files.write(folder.resolve("history.jsonl"), Forms.bytes("history.jsonl"));
-        lines = History.kept(file);
+        lines = ClusterHistory.kept(file);
     }
 
     private static String unclocked(String text) {
@@ -54,7 +54,7 @@
     void linesOfNodesAreWrittenBackWithTheSameBytes() throws Exception {
         List<String> kept = new ArrayList<>(Files.readAllLines(file));
         kept.removeIf(text -> text.contains("\"node\":\"rig\""));
-        History history = new History();
+        ClusterHistory history = new ClusterHistory();
         for (int node = 0; node < NODES; node++) {
             String name = "n" + node;
             List<String> own = new ArrayList<>(kept);
@@ -67,8 +67,8 @@
 
     @Test
     void linesOfTheRigAreWrittenBackWithTheSameBytes() throws Exception {
-        History history = new History();
-        for (History.Line line : lines) {
+        ClusterHistory history = new ClusterHistory();
+        for (ClusterHistory.Line line : lines) {
             if (line.node() < 0) {
                 ObjectNode tree = line.tree().deepCopy();
                 history.done(line.what(), tree.without(List.of("ns", "what", "node")));
@@ -81,8 +81,9 @@
 
     @Test
     void itIsJudgedAsBefore() {
-        PeersRules peers = new Judge(NODES).read(lines, true);
-        PolicyRules policy = new PolicyJudge(NODES, List.of(0, 1, 2), new PolicyRules.Bounds(2000, 60_000, 90_000))
+        PeersRules peers = new HistoryChecker(NODES).read(lines, true);
+        PolicyRules policy = new PolicyHistoryChecker(
+                        NODES, List.of(0, 1, 2), new PolicyRules.Bounds(2000, 60_000, 90_000))
                 .read(
                         lines,
                         List.of(new PolicyRules.Taken(
--- a/lab/src/test/java/spartrail/lab/nodes/SeveralProcessesTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/SeveralProcessesTest.java
@@ -1,4 +1,4 @@
-package spartrail.lab.nodes;
+package spartrail.lab.cluster;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -26,21 +26,21 @@
     @TempDir
     private Path folder;
 
-    private Rig.Outcome play(String steps) throws Exception {
-        NodesPlan plan = NodesPlan.of(Document.parse(
+    private ClusterHarness.Outcome play(String steps) throws Exception {
+        ClusterPlan plan = ClusterPlan.of(Document.parse(
                 "plan", (PLAN + steps + "]}").replace('\'', '"').getBytes(StandardCharsets.UTF_8), "nodes"));
-        try (Rig rig = new Rig(plan, folder, line -> {})) {
+        try (ClusterHarness rig = new ClusterHarness(plan, folder, line -> {})) {
             return rig.play();
         }
     }
 
     @Test
     void aNodeThatIsKilledTheMomentAnotherIsSuspectedIsKnownByAllToo() throws Exception {
-        Rig.Outcome outcome = play("{'when':{'atMs':200},'do':'kill','nodes':['n3']},"
+        ClusterHarness.Outcome outcome = play("{'when':{'atMs':200},'do':'kill','nodes':['n3']},"
                 + "{'name':'second','when':{'seen':{'node':'any','of':'n3','is':'SUSPECT'}},'do':'kill','nodes':['n4']},"
                 + "{'when':{'seen':{'node':'any','of':'n3','is':'GONE','times':3}},'do':'heal'},"
                 + "{'name':'last','when':{'seen':{'node':'any','of':'n4','is':'GONE','times':3}},'do':'heal'}");
-        PeersRules rules = new Judge(5).read(outcome.history().inOrder(), false);
+        PeersRules rules = new HistoryChecker(5).read(outcome.history().inOrder(), false);
         assertThat(outcome.notTaken()).isEmpty();
         assertThat(rules.breaches()).isEmpty();
         assertThat(rules.knownMs()).hasSizeGreaterThanOrEqualTo(6);
@@ -48,20 +48,22 @@
 
     @Test
     void twoSidesOfACutFindEachOtherAgainAndOneThatEndsSaysSo() throws Exception {
-        Rig.Outcome outcome =
+        ClusterHarness.Outcome outcome =
                 play("{'name':'cut','when':{'atMs':200},'do':'cut','nodes':['n0','n1'],'others':['n2','n3','n4']},"
                         + "{'name':'gone','when':{'seen':{'node':'n4','of':'n0','is':'GONE'}},'do':'heal'},"
                         + "{'name':'back','when':{'step':'gone','seen':{'node':'n4','of':'n0','is':'ALIVE'}},'do':'terminate','nodes':['n1']},"
                         + "{'name':'last','when':{'seen':{'node':'n4','of':'n1','is':'LEFT'}},'do':'heal'}");
         assertThat(outcome.notTaken()).isEmpty();
-        assertThat(new Judge(5).read(outcome.history().inOrder(), false).breaches())
+        assertThat(new HistoryChecker(5)
+                        .read(outcome.history().inOrder(), false)
+                        .breaches())
                 .isEmpty();
     }
 
     /** The leader is lost the moment it knows of the decision; the version holds all the same, and nobody decides by two at once. */
     @Test
     void aVersionOfPolicyTakesHoldThoughTheLeaderIsLost() throws Exception {
-        NodesPlan plan = NodesPlan.of(Document.parse(
+        ClusterPlan plan = ClusterPlan.of(Document.parse(
                 "plan",
                 (PLAN.replace(
                                         "'peers':{}",
@@ -76,9 +78,10 @@
                         .replace('\'', '"')
                         .getBytes(StandardCharsets.UTF_8),
                 "nodes"));
-        try (Rig rig = new Rig(plan, folder, line -> {})) {
-            Rig.Outcome outcome = rig.play();
-            PolicyRules rules = new PolicyJudge(5, List.of(0, 1, 2), new PolicyRules.Bounds(2000, 60_000, 90_000))
+        try (ClusterHarness rig = new ClusterHarness(plan, folder, line -> {})) {
+            ClusterHarness.Outcome outcome = rig.play();
+            PolicyRules rules = new PolicyHistoryChecker(
+                            5, List.of(0, 1, 2), new PolicyRules.Bounds(2000, 60_000, 90_000))
                     .read(outcome.history().inOrder(), outcome.taken());
             assertThat(outcome.notTaken()).isEmpty();
             assertThat(rules.breaches()).isEmpty();
@@ -136,8 +139,8 @@
         assertThat(lines).anyMatch(line -> line.contains("spartrail.front.CoordinatorLoop "));
         assertThat(lines)
                 .noneMatch(line -> line.contains("spartrail.peers.")
-                        || line.contains("spartrail.peering.")
+                        || line.contains("spartrail.peers.transport.")
                         || line.contains("spartrail.policy.")
-                        || line.contains("spartrail.governing."));
+                        || line.contains("spartrail.policy.replication."));
     }
 }
--- a/lab/src/test/java/spartrail/lab/drill/DnsResolverTest.java
+++ b/lab/src/test/java/spartrail/lab/drill/DnsResolverDrillTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
-import spartrail.lab.dns.NameServerStand.Manner;
+import spartrail.lab.dns.DnsServerEmulator.Manner;
 
-class DnsResolverTest {
+class DnsResolverDrillTest {
     /** The troubles that are met on sockets alone; the others are played on virtual time by the resolver's own tests. */
     @Test
     void troublesOnSocketsEmptyNoList() throws Exception {
@@ -13,7 +13,7 @@
             Manner.TRUNCATE, Manner.TRUNCATE_AND_CUT_TCP, Manner.TCP_ONE_OCTET_AT_A_TIME, Manner.SPOOF, Manner.EMPTY
         }) {
             Drill.Findings findings = new Drill.Findings();
-            DnsResolver.play(manner, 5, findings);
+            DnsResolverDrill.play(manner, 5, findings);
             assertThat(findings.all()).allMatch(Drill.Finding::good);
         }
     }
--- a/lab/src/test/java/spartrail/lab/experiment/ExperimentTest.java
+++ b/lab/src/test/java/spartrail/lab/experiment/ExperimentTest.java
@@ -56,7 +56,8 @@
         assertThat(report.at("/served/count").asLong()).isPositive();
         assertThat(report.get("events").toString()).contains("restart s-1", "drain s-2");
         Path out = folder.resolve("report");
-        Showing.folder(out, "small", List.of(new Store.Run(plan.cells().get(0), report)));
+        ExperimentPage.folder(
+                out, "small", List.of(new ExperimentStore.Run(plan.cells().get(0), report)));
         assertThat(Files.readString(out.resolve("index.html")))
                 .contains("<img src=")
                 .doesNotContain("http");
@@ -82,16 +83,16 @@
         ExperimentPlan plan = plan();
         ExperimentPlan.Cell cell = plan.cells().get(0);
         Path killed = folder.resolve("killed.mv.db");
-        try (Store store = new Store(folder.resolve("store"))) {
+        try (ExperimentStore store = new ExperimentStore(folder.resolve("store"))) {
             long experiment = store.begin(plan);
             store.complete(store.begin(experiment, cell), report(1, 1));
             store.begin(experiment, cell);
             Files.copy(folder.resolve("store.mv.db"), killed);
         }
-        try (Store store = new Store(folder.resolve("killed"))) {
-            Store.Kept kept = store.find("small");
+        try (ExperimentStore store = new ExperimentStore(folder.resolve("killed"))) {
+            ExperimentStore.Kept kept = store.find("small");
             assertThat(kept.runs() + " runs, " + kept.done() + " done").isEqualTo("2 runs, 1 done");
-            assertThat(Compare.table(store.runs(kept.id()))).endsWith("1 runs were broken off\n");
+            assertThat(ExperimentComparison.table(store.runs(kept.id()))).endsWith("1 runs were broken off\n");
             for (int i = 0; i < 4; i++) {
                 store.begin(plan);
             }
@@ -130,8 +131,8 @@
         }
         Table.same(
                 "compare",
-                Compare.table("old", "new", Compare.lines(first, second), 5)
-                        + Compare.table("new", "old", Compare.lines(second, first), 5)
-                        + Compare.table("old", "old", Compare.lines(first, first), 5));
+                ExperimentComparison.table("old", "new", ExperimentComparison.lines(first, second), 5)
+                        + ExperimentComparison.table("new", "old", ExperimentComparison.lines(second, first), 5)
+                        + ExperimentComparison.table("old", "old", ExperimentComparison.lines(first, first), 5));
     }
 }
--- a/lab/src/test/java/spartrail/lab/experiment/StoreFormTest.java
+++ b/lab/src/test/java/spartrail/lab/experiment/StoreFormTest.java
@@ -25,12 +25,12 @@
         Files.write(folder.resolve("kept.mv.db"), Forms.bytes("experiments.mv.db"));
     }
 
-    private static String read(Store store) throws Exception {
+    private static String read(ExperimentStore store) throws Exception {
         StringBuilder seen = new StringBuilder();
-        for (Store.Kept kept : store.list()) {
+        for (ExperimentStore.Kept kept : store.list()) {
             seen.append(kept.id() + " " + kept.name() + " " + kept.startedAt() + " " + kept.runs() + " " + kept.done()
                     + "\n");
-            for (Store.Run run : store.runs(kept.id())) {
+            for (ExperimentStore.Run run : store.runs(kept.id())) {
                 ExperimentPlan.Cell cell = run.cell();
                 seen.append("  " + cell.version() + " " + cell.nodes() + " " + cell.times() + " " + cell.seed() + " "
                         + run.report() + "\n");
@@ -69,7 +69,7 @@
     }
 
     /** What the kept store was filled with. */
-    private static void fill(Store store) throws Exception {
+    private static void fill(ExperimentStore store) throws Exception {
         long first = store.begin("small", Document.JSON.readTree("{\"name\":\"small\",\"fleet\":{\"servers\":[1]}}"));
         store.complete(
                 store.begin(first, new ExperimentPlan.Cell("this", 2, 1.5, 7)),
@@ -81,14 +81,14 @@
 
     @Test
     void aKeptStoreIsReadAsBefore() throws Exception {
-        try (Store store = new Store(folder.resolve("kept"))) {
+        try (ExperimentStore store = new ExperimentStore(folder.resolve("kept"))) {
             assertThat(read(store)).isEqualTo(Forms.text("experiments.txt"));
         }
     }
 
     @Test
     void aNewStoreHoldsTheSameRows() throws Exception {
-        try (Store store = new Store(folder.resolve("new"))) {
+        try (ExperimentStore store = new ExperimentStore(folder.resolve("new"))) {
             fill(store);
         }
         assertThat(rows(folder.resolve("new"))).isEqualTo(rows(folder.resolve("kept")));
--- a/lab/src/test/java/spartrail/lab/fleet/FrontLayerTest.java
+++ b/lab/src/test/java/spartrail/lab/fleet/FrontLayerTest.java
@@ -5,10 +5,10 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import spartrail.lab.drill.Plans;
-import spartrail.lab.load.Kind;
+import spartrail.lab.drill.DrillPlans;
+import spartrail.lab.load.AttemptResult;
+import spartrail.lab.load.LoadListener;
 import spartrail.lab.load.LoadSession;
-import spartrail.lab.load.Watcher;
 import spartrail.lab.net.SocketLoop;
 import spartrail.lab.plan.LoadPlan;
 
@@ -19,11 +19,12 @@
     }
 
     private static long[] play(LoadPlan plan, int port) throws InterruptedException {
-        try (LoadSession session =
-                new LoadSession(Plans.at(plan, "127.0.0.1:" + port), plan.arrivals(), plan.lastsMs(), Watcher.NONE)) {
+        try (LoadSession session = new LoadSession(
+                DrillPlans.at(plan, "127.0.0.1:" + port), plan.arrivals(), plan.lastsMs(), LoadListener.NONE)) {
             assertThat(session.await(60_000)).isTrue();
             return new long[] {
-                session.recorder().count(Kind.WHOLE), session.recorder().all()
+                session.recorder().count(AttemptResult.WHOLE),
+                session.recorder().all()
             };
         }
     }
@@ -31,8 +32,8 @@
     @Test
     void clientsAreSpreadOverNodesThatAreUp() throws Exception {
         long[] taken = new long[2];
-        LoadPlan plan =
-                Plans.parse("{'phases':[{'lastsMs':400,'rate':{'shape':'steady','perS':100}}],'streams':[{'opTypes':"
+        LoadPlan plan = DrillPlans.parse(
+                "{'phases':[{'lastsMs':400,'rate':{'shape':'steady','perS':100}}],'streams':[{'opTypes':"
                         + "[{'name':'orders'}],'shards':{'of':8},'clientMs':20000,'habit':{'ownConnection':true}}]}");
         try (SocketLoop loop = new SocketLoop("test-front-layer");
                 NullResponder one = new NullResponder(0, (number, atMs) -> {
--- a/lab/src/test/java/spartrail/lab/fleet/ServerModelTest.java
+++ b/lab/src/test/java/spartrail/lab/fleet/ServerModelTest.java
@@ -10,8 +10,8 @@
 import spartrail.lab.Table;
 
 class ServerModelTest {
-    private static Traits traits(int slots, int queue, double coldFrom, double warmMs) {
-        return new Traits("t", 2, 1, slots, queue, 10, 0, 0, coldFrom, warmMs, 2, 1000, 0, 0, 10, 0, 0, 0, 0);
+    private static ServerProfile traits(int slots, int queue, double coldFrom, double warmMs) {
+        return new ServerProfile("t", 2, 1, slots, queue, 10, 0, 0, coldFrom, warmMs, 2, 1000, 0, 0, 10, 0, 0, 0, 0);
     }
 
     /** Takes parts of so much work at these times and prints when which ended how. */
--- a/lab/src/test/java/spartrail/lab/load/AnswerReaderTest.java
+++ b/lab/src/test/java/spartrail/lab/load/HttpResponseReaderTest.java
@@ -7,19 +7,19 @@
 import org.junit.jupiter.api.Test;
 import spartrail.lab.Table;
 
-class AnswerReaderTest {
+class HttpResponseReaderTest {
     private static final String LENGTH = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nRetry-After: 0.5\r\n\r\nhello";
     private static final String CHUNKS =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n";
 
     private static String read(String text, int cut) {
-        AnswerReader reader = new AnswerReader();
+        HttpResponseReader reader = new HttpResponseReader();
         StringBuilder seen = new StringBuilder();
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         try {
             for (int[] part : new int[][] {{0, cut}, {cut, bytes.length}}) {
                 reader.take(ByteBuffer.wrap(bytes, part[0], part[1] - part[0]));
-                for (Answer answer = reader.next(); answer != null; answer = reader.next()) {
+                for (HttpResponse answer = reader.next(); answer != null; answer = reader.next()) {
                     seen.append(answer.status())
                             .append(' ')
                             .append(new String(answer.body(), StandardCharsets.ISO_8859_1))
@@ -28,12 +28,12 @@
                             .append(answer.lasts() ? " lasts; " : " last; ");
                 }
             }
-            Answer end = reader.atEnd();
+            HttpResponse end = reader.atEnd();
             return seen
                     + (end != null
                             ? "at its end: " + new String(end.body(), StandardCharsets.ISO_8859_1)
                             : reader.begun() ? "and more" : "");
-        } catch (AnswerReader.Unusable e) {
+        } catch (HttpResponseReader.Unusable e) {
             return seen + e.kind.name() + ": " + e.getMessage();
         }
     }
--- a/lab/src/test/java/spartrail/lab/load/GeneratorTest.java
+++ b/lab/src/test/java/spartrail/lab/load/LoadGeneratorTest.java
@@ -5,21 +5,21 @@
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
 import spartrail.lab.Table;
-import spartrail.lab.drill.Plans;
+import spartrail.lab.drill.DrillPlans;
 import spartrail.lab.fleet.NullResponder;
 import spartrail.lab.plan.LoadPlan;
 
-class GeneratorTest {
-    private static Recorder virtual(LoadPlan plan, VirtualSockets.Responder responder) {
+class LoadGeneratorTest {
+    private static Recorder virtual(LoadPlan plan, VirtualClientTransport.Responder responder) {
         Recorder recorder = new Recorder();
-        VirtualSockets sockets = new VirtualSockets(responder);
-        sockets.play(new Generator(plan, plan.arrivals(), sockets, recorder, Watcher.NONE));
+        VirtualClientTransport sockets = new VirtualClientTransport(responder);
+        sockets.play(new LoadGenerator(plan, plan.arrivals(), sockets, recorder, LoadListener.NONE));
         return recorder;
     }
 
     private static String kinds(Recorder recorder) {
         StringBuilder text = new StringBuilder();
-        for (Kind kind : Kind.values()) {
+        for (AttemptResult kind : AttemptResult.values()) {
             if (recorder.count(kind) > 0) {
                 text.append(' ').append(kind).append(' ').append(recorder.count(kind));
             }
@@ -31,7 +31,7 @@
     /** With one connection and answers of 100 ms, the n-th of arrivals 50 ms apart waits n times 50 ms for it. */
     @Test
     void waitingForAConnectionIsCharged() {
-        Recorder recorder = virtual(Plans.even(20, 1000, 60_000, 1, 1), (number, atMs) -> atMs + 100);
+        Recorder recorder = virtual(DrillPlans.even(20, 1000, 60_000, 1, 1), (number, atMs) -> atMs + 100);
         assertThat(kinds(recorder)).startsWith(" WHOLE 20,");
         assertThat(recorder.total(kind -> true, true).getMaxValue() / 1000).isEqualTo(100 + 19 * 50);
         assertThat(recorder.total(kind -> true, false).getMaxValue() / 1000).isEqualTo(100);
@@ -45,14 +45,14 @@
      */
     @Test
     void aWaitThatIsLongerThanTheClientsTimeIsNotSent() {
-        assertThat(kinds(virtual(Plans.even(20, 1000, 255, 1, 1), (number, atMs) -> atMs + 100)))
+        assertThat(kinds(virtual(DrillPlans.even(20, 1000, 255, 1, 1), (number, atMs) -> atMs + 100)))
                 .isEqualTo(" WHOLE 4 LATE 9 NOT_SENT 7, twice 0, sent once more 0, clients 4 served 16 not");
     }
 
     @Test
     void answersAfterTheClientsTimeAndNoneAtAllAreToldApart() {
         assertThat(kinds(virtual(
-                        Plans.even(10, 1000, 200, 100, 1),
+                        DrillPlans.even(10, 1000, 200, 100, 1),
                         (number, atMs) -> number % 3 == 0
                                 ? atMs + 100
                                 : number % 3 == 1 ? atMs + 300 : Double.POSITIVE_INFINITY)))
@@ -69,7 +69,7 @@
             "{'leaves':{'share':1,'at':0.25}}",
             "{'ownConnection':true}"
         }) {
-            LoadPlan plan = Plans.parse("{'gaps':{'kind':'even'},'lingerMs':100,'phases':[{'lastsMs':1000,'rate':"
+            LoadPlan plan = DrillPlans.parse("{'gaps':{'kind':'even'},'lingerMs':100,'phases':[{'lastsMs':1000,'rate':"
                     + "{'shape':'steady','perS':10}}],'streams':[{'opTypes':[{'name':'orders'}],'shards':{'of':8},"
                     + "'clientMs':200,'habit':" + habit + "}]}");
             // Each request that is a multiple of three is answered at once, others never.
@@ -90,14 +90,14 @@
     void oddAnswersAreCountedOnceUnderTheirOwnNames() throws Exception {
         StringBuilder seen = new StringBuilder();
         for (NullResponder.Manner manner : NullResponder.Manner.values()) {
-            LoadPlan plan =
-                    Plans.parse("{'gaps':{'kind':'even'},'lingerMs':100,'lagBoundMs':10000,'phases':[{'lastsMs':200,"
+            LoadPlan plan = DrillPlans.parse(
+                    "{'gaps':{'kind':'even'},'lingerMs':100,'lagBoundMs':10000,'phases':[{'lastsMs':200,"
                             + "'rate':{'shape':'steady','perS':25}}],'streams':[{'opTypes':[{'name':'orders'}],'shards':{'of':8},"
                             + "'clientMs':" + (manner == NullResponder.Manner.SILENT ? 100 : 30_000) + "}]}");
             try (NullResponder responder = new NullResponder(0, (number, atMs) -> atMs)) {
                 responder.behave(manner);
-                try (LoadSession session =
-                        new LoadSession(Plans.at(plan, responder.address()), plan.arrivals(), 200, Watcher.NONE)) {
+                try (LoadSession session = new LoadSession(
+                        DrillPlans.at(plan, responder.address()), plan.arrivals(), 200, LoadListener.NONE)) {
                     assertThat(session.await(60_000)).isTrue();
                     seen.append(manner)
                             .append(':')
@@ -111,13 +111,13 @@
 
     @Test
     void aFrontNodeThatIsNotThereIsNoConnection() throws Exception {
-        LoadPlan plan = Plans.even(50, 100, 5000, 10, 1);
+        LoadPlan plan = DrillPlans.even(50, 100, 5000, 10, 1);
         int port;
         try (NullResponder responder = new NullResponder(0, (number, atMs) -> atMs)) {
             port = Integer.parseInt(responder.address().split(":")[1]);
         }
         try (LoadSession session =
-                new LoadSession(Plans.at(plan, "127.0.0.1:" + port), plan.arrivals(), 100, Watcher.NONE)) {
+                new LoadSession(DrillPlans.at(plan, "127.0.0.1:" + port), plan.arrivals(), 100, LoadListener.NONE)) {
             assertThat(session.await(60_000)).isTrue();
             assertThat(kinds(session.recorder())).startsWith(" NO_CONNECTION 5,");
         }
@@ -126,41 +126,42 @@
     /** A run whose own lag passes its bound says so in its report. */
     @Test
     void lagMakesARunUnfit() {
-        LoadPlan plan = Plans.even(100, 100, 1000, 10, 1);
+        LoadPlan plan = DrillPlans.even(100, 100, 1000, 10, 1);
         Recorder recorder = new Recorder();
         for (int i = 0; i < 100; i++) {
             recorder.lag(i < 98 ? 0.1 : 60);
         }
-        var tree = Report.tree(plan, recorder, null, 1000);
+        var tree = LoadReport.tree(plan, recorder, null, 1000);
         assertThat(tree.get("fit").asBoolean()).isFalse();
-        assertThat(Report.text(tree)).startsWith("UNFIT: the generator itself was 60.");
+        assertThat(LoadReport.text(tree)).startsWith("UNFIT: the generator itself was 60.");
     }
 
     /** A generator that stands still for 300 ms itself is late by that, and its target is not charged with it. */
     @Test
     void theGeneratorsOwnDelayIsLagNotServiceTime() {
-        LoadPlan plan = Plans.even(100, 1000, 5000, 100, 1);
+        LoadPlan plan = DrillPlans.even(100, 1000, 5000, 100, 1);
         Recorder recorder = new Recorder();
         double[] nowMs = new double[1];
-        Generator[] generator = new Generator[1];
-        Sockets sockets = new Sockets() {
+        LoadGenerator[] generator = new LoadGenerator[1];
+        ClientTransport sockets = new ClientTransport() {
             @Override
-            public void open(Conn conn) {
+            public void open(ClientConnection conn) {
                 generator[0].connected(conn, nowMs[0]);
             }
 
             @Override
-            public void send(Conn conn, Ask ask, double leftMs) {
+            public void send(ClientConnection conn, ClientAttempt ask, double leftMs) {
                 generator[0].written(conn, nowMs[0]);
-                generator[0].answered(conn, new Answer(200, VirtualSockets.body(ask), 0, true, false), nowMs[0]);
+                generator[0].answered(
+                        conn, new HttpResponse(200, VirtualClientTransport.body(ask), 0, true, false), nowMs[0]);
             }
 
             @Override
-            public void close(Conn conn) {
+            public void close(ClientConnection conn) {
                 // Nothing is held for it.
             }
         };
-        generator[0] = new Generator(plan, plan.arrivals(), sockets, recorder, Watcher.NONE);
+        generator[0] = new LoadGenerator(plan, plan.arrivals(), sockets, recorder, LoadListener.NONE);
         generator[0].start(0);
         while (!generator[0].over()) {
             double dueMs = generator[0].nextMs();
@@ -169,37 +170,37 @@
         }
         assertThat(recorder.lag.getMaxValue() / 1000).isEqualTo(300);
         assertThat(recorder.total(kind -> true, false).getMaxValue()).isZero();
-        assertThat(Report.tree(plan, recorder, null, 1000).get("fit").asBoolean())
+        assertThat(LoadReport.tree(plan, recorder, null, 1000).get("fit").asBoolean())
                 .isFalse();
     }
 
     /** Descriptors run out: what is out is still waited for, nothing further is sent, the report says why. */
     @Test
     void withoutSocketsTheRunEndsInOrder() {
-        LoadPlan plan = Plans.even(100, 1000, 5000, 1000, 1);
+        LoadPlan plan = DrillPlans.even(100, 1000, 5000, 1000, 1);
         Recorder recorder = new Recorder();
-        VirtualSockets virtual = new VirtualSockets((number, atMs) -> atMs + 500) {
+        VirtualClientTransport virtual = new VirtualClientTransport((number, atMs) -> atMs + 500) {
             private int open;
 
             @Override
-            public void open(Conn conn) {
+            public void open(ClientConnection conn) {
                 if (++open > 7) {
                     throw new IllegalStateException("Too many open files");
                 }
                 super.open(conn);
             }
         };
-        Generator generator = new Generator(plan, plan.arrivals(), virtual, recorder, Watcher.NONE);
+        LoadGenerator generator = new LoadGenerator(plan, plan.arrivals(), virtual, recorder, LoadListener.NONE);
         virtual.play(generator);
         assertThat(generator.fault()).isEqualTo("no socket is to be had with 7 open: Too many open files");
         assertThat(kinds(recorder)).startsWith(" WHOLE 7 NO_CONNECTION 1,");
-        assertThat(Report.text(Report.tree(plan, recorder, generator.fault(), 1000)))
+        assertThat(LoadReport.text(LoadReport.tree(plan, recorder, generator.fault(), 1000)))
                 .startsWith("UNFIT: no socket");
     }
 
     @Test
     void manySecondsBecomeWiderSlices() {
-        Recorder recorder = virtual(Plans.even(1, 4_000_000, 1000, 10, 1), (number, atMs) -> atMs + 1);
+        Recorder recorder = virtual(DrillPlans.even(1, 4_000_000, 1000, 10, 1), (number, atMs) -> atMs + 1);
         assertThat(recorder.slices().size()).isLessThanOrEqualTo(1200);
         assertThat(recorder.slices().stream().mapToLong(slice -> slice.intended).sum())
                 .isEqualTo(4000);
--- a/lab/src/test/java/spartrail/lab/load/ReportFormTest.java
+++ b/lab/src/test/java/spartrail/lab/load/ReportFormTest.java
@@ -4,26 +4,27 @@
 
 import org.junit.jupiter.api.Test;
 import spartrail.lab.Forms;
-import spartrail.lab.drill.Plans;
+import spartrail.lab.drill.DrillPlans;
 import spartrail.lab.file.Document;
 import spartrail.lab.plan.LoadPlan;
 
 /** The JSON of {@code load run --report} keeps the bytes that version d4872eb wrote. */
 class ReportFormTest {
-    private static String report(LoadPlan plan, VirtualSockets.Responder responder, String fault) throws Exception {
+    private static String report(LoadPlan plan, VirtualClientTransport.Responder responder, String fault)
+            throws Exception {
         Recorder recorder = new Recorder();
-        VirtualSockets sockets = new VirtualSockets(responder);
-        sockets.play(new Generator(plan, plan.arrivals(), sockets, recorder, Watcher.NONE));
+        VirtualClientTransport sockets = new VirtualClientTransport(responder);
+        sockets.play(new LoadGenerator(plan, plan.arrivals(), sockets, recorder, LoadListener.NONE));
         return Document.JSON
                         .writerWithDefaultPrettyPrinter()
-                        .writeValueAsString(Report.tree(plan, recorder, fault, 1234.5678))
+                        .writeValueAsString(LoadReport.tree(plan, recorder, fault, 1234.5678))
                 + "\n";
     }
 
     @Test
     void aRunWithAnswersInTimeLateAndMissingKeepsItsBytes() throws Exception {
-        LoadPlan plan = Plans.even(10, 1000, 200, 100, 1);
-        VirtualSockets.Responder responder = (number, atMs) -> switch ((int) (number % 3)) {
+        LoadPlan plan = DrillPlans.even(10, 1000, 200, 100, 1);
+        VirtualClientTransport.Responder responder = (number, atMs) -> switch ((int) (number % 3)) {
             case 0 -> atMs + 100;
             case 1 -> atMs + 300;
             default -> Double.POSITIVE_INFINITY;
@@ -33,7 +34,7 @@
 
     @Test
     void aRunThatIsUnfitKeepsItsBytes() throws Exception {
-        LoadPlan plan = Plans.even(2, 1000, 200, 100, 1);
+        LoadPlan plan = DrillPlans.even(2, 1000, 200, 100, 1);
         assertThat(report(plan, (number, atMs) -> atMs + 100, "ended by SIGINT before the plan was through"))
                 .isEqualTo(Forms.text("report-unfit.json"));
     }
--- a/lab/src/test/java/spartrail/lab/plan/StoryTest.java
+++ b/lab/src/test/java/spartrail/lab/plan/ClientSessionTest.java
@@ -4,22 +4,22 @@
 import org.junit.jupiter.api.Test;
 import spartrail.lab.Table;
 
-class StoryTest {
+class ClientSessionTest {
     /** Each habit's waits after refusals that say nothing, then that ask it to come back after 700 ms. */
     @Test
     void habitsWaitAsTheySay() throws Exception {
-        Habit[] habits = {
-            Habit.ONCE,
-            new Habit(4, Habit.Wait.NONE, 0, 1, 1000, 0, 0, 0, 1, false),
-            new Habit(4, Habit.Wait.FIXED, 100, 1, 1000, 0, 1, 0, 1, false),
-            new Habit(5, Habit.Wait.EXPONENTIAL, 100, 3, 500, 0, 1, 0, 1, false),
-            new Habit(4, Habit.Wait.FIXED, 100, 1, 1000, 0.5, 0, 0, 1, false),
-            new Habit(3, Habit.Wait.FIXED, 100, 1, 1000, 0, 0, 1, 0.25, false)
+        ClientBehavior[] habits = {
+            ClientBehavior.ONCE,
+            new ClientBehavior(4, ClientBehavior.Wait.NONE, 0, 1, 1000, 0, 0, 0, 1, false),
+            new ClientBehavior(4, ClientBehavior.Wait.FIXED, 100, 1, 1000, 0, 1, 0, 1, false),
+            new ClientBehavior(5, ClientBehavior.Wait.EXPONENTIAL, 100, 3, 500, 0, 1, 0, 1, false),
+            new ClientBehavior(4, ClientBehavior.Wait.FIXED, 100, 1, 1000, 0.5, 0, 0, 1, false),
+            new ClientBehavior(3, ClientBehavior.Wait.FIXED, 100, 1, 1000, 0, 0, 1, 0.25, false)
         };
         StringBuilder seen = new StringBuilder();
-        for (Habit habit : habits) {
+        for (ClientBehavior habit : habits) {
             for (double comebackMs : new double[] {0, 700}) {
-                Story story = new Story(habit, Stream.chance(1));
+                ClientSession story = new ClientSession(habit, TrafficStream.chance(1));
                 StringBuilder line = new StringBuilder();
                 double waitMs = 0;
                 while (waitMs >= 0) {
--- a/lab/src/test/java/spartrail/lab/plan/LoadPlanTest.java
+++ b/lab/src/test/java/spartrail/lab/plan/LoadPlanTest.java
@@ -9,9 +9,9 @@
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
 import spartrail.lab.Table;
-import spartrail.lab.drill.Plans;
-import spartrail.lab.file.BadInput;
+import spartrail.lab.drill.DrillPlans;
 import spartrail.lab.file.Document;
+import spartrail.lab.file.InvalidInputException;
 
 class LoadPlanTest {
     private static final String STREAM =
@@ -19,7 +19,7 @@
                     + "'keys':{'count':100,'zipf':1.1},'work':{'meanMs':4,'variation':0.5},'clientMs':1000}]";
 
     private static LoadPlan plan(String gaps, String rate, long seed) {
-        return Plans.parse("{'seed':" + seed + ",'gaps':{'kind':'" + gaps
+        return DrillPlans.parse("{'seed':" + seed + ",'gaps':{'kind':'" + gaps
                 + "','variation':2},'phases':[{'lastsMs':4000,'rate':" + rate + "}]," + STREAM + "}");
     }
 
@@ -106,7 +106,7 @@
 
     @Test
     void whatStreamsDrawIsAsTheySay() {
-        LoadPlan plan = Plans.parse("{'phases':[{'name':'a','lastsMs':2000,'rate':{'shape':'steady','perS':1000}},"
+        LoadPlan plan = DrillPlans.parse("{'phases':[{'name':'a','lastsMs':2000,'rate':{'shape':'steady','perS':1000}},"
                 + "{'name':'b','lastsMs':2000,'rate':{'shape':'steady','perS':1000}}],'crowds':[{'atMs':500,'withinMs':100,"
                 + "'clients':50}],'streams':[{'name':'run','share':3,'opTypes':[{'name':'x','share':1},{'name':'y','share':3}],"
                 + "'shards':{'of':10,'least':3},'keys':{'count':1000,'zipf':1.2,'hotMovesEveryMs':2000},'clientMs':1},"
@@ -162,7 +162,7 @@
             try {
                 LoadPlan.of(Document.parse("plan.json", text.getBytes(StandardCharsets.UTF_8), "load"));
                 seen.append("taken: ").append(text);
-            } catch (BadInput e) {
+            } catch (InvalidInputException e) {
                 seen.append(e.getMessage());
             }
             seen.append('\n');
--- a/lab/src/test/java/spartrail/lab/scale/ScaleTestsTest.java
+++ b/lab/src/test/java/spartrail/lab/scale/ScaleTestsTest.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import spartrail.lab.file.BadInput;
-import spartrail.membership.EndpointList;
+import spartrail.endpoint.EndpointList;
+import spartrail.lab.file.InvalidInputException;
 
 class ScaleTestsTest {
     private static List<Fit.Point> points(java.util.function.DoubleUnaryOperator curve) {
@@ -76,7 +76,7 @@
                 .contains("| 62000 | 1.240e+05 | 1.240e+05 |", "(measured; largest size run 62000)");
         assertThat(result.json().get("points")).hasSize(4);
         assertThatThrownBy(() -> named("module-hip", 0))
-                .isInstanceOf(BadInput.class)
+                .isInstanceOf(InvalidInputException.class)
                 .hasMessageStartingWith("no scale test is named 'module-hip'; there are [module-heap, ");
     }
 }
--- a/lab/src/test/java/spartrail/lab/virtual/ExplorationTest.java
+++ b/lab/src/test/java/spartrail/lab/simulation/ExplorationTest.java
@@ -1,11 +1,11 @@
-package spartrail.lab.virtual;
+package spartrail.lab.simulation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import spartrail.peers.PeerTimes;
+import spartrail.peers.GossipTimings;
 
 class ExplorationTest {
     @Test
@@ -18,9 +18,9 @@
 
     @Test
     void eachPlantedFaultIsFound() throws Exception {
-        assertThat(Plants.play(Path.of("."), Plants.ALL, 1, 120, 60))
-                .allMatch(Plants.Caught::caught)
-                .hasSize(Plants.ALL.size());
+        assertThat(Mutations.play(Path.of("."), Mutations.ALL, 1, 120, 60))
+                .allMatch(Mutations.Caught::caught)
+                .hasSize(Mutations.ALL.size());
     }
 
     /** Scripts that broke a rule in the peers' first version, as they were shrunk then: seeds draw other scripts since. */
@@ -29,9 +29,9 @@
         Fault left =
                 new Fault(12_768, Fault.Kind.LEAVE, List.of(2, 4, 5, 7, 8, 9, 10, 11, 13, 15, 16, 17), List.of(), 0, 0);
         Fault cut = new Fault(15_848, Fault.Kind.CUT, List.of(0, 1, 3, 5, 8), List.of(), 5834, 0);
-        for (PeersTrial trial :
-                List.of(new PeersTrial(6, 18, List.of(left, cut)), new PeersTrial(179, 28, List.of()))) {
-            assertThat(trial.play(PeerTimes.USUAL, false).breaches())
+        for (PeersScenario trial :
+                List.of(new PeersScenario(6, 18, List.of(left, cut)), new PeersScenario(179, 28, List.of()))) {
+            assertThat(trial.play(GossipTimings.USUAL, false).breaches())
                     .as(trial.script())
                     .isEmpty();
         }
@@ -40,9 +40,9 @@
     /** A hundred nodes at once that know one address only, and nobody is there; later somebody is. */
     @Test
     void nodesWhoseOnlySeedIsDownMeetWhenItComes() {
-        PeersScene scene = new PeersScene(100, PeerTimes.USUAL, message -> message);
+        PeersSimulation scene = new PeersSimulation(100, GossipTimings.USUAL, message -> message);
         scene.seedsEach(1);
-        World<spartrail.peers.Message> world = new World<>(100, 7, 4, scene);
+        SimulatedNetwork<spartrail.peers.PeerMessage> world = new SimulatedNetwork<>(100, 7, 4, scene);
         scene.in(world);
         for (int node = 1; node < 100; node++) {
             world.start(node, 10 * node);
--- /dev/null
+++ b/lab/src/test/java/spartrail/lab/simulation/PolicyScenarioTest.java
@@ -0,0 +1,23 @@
+package spartrail.lab.simulation;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.nio.file.Path;
+import org.junit.jupiter.api.Test;
+
+class PolicyScenarioTest {
+    @Test
+    void seedsBreakNothingAndOneSeedIsOneRun() {
+        PolicyScenario.Result first = PolicyScenario.explore(1, 300, 20, done -> {});
+        assertThat(first.found()).isEmpty();
+        assertThat(first.versions()).isGreaterThan(1000);
+        assertThat(PolicyScenario.explore(1, 300, 20, done -> {}).hash()).isEqualTo(first.hash());
+    }
+
+    @Test
+    void eachPlantedFaultIsFound() throws Exception {
+        assertThat(Mutations.play(Path.of("."), Mutations.POLICY, 1, 120, 20))
+                .allMatch(Mutations.Caught::caught)
+                .hasSize(Mutations.POLICY.size());
+    }
+}
--- a/lab/src/test/java/spartrail/lab/subset/SubsetRunTest.java
+++ b/lab/src/test/java/spartrail/lab/subset/SubsetRunTest.java
@@ -15,20 +15,21 @@
     @Test
     void promisesHoldThroughLossesAndLateListsAndARunIsTheSameTwice() {
         for (long seed = 1; seed <= 12; seed++) {
-            SubsetRun.Outcome outcome = SubsetRun.play(SHAPE, seed, CHANGES, SubsetFault.NONE);
+            SubsetRun.Outcome outcome = SubsetRun.play(SHAPE, seed, CHANGES, SubsetMutation.NONE);
             assertThat(outcome.examples()).as("seed %d", seed).isEmpty();
             assertThat(outcome.checks()).isGreaterThan(10_000);
-            assertThat(SubsetRun.play(SHAPE, seed, CHANGES, SubsetFault.NONE)).isEqualTo(outcome);
+            assertThat(SubsetRun.play(SHAPE, seed, CHANGES, SubsetMutation.NONE))
+                    .isEqualTo(outcome);
         }
     }
 
     @Test
     void everyPlantedFaultIsCaught() {
-        for (SubsetFault fault : SubsetFault.values()) {
+        for (SubsetMutation fault : SubsetMutation.values()) {
             int caught = (int) IntStream.rangeClosed(1, 3)
                     .filter(seed -> SubsetRun.play(SHAPE, seed, CHANGES, fault).breaches() > 0)
                     .count();
-            if (fault == SubsetFault.NONE) {
+            if (fault == SubsetMutation.NONE) {
                 assertThat(caught).as(fault.summary()).isZero();
             } else {
                 assertThat(caught).as(fault.summary()).isPositive();
--- a/lab/src/test/java/spartrail/lab/trace/TraceTest.java
+++ b/lab/src/test/java/spartrail/lab/trace/TraceTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import spartrail.lab.Table;
-import spartrail.lab.file.BadInput;
 import spartrail.lab.file.Document;
-import spartrail.lab.plan.Habit;
+import spartrail.lab.file.InvalidInputException;
+import spartrail.lab.plan.ClientBehavior;
 
 class TraceTest {
     @TempDir
@@ -29,7 +29,7 @@
                     .forEachRemaining(field -> seen.append(
                             field.getValue().asLong() == 0 ? "" : " " + field.getKey() + " " + field.getValue()));
             return seen + ":" + replay(1, 1, 1, 1);
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             assertThat(Files.exists(folder.resolve("out.part"))).isFalse();
             return " refused: " + e.getMessage().replace(folder + "/", "");
         }
@@ -37,7 +37,8 @@
 
     private String replay(double speed, int loops, double share, int copies) throws Exception {
         StringBuilder seen = new StringBuilder();
-        try (TraceReplay replay = new TraceReplay(folder.resolve("out"), speed, loops, share, copies, 1, Habit.ONCE)) {
+        try (TraceReplay replay =
+                new TraceReplay(folder.resolve("out"), speed, loops, share, copies, 1, ClientBehavior.ONCE)) {
             replay.forEachRemaining(one -> seen.append(String.format(Locale.ROOT, " %s@%.0f", one.key(), one.atMs())));
         }
         return seen.toString();
@@ -141,7 +142,7 @@
         byte[] bytes = Files.readAllBytes(out);
         Files.write(out, java.util.Arrays.copyOf(bytes, bytes.length / 2));
         assertThat(org.assertj.core.api.Assertions.catchThrowable(() -> replay(1, 1, 1, 1)))
-                .isInstanceOf(BadInput.class)
+                .isInstanceOf(InvalidInputException.class)
                 .hasMessageMatching(".*out: is cut after [0-9]+ multigets");
     }
 }
--- a/node/src/main/java/spartrail/config/PolicyFields.java
+++ b/node/src/main/java/spartrail/config/PolicyFields.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import spartrail.model.OpType;
-import spartrail.policy.Terms;
+import spartrail.policy.PolicySettings;
 
 /** Which setting of the file is which field of policy, both ways. Times are seconds there and milliseconds here. */
 public final class PolicyFields {
@@ -44,7 +44,7 @@
     private PolicyFields() {}
 
     /** What of a file's settings policy may change. */
-    public static Terms of(DeploymentFile file) {
+    public static PolicySettings of(DeploymentFile file) {
         Map<String, Object> values = new TreeMap<>();
         for (OpType op : file.opTypes()) {
             String at = "/opTypes/" + op.name + "/";
@@ -76,12 +76,12 @@
                             ? field.otherwise
                             : value instanceof Number number ? (Object) (number.doubleValue() * field.factor) : value);
         }
-        return Terms.of(values);
+        return PolicySettings.of(values);
     }
 
     /** The file with these terms in the places of its own; an IllegalArgumentException where it would be no usable file. */
-    public static DeploymentFile with(DeploymentFile file, Terms terms) {
-        Terms own = of(file);
+    public static DeploymentFile with(DeploymentFile file, PolicySettings terms) {
+        PolicySettings own = of(file);
         Map<String, Object> settings = copy(file.settings());
         for (Field field : FIELDS) {
             Object value =
--- a/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
+++ b/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
@@ -11,24 +11,24 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import spartrail.discovery.DiscoveryClient;
-import spartrail.membership.EndpointList;
-import spartrail.membership.Membership;
-import spartrail.membership.Said;
-import spartrail.membership.ServerSources;
-import spartrail.membership.Source;
+import spartrail.endpoint.EndpointList;
+import spartrail.endpoint.EndpointRegistry;
+import spartrail.endpoint.EndpointSource;
+import spartrail.endpoint.EndpointSourceProvider;
+import spartrail.endpoint.SourceReport;
 import spartrail.model.NodeClock;
 
 /**
  * Stands between the roll's watch and the loop: what sources say goes into the view, and the lines that change come out as
  * changes of the list. One thread owns the view.
  */
-public final class EndpointSources implements DiscoveryClient.Listener, ServerSources.Words, AutoCloseable {
+public final class EndpointSources implements DiscoveryClient.Listener, EndpointSourceProvider.Words, AutoCloseable {
     private static final System.Logger LOG = System.getLogger("spartrail.members");
 
-    private final Membership view;
+    private final EndpointRegistry view;
     private final NodeClock clock;
     private final DiscoveryClient.Listener loop;
-    private final Source roll;
+    private final EndpointSource roll;
     private final List<AutoCloseable> sources = new ArrayList<>();
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread made = new Thread(task, "spartrail-members");
@@ -55,12 +55,12 @@
         List<String> rolled =
                 known.lines().stream().map(line -> text(line.address())).toList();
         // What the roll names is allowed: its word is law. Ranges bound what others may name.
-        this.view = new Membership(
+        this.view = new EndpointRegistry(
                 cells,
                 reach,
                 file.bounds(),
                 endpoint -> allowed.test(endpoint) || rolled.contains(endpoint) || fromRoll);
-        this.roll = view.source("roll", Source.Kind.ROLL, clock.nowMs());
+        this.roll = view.source("roll", EndpointSource.Kind.ROLL, clock.nowMs());
         byRoll(() -> view.said(roll, true, lines(known), 0, clock.nowMs()));
         view.out(roll, clock.nowMs());
         view.changes();
@@ -74,7 +74,7 @@
 
     /** Starts the sources that the file names; each is found by the service loader. */
     public void start(EndpointSourcesFile file) throws IOException {
-        for (ServerSources kind : ServiceLoader.load(ServerSources.class)) {
+        for (EndpointSourceProvider kind : ServiceLoader.load(EndpointSourceProvider.class)) {
             Map<?, ?> settings = file.section(kind.section());
             if (settings != null) {
                 sources.add(kind.start(settings, this));
@@ -105,7 +105,8 @@
     }
 
     @Override
-    public void said(String source, Source.Kind kind, boolean whole, List<Said> lines, double lifetimeMs) {
+    public void said(
+            String source, EndpointSource.Kind kind, boolean whole, List<SourceReport> lines, double lifetimeMs) {
         thread.execute(() -> {
             double nowMs = clock.nowMs();
             view.said(view.source(source, kind, nowMs), whole, lines, lifetimeMs, nowMs);
@@ -114,7 +115,7 @@
     }
 
     @Override
-    public void out(String source, Source.Kind kind) {
+    public void out(String source, EndpointSource.Kind kind) {
         thread.execute(() -> {
             double nowMs = clock.nowMs();
             view.out(view.source(source, kind, nowMs), nowMs);
@@ -122,10 +123,10 @@
         });
     }
 
-    private List<Said> lines(EndpointList list) {
-        List<Said> lines = new ArrayList<>();
+    private List<SourceReport> lines(EndpointList list) {
+        List<SourceReport> lines = new ArrayList<>();
         for (EndpointList.Endpoint line : list.lines()) {
-            lines.add(new Said(
+            lines.add(new SourceReport(
                     line.id(),
                     line.address() == null ? null : text(line.address()),
                     line.zone(),
@@ -147,7 +148,7 @@
     private void hand(boolean always) {
         view.advance(clock.nowMs());
         List<EndpointList.Endpoint> lines = new ArrayList<>();
-        for (Said said : view.changes()) {
+        for (SourceReport said : view.changes()) {
             lines.add(new EndpointList.Endpoint(
                     said.id(),
                     EndpointList.address(said.endpoint()),
--- a/node/src/main/java/spartrail/endpoint/sources/EndpointSourcesFile.java
+++ b/node/src/main/java/spartrail/endpoint/sources/EndpointSourcesFile.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
+import spartrail.endpoint.MergeLimits;
 import spartrail.json.JsonTree;
-import spartrail.membership.Bounds;
 import spartrail.model.AddressRanges;
 
 /**
@@ -76,7 +76,7 @@
         }
     }
 
-    Bounds bounds() {
+    MergeLimits bounds() {
         Map<?, ?> merge = tree.get("merge") instanceof Map<?, ?> given ? given : Map.of();
         for (Object name : merge.keySet()) {
             if (!BOUNDS.contains(name)) {
@@ -84,8 +84,8 @@
                         + BOUNDS.stream().sorted().toList() + " is expected");
             }
         }
-        Bounds usual = Bounds.USUAL;
-        return new Bounds(
+        MergeLimits usual = MergeLimits.USUAL;
+        return new MergeLimits(
                 (int) number(merge, "floor", usual.floor()),
                 number(merge, "freezeMs", usual.freezeMs()),
                 number(merge, "suspectMs", usual.suspectMs()),
--- a/node/src/test/java/spartrail/discovery/DiscoveryClientTest.java
+++ b/node/src/test/java/spartrail/discovery/DiscoveryClientTest.java
@@ -24,7 +24,7 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
-import spartrail.membership.EndpointList;
+import spartrail.endpoint.EndpointList;
 
 class DiscoveryClientTest {
     private static final String LINE = "{\"uid\":\"%s\",\"endpoint\":\"127.0.0.1:9\",\"az\":\"a\",\"model\":\"m\","
--- a/node/src/test/java/spartrail/shard/ShardPoolTest.java
+++ b/node/src/test/java/spartrail/shard/ShardPoolTest.java
@@ -29,7 +29,7 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
-import spartrail.membership.EndpointList;
+import spartrail.endpoint.EndpointList;
 import spartrail.model.Attempt;
 import spartrail.model.Attempt.Outcome;
 import spartrail.model.Invariants;
--- a/peers/src/main/java/spartrail/peering/TalkingNode.java
+++ b/peers/src/main/java/spartrail/peers/transport/GossipNode.java
@@ -1,4 +1,4 @@
-package spartrail.peering;
+package spartrail.peers.transport;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -18,21 +18,21 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import spartrail.model.NodeClock;
-import spartrail.peers.Card;
-import spartrail.peers.Life;
-import spartrail.peers.Outgoing;
+import spartrail.peers.Incarnation;
+import spartrail.peers.MembershipView;
+import spartrail.peers.OutgoingMessage;
+import spartrail.peers.PeerChannel;
+import spartrail.peers.PeerDescriptor;
 import spartrail.peers.PeerEvent;
-import spartrail.peers.PeerLane;
-import spartrail.peers.PeerTalk;
-import spartrail.peers.Peers;
-import spartrail.peers.PeersView;
-import spartrail.peers.Standing;
+import spartrail.peers.PeerState;
+import spartrail.peers.PeerTransport;
+import spartrail.peers.SwimMembership;
 
 /**
- * A node's socket for talk and the thread that owns it and its {@link Peers}. Datagrams come in, are read or dropped and
+ * A node's socket for talk and the thread that owns it and its {@link SwimMembership}. Datagrams come in, are read or dropped and
  * counted, and go to the peers; what these want sent goes out. It decides nothing.
  */
-final class TalkingNode implements PeerTalk.Running, Runnable {
+final class GossipNode implements PeerTransport.Running, Runnable {
     private static final System.Logger LOG = System.getLogger("spartrail.peering");
     /** Danger: a flood keeps the thread reading while its own rounds are overdue, and it takes itself for standing still. */
     private static final int MOST_AT_ONCE = 64;
@@ -45,19 +45,19 @@
     private static final double MINUTE_MS = 60_000;
 
     private final PeersFile file;
-    private final History history;
-    private final Consumer<PeersView> views;
-    private final List<PeerLane> lanes;
+    private final MembershipHistory history;
+    private final Consumer<MembershipView> views;
+    private final List<PeerChannel> lanes;
     private final NodeClock clock = new NodeClock();
     private final DatagramChannel channel;
     private final Selector selector;
-    private final Peers peers;
+    private final SwimMembership peers;
     private final Thread thread;
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final Map<String, Long> dropped = new TreeMap<>();
     private final ByteBuffer in = ByteBuffer.allocate(LONGEST);
-    private PeersView last;
-    private Card told;
+    private MembershipView last;
+    private PeerDescriptor told;
     private final AtomicLong sentBytes = new AtomicLong();
     private final AtomicLong sent = new AtomicLong();
     private final AtomicLong unsent = new AtomicLong();
@@ -66,7 +66,8 @@
     private double linesFromMs;
     private volatile boolean ended;
 
-    TalkingNode(PeersFile file, History history, Consumer<PeersView> views, List<PeerLane> lanes) throws IOException {
+    GossipNode(PeersFile file, MembershipHistory history, Consumer<MembershipView> views, List<PeerChannel> lanes)
+            throws IOException {
         this.file = file;
         this.history = history;
         this.views = views;
@@ -84,17 +85,17 @@
             throw new IOException("cannot listen on " + file.listen + " for other nodes: " + e.getMessage(), e);
         }
         RandomGenerator chance = RandomGenerator.of("L64X128MixRandom");
-        String program = TalkingNode.class.getPackage().getImplementationVersion();
-        Card self = new Card(
+        String program = GossipNode.class.getPackage().getImplementationVersion();
+        PeerDescriptor self = new PeerDescriptor(
                 file.name,
                 file.advertise,
                 file.zone,
                 file.weight,
                 program == null ? "" : program,
                 file.settings,
-                new Life(NodeClock.unixMs(), chance.nextInt()),
+                new Incarnation(NodeClock.unixMs(), chance.nextInt()),
                 0);
-        this.peers = new Peers(self, file.seeds, file.times, chance, clock.nowMs());
+        this.peers = new SwimMembership(self, file.seeds, file.times, chance, clock.nowMs());
         lanes.forEach(lane -> lane.begin(carrier(lane.number())));
         this.thread = new Thread(this, "spartrail-peers");
         thread.setDaemon(true);
@@ -102,8 +103,8 @@
     }
 
     /** Called on other threads, too. */
-    private PeerLane.Carrier carrier(int lane) {
-        return new PeerLane.Carrier() {
+    private PeerChannel.Carrier carrier(int lane) {
+        return new PeerChannel.Carrier() {
             @Override
             public String name() {
                 return file.name;
@@ -127,7 +128,7 @@
             @Override
             public void send(String address, byte[] bytes) {
                 if (file.allowed.test(address) || file.operators.test(address)) {
-                    write(Frames.bytes(file.fleet, lane, bytes), PeersFile.socket(address));
+                    write(PeerMessageCodec.bytes(file.fleet, lane, bytes), PeersFile.socket(address));
                 }
             }
 
@@ -140,8 +141,8 @@
         };
     }
 
-    private PeerLane lane(int number) {
-        for (PeerLane lane : lanes) {
+    private PeerChannel lane(int number) {
+        for (PeerChannel lane : lanes) {
             if (lane.number() == number) {
                 return lane;
             }
@@ -196,24 +197,26 @@
             return true;
         }
         try {
-            Frames.Frame frame = Frames.read(in.array(), in.limit(), file.fleet, Frames.MOST_BYTES);
-            if (frame.lane() == Frames.PEERS && file.allowed.test(source)) {
+            PeerMessageCodec.Frame frame =
+                    PeerMessageCodec.read(in.array(), in.limit(), file.fleet, PeerMessageCodec.MOST_BYTES);
+            if (frame.lane() == PeerMessageCodec.PEERS && file.allowed.test(source)) {
                 var message = frame.message();
                 if (!file.allowed.test(message.from().address())) {
                     count("datagrams from addresses not allowed");
                     return true;
                 }
                 peers.heard(message, clock.nowMs());
-            } else if (frame.lane() == Frames.QUESTION && file.operators.test(source)) {
+            } else if (frame.lane() == PeerMessageCodec.QUESTION && file.operators.test(source)) {
                 if (frame.values().get(3) instanceof String question) {
-                    Replies.to(question, peers.view(clock.nowMs()), counts(), file.fleet, page -> write(page, sender));
+                    MembershipStatusReplies.to(
+                            question, peers.view(clock.nowMs()), counts(), file.fleet, page -> write(page, sender));
                 }
             } else if (lane(frame.lane()) != null) {
                 lane(frame.lane()).heard(source, frame.bytes());
             } else {
                 count("frames of unknown lanes");
             }
-        } catch (Frames.Unusable e) {
+        } catch (PeerMessageCodec.Unusable e) {
             count(e.getMessage());
         }
         return true;
@@ -231,10 +234,13 @@
 
     /** Sends what is to be sent and tells what has changed. */
     private void carryOut() {
-        for (Outgoing outgoing : peers.take()) {
-            byte[] bytes = Frames.peers(file.fleet, outgoing.message());
-            if (bytes.length > Frames.MOST_BYTES || !file.allowed.test(outgoing.address())) {
-                count(bytes.length > Frames.MOST_BYTES ? "messages too large to send" : "addresses not allowed");
+        for (OutgoingMessage outgoing : peers.take()) {
+            byte[] bytes = PeerMessageCodec.peers(file.fleet, outgoing.message());
+            if (bytes.length > PeerMessageCodec.MOST_BYTES || !file.allowed.test(outgoing.address())) {
+                count(
+                        bytes.length > PeerMessageCodec.MOST_BYTES
+                                ? "messages too large to send"
+                                : "addresses not allowed");
                 continue;
             }
             write(bytes, PeersFile.socket(outgoing.address()));
@@ -243,7 +249,7 @@
         if (events.isEmpty() && last != null && clock.nowMs() - last.atMs() < file.times.roundMs()) {
             return;
         }
-        PeersView view = peers.view(clock.nowMs());
+        MembershipView view = peers.view(clock.nowMs());
         if (history != null && (told == null || !told.life().equals(peers.self().life()))) {
             history.began(peers.self());
         }
@@ -289,7 +295,7 @@
         }
         if (lines++ < LINES_A_MINUTE && event.is() != event.was()) {
             LOG.log(
-                    event.is() == Standing.GONE ? System.Logger.Level.WARNING : System.Logger.Level.INFO,
+                    event.is() == PeerState.GONE ? System.Logger.Level.WARNING : System.Logger.Level.INFO,
                     event.card().name()
                             + " at " + event.card().address() + " is " + event.is() + " (was " + event.was() + "), by "
                             + event.by() + ": "
--- a/peers/src/main/java/spartrail/peering/History.java
+++ b/peers/src/main/java/spartrail/peers/transport/MembershipHistory.java
@@ -1,4 +1,4 @@
-package spartrail.peering;
+package spartrail.peers.transport;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -11,15 +11,15 @@
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import spartrail.peers.Card;
+import spartrail.peers.MembershipView;
+import spartrail.peers.PeerDescriptor;
 import spartrail.peers.PeerEvent;
-import spartrail.peers.PeersView;
 
 /**
  * What a node knew and when, a JSON line each: {@code ns} is the machine's monotonic clock, the same for all processes on it,
  * so that histories of several can be merged. A disk that stands still costs lines, which are counted, never the node's time.
  */
-final class History implements AutoCloseable {
+final class MembershipHistory implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger("spartrail.peering");
     private static final int MOST_WAITING = 4096;
 
@@ -36,7 +36,7 @@
     private volatile boolean ended;
     private volatile boolean full;
 
-    History(Path file, long mostBytes) throws IOException {
+    MembershipHistory(Path file, long mostBytes) throws IOException {
         // A restarted process goes on in the same file: what its former life knew is part of the history.
         this.out = Files.newBufferedWriter(
                 file, java.nio.file.StandardOpenOption.CREATE, java.nio.file.StandardOpenOption.APPEND);
@@ -47,7 +47,7 @@
     }
 
     /** A life of this node has begun. */
-    void began(Card self) {
+    void began(PeerDescriptor self) {
         line("began", self.name(), line -> {
             line.writeStringField("address", self.address());
             line.writeNumberField("startMs", self.life().startMs());
@@ -55,7 +55,7 @@
         });
     }
 
-    void changed(PeersView view, PeerEvent event) {
+    void changed(MembershipView view, PeerEvent event) {
         line("standing", view.name(), line -> {
             line.writeStringField("doubt", event.doubt());
             line.writeStringField("of", event.card().name());
@@ -72,7 +72,7 @@
     }
 
     /** How many, and whether in doubt; written where one of these has changed. */
-    void view(PeersView view) {
+    void view(MembershipView view) {
         line("view", view.name(), line -> {
             line.writeStringField("standing", view.standing().name());
             line.writeStringField("doubt", view.doubt());
--- a/peers/src/main/java/spartrail/peering/Replies.java
+++ b/peers/src/main/java/spartrail/peers/transport/MembershipStatusReplies.java
@@ -1,4 +1,4 @@
-package spartrail.peering;
+package spartrail.peers.transport;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -7,19 +7,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import spartrail.peers.PeersView;
+import spartrail.peers.MembershipView;
 
 /**
  * What a running node tells its operators. A question is {@code show FROM}: a reply is one JSON object in one datagram, the
  * view's head, some peers from that number on, and {@code next}, the number to ask for next or -1. So a reply is bounded, and a
  * view of any size can be read.
  */
-final class Replies {
+final class MembershipStatusReplies {
     private static final int PEERS_A_PAGE = 4;
 
-    private Replies() {}
+    private MembershipStatusReplies() {}
 
-    static void to(String question, PeersView view, Map<String, Long> counts, String fleet, Consumer<byte[]> send) {
+    static void to(
+            String question, MembershipView view, Map<String, Long> counts, String fleet, Consumer<byte[]> send) {
         String[] words = question.split(" ");
         if (words.length != 2 || !words[0].equals("show") || !words[1].matches("[0-9]{1,5}")) {
             return;
@@ -31,7 +32,7 @@
             if (from == 0) {
                 head(out, view, counts);
             }
-            List<PeersView.Seen> page = view.peers().stream()
+            List<MembershipView.Seen> page = view.peers().stream()
                     .skip(from)
                     .limit(from == 0 ? 0 : PEERS_A_PAGE)
                     .toList();
@@ -39,7 +40,7 @@
                 page = view.peers().stream().skip(from - 1L).limit(PEERS_A_PAGE).toList();
             }
             out.writeArrayFieldStart("peers");
-            for (PeersView.Seen seen : page) {
+            for (MembershipView.Seen seen : page) {
                 seen(out, seen, view.atMs());
             }
             out.writeEndArray();
@@ -49,10 +50,10 @@
         } catch (IOException e) {
             throw new IllegalStateException("text in memory", e);
         }
-        send.accept(Frames.text(fleet, Frames.REPLY, text.toString()));
+        send.accept(PeerMessageCodec.text(fleet, PeerMessageCodec.REPLY, text.toString()));
     }
 
-    private static void head(JsonGenerator out, PeersView view, Map<String, Long> counts) throws IOException {
+    private static void head(JsonGenerator out, MembershipView view, Map<String, Long> counts) throws IOException {
         out.writeStringField("name", view.name());
         out.writeStringField("standing", view.standing().name());
         out.writeStringField("doubt", view.doubt());
@@ -68,7 +69,7 @@
         out.writeEndObject();
     }
 
-    private static void seen(JsonGenerator out, PeersView.Seen seen, double nowMs) throws IOException {
+    private static void seen(JsonGenerator out, MembershipView.Seen seen, double nowMs) throws IOException {
         out.writeStartObject();
         out.writeStringField("name", seen.card().name());
         out.writeStringField("address", seen.card().address());
--- a/peers/src/main/java/spartrail/peering/Frames.java
+++ b/peers/src/main/java/spartrail/peers/transport/PeerMessageCodec.java
@@ -1,4 +1,4 @@
-package spartrail.peering;
+package spartrail.peers.transport;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -11,11 +11,11 @@
 import java.util.List;
 import java.util.zip.CRC32C;
 import spartrail.json.JsonTree;
-import spartrail.peers.Card;
-import spartrail.peers.Life;
-import spartrail.peers.Message;
-import spartrail.peers.Standing;
-import spartrail.peers.Word;
+import spartrail.peers.Incarnation;
+import spartrail.peers.PeerDescriptor;
+import spartrail.peers.PeerMessage;
+import spartrail.peers.PeerState;
+import spartrail.peers.PeerUpdate;
 
 /**
  * The form of what nodes send each other: a CBOR array (RFC 8949) and the CRC-32C of its bytes (RFC 3720). Its first three
@@ -26,13 +26,13 @@
  *  frame    [version, fleet, lane, ...] crc
  *  lane 1   text, a question of an operator
  *  lane 2   text, a page of the reply to it
- *  lane 3   bytes of policy, see spartrail.governing
+ *  lane 3   bytes of policy, see spartrail.policy.replication
  *  lane 0   [kind, card, standing, ageMs, to, nonce, digest, card or null, [word ...]]
  *  card     [name, address, zone, weight, program, settings, startMs, nonce, turn]
  *  word     [card, standing, ageMs, by]
  * </pre>
  */
-public final class Frames {
+public final class PeerMessageCodec {
     public static final int VERSION = 1;
     /** What fits into one datagram on an Ethernet without being cut into pieces. */
     public static final int MOST_BYTES = 1400;
@@ -70,27 +70,27 @@
         }
 
         /** The peers' message in it. */
-        public Message message() throws Unusable {
+        public PeerMessage message() throws Unusable {
             try {
                 List<?> list = (List<?>) values.get(3);
                 int kind = ((Number) list.get(0)).intValue();
-                if (kind < 0 || kind >= Message.Kind.values().length) {
+                if (kind < 0 || kind >= PeerMessage.Kind.values().length) {
                     throw new Unusable("unknown kinds");
                 }
-                List<Word> words = new ArrayList<>();
+                List<PeerUpdate> words = new ArrayList<>();
                 for (Object word : (List<?>) list.get(8)) {
                     List<?> parts = (List<?>) word;
                     int standing = ((Number) parts.get(1)).intValue();
-                    if (standing >= 0 && standing < Standing.values().length) {
-                        words.add(new Word(
-                                card(parts.get(0)), Standing.values()[standing], decimal(parts.get(2)), (String)
+                    if (standing >= 0 && standing < PeerState.values().length) {
+                        words.add(new PeerUpdate(
+                                card(parts.get(0)), PeerState.values()[standing], decimal(parts.get(2)), (String)
                                         parts.get(3)));
                     }
                 }
-                return new Message(
-                        Message.Kind.values()[kind],
+                return new PeerMessage(
+                        PeerMessage.Kind.values()[kind],
                         card(list.get(1)),
-                        Standing.values()[((Number) list.get(2)).intValue()],
+                        PeerState.values()[((Number) list.get(2)).intValue()],
                         decimal(list.get(3)),
                         (String) list.get(4),
                         ((Number) list.get(5)).longValue(),
@@ -103,14 +103,14 @@
         }
     }
 
-    private Frames() {}
+    private PeerMessageCodec() {}
 
     public static boolean isAddress(String text) {
         return text.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}")
                 && Integer.parseInt(text.substring(text.indexOf(':') + 1)) < 65_536;
     }
 
-    public static byte[] peers(String fleet, Message message) {
+    public static byte[] peers(String fleet, PeerMessage message) {
         return frame(fleet, PEERS, out -> {
             out.writeStartArray();
             out.writeNumber(message.kind().ordinal());
@@ -126,7 +126,7 @@
                 card(out, message.about());
             }
             out.writeStartArray();
-            for (Word word : message.words()) {
+            for (PeerUpdate word : message.words()) {
                 out.writeStartArray();
                 card(out, word.card());
                 out.writeNumber(word.standing().ordinal());
@@ -178,7 +178,7 @@
         return (int) crc.getValue();
     }
 
-    private static void card(JsonGenerator out, Card card) throws IOException {
+    private static void card(JsonGenerator out, PeerDescriptor card) throws IOException {
         out.writeStartArray();
         out.writeString(card.name());
         out.writeString(card.address());
@@ -192,16 +192,16 @@
         out.writeEndArray();
     }
 
-    private static Card card(Object value) {
+    private static PeerDescriptor card(Object value) {
         List<?> list = (List<?>) value;
-        return new Card(
+        return new PeerDescriptor(
                 (String) list.get(0),
                 (String) list.get(1),
                 (String) list.get(2),
                 decimal(list.get(3)),
                 (String) list.get(4),
                 (String) list.get(5),
-                new Life(((Number) list.get(6)).longValue(), ((Number) list.get(7)).intValue()),
+                new Incarnation(((Number) list.get(6)).longValue(), ((Number) list.get(7)).intValue()),
                 ((Number) list.get(8)).intValue());
     }
 
--- a/peers/src/main/java/spartrail/peering/PeersFile.java
+++ b/peers/src/main/java/spartrail/peers/transport/PeersFile.java
@@ -1,4 +1,4 @@
-package spartrail.peering;
+package spartrail.peers.transport;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -14,8 +14,8 @@
 import java.util.TreeSet;
 import spartrail.json.JsonTree;
 import spartrail.model.AddressRanges;
-import spartrail.peers.Card;
-import spartrail.peers.PeerTimes;
+import spartrail.peers.GossipTimings;
+import spartrail.peers.PeerDescriptor;
 
 /** The file that tells a node how to talk to the others; its form is {@code deploy/peers.schema.json}. */
 final class PeersFile {
@@ -54,7 +54,7 @@
     final String zone;
     final double weight;
     final String settings;
-    final PeerTimes times;
+    final GossipTimings times;
     private final Map<?, ?> tree;
 
     private PeersFile(Map<?, ?> tree) {
@@ -114,10 +114,10 @@
         }
     }
 
-    private static PeerTimes times(Map<?, ?> tree) {
+    private static GossipTimings times(Map<?, ?> tree) {
         only(tree, TIMES, "/times");
-        PeerTimes usual = PeerTimes.USUAL;
-        PeerTimes times = new PeerTimes(
+        GossipTimings usual = GossipTimings.USUAL;
+        GossipTimings times = new GossipTimings(
                 number(tree, "roundMs", usual.roundMs(), "/times"),
                 number(tree, "answerMs", usual.answerMs(), "/times"),
                 number(tree, "suspectRounds", usual.suspectRounds(), "/times"),
@@ -131,9 +131,10 @@
             throw new IllegalArgumentException("/times/answerMs: found " + times.answerMs() + " at rounds of "
                     + times.roundMs() + ", rounds of 10 or more and less for an answer than a round are expected");
         }
-        if (times.wordBytes() > Frames.MOST_BYTES - Frames.LEFT_FOR_CARDS) {
+        if (times.wordBytes() > PeerMessageCodec.MOST_BYTES - PeerMessageCodec.LEFT_FOR_CARDS) {
             throw new IllegalArgumentException("/times/wordBytes: found " + times.wordBytes() + ", at most "
-                    + (Frames.MOST_BYTES - Frames.LEFT_FOR_CARDS) + " is expected, as a message is one datagram");
+                    + (PeerMessageCodec.MOST_BYTES - PeerMessageCodec.LEFT_FOR_CARDS)
+                    + " is expected, as a message is one datagram");
         }
         return times;
     }
@@ -157,7 +158,7 @@
 
     private static String named(Map<?, ?> tree, String name) {
         String text = text(tree, name);
-        if (!Card.isName(text)) {
+        if (!PeerDescriptor.isName(text)) {
             throw new IllegalArgumentException(
                     "/" + name + ": found '" + text + "', letters, digits, '.', '_' and '-' are expected");
         }
@@ -187,7 +188,7 @@
     }
 
     private static String address(String text, String place) {
-        if (!Frames.isAddress(text)) {
+        if (!PeerMessageCodec.isAddress(text)) {
             throw new IllegalArgumentException(
                     place + ": found '" + text + "', an address such as 10.0.3.7:7400 is expected");
         }
--- a/peers/src/main/java/spartrail/peering/package-info.java
+++ b/peers/src/main/java/spartrail/peers/transport/package-info.java
@@ -4,4 +4,4 @@
  * for the node, a history. Never here: a verdict on a node, work on the node's own threads, anything that grows with what
  * strangers send.
  */
-package spartrail.peering;
+package spartrail.peers.transport;
--- a/peers/src/test/java/spartrail/peering/TalkTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/GossipNodeTest.java
@@ -1,4 +1,4 @@
-package spartrail.peering;
+package spartrail.peers.transport;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -20,22 +20,22 @@
 import org.junit.jupiter.api.condition.EnabledOnOs;
 import org.junit.jupiter.api.condition.OS;
 import org.junit.jupiter.api.io.TempDir;
-import spartrail.peers.PeerLane;
-import spartrail.peers.PeerTalk;
-import spartrail.peers.PeersView;
-import spartrail.peers.Standing;
+import spartrail.peers.MembershipView;
+import spartrail.peers.PeerChannel;
+import spartrail.peers.PeerState;
+import spartrail.peers.PeerTransport;
 
 /** Two nodes' sockets on loopback. What is waited for is seen in a view. */
-class TalkTest {
+class GossipNodeTest {
     @TempDir
     private Path folder;
 
-    private final List<PeerTalk.Running> running = new ArrayList<>();
+    private final List<PeerTransport.Running> running = new ArrayList<>();
     private final int[] ports = {freePort(), freePort()};
-    private final List<BlockingQueue<PeersView>> views =
+    private final List<BlockingQueue<MembershipView>> views =
             List.of(new LinkedBlockingQueue<>(), new LinkedBlockingQueue<>());
 
-    TalkTest() throws IOException {}
+    GossipNodeTest() throws IOException {}
 
     private static int freePort() throws IOException {
         try (DatagramSocket socket = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
@@ -53,20 +53,20 @@
         return file;
     }
 
-    private PeerTalk.Running start(int node) throws IOException {
-        PeerTalk.Running talk = new DatagramTalk()
+    private PeerTransport.Running start(int node) throws IOException {
+        PeerTransport.Running talk = new DatagramPeerTransport()
                 .start(
                         file(node, ""),
                         folder.resolve("n" + node + ".history"),
                         1 << 20,
                         views.get(node)::add,
-                        PeerLane.NONE);
+                        PeerChannel.NONE);
         running.add(talk);
         return talk;
     }
 
-    private PeersView await(int node, Predicate<PeersView> wanted) throws InterruptedException {
-        for (PeersView view = views.get(node).poll(20, TimeUnit.SECONDS);
+    private MembershipView await(int node, Predicate<MembershipView> wanted) throws InterruptedException {
+        for (MembershipView view = views.get(node).poll(20, TimeUnit.SECONDS);
                 view != null;
                 view = views.get(node).poll(20, TimeUnit.SECONDS)) {
             if (wanted.test(view)) {
@@ -78,17 +78,17 @@
 
     @AfterEach
     void close() {
-        running.forEach(PeerTalk.Running::close);
+        running.forEach(PeerTransport.Running::close);
     }
 
     private String ask(String fleet, String question) throws Exception {
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             socket.setSoTimeout(20_000);
-            byte[] bytes = Frames.text(fleet, Frames.QUESTION, question);
+            byte[] bytes = PeerMessageCodec.text(fleet, PeerMessageCodec.QUESTION, question);
             socket.send(new DatagramPacket(bytes, bytes.length, InetAddress.getLoopbackAddress(), ports[0]));
             DatagramPacket reply = new DatagramPacket(new byte[65_536], 65_536);
             socket.receive(reply);
-            return (String) Frames.read(reply.getData(), reply.getLength(), fleet, 65_536)
+            return (String) PeerMessageCodec.read(reply.getData(), reply.getLength(), fleet, 65_536)
                     .values()
                     .get(3);
         }
@@ -97,7 +97,7 @@
     @Test
     void twoNodesMeetTellEachOtherOfTheirSettingsAndOfTheirEnd() throws Exception {
         start(0);
-        PeerTalk.Running other = start(1);
+        PeerTransport.Running other = start(1);
         await(0, view -> view.there() == 2 && view.least() == 2);
         await(1, view -> view.there() == 2 && view.doubt().isEmpty());
         assertThat(other.reload(file(1, ",\"settings\":\"v8\""))).isEmpty();
@@ -114,7 +114,8 @@
                 .contains("\"settings\":\"v8\"")
                 .endsWith("\"next\":-1}");
         other.leave();
-        PeersView view = await(0, seen -> seen.peers().stream().anyMatch(each -> each.standing() == Standing.LEFT));
+        MembershipView view =
+                await(0, seen -> seen.peers().stream().anyMatch(each -> each.standing() == PeerState.LEFT));
         assertThat(view.there()).isEqualTo(1);
         running.get(0).close();
         assertThat(Files.readAllLines(folder.resolve("n0.history")))
@@ -126,8 +127,8 @@
     @Test
     @EnabledOnOs(OS.LINUX)
     void aHistoryThatCannotBeWrittenCostsNoTalk() throws Exception {
-        running.add(
-                new DatagramTalk().start(file(0, ""), Path.of("/dev/full"), 1 << 20, views.get(0)::add, PeerLane.NONE));
+        running.add(new DatagramPeerTransport()
+                .start(file(0, ""), Path.of("/dev/full"), 1 << 20, views.get(0)::add, PeerChannel.NONE));
         start(1);
         await(1, view -> view.there() == 2 && view.doubt().isEmpty());
         await(0, view -> view.there() == 2);
@@ -136,14 +137,14 @@
     @Test
     void whatStrangersSendIsDroppedAndCounted() throws Exception {
         start(0);
-        await(0, view -> view.standing() == Standing.ALIVE);
+        await(0, view -> view.standing() == PeerState.ALIVE);
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             for (byte[] bytes : List.of(
                     new byte[3],
                     new byte[5000],
-                    Frames.text("jaboatao", Frames.PEERS, "x"),
-                    Frames.text("recife", 9, "x"),
-                    Frames.text("recife", Frames.PEERS, "x"))) {
+                    PeerMessageCodec.text("jaboatao", PeerMessageCodec.PEERS, "x"),
+                    PeerMessageCodec.text("recife", 9, "x"),
+                    PeerMessageCodec.text("recife", PeerMessageCodec.PEERS, "x"))) {
                 socket.send(new DatagramPacket(bytes, bytes.length, InetAddress.getLoopbackAddress(), ports[0]));
             }
         }
--- a/peers/src/test/java/spartrail/peering/HistoryFormTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/HistoryFormTest.java
@@ -1,4 +1,4 @@
-package spartrail.peering;
+package spartrail.peers.transport;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,43 +9,43 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import spartrail.peers.Card;
-import spartrail.peers.Life;
+import spartrail.peers.Incarnation;
+import spartrail.peers.MembershipView;
+import spartrail.peers.PeerDescriptor;
 import spartrail.peers.PeerEvent;
-import spartrail.peers.PeersView;
-import spartrail.peers.Standing;
+import spartrail.peers.PeerState;
 
 /** Lines of a history keep the form in which earlier versions wrote them, for the tools and people that read them. */
 class HistoryFormTest {
-    private static final Card SELF =
-            new Card("n1", "10.0.0.1:7400", "zone-a", 1.5, "0.2.1", "v7", new Life(1_700_000_000_123L, -5), 3);
-    private static final Card OTHER =
-            new Card("n2", "10.0.0.2:7401", "zone-b", 2, "0.2.2", "v8", new Life(1_700_000_000_999L, 77), 9);
+    private static final PeerDescriptor SELF = new PeerDescriptor(
+            "n1", "10.0.0.1:7400", "zone-a", 1.5, "0.2.1", "v7", new Incarnation(1_700_000_000_123L, -5), 3);
+    private static final PeerDescriptor OTHER = new PeerDescriptor(
+            "n2", "10.0.0.2:7401", "zone-b", 2, "0.2.2", "v8", new Incarnation(1_700_000_000_999L, 77), 9);
 
     @TempDir
     private Path folder;
 
-    private static PeersView view(Standing standing, String doubt) {
-        return new PeersView("n1", standing, doubt, 1234.5, 5, 4, 6, List.of(), Map.of("refuted", 2L));
+    private static MembershipView view(PeerState standing, String doubt) {
+        return new MembershipView("n1", standing, doubt, 1234.5, 5, 4, 6, List.of(), Map.of("refuted", 2L));
     }
 
-    private static PeerEvent event(Standing was, Standing is, String doubt) {
+    private static PeerEvent event(PeerState was, PeerState is, String doubt) {
         return new PeerEvent(1234.5, OTHER, was, is, "n3", "accused by n1, n3", doubt);
     }
 
     @Test
     void eachKindOfLineIsWrittenAsStored() throws Exception {
         Path file = folder.resolve("n1.history");
-        try (History history = new History(file, 1 << 20)) {
+        try (MembershipHistory history = new MembershipHistory(file, 1 << 20)) {
             history.began(SELF);
-            Standing was = null;
-            for (Standing standing : Standing.values()) {
+            PeerState was = null;
+            for (PeerState standing : PeerState.values()) {
                 history.changed(view(standing, ""), event(was, standing, "it runs late, by 40 ms on average"));
                 history.view(view(standing, "it gets no answers"));
                 was = standing;
             }
-            history.changed(view(Standing.ALIVE, ""), event(was, null, ""));
-            history.view(view(Standing.ALIVE, ""));
+            history.changed(view(PeerState.ALIVE, ""), event(was, null, ""));
+            history.view(view(PeerState.ALIVE, ""));
             Map<String, Object> fields = new LinkedHashMap<>();
             fields.put("text", "a \"quoted\" text");
             fields.put("number", 7L);
--- a/peers/src/test/java/spartrail/peering/FramesTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/PeerMessageCodecTest.java
@@ -1,4 +1,4 @@
-package spartrail.peering;
+package spartrail.peers.transport;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -12,49 +12,49 @@
 import java.util.SplittableRandom;
 import java.util.zip.CRC32C;
 import org.junit.jupiter.api.Test;
-import spartrail.peers.Card;
-import spartrail.peers.Life;
-import spartrail.peers.Message;
-import spartrail.peers.Outgoing;
-import spartrail.peers.PeerTimes;
-import spartrail.peers.Peers;
-import spartrail.peers.Standing;
-import spartrail.peers.Word;
+import spartrail.peers.GossipTimings;
+import spartrail.peers.Incarnation;
+import spartrail.peers.OutgoingMessage;
+import spartrail.peers.PeerDescriptor;
+import spartrail.peers.PeerMessage;
+import spartrail.peers.PeerState;
+import spartrail.peers.PeerUpdate;
+import spartrail.peers.SwimMembership;
 
-class FramesTest {
-    private static final Card ONE =
-            new Card("n1", "10.0.0.1:7400", "a", 1.5, "0.2", "v7", new Life(1_700_000_000_123L, -5), 3);
-    private static final Card OTHER =
-            new Card("n2", "10.0.0.2:7400", "", 1, "", "", new Life(1_700_000_000_999L, 77), 0);
-    private static final Message MESSAGE = new Message(
-            Message.Kind.ASK,
+class PeerMessageCodecTest {
+    private static final PeerDescriptor ONE = new PeerDescriptor(
+            "n1", "10.0.0.1:7400", "a", 1.5, "0.2", "v7", new Incarnation(1_700_000_000_123L, -5), 3);
+    private static final PeerDescriptor OTHER =
+            new PeerDescriptor("n2", "10.0.0.2:7400", "", 1, "", "", new Incarnation(1_700_000_000_999L, 77), 0);
+    private static final PeerMessage MESSAGE = new PeerMessage(
+            PeerMessage.Kind.ASK,
             ONE,
-            Standing.ALIVE,
+            PeerState.ALIVE,
             1234.5,
             "n2",
             Long.MIN_VALUE,
             -1,
             OTHER,
-            List.of(new Word(OTHER, Standing.SUSPECT, 17.25, "n3"), new Word(ONE, Standing.LEFT, 0, "")));
+            List.of(new PeerUpdate(OTHER, PeerState.SUSPECT, 17.25, "n3"), new PeerUpdate(ONE, PeerState.LEFT, 0, "")));
 
     private static String read(byte[] bytes, String fleet) {
         try {
-            return Frames.read(bytes, bytes.length, fleet, Frames.MOST_BYTES)
+            return PeerMessageCodec.read(bytes, bytes.length, fleet, PeerMessageCodec.MOST_BYTES)
                             .message()
                             .equals(MESSAGE)
                     ? "the same"
                     : "another";
-        } catch (Frames.Unusable e) {
+        } catch (PeerMessageCodec.Unusable e) {
             return e.getMessage();
         }
     }
 
     @Test
     void aMessageComesOutAsItWentIn() {
-        byte[] bytes = Frames.peers("recife", MESSAGE);
+        byte[] bytes = PeerMessageCodec.peers("recife", MESSAGE);
         assertThat(read(bytes, "recife")).isEqualTo("the same");
         assertThat(read(bytes, "jaboatao")).isEqualTo("frames of another fleet");
-        assertThat(read(new byte[Frames.MOST_BYTES + 1], "recife")).isEqualTo("frames too large");
+        assertThat(read(new byte[PeerMessageCodec.MOST_BYTES + 1], "recife")).isEqualTo("frames too large");
         assertThat(bytes.length).isLessThan(260);
     }
 
@@ -62,20 +62,20 @@
     @Test
     void theLongestMessagesFitIntoADatagram() {
         String longest = "x".repeat(60);
-        List<Peers> nodes = new ArrayList<>();
+        List<SwimMembership> nodes = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            nodes.add(new Peers(
-                    new Card(
+            nodes.add(new SwimMembership(
+                    new PeerDescriptor(
                             longest + 100 + i,
                             "210.210.210." + (100 + i) + ":65535",
                             longest,
                             1.1,
                             longest,
                             longest,
-                            new Life(1_700_000_000_000L + i, Integer.MAX_VALUE),
+                            new Incarnation(1_700_000_000_000L + i, Integer.MAX_VALUE),
                             1_000_000),
                     List.of("210.210.210.100:65535"),
-                    PeerTimes.USUAL,
+                    GossipTimings.USUAL,
                     new SplittableRandom(i),
                     0));
         }
@@ -84,21 +84,21 @@
             for (int i = 0; i < nodes.size(); i++) {
                 // One of them is stopped after a while, so that suspicions and errands are among the messages, too.
                 nodes.get(i).advance(ms);
-                for (Outgoing outgoing : nodes.get(i).take()) {
+                for (OutgoingMessage outgoing : nodes.get(i).take()) {
                     int to = Integer.parseInt(outgoing.address().substring(12, 15)) - 100;
-                    most = Math.max(most, Frames.peers(longest, outgoing.message()).length);
+                    most = Math.max(most, PeerMessageCodec.peers(longest, outgoing.message()).length);
                     if (ms < 4000 || i != 7 && to != 7) {
                         nodes.get(to).heard(outgoing.message(), ms);
                     }
                 }
             }
         }
-        assertThat(most).isBetween(1000, Frames.MOST_BYTES);
+        assertThat(most).isBetween(1000, PeerMessageCodec.MOST_BYTES);
     }
 
     @Test
     void cutOrChangedAtAnyByteItIsDropped() {
-        byte[] bytes = Frames.peers("recife", MESSAGE);
+        byte[] bytes = PeerMessageCodec.peers("recife", MESSAGE);
         for (int i = 0; i < bytes.length; i++) {
             assertThat(read(Arrays.copyOf(bytes, i), "recife"))
                     .as("cut at " + i)
@@ -153,7 +153,7 @@
             out.writeStartArray();
             out.writeNumber(2);
             out.writeString("recife");
-            out.writeNumber(Frames.PEERS);
+            out.writeNumber(PeerMessageCodec.PEERS);
             out.writeStartArray();
             out.writeNumber(kind);
             card(out, true);
@@ -175,8 +175,8 @@
     @Test
     void theNextVersionsNodesCanMixWithThisOnes() throws Exception {
         byte[] ping = next(0);
-        Message message =
-                Frames.read(ping, ping.length, "recife", Frames.MOST_BYTES).message();
+        PeerMessage message = PeerMessageCodec.read(ping, ping.length, "recife", PeerMessageCodec.MOST_BYTES)
+                .message();
         assertThat(message.from()).isEqualTo(ONE);
         assertThat(message.nonce()).isEqualTo(9);
         assertThat(read(next(12), "recife")).isEqualTo("unknown kinds");
--- a/peers/src/test/java/spartrail/peering/PeersFileTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/PeersFileTest.java
@@ -1,4 +1,4 @@
-package spartrail.peering;
+package spartrail.peers.transport;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -19,7 +19,7 @@
         Path file = folder.resolve("peers.json");
         Files.writeString(file, text);
         try {
-            new DatagramTalk().check(file);
+            new DatagramPeerTransport().check(file);
             return "good\n";
         } catch (IllegalArgumentException e) {
             return e.getMessage().replace(file.toString(), "FILE") + "\n";
--- a/peers/src/test/java/spartrail/peering/ReplyFormTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/ReplyFormTest.java
@@ -1,4 +1,4 @@
-package spartrail.peering;
+package spartrail.peers.transport;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -6,55 +6,56 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import spartrail.peers.Card;
-import spartrail.peers.Life;
-import spartrail.peers.PeersView;
-import spartrail.peers.PeersView.Seen;
-import spartrail.peers.PeersView.Sure;
-import spartrail.peers.Standing;
+import spartrail.peers.Incarnation;
+import spartrail.peers.MembershipView;
+import spartrail.peers.MembershipView.Seen;
+import spartrail.peers.MembershipView.Sure;
+import spartrail.peers.PeerDescriptor;
+import spartrail.peers.PeerState;
 
 /** Replies to operators keep the form in which earlier versions wrote them: an operator's tool may be of another version. */
 class ReplyFormTest {
     private static final String FLEET = "recife";
 
-    private static Seen seen(int number, Standing standing, Sure sure, double heardMs) {
-        Card card = new Card(
+    private static Seen seen(int number, PeerState standing, Sure sure, double heardMs) {
+        PeerDescriptor card = new PeerDescriptor(
                 "n" + number,
                 "10.0.0." + number + ":7400",
                 "zone-a",
                 1.5,
                 "0.2.1",
                 "v7",
-                new Life(1_700_000_000_000L + number, -5),
+                new Incarnation(1_700_000_000_000L + number, -5),
                 number);
         return new Seen(card, standing, 1000.25, "n9", sure, heardMs, "accused by n9");
     }
 
-    private static final PeersView VIEW = new PeersView(
+    private static final MembershipView VIEW = new MembershipView(
             "n1",
-            Standing.ALIVE,
+            PeerState.ALIVE,
             "it gets no answers",
             2000.5,
             3,
             2,
             4,
             List.of(
-                    seen(1, Standing.ALIVE, Sure.HEARD, 2000.5),
-                    seen(2, Standing.JOINING, Sure.TOLD, Double.NaN),
-                    seen(3, Standing.SUSPECT, Sure.DOUBTED, 1500),
-                    seen(4, Standing.GONE, Sure.TOLD, Double.NaN),
-                    seen(5, Standing.LEFT, Sure.TOLD, 500)),
+                    seen(1, PeerState.ALIVE, Sure.HEARD, 2000.5),
+                    seen(2, PeerState.JOINING, Sure.TOLD, Double.NaN),
+                    seen(3, PeerState.SUSPECT, Sure.DOUBTED, 1500),
+                    seen(4, PeerState.GONE, Sure.TOLD, Double.NaN),
+                    seen(5, PeerState.LEFT, Sure.TOLD, 500)),
             Map.of("refuted", 2L, "stood still", 1L));
 
     private static List<String> replies(String question) throws Exception {
         List<byte[]> sent = new ArrayList<>();
-        Replies.to(question, VIEW, Map.of("bytes sent", 123L, "datagrams received", 45L), FLEET, sent::add);
+        MembershipStatusReplies.to(
+                question, VIEW, Map.of("bytes sent", 123L, "datagrams received", 45L), FLEET, sent::add);
         List<String> texts = new ArrayList<>();
         for (byte[] bytes : sent) {
-            String text = (String) Frames.read(bytes, bytes.length, FLEET, Frames.MOST_BYTES)
+            String text = (String) PeerMessageCodec.read(bytes, bytes.length, FLEET, PeerMessageCodec.MOST_BYTES)
                     .values()
                     .get(3);
-            assertThat(bytes).isEqualTo(Frames.text(FLEET, Frames.REPLY, text));
+            assertThat(bytes).isEqualTo(PeerMessageCodec.text(FLEET, PeerMessageCodec.REPLY, text));
             texts.add(text);
         }
         return texts;
--- a/peers/src/test/java/spartrail/peering/StoredForms.java
+++ b/peers/src/test/java/spartrail/peers/transport/StoredForms.java
@@ -1,4 +1,4 @@
-package spartrail.peering;
+package spartrail.peers.transport;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/policy/src/main/java/spartrail/governing/Operator.java
+++ b/policy/src/main/java/spartrail/policy/replication/AdminClient.java
@@ -1,4 +1,4 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import java.io.IOException;
 import java.net.DatagramPacket;
@@ -12,12 +12,12 @@
 import java.util.List;
 import java.util.UUID;
 import java.util.function.Function;
-import spartrail.policy.Op;
+import spartrail.policy.LogOperation;
 
 /**
  * An operator's side: asks a running node, and gives orders to whoever leads. Frames are made and read by who knows their form.
  */
-public final class Operator implements AutoCloseable {
+public final class AdminClient implements AutoCloseable {
     private static final int ANSWER_MS = 500;
     private static final int TRIES = 40;
     private static final int TRIES_A_QUESTION = 4;
@@ -32,15 +32,15 @@
 
     private final Form form;
     private final DatagramSocket socket;
-    private final Pieces pieces;
+    private final DatagramReassembler pieces;
 
     /** Speaks from this machine; the node's file has to name it among its operators. */
-    public Operator(Form form, boolean loopback) throws IOException {
+    public AdminClient(Form form, boolean loopback) throws IOException {
         this.form = form;
         this.socket = loopback
                 ? new DatagramSocket(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0))
                 : new DatagramSocket();
-        this.pieces = new Pieces(1100, new SecureRandom().nextInt());
+        this.pieces = new DatagramReassembler(1100, new SecureRandom().nextInt());
         socket.setSoTimeout(ANSWER_MS);
     }
 
@@ -56,7 +56,7 @@
 
     /** What these settings would change for a node, a line each; {@code !} and why it cannot go by them. */
     public String check(String address, String settings) throws IOException {
-        return question(address, Wire.CHECK + settings, TRIES_A_CHECK);
+        return question(address, PolicyMessageCodec.CHECK + settings, TRIES_A_CHECK);
     }
 
     /** In drills: the node's process is gone when it next gets to this point. */
@@ -67,7 +67,8 @@
     private String question(String address, String what, int tries) throws IOException {
         String token = UUID.randomUUID().toString();
         for (int i = 0; i < tries; i++) {
-            List<?> reply = asked(address, List.of(Wire.QUESTION, token, what), token, Wire.REPLY);
+            List<?> reply =
+                    asked(address, List.of(PolicyMessageCodec.QUESTION, token, what), token, PolicyMessageCodec.REPLY);
             if (reply != null) {
                 return (String) reply.get(2);
             }
@@ -80,12 +81,21 @@
      * address that a node names, as a rig has it. The same order may arrive twice and counts once.
      */
     public String order(
-            String address, Op.Kind kind, long number, String text, String who, Function<String, String> where)
+            String address,
+            LogOperation.Kind kind,
+            long number,
+            String text,
+            String who,
+            Function<String, String> where)
             throws IOException {
         String token = UUID.randomUUID().toString();
         String to = address;
         for (int i = 0; i < TRIES; i++) {
-            List<?> reply = asked(to, List.of(Wire.ORDER, token, kind.name(), number, text, who), token, Wire.DONE);
+            List<?> reply = asked(
+                    to,
+                    List.of(PolicyMessageCodec.ORDER, token, kind.name(), number, text, who),
+                    token,
+                    PolicyMessageCodec.DONE);
             if (reply != null && !((String) reply.get(2)).isEmpty()) {
                 return (String) reply.get(2);
             }
@@ -113,7 +123,7 @@
         int colon = address.lastIndexOf(':');
         InetSocketAddress to =
                 new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
-        for (byte[] piece : pieces.cut(Wire.bytes(question))) {
+        for (byte[] piece : pieces.cut(PolicyMessageCodec.bytes(question))) {
             byte[] frame = form.frame(piece);
             socket.send(new DatagramPacket(frame, frame.length, to));
         }
@@ -130,8 +140,8 @@
             byte[] whole = piece == null
                     ? null
                     : pieces.whole(packet.getSocketAddress().toString(), piece);
-            List<?> reply = whole == null ? List.of(-1) : Wire.plain(whole);
-            if (Wire.whole(reply, 0) == kind && token.equals(reply.get(1))) {
+            List<?> reply = whole == null ? List.of(-1) : PolicyMessageCodec.plain(whole);
+            if (PolicyMessageCodec.whole(reply, 0) == kind && token.equals(reply.get(1))) {
                 return reply;
             }
         }
@@ -140,7 +150,7 @@
 
     /** Makes the log of a deciding node of a new set. */
     public static void found(Path folder, String fleet, String node, List<String> deciders) throws IOException {
-        Journal.found(folder, fleet, node, deciders);
+        RaftLogStore.found(folder, fleet, node, deciders);
     }
 
     @Override
--- a/policy/src/main/java/spartrail/governing/CrashPoint.java
+++ b/policy/src/main/java/spartrail/policy/replication/CrashPoint.java
@@ -1,4 +1,4 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -28,13 +28,13 @@
     public static List<String> all() {
         List<String> points = new ArrayList<>();
         for (String side : List.of("before ", "after ")) {
-            Wire.NAMES.stream()
+            PolicyMessageCodec.NAMES.stream()
                     .filter(name -> !NOT_SENT.contains(name))
                     .forEach(name -> points.add(side + "sending " + name));
-            LogWire.NAMES.stream()
+            RaftMessageCodec.NAMES.stream()
                     .filter(name -> !NOT_SENT.contains(name))
                     .forEach(name -> points.add(side + "sending " + name));
-            Journal.SYNCED.forEach(name -> points.add(side + "syncing " + name));
+            RaftLogStore.SYNCED.forEach(name -> points.add(side + "syncing " + name));
             for (PolicyLog.Stage stage : PolicyLog.Stage.values()) {
                 points.add(side + "becoming " + stage);
             }
--- a/policy/src/main/java/spartrail/governing/Pieces.java
+++ b/policy/src/main/java/spartrail/policy/replication/DatagramReassembler.java
@@ -1,4 +1,4 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -10,7 +10,7 @@
  * A message as pieces that fit into frames, and back: each has the message's number, its own place, and how many there are. A
  * piece that is lost loses the message; whoever sent it sends it again. Bounded: the oldest unfinished messages go.
  */
-public final class Pieces {
+public final class DatagramReassembler {
     private static final int HEAD = 8;
     private static final int MOST_PIECES = 256;
     private static final int MOST_UNFINISHED = 64;
@@ -22,7 +22,7 @@
     private int number;
 
     /** Pieces of so many bytes at the most. Numbers go on from one by chance: a restarted sender must not finish its former one's. */
-    public Pieces(int mostBytes, int first) {
+    public DatagramReassembler(int mostBytes, int first) {
         this.mostBytes = mostBytes;
         this.number = first;
     }
--- a/policy/src/main/java/spartrail/governing/GoverningNode.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
@@ -1,4 +1,4 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import io.microraft.model.message.RaftMessage;
 import java.io.IOException;
@@ -18,22 +18,22 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
-import spartrail.peers.PeersView;
-import spartrail.policy.Ask;
-import spartrail.policy.Op;
+import spartrail.peers.MembershipView;
+import spartrail.policy.LogOperation;
 import spartrail.policy.PolicyFollower;
+import spartrail.policy.PolicyLease;
 import spartrail.policy.PolicyLog;
-import spartrail.policy.PolicyTalk;
-import spartrail.policy.PolicyTimes;
-import spartrail.policy.Ruling;
-import spartrail.policy.Terms;
-import spartrail.policy.Told;
+import spartrail.policy.PolicyRequest;
+import spartrail.policy.PolicyResponse;
+import spartrail.policy.PolicyService;
+import spartrail.policy.PolicySettings;
+import spartrail.policy.PolicyTimings;
 
 /**
  * A node's part in versions of policy and the thread that owns it: its {@link PolicyFollower}, where it is one of the deciding
- * nodes its {@link Deciding}, and the messages of both. It decides nothing.
+ * nodes its {@link RaftReplica}, and the messages of both. It decides nothing.
  */
-final class GoverningNode implements PolicyTalk.Running, Deciding.Place, Runnable {
+final class PolicyAgent implements PolicyService.Running, RaftReplica.Place, Runnable {
     private static final System.Logger LOG = System.getLogger("spartrail.governing");
     private static final double LONGEST_WAIT_MS = 50;
     private static final int MOST_QUEUED = 10_000;
@@ -41,7 +41,7 @@
     private record Scheduled(double atMs, long number, Runnable task) {}
 
     private final Path folder;
-    private final PolicyTalk.Host host;
+    private final PolicyService.Host host;
     private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
     private final PriorityQueue<Scheduled> later =
             new PriorityQueue<>(Comparator.comparingDouble(Scheduled::atMs).thenComparingLong(Scheduled::number));
@@ -50,14 +50,14 @@
     private final CountDownLatch ruled = new CountDownLatch(1);
     private final RandomGenerator chance = RandomGenerator.of("L64X128MixRandom");
     private Carrier carrier;
-    private PolicyTimes times;
+    private PolicyTimings times;
     private List<String> deciders = List.of();
     private PolicyFollower follower;
-    private Deciding deciding;
-    private Journal journal;
-    private Pieces pieces;
+    private RaftReplica deciding;
+    private RaftLogStore journal;
+    private DatagramReassembler pieces;
     private Thread thread;
-    private Ruling given;
+    private PolicyLease given;
     private String name = "";
     private String told = "";
     private long checking;
@@ -66,23 +66,23 @@
     private long count;
     private volatile boolean ended;
 
-    GoverningNode(Path folder, PolicyTalk.Host host) {
+    PolicyAgent(Path folder, PolicyService.Host host) {
         this.folder = folder;
         this.host = host;
     }
 
     @Override
     public int number() {
-        return Wire.LANE;
+        return PolicyMessageCodec.LANE;
     }
 
     @Override
     public void begin(Carrier by) {
         carrier = by;
-        PolicySaid said = new PolicySaid(by.told("policy"));
+        PolicyConfig said = new PolicyConfig(by.told("policy"));
         times = said.times;
         deciders = said.deciders;
-        pieces = new Pieces(Carrier.MOST_BYTES, chance.nextInt());
+        pieces = new DatagramReassembler(Carrier.MOST_BYTES, chance.nextInt());
         follower = new PolicyFollower(by.name(), deciders, host.own(), times, chance, host.nowMs());
         thread = new Thread(this, "spartrail-policy");
         thread.setDaemon(true);
@@ -104,10 +104,10 @@
     }
 
     @Override
-    public void seen(PeersView view) {
+    public void seen(MembershipView view) {
         Map<String, String> known = new HashMap<>();
         List<String> names = new ArrayList<>();
-        for (PeersView.Seen seen : view.peers()) {
+        for (MembershipView.Seen seen : view.peers()) {
             known.put(seen.card().name(), seen.card().address());
             if (seen.standing().there()) {
                 names.add(seen.card().name());
@@ -127,7 +127,7 @@
     }
 
     @Override
-    public void own(Terms changed) {
+    public void own(PolicySettings changed) {
         queue.add(() -> follower.own(changed));
     }
 
@@ -228,12 +228,12 @@
             return;
         }
         try {
-            if (!Journal.there(folder)) {
+            if (!RaftLogStore.there(folder)) {
                 throw new IOException(
                         folder + ": holds no log of policy; 'spartrail policy found' makes those of a new set");
             }
-            journal = new Journal(folder, carrier.fleet(), carrier.name());
-            deciding = new Deciding(
+            journal = new RaftLogStore(folder, carrier.fleet(), carrier.name());
+            deciding = new RaftReplica(
                     carrier.name(),
                     carrier.fleet(),
                     journal,
@@ -261,7 +261,7 @@
                 carrier.note("leads", "on", leading);
             }
         }
-        Ask ask = follower.ask(nowMs);
+        PolicyRequest ask = follower.ask(nowMs);
         if (ask != null) {
             ask(ask, nowMs);
         }
@@ -270,7 +270,7 @@
             checking = open.number();
             check(open);
         }
-        Ruling ruling = follower.ruling();
+        PolicyLease ruling = follower.ruling();
         if (ruling != null && ruling != given) {
             given = ruling;
             CrashPoint.reached("before", "becoming", "RULING");
@@ -291,7 +291,7 @@
         }
     }
 
-    private void ask(Ask ask, double nowMs) {
+    private void ask(PolicyRequest ask, double nowMs) {
         if (deciding != null && deciding.leading()) {
             deciding.asked(ask, nowMs, told -> {
                 if (told != null) {
@@ -300,10 +300,10 @@
             });
             return;
         }
-        send(addresses.get(follower.whom()), Wire.ask(ask));
+        send(addresses.get(follower.whom()), PolicyMessageCodec.ask(ask));
     }
 
-    private void told(Told heard) {
+    private void told(PolicyResponse heard) {
         follower.told(heard, host.nowMs());
         String state = heard.holds().number()
                 + (heard.open() == null
@@ -344,9 +344,9 @@
 
     private String no(PolicyLog.Entry open) {
         try {
-            Terms terms = follower.applied(open);
+            PolicySettings terms = follower.applied(open);
             String alone = host.rehearse(terms);
-            Told last = follower.last();
+            PolicyResponse last = follower.last();
             return !alone.isEmpty()
                     ? alone
                     : host.rehearse(follower.applied(last.holds()).stricter(terms));
@@ -359,24 +359,24 @@
 
     private void message(String from, byte[] bytes) {
         try {
-            List<?> plain = Wire.plain(bytes);
-            switch (Wire.whole(plain, 0)) {
-                case Wire.ASK -> asked(from, Wire.ask(plain));
-                case Wire.TOLD -> told(Wire.told(plain));
-                case Wire.ELSEWHERE -> follower.elsewhere((String) plain.get(2), host.nowMs());
-                case Wire.NEWS -> follower.news(host.nowMs());
-                case Wire.LOG -> {
+            List<?> plain = PolicyMessageCodec.plain(bytes);
+            switch (PolicyMessageCodec.whole(plain, 0)) {
+                case PolicyMessageCodec.ASK -> asked(from, PolicyMessageCodec.ask(plain));
+                case PolicyMessageCodec.TOLD -> told(PolicyMessageCodec.told(plain));
+                case PolicyMessageCodec.ELSEWHERE -> follower.elsewhere((String) plain.get(2), host.nowMs());
+                case PolicyMessageCodec.NEWS -> follower.news(host.nowMs());
+                case PolicyMessageCodec.LOG -> {
                     if (deciding != null) {
-                        RaftMessage message = LogWire.message((List<?>) plain.get(1));
+                        RaftMessage message = RaftMessageCodec.message((List<?>) plain.get(1));
                         deciding.heard(message);
                     }
                 }
-                case Wire.ORDER -> {
+                case PolicyMessageCodec.ORDER -> {
                     if (carrier.operator(from)) {
                         order(from, plain);
                     }
                 }
-                case Wire.QUESTION -> {
+                case PolicyMessageCodec.QUESTION -> {
                     if (carrier.operator(from)) {
                         asked(from, plain.get(1), (String) plain.get(2));
                     }
@@ -388,30 +388,32 @@
         }
     }
 
-    private void asked(String from, Ask ask) {
+    private void asked(String from, PolicyRequest ask) {
         if (deciding == null) {
-            send(from, List.of(Wire.ELSEWHERE, ask.nonce(), ""));
+            send(from, List.of(PolicyMessageCodec.ELSEWHERE, ask.nonce(), ""));
             return;
         }
         deciding.asked(ask, host.nowMs(), told -> {
             if (told != null) {
-                send(from, Wire.told(told));
+                send(from, PolicyMessageCodec.told(told));
             } else {
-                send(from, List.of(Wire.ELSEWHERE, ask.nonce(), deciding.leading() ? "" : deciding.leads()));
+                send(
+                        from,
+                        List.of(PolicyMessageCodec.ELSEWHERE, ask.nonce(), deciding.leading() ? "" : deciding.leads()));
             }
         });
     }
 
     /** An operator's question. */
     private void asked(String from, Object token, String what) {
-        if (what.startsWith(Wire.CHECK)) {
-            tryOut(from, token, what.substring(Wire.CHECK.length()));
+        if (what.startsWith(PolicyMessageCodec.CHECK)) {
+            tryOut(from, token, what.substring(PolicyMessageCodec.CHECK.length()));
             return;
         }
         send(
                 from,
                 List.of(
-                        Wire.REPLY,
+                        PolicyMessageCodec.REPLY,
                         token,
                         what.equals("show")
                                 ? page()
@@ -423,19 +425,19 @@
     /** Whether this node could apply these settings, and what would change for it. One at a time: a rehearsal costs CPU. */
     private void tryOut(String from, Object token, String settings) {
         if (trying || follower.ruling() == null) {
-            send(from, List.of(Wire.REPLY, token, "!busy"));
+            send(from, List.of(PolicyMessageCodec.REPLY, token, "!busy"));
             return;
         }
         trying = true;
         PolicyLog.Entry entry = new PolicyLog.Entry(0, settings, from, PolicyLog.Stage.PROPOSED, "", "");
-        Terms now = follower.ruling().terms();
+        PolicySettings now = follower.ruling().terms();
         Thread checker = new Thread(
                 () -> {
                     String no = no(entry);
                     String said = no.isEmpty() ? String.join("\n", now.difference(follower.applied(entry))) : "!" + no;
                     queue.add(() -> {
                         trying = false;
-                        send(from, List.of(Wire.REPLY, token, said));
+                        send(from, List.of(PolicyMessageCodec.REPLY, token, said));
                     });
                 },
                 "spartrail-policy-check");
@@ -444,21 +446,24 @@
     }
 
     private void order(String from, List<?> plain) {
-        Op op = new Op(
-                Op.Kind.valueOf((String) plain.get(2)),
-                Wire.number(plain, 3),
+        LogOperation op = new LogOperation(
+                LogOperation.Kind.valueOf((String) plain.get(2)),
+                PolicyMessageCodec.number(plain, 3),
                 (String) plain.get(4),
                 (String) plain.get(5),
                 (String) plain.get(1));
-        if (op.kind() != Op.Kind.PROPOSE && op.kind() != Op.Kind.ABORT) {
+        if (op.kind() != LogOperation.Kind.PROPOSE && op.kind() != LogOperation.Kind.ABORT) {
             return;
         }
         if (deciding == null) {
-            send(from, List.of(Wire.DONE, op.token(), "", addressOfLeader()));
+            send(from, List.of(PolicyMessageCodec.DONE, op.token(), "", addressOfLeader()));
             return;
         }
         deciding.order(
-                op, came -> send(from, List.of(Wire.DONE, op.token(), came == null ? "" : came, addressOfLeader())));
+                op,
+                came -> send(
+                        from,
+                        List.of(PolicyMessageCodec.DONE, op.token(), came == null ? "" : came, addressOfLeader())));
     }
 
     private String addressOfLeader() {
@@ -467,11 +472,11 @@
     }
 
     private String page() {
-        return Page.of(carrier.name(), given, follower, deciding, addressOfLeader(), host.nowMs());
+        return PolicyStatusPage.of(carrier.name(), given, follower, deciding, addressOfLeader(), host.nowMs());
     }
 
     private void carry(String to, RaftMessage message) {
-        send(addresses.get(to), List.of(Wire.LOG, LogWire.plain(message)));
+        send(addresses.get(to), List.of(PolicyMessageCodec.LOG, RaftMessageCodec.plain(message)));
     }
 
     /** The log has moved on: all that are there are to ask anew. */
@@ -494,7 +499,7 @@
                                 + log.entries().get(log.entries().size() - 1).stage() + " "
                                 + log.entries().get(log.entries().size() - 1).why());
         if (deciding.leading()) {
-            there.forEach(node -> send(addresses.get(node), List.of(Wire.NEWS)));
+            there.forEach(node -> send(addresses.get(node), List.of(PolicyMessageCodec.NEWS)));
             follower.news(host.nowMs());
         }
     }
@@ -503,11 +508,12 @@
         if (address == null || address.isEmpty()) {
             return;
         }
-        int kind = Wire.whole(plain, 0);
-        String called =
-                kind == Wire.LOG ? LogWire.NAMES.get(Wire.whole((List<?>) plain.get(1), 0) - 1) : Wire.NAMES.get(kind);
+        int kind = PolicyMessageCodec.whole(plain, 0);
+        String called = kind == PolicyMessageCodec.LOG
+                ? RaftMessageCodec.NAMES.get(PolicyMessageCodec.whole((List<?>) plain.get(1), 0) - 1)
+                : PolicyMessageCodec.NAMES.get(kind);
         CrashPoint.reached("before", "sending", called);
-        pieces.cut(Wire.bytes(plain)).forEach(piece -> carrier.send(address, piece));
+        pieces.cut(PolicyMessageCodec.bytes(plain)).forEach(piece -> carrier.send(address, piece));
         CrashPoint.reached("after", "sending", called);
     }
 
--- a/policy/src/main/java/spartrail/governing/PolicySaid.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyConfig.java
@@ -1,21 +1,21 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import spartrail.policy.PolicyTimes;
+import spartrail.policy.PolicyTimings;
 
 /** What the peers' file says about policy; its form is in {@code deploy/peers.schema.json}. */
-final class PolicySaid {
+final class PolicyConfig {
     private static final Set<String> NAMES =
             new TreeSet<>(Set.of("deciders", "leaseMs", "askMs", "prepareMs", "readyMs", "drift"));
 
     final List<String> deciders = new ArrayList<>();
-    final PolicyTimes times;
+    final PolicyTimings times;
 
-    PolicySaid(Map<?, ?> tree) {
+    PolicyConfig(Map<?, ?> tree) {
         for (Object name : tree.keySet()) {
             if (!NAMES.contains(name)) {
                 throw new IllegalArgumentException(
@@ -29,8 +29,8 @@
                     "/policy/deciders: found " + tree.get("deciders") + ", the names of 3 or 5 nodes are expected");
         }
         names.forEach(name -> deciders.add(String.valueOf(name)));
-        PolicyTimes usual = PolicyTimes.USUAL;
-        times = new PolicyTimes(
+        PolicyTimings usual = PolicyTimings.USUAL;
+        times = new PolicyTimings(
                 number(tree, "leaseMs", usual.leaseMs()),
                 number(tree, "askMs", usual.askMs()),
                 number(tree, "prepareMs", usual.prepareMs()),
--- a/policy/src/main/java/spartrail/governing/Wire.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyMessageCodec.java
@@ -1,4 +1,4 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -8,9 +8,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import spartrail.json.JsonTree;
-import spartrail.policy.Ask;
 import spartrail.policy.PolicyLog;
-import spartrail.policy.Told;
+import spartrail.policy.PolicyRequest;
+import spartrail.policy.PolicyResponse;
 
 /**
  * The form of messages about policy: a CBOR array whose first value is the kind. Arrays may have more values at their end than
@@ -21,14 +21,14 @@
  *  1 TOLD       nonce, index, entry, entry or ""      entry: number, settings, by, stage, why, token
  *  2 ELSEWHERE  nonce, name of who leads or ""
  *  3 NEWS
- *  4 LOG        a message of the agreed log, see LogWire
+ *  4 LOG        a message of the agreed log, see RaftMessageCodec
  *  5 ORDER      token, kind, number, text, who         of an operator
  *  6 DONE       token, what came of it, name of who leads or ""
  *  7 QUESTION   token, what                            of an operator: show; check SETTINGS; in drills a point to crash at
  *  8 REPLY      token, text
  * </pre>
  */
-public final class Wire {
+public final class PolicyMessageCodec {
     public static final int ASK = 0;
     public static final int TOLD = 1;
     public static final int ELSEWHERE = 2;
@@ -48,7 +48,7 @@
 
     private static final CBORFactory CBOR = new CBORFactory();
 
-    private Wire() {}
+    private PolicyMessageCodec() {}
 
     /** A list of lists, numbers, text and flags as bytes. */
     public static byte[] bytes(List<?> plain) {
@@ -85,22 +85,23 @@
         }
     }
 
-    static List<?> ask(Ask ask) {
+    static List<?> ask(PolicyRequest ask) {
         return List.of(ASK, ask.nonce(), ask.name(), ask.vote(), ask.no(), ask.by());
     }
 
-    static Ask ask(List<?> plain) {
-        return new Ask(number(plain, 1), (String) plain.get(2), number(plain, 3), (String) plain.get(4), (String)
-                plain.get(5));
+    static PolicyRequest ask(List<?> plain) {
+        return new PolicyRequest(
+                number(plain, 1), (String) plain.get(2), number(plain, 3), (String) plain.get(4), (String)
+                        plain.get(5));
     }
 
-    static List<?> told(Told told) {
+    static List<?> told(PolicyResponse told) {
         return List.of(
                 TOLD, told.nonce(), told.index(), entry(told.holds()), told.open() == null ? "" : entry(told.open()));
     }
 
-    static Told told(List<?> plain) {
-        return new Told(
+    static PolicyResponse told(List<?> plain) {
+        return new PolicyResponse(
                 number(plain, 1),
                 number(plain, 2),
                 entry(plain.get(3)),
--- a/policy/src/main/java/spartrail/governing/Governing.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyServiceProvider.java
@@ -1,11 +1,11 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import java.io.IOException;
 import java.nio.file.Path;
-import spartrail.policy.PolicyTalk;
+import spartrail.policy.PolicyService;
 
 /** Versions of policy by datagrams, and an agreed log on disk. */
-public final class Governing implements PolicyTalk {
+public final class PolicyServiceProvider implements PolicyService {
     static {
         // What the agreed log's library says of itself is not kept; without this it complains on standard error that
         // nobody does.
@@ -14,6 +14,6 @@
 
     @Override
     public Running start(Path state, Host host) throws IOException {
-        return new GoverningNode(state, host);
+        return new PolicyAgent(state, host);
     }
 }
--- a/policy/src/main/java/spartrail/governing/Page.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyStatusPage.java
@@ -1,28 +1,33 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.StringWriter;
 import spartrail.policy.PolicyFollower;
+import spartrail.policy.PolicyLease;
 import spartrail.policy.PolicyLog;
-import spartrail.policy.Ruling;
-import spartrail.policy.Told;
+import spartrail.policy.PolicyResponse;
 
 /** What a running node tells its operators about policy: by what it goes, what it knows, and, where it decides, the log. */
-final class Page {
+final class PolicyStatusPage {
     /** A page is one message; the latest so many proposals are in it. */
     private static final int MOST_ENTRIES = 50;
 
-    private Page() {}
+    private PolicyStatusPage() {}
 
     static String of(
-            String node, Ruling given, PolicyFollower follower, Deciding deciding, String leader, double nowMs) {
+            String node,
+            PolicyLease given,
+            PolicyFollower follower,
+            RaftReplica deciding,
+            String leader,
+            double nowMs) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
             out.writeStartObject();
             out.writeStringField("node", node);
-            Ruling now = given == null ? null : given.at(nowMs);
+            PolicyLease now = given == null ? null : given.at(nowMs);
             out.writeStringField("by", now == null ? "" : now.name());
             out.writeBooleanField("guarded", now != null && now.guarded());
             out.writeNumberField(
@@ -32,7 +37,7 @@
             out.writeBooleanField("decides", deciding != null);
             out.writeBooleanField("leads", deciding != null && deciding.leading());
             out.writeStringField("leader", leader);
-            Told last = follower.last();
+            PolicyResponse last = follower.last();
             if (last != null) {
                 entry(out, "holds", last.holds());
                 if (last.open() != null) {
