--- a/policy/src/main/java/spartrail/governing/Journal.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftLogStore.java
@@ -1,4 +1,4 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
@@ -40,7 +40,7 @@
  * <li>Once a write or a sync has failed nothing more is written: what the file holds then is not known.
  * </ol>
  */
-final class Journal implements RaftStore, AutoCloseable {
+final class RaftLogStore implements RaftStore, AutoCloseable {
     /** What is synced, each before a word is given that rests on it. */
     static final List<String> SYNCED = List.of("SELF", "GROUP", "TERM", "FLUSH", "ANEW");
 
@@ -92,7 +92,7 @@
     }
 
     /** Reads the file of this node; an IOException says in one line why it cannot be used. */
-    Journal(Path folder, String fleet, String node) throws IOException {
+    RaftLogStore(Path folder, String fleet, String node) throws IOException {
         this.folder = folder;
         Path file = folder.resolve(NAME);
         guard = FileChannel.open(folder.resolve(NAME + ".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
@@ -102,7 +102,7 @@
             }
             channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE);
             first = take(file, read(file), fleet, node);
-            deciders = Wire.names(first.get(4));
+            deciders = PolicyMessageCodec.names(first.get(4));
         } catch (OverlappingFileLockException e) {
             close();
             throw new IOException(folder + ": this process uses it already", e);
@@ -117,7 +117,7 @@
             throw new IOException(file + ": does not begin as the log of policy does");
         }
         List<?> head = records.get(0);
-        if (Wire.whole(head, 1) != FORM) {
+        if (PolicyMessageCodec.whole(head, 1) != FORM) {
             throw new IOException(file + ": is of form " + head.get(1) + ", this program reads form " + FORM);
         }
         if (!head.get(2).equals(fleet) || !head.get(3).equals(node)) {
@@ -161,7 +161,7 @@
             if (crc != crc(body)) {
                 throw new IOException(file + ": the record at byte " + at + " is spoilt: its sum is wrong");
             }
-            records.add(Wire.plain(body));
+            records.add(PolicyMessageCodec.plain(body));
         }
         size = channel.size();
         channel.position(size);
@@ -170,29 +170,31 @@
 
     private void taken(List<?> record) {
         switch ((String) record.get(0)) {
-            case "SELF" -> self = LogWire.MODEL
+            case "SELF" -> self = RaftMessageCodec.MODEL
                     .createRaftEndpointPersistentStateBuilder()
-                    .setLocalEndpoint(Decider.of(record.get(1)))
+                    .setLocalEndpoint(Voter.of(record.get(1)))
                     .setVoting((Boolean) record.get(2))
                     .build();
-            case "GROUP" -> group = LogWire.group((List<?>) record.get(1));
-            case "TERM" -> term = LogWire.MODEL
+            case "GROUP" -> group = RaftMessageCodec.group((List<?>) record.get(1));
+            case "TERM" -> term = RaftMessageCodec.MODEL
                     .createRaftTermPersistentStateBuilder()
-                    .setTerm(Wire.whole(record, 1))
-                    .setVotedFor(Decider.of(record.get(2)))
+                    .setTerm(PolicyMessageCodec.whole(record, 1))
+                    .setVotedFor(Voter.of(record.get(2)))
                     .build();
             case "ENTRY" -> {
-                LogEntry entry = LogWire.entry((List<?>) record.get(1));
+                LogEntry entry = RaftMessageCodec.entry((List<?>) record.get(1));
                 entries.put(entry.getIndex(), entry);
             }
-            case "FROM" -> entries.tailMap(Wire.number(record, 1), true).clear();
-            case "UNTIL" -> entries.headMap(Wire.number(record, 1), true).clear();
+            case "FROM" -> entries.tailMap(PolicyMessageCodec.number(record, 1), true)
+                    .clear();
+            case "UNTIL" -> entries.headMap(PolicyMessageCodec.number(record, 1), true)
+                    .clear();
             case "CHUNK" -> {
-                SnapshotChunk chunk = LogWire.chunk((List<?>) record.get(1));
+                SnapshotChunk chunk = RaftMessageCodec.chunk((List<?>) record.get(1));
                 chunks.computeIfAbsent(chunk.getIndex(), index -> new TreeMap<>())
                         .put(chunk.getSnapshotChunkIndex(), chunk);
             }
-            case "DROP" -> chunks.remove(Wire.number(record, 1));
+            case "DROP" -> chunks.remove(PolicyMessageCodec.number(record, 1));
             default -> throw new IllegalArgumentException("unknown record " + record.get(0));
         }
     }
@@ -211,7 +213,7 @@
         for (TreeMap<Integer, SnapshotChunk> parts : chunks.values()) {
             SnapshotChunk one = parts.firstEntry().getValue();
             if (parts.size() == one.getSnapshotChunkCount()) {
-                snapshot = LogWire.MODEL
+                snapshot = RaftMessageCodec.MODEL
                         .createSnapshotEntryBuilder()
                         .setIndex(one.getIndex())
                         .setTerm(one.getTerm())
@@ -260,7 +262,7 @@
     }
 
     private static ByteBuffer record(List<?> plain) {
-        byte[] body = Wire.bytes(plain);
+        byte[] body = PolicyMessageCodec.bytes(plain);
         return ByteBuffer.allocate(HEAD + body.length)
                 .putInt(body.length)
                 .putInt(~body.length)
@@ -289,29 +291,29 @@
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
-        write(List.of("SELF", Decider.name(state.getLocalEndpoint()), state.isVoting()), true);
+        write(List.of("SELF", Voter.name(state.getLocalEndpoint()), state.isVoting()), true);
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
-        write(List.of("GROUP", LogWire.plain(members)), true);
+        write(List.of("GROUP", RaftMessageCodec.plain(members)), true);
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
-        write(List.of("TERM", state.getTerm(), Decider.name(state.getVotedFor())), true);
+        write(List.of("TERM", state.getTerm(), Voter.name(state.getVotedFor())), true);
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> added) throws IOException {
         for (LogEntry entry : added) {
-            write(List.of("ENTRY", LogWire.plain(entry)), false);
+            write(List.of("ENTRY", RaftMessageCodec.plain(entry)), false);
         }
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        write(List.of("CHUNK", LogWire.plain(chunk)), false);
+        write(List.of("CHUNK", RaftMessageCodec.plain(chunk)), false);
     }
 
     @Override
@@ -356,12 +358,12 @@
                 fresh, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
         List<List<?>> records = new ArrayList<>();
         records.add(first);
-        records.add(List.of("SELF", Decider.name(self.getLocalEndpoint()), self.isVoting()));
-        records.add(List.of("GROUP", LogWire.plain(group)));
-        records.add(List.of("TERM", term.getTerm(), Decider.name(term.getVotedFor())));
-        chunks.values()
-                .forEach(parts -> parts.values().forEach(chunk -> records.add(List.of("CHUNK", LogWire.plain(chunk)))));
-        entries.values().forEach(entry -> records.add(List.of("ENTRY", LogWire.plain(entry))));
+        records.add(List.of("SELF", Voter.name(self.getLocalEndpoint()), self.isVoting()));
+        records.add(List.of("GROUP", RaftMessageCodec.plain(group)));
+        records.add(List.of("TERM", term.getTerm(), Voter.name(term.getVotedFor())));
+        chunks.values().forEach(parts -> parts.values()
+                .forEach(chunk -> records.add(List.of("CHUNK", RaftMessageCodec.plain(chunk)))));
+        entries.values().forEach(entry -> records.add(List.of("ENTRY", RaftMessageCodec.plain(entry))));
         for (List<?> record : records) {
             writeAll(out, record(record));
         }
--- a/policy/src/main/java/spartrail/governing/LogWire.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftMessageCodec.java
@@ -1,7 +1,7 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
-import static spartrail.governing.Wire.number;
-import static spartrail.governing.Wire.whole;
+import static spartrail.policy.replication.PolicyMessageCodec.number;
+import static spartrail.policy.replication.PolicyMessageCodec.whole;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
@@ -24,10 +24,10 @@
 import io.microraft.model.message.VoteResponse;
 import java.util.ArrayList;
 import java.util.List;
-import spartrail.policy.Op;
+import spartrail.policy.LogOperation;
 
 /** The library's messages and entries as plain lists, and back. The first value of a message is its kind. */
-final class LogWire {
+final class RaftMessageCodec {
     /** Kinds of messages, by their numbers from 1 on. */
     static final List<String> NAMES = List.of(
             "ENTRIES",
@@ -43,12 +43,12 @@
 
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
-    private LogWire() {}
+    private RaftMessageCodec() {}
 
     /** A message; null for a kind that is not known. */
     static List<?> plain(RaftMessage message) {
         List<Object> out =
-                new ArrayList<>(List.of(0, message.getGroupId(), Decider.name(message.getSender()), message.getTerm()));
+                new ArrayList<>(List.of(0, message.getGroupId(), Voter.name(message.getSender()), message.getTerm()));
         if (message instanceof AppendEntriesRequest m) {
             List<Object> entries = new ArrayList<>();
             m.getLogEntries().forEach(entry -> entries.add(plain(entry)));
@@ -74,7 +74,7 @@
                     m.getSnapshotIndex(),
                     m.getTotalSnapshotChunkCount(),
                     m.getSnapshotChunk() == null ? "" : plain(m.getSnapshotChunk()),
-                    Decider.names(m.getSnapshottedMembers()),
+                    Voter.names(m.getSnapshottedMembers()),
                     plain(m.getGroupMembersView()),
                     m.getQuerySequenceNumber(),
                     m.getFlowControlSequenceNumber());
@@ -109,7 +109,7 @@
 
     static RaftMessage message(List<?> in) {
         Object group = in.get(1);
-        RaftEndpoint sender = Decider.of(in.get(2));
+        RaftEndpoint sender = Voter.of(in.get(2));
         int term = whole(in, 3);
         return switch (whole(in, 0)) {
             case 1 -> {
@@ -152,7 +152,7 @@
                     .setSnapshotIndex(number(in, 6))
                     .setTotalSnapshotChunkCount(whole(in, 7))
                     .setSnapshotChunk(in.get(8) instanceof List<?> chunk ? chunk(chunk) : null)
-                    .setSnapshottedMembers(Decider.of(Wire.names(in.get(9))))
+                    .setSnapshottedMembers(Voter.of(PolicyMessageCodec.names(in.get(9))))
                     .setGroupMembersView(group((List<?>) in.get(10)))
                     .setQuerySequenceNumber(number(in, 11))
                     .setFlowControlSequenceNumber(number(in, 12))
@@ -221,35 +221,35 @@
         if (operation instanceof UpdateRaftGroupMembersOp op) {
             return List.of(
                     "MEMBERS",
-                    Decider.names(op.getMembers()),
-                    Decider.names(op.getVotingMembers()),
-                    Decider.name(op.getEndpoint()),
+                    Voter.names(op.getMembers()),
+                    Voter.names(op.getVotingMembers()),
+                    Voter.name(op.getEndpoint()),
                     op.getMode().name());
         }
-        return ((Op) operation).plain();
+        return ((LogOperation) operation).plain();
     }
 
     private static Object operation(List<?> in) {
         if (in.get(0).equals("MEMBERS")) {
             return MODEL.createUpdateRaftGroupMembersOpBuilder()
-                    .setMembers(Decider.of(Wire.names(in.get(1))))
-                    .setVotingMembers(Decider.of(Wire.names(in.get(2))))
-                    .setEndpoint(Decider.of(in.get(3)))
+                    .setMembers(Voter.of(PolicyMessageCodec.names(in.get(1))))
+                    .setVotingMembers(Voter.of(PolicyMessageCodec.names(in.get(2))))
+                    .setEndpoint(Voter.of(in.get(3)))
                     .setMode(MembershipChangeMode.valueOf((String) in.get(4)))
                     .build();
         }
-        return Op.of(in);
+        return LogOperation.of(in);
     }
 
     static List<?> plain(RaftGroupMembersView group) {
-        return List.of(group.getLogIndex(), Decider.names(group.getMembers()), Decider.names(group.getVotingMembers()));
+        return List.of(group.getLogIndex(), Voter.names(group.getMembers()), Voter.names(group.getVotingMembers()));
     }
 
     static RaftGroupMembersView group(List<?> in) {
         return MODEL.createRaftGroupMembersViewBuilder()
                 .setLogIndex(number(in, 0))
-                .setMembers(Decider.of(Wire.names(in.get(1))))
-                .setVotingMembers(Decider.of(Wire.names(in.get(2))))
+                .setMembers(Voter.of(PolicyMessageCodec.names(in.get(1))))
+                .setVotingMembers(Voter.of(PolicyMessageCodec.names(in.get(2))))
                 .build();
     }
 
--- a/policy/src/main/java/spartrail/governing/Deciding.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftReplica.java
@@ -1,4 +1,4 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import io.microraft.Ordered;
 import io.microraft.QueryPolicy;
@@ -19,12 +19,12 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import spartrail.policy.Ask;
-import spartrail.policy.Op;
+import spartrail.policy.LogOperation;
 import spartrail.policy.PolicyLeader;
 import spartrail.policy.PolicyLog;
-import spartrail.policy.PolicyTimes;
-import spartrail.policy.Told;
+import spartrail.policy.PolicyRequest;
+import spartrail.policy.PolicyResponse;
+import spartrail.policy.PolicyTimings;
 
 /**
  * One of the nodes that agree on the log: the library, its state machine, and what the leading one does. All on the thread of
@@ -33,7 +33,7 @@
  * <p>A question is answered by a read of the log that a majority confirms after the question came: those that come while one is
  * under way wait for the next.
  */
-final class Deciding implements StateMachine, Transport {
+final class RaftReplica implements StateMachine, Transport {
     /** Whole seconds, as the library has them: a new leader is there some five seconds after the old one was lost. */
     private static final RaftConfig CONFIG = RaftConfig.newBuilder()
             .setLeaderHeartbeatPeriodSecs(1)
@@ -46,10 +46,10 @@
     private static final int MOST_WAITING = 4096;
     private static final Object READ = "read";
 
-    private record Waiting(Ask ask, Consumer<Told> reply) {}
+    private record Waiting(PolicyRequest ask, Consumer<PolicyResponse> reply) {}
 
     private final RaftNode raft;
-    private final Journal journal;
+    private final RaftLogStore journal;
     private final PolicyLog log = new PolicyLog();
     private final PolicyLeader leader;
     private final BiConsumer<String, RaftMessage> sending;
@@ -65,11 +65,11 @@
         Clock clock();
     }
 
-    Deciding(
+    RaftReplica(
             String name,
             String fleet,
-            Journal journal,
-            PolicyTimes times,
+            RaftLogStore journal,
+            PolicyTimings times,
             Place place,
             Random chance,
             BiConsumer<String, RaftMessage> sending,
@@ -87,14 +87,14 @@
                 .setTransport(this)
                 .setStateMachine(this)
                 .setStore(journal)
-                .setModelFactory(LogWire.MODEL)
+                .setModelFactory(RaftMessageCodec.MODEL)
                 .setRandom(chance)
                 .setClock(place.clock());
         var restored = journal.restored();
         if (restored != null) {
             builder.setRestoredState(restored);
         } else {
-            builder.setLocalEndpoint(new Decider(name)).setInitialGroupMembers(Decider.of(journal.deciders()));
+            builder.setLocalEndpoint(new Voter(name)).setInitialGroupMembers(Voter.of(journal.deciders()));
         }
         raft = builder.build();
         raft.start();
@@ -105,9 +105,9 @@
     @Override
     public Object runOperation(long index, Object operation) {
         if (operation == READ) {
-            return new Told(0, log.applied(), log.holds(), log.open());
+            return new PolicyResponse(0, log.applied(), log.holds(), log.open());
         }
-        Op op = (Op) operation;
+        LogOperation op = (LogOperation) operation;
         PolicyLog.Stage next =
                 switch (op.kind()) {
                     case PROPOSE -> PolicyLog.Stage.PROPOSED;
@@ -140,17 +140,17 @@
 
     @Override
     public Object getNewTermOperation() {
-        return Op.LEADS;
+        return LogOperation.LEADS;
     }
 
     @Override
     public void send(RaftEndpoint to, RaftMessage message) {
-        sending.accept(Decider.name(to), message);
+        sending.accept(Voter.name(to), message);
     }
 
     @Override
     public boolean isReachable(RaftEndpoint endpoint) {
-        return reachable.test(Decider.name(endpoint));
+        return reachable.test(Voter.name(endpoint));
     }
 
     void heard(RaftMessage message) {
@@ -163,15 +163,15 @@
     String leads() {
         return raft.getStatus() == RaftNodeStatus.TERMINATED
                 ? ""
-                : Decider.name(raft.getTerm().getLeaderEndpoint());
+                : Voter.name(raft.getTerm().getLeaderEndpoint());
     }
 
     boolean leading() {
-        return leads().equals(Decider.name(raft.getLocalEndpoint()));
+        return leads().equals(Voter.name(raft.getLocalEndpoint()));
     }
 
     /** A node asks what holds; the reply is null where this node cannot say. */
-    void asked(Ask ask, double nowMs, Consumer<Told> reply) {
+    void asked(PolicyRequest ask, double nowMs, Consumer<PolicyResponse> reply) {
         if (!leading() || waiting.size() >= MOST_WAITING) {
             reply.accept(null);
             return;
@@ -189,21 +189,22 @@
         reading = true;
         List<Waiting> batch = waiting;
         waiting = new ArrayList<>();
-        raft.<Told>query(READ, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
+        raft.<PolicyResponse>query(READ, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
                 .whenComplete((answer, failure) -> {
                     reading = false;
-                    Told told = failure == null ? answer.getResult() : null;
+                    PolicyResponse told = failure == null ? answer.getResult() : null;
                     batch.forEach(each -> each.reply()
                             .accept(
                                     told == null
                                             ? null
-                                            : new Told(each.ask().nonce(), told.index(), told.holds(), told.open())));
+                                            : new PolicyResponse(
+                                                    each.ask().nonce(), told.index(), told.holds(), told.open())));
                     read();
                 });
     }
 
     /** An order of an operator; what came of it, or null where this node does not lead, or does not know. */
-    void order(Op op, Consumer<String> came) {
+    void order(LogOperation op, Consumer<String> came) {
         if (!leading()) {
             came.accept(null);
             return;
@@ -216,7 +217,7 @@
     /** What the leading one has to do by now. */
     void step(Collection<String> there, double nowMs) {
         leader.leads(leading());
-        Op op = leader.due(log, there, nowMs);
+        LogOperation op = leader.due(log, there, nowMs);
         if (op != null) {
             raft.<String>replicate(op).whenComplete((answer, failure) -> {});
         }
--- a/policy/src/main/java/spartrail/governing/Decider.java
+++ b/policy/src/main/java/spartrail/policy/replication/Voter.java
@@ -1,22 +1,22 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import io.microraft.RaftEndpoint;
 import java.util.Collection;
 import java.util.List;
 
 /** One of the few nodes that agree on the log, by its name. */
-record Decider(String name) implements RaftEndpoint {
+record Voter(String name) implements RaftEndpoint {
     @Override
     public Object getId() {
         return name;
     }
 
     static List<RaftEndpoint> of(Collection<String> names) {
-        return names.stream().map(name -> (RaftEndpoint) new Decider(name)).toList();
+        return names.stream().map(name -> (RaftEndpoint) new Voter(name)).toList();
     }
 
     static RaftEndpoint of(Object plain) {
-        return plain.equals("") ? null : new Decider((String) plain);
+        return plain.equals("") ? null : new Voter((String) plain);
     }
 
     static String name(RaftEndpoint decider) {
@@ -24,6 +24,6 @@
     }
 
     static List<String> names(Collection<RaftEndpoint> deciders) {
-        return deciders.stream().map(Decider::name).toList();
+        return deciders.stream().map(Voter::name).toList();
     }
 }
--- a/policy/src/test/java/spartrail/governing/LogFileFormsTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/LogFileFormsTest.java
@@ -1,4 +1,4 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import spartrail.policy.Op;
+import spartrail.policy.LogOperation;
 
 /** The log of policy on disk keeps its bytes: a file of an earlier version is read, and the same is written. */
 class LogFileFormsTest {
@@ -34,29 +34,29 @@
         return made;
     }
 
-    private static Journal open(Path folder) throws IOException {
-        return new Journal(folder, "recife", "n0");
+    private static RaftLogStore open(Path folder) throws IOException {
+        return new RaftLogStore(folder, "recife", "n0");
     }
 
     private Path bootstrapped(String name) throws IOException {
         Path made = folder.resolve(name);
-        Journal.found(made, "recife", "n0", List.of("n0", "n1", "n2"));
+        RaftLogStore.found(made, "recife", "n0", List.of("n0", "n1", "n2"));
         return made;
     }
 
-    private static void writeTerm(Journal journal, int term, String votedFor) throws IOException {
-        journal.persistAndFlushTerm(LogWire.MODEL
+    private static void writeTerm(RaftLogStore journal, int term, String votedFor) throws IOException {
+        journal.persistAndFlushTerm(RaftMessageCodec.MODEL
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(term)
-                .setVotedFor(Decider.of((Object) votedFor))
+                .setVotedFor(Voter.of((Object) votedFor))
                 .build());
     }
 
     private static void writeEachKind(Path folder) throws IOException {
-        try (Journal journal = open(folder)) {
-            journal.persistAndFlushLocalEndpoint(LogWire.MODEL
+        try (RaftLogStore journal = open(folder)) {
+            journal.persistAndFlushLocalEndpoint(RaftMessageCodec.MODEL
                     .createRaftEndpointPersistentStateBuilder()
-                    .setLocalEndpoint(new Decider("n0"))
+                    .setLocalEndpoint(new Voter("n0"))
                     .setVoting(true)
                     .build());
             journal.persistAndFlushInitialGroupMembers(MessageFormsTest.members());
@@ -83,17 +83,16 @@
 
     @Test
     void aStoredLogIsReadWithItsSnapshot() throws IOException {
-        try (Journal journal = open(folderWith("stored", stored(GROWN)))) {
+        try (RaftLogStore journal = open(folderWith("stored", stored(GROWN)))) {
             assertThat(journal.deciders()).containsExactly("n0", "n1", "n2");
             RestoredRaftState state = journal.restored();
             assertThat(state.getTermPersistentState().getTerm()).isEqualTo(2);
-            assertThat(Decider.name(state.getTermPersistentState().getVotedFor()))
-                    .isEqualTo("n1");
+            assertThat(Voter.name(state.getTermPersistentState().getVotedFor())).isEqualTo("n1");
             assertThat(state.getLogEntries())
                     .extracting(LogEntry::getIndex)
                     .containsExactly(303L, 304L, 305L, 306L, 307L, 308L);
-            assertThat(((Op) state.getLogEntries().get(0).getOperation()).kind())
-                    .isEqualTo(Op.Kind.REFUSE);
+            assertThat(((LogOperation) state.getLogEntries().get(0).getOperation()).kind())
+                    .isEqualTo(LogOperation.Kind.REFUSE);
             assertThat(state.getSnapshotEntry().getIndex()).isEqualTo(302);
         }
     }
@@ -101,8 +100,8 @@
     @Test
     void aStoredLogThatHasGrownLargeIsWrittenAnewWithTheSameBytes() throws IOException {
         Path grown = folderWith("grown", stored(GROWN));
-        try (Journal journal = open(grown)) {
-            Op large = new Op(Op.Kind.PROPOSE, 0, "x".repeat(1 << 20), "ana", "t");
+        try (RaftLogStore journal = open(grown)) {
+            LogOperation large = new LogOperation(LogOperation.Kind.PROPOSE, 0, "x".repeat(1 << 20), "ana", "t");
             journal.persistLogEntries(List.of(MessageFormsTest.entry(309, large)));
             journal.truncateLogEntriesFrom(309);
             journal.truncateLogEntriesUntil(302);
@@ -118,8 +117,8 @@
     @Test
     void aStoredLogThatIsReadAndWrittenAgainHasTheSameBytes() throws IOException {
         Path copy = bootstrapped("copy");
-        try (Journal from = open(folderWith("stored", stored(COMPACTED)));
-                Journal to = open(copy)) {
+        try (RaftLogStore from = open(folderWith("stored", stored(COMPACTED)));
+                RaftLogStore to = open(copy)) {
             RestoredRaftState state = from.restored();
             to.persistAndFlushLocalEndpoint(state.getLocalEndpointPersistentState());
             to.persistAndFlushInitialGroupMembers(state.getInitialGroupMembers());
--- a/policy/src/test/java/spartrail/governing/MessageFormsTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/MessageFormsTest.java
@@ -1,4 +1,4 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -14,10 +14,10 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import spartrail.policy.Ask;
-import spartrail.policy.Op;
+import spartrail.policy.LogOperation;
 import spartrail.policy.PolicyLog;
-import spartrail.policy.Told;
+import spartrail.policy.PolicyRequest;
+import spartrail.policy.PolicyResponse;
 
 /** Messages about policy keep the bytes of the first released form; nodes of two versions understand each other. */
 class MessageFormsTest {
@@ -30,29 +30,44 @@
     }
 
     private static List<?> told(PolicyLog.Stage open) {
-        return Wire.told(new Told(-LARGE, 300, HOLDS, open == null ? null : entry(open)));
+        return PolicyMessageCodec.told(new PolicyResponse(-LARGE, 300, HOLDS, open == null ? null : entry(open)));
     }
 
     private static Map<String, List<?>> policyMessages() {
         Map<String, List<?>> messages = new LinkedHashMap<>();
-        messages.put("ASK", Wire.ask(new Ask(LARGE, "n1", 8, "", "7|8?")));
-        messages.put("ASK with a refusal", Wire.ask(new Ask(-1, "n1", 70_000, "/sends/most: too few", "")));
+        messages.put("ASK", PolicyMessageCodec.ask(new PolicyRequest(LARGE, "n1", 8, "", "7|8?")));
+        messages.put(
+                "ASK with a refusal",
+                PolicyMessageCodec.ask(new PolicyRequest(-1, "n1", 70_000, "/sends/most: too few", "")));
         messages.put("TOLD", told(null));
         for (PolicyLog.Stage stage : PolicyLog.Stage.values()) {
             messages.put("TOLD " + stage.ordinal(), told(stage));
         }
-        messages.put("ELSEWHERE", List.of(Wire.ELSEWHERE, LARGE, "n2"));
-        messages.put("ELSEWHERE unknown", List.of(Wire.ELSEWHERE, 1L, ""));
-        messages.put("NEWS", List.of(Wire.NEWS));
-        messages.put("LOG", List.of(Wire.LOG, LogWire.plain(raftMessages().get("VOTE"))));
+        messages.put("ELSEWHERE", List.of(PolicyMessageCodec.ELSEWHERE, LARGE, "n2"));
+        messages.put("ELSEWHERE unknown", List.of(PolicyMessageCodec.ELSEWHERE, 1L, ""));
+        messages.put("NEWS", List.of(PolicyMessageCodec.NEWS));
+        messages.put(
+                "LOG",
+                List.of(
+                        PolicyMessageCodec.LOG,
+                        RaftMessageCodec.plain(raftMessages().get("VOTE"))));
         messages.put(
                 "ORDER to propose",
-                List.of(Wire.ORDER, "token", Op.Kind.PROPOSE.name(), 0L, "{\"/sends/most\":3.0}", "ana"));
-        messages.put("ORDER to abort", List.of(Wire.ORDER, "token", Op.Kind.ABORT.name(), 8L, "", "ana"));
-        messages.put("DONE", List.of(Wire.DONE, "token", "8", "127.0.0.1:7000"));
-        messages.put("QUESTION", List.of(Wire.QUESTION, "token", "show"));
-        messages.put("QUESTION to check", List.of(Wire.QUESTION, "token", Wire.CHECK + "{}"));
-        messages.put("REPLY", List.of(Wire.REPLY, "token", "!busy"));
+                List.of(
+                        PolicyMessageCodec.ORDER,
+                        "token",
+                        LogOperation.Kind.PROPOSE.name(),
+                        0L,
+                        "{\"/sends/most\":3.0}",
+                        "ana"));
+        messages.put(
+                "ORDER to abort",
+                List.of(PolicyMessageCodec.ORDER, "token", LogOperation.Kind.ABORT.name(), 8L, "", "ana"));
+        messages.put("DONE", List.of(PolicyMessageCodec.DONE, "token", "8", "127.0.0.1:7000"));
+        messages.put("QUESTION", List.of(PolicyMessageCodec.QUESTION, "token", "show"));
+        messages.put(
+                "QUESTION to check", List.of(PolicyMessageCodec.QUESTION, "token", PolicyMessageCodec.CHECK + "{}"));
+        messages.put("REPLY", List.of(PolicyMessageCodec.REPLY, "token", "!busy"));
         return messages;
     }
 
@@ -65,24 +80,28 @@
     void storedPolicyMessagesAreReadAndWrittenAgain() throws IOException {
         for (Map.Entry<String, String> form :
                 StoredForms.read("policy-messages.txt").entrySet()) {
-            List<?> plain = Wire.plain(StoredForms.bytes(form.getValue()));
+            List<?> plain = PolicyMessageCodec.plain(StoredForms.bytes(form.getValue()));
             List<?> again =
-                    switch (Wire.whole(plain, 0)) {
-                        case Wire.ASK -> Wire.ask(Wire.ask(plain));
-                        case Wire.TOLD -> Wire.told(Wire.told(plain));
-                        case Wire.LOG -> List.of(Wire.LOG, LogWire.plain(LogWire.message((List<?>) plain.get(1))));
+                    switch (PolicyMessageCodec.whole(plain, 0)) {
+                        case PolicyMessageCodec.ASK -> PolicyMessageCodec.ask(PolicyMessageCodec.ask(plain));
+                        case PolicyMessageCodec.TOLD -> PolicyMessageCodec.told(PolicyMessageCodec.told(plain));
+                        case PolicyMessageCodec.LOG -> List.of(
+                                PolicyMessageCodec.LOG,
+                                RaftMessageCodec.plain(RaftMessageCodec.message((List<?>) plain.get(1))));
                         default -> plain;
                     };
-            assertThat(StoredForms.hex(Wire.bytes(again))).as(form.getKey()).isEqualTo(form.getValue());
+            assertThat(StoredForms.hex(PolicyMessageCodec.bytes(again)))
+                    .as(form.getKey())
+                    .isEqualTo(form.getValue());
         }
     }
 
     private static Map<String, RaftMessage> raftMessages() {
-        RaftEndpoint sender = new Decider("n1");
+        RaftEndpoint sender = new Voter("n1");
         Map<String, RaftMessage> messages = new LinkedHashMap<>();
         messages.put(
                 "ENTRIES",
-                LogWire.MODEL
+                RaftMessageCodec.MODEL
                         .createAppendEntriesRequestBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -96,7 +115,7 @@
                         .build());
         messages.put(
                 "ENTRIES TAKEN",
-                LogWire.MODEL
+                RaftMessageCodec.MODEL
                         .createAppendEntriesSuccessResponseBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -107,7 +126,7 @@
                         .build());
         messages.put(
                 "ENTRIES REFUSED",
-                LogWire.MODEL
+                RaftMessageCodec.MODEL
                         .createAppendEntriesFailureResponseBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -120,7 +139,7 @@
         messages.put("SNAPSHOT without a chunk", snapshot(null));
         messages.put(
                 "SNAPSHOT TAKEN",
-                LogWire.MODEL
+                RaftMessageCodec.MODEL
                         .createInstallSnapshotResponseBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -132,7 +151,7 @@
                         .build());
         messages.put(
                 "PRE-VOTE ASKED",
-                LogWire.MODEL
+                RaftMessageCodec.MODEL
                         .createPreVoteRequestBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -142,7 +161,7 @@
                         .build());
         messages.put(
                 "PRE-VOTE",
-                LogWire.MODEL
+                RaftMessageCodec.MODEL
                         .createPreVoteResponseBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -151,7 +170,7 @@
                         .build());
         messages.put(
                 "VOTE ASKED",
-                LogWire.MODEL
+                RaftMessageCodec.MODEL
                         .createVoteRequestBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -162,7 +181,7 @@
                         .build());
         messages.put(
                 "VOTE",
-                LogWire.MODEL
+                RaftMessageCodec.MODEL
                         .createVoteResponseBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -171,7 +190,7 @@
                         .build());
         messages.put(
                 "LEAD",
-                LogWire.MODEL
+                RaftMessageCodec.MODEL
                         .createTriggerLeaderElectionRequestBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -183,17 +202,17 @@
     }
 
     private static RaftMessage snapshot(SnapshotChunk chunk) {
-        return LogWire.MODEL
+        return RaftMessageCodec.MODEL
                 .createInstallSnapshotRequestBuilder()
                 .setGroupId("recife")
-                .setSender(new Decider("n1"))
+                .setSender(new Voter("n1"))
                 .setTerm(3)
                 .setSenderLeader(true)
                 .setSnapshotTerm(2)
                 .setSnapshotIndex(300)
                 .setTotalSnapshotChunkCount(1)
                 .setSnapshotChunk(chunk)
-                .setSnapshottedMembers(Decider.of(List.of("n0", "n1")))
+                .setSnapshottedMembers(Voter.of(List.of("n0", "n1")))
                 .setGroupMembersView(members())
                 .setQuerySequenceNumber(4)
                 .setFlowControlSequenceNumber(5)
@@ -201,32 +220,32 @@
     }
 
     static RaftGroupMembersView members() {
-        return LogWire.MODEL
+        return RaftMessageCodec.MODEL
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(9)
-                .setMembers(Decider.of(List.of("n0", "n1", "n2")))
-                .setVotingMembers(Decider.of(List.of("n0", "n1")))
+                .setMembers(Voter.of(List.of("n0", "n1", "n2")))
+                .setVotingMembers(Voter.of(List.of("n0", "n1")))
                 .build();
     }
 
     /** The state of a log that has seen a proposal of each outcome, as a snapshot holds it. */
     private static List<Object> logState() {
         PolicyLog log = new PolicyLog();
-        log.apply(1, Op.LEADS);
-        log.apply(2, new Op(Op.Kind.PROPOSE, 0, "{\"sends\":{\"most\":3}}", "ana", "t1"));
-        log.apply(3, new Op(Op.Kind.DECIDE, 1, "", "", ""));
-        log.apply(4, new Op(Op.Kind.HOLD, 1, "", "", ""));
-        log.apply(5, new Op(Op.Kind.PROPOSE, 0, "{}", "bo", "t2"));
-        log.apply(6, new Op(Op.Kind.REFUSE, 2, "no", "n2", ""));
-        log.apply(7, new Op(Op.Kind.PROPOSE, 0, "{}", "bo", "t3"));
-        log.apply(8, new Op(Op.Kind.ABORT, 3, "", "ana", ""));
-        log.apply(9, new Op(Op.Kind.PROPOSE, 0, "{}", "bo", "t4"));
-        log.apply(10, new Op(Op.Kind.DECIDE, 4, "", "", ""));
+        log.apply(1, LogOperation.LEADS);
+        log.apply(2, new LogOperation(LogOperation.Kind.PROPOSE, 0, "{\"sends\":{\"most\":3}}", "ana", "t1"));
+        log.apply(3, new LogOperation(LogOperation.Kind.DECIDE, 1, "", "", ""));
+        log.apply(4, new LogOperation(LogOperation.Kind.HOLD, 1, "", "", ""));
+        log.apply(5, new LogOperation(LogOperation.Kind.PROPOSE, 0, "{}", "bo", "t2"));
+        log.apply(6, new LogOperation(LogOperation.Kind.REFUSE, 2, "no", "n2", ""));
+        log.apply(7, new LogOperation(LogOperation.Kind.PROPOSE, 0, "{}", "bo", "t3"));
+        log.apply(8, new LogOperation(LogOperation.Kind.ABORT, 3, "", "ana", ""));
+        log.apply(9, new LogOperation(LogOperation.Kind.PROPOSE, 0, "{}", "bo", "t4"));
+        log.apply(10, new LogOperation(LogOperation.Kind.DECIDE, 4, "", "", ""));
         return log.plain();
     }
 
     static SnapshotChunk chunk(long index, int place) {
-        return LogWire.MODEL
+        return RaftMessageCodec.MODEL
                 .createSnapshotChunkBuilder()
                 .setIndex(index)
                 .setTerm(2)
@@ -238,7 +257,7 @@
     }
 
     static LogEntry entry(long index, Object operation) {
-        return LogWire.MODEL
+        return RaftMessageCodec.MODEL
                 .createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(2)
@@ -250,17 +269,17 @@
     static List<LogEntry> entries() {
         List<LogEntry> entries = new ArrayList<>();
         long index = 300;
-        for (Op.Kind kind : Op.Kind.values()) {
-            entries.add(entry(++index, new Op(kind, LARGE, "text", "ana", "token")));
+        for (LogOperation.Kind kind : LogOperation.Kind.values()) {
+            entries.add(entry(++index, new LogOperation(kind, LARGE, "text", "ana", "token")));
         }
         for (MembershipChangeMode mode : MembershipChangeMode.values()) {
             entries.add(entry(
                     ++index,
-                    LogWire.MODEL
+                    RaftMessageCodec.MODEL
                             .createUpdateRaftGroupMembersOpBuilder()
-                            .setMembers(Decider.of(List.of("n0", "n1", "n2")))
-                            .setVotingMembers(Decider.of(List.of("n0", "n1")))
-                            .setEndpoint(new Decider("n2"))
+                            .setMembers(Voter.of(List.of("n0", "n1", "n2")))
+                            .setVotingMembers(Voter.of(List.of("n0", "n1")))
+                            .setEndpoint(new Voter("n2"))
                             .setMode(mode)
                             .build()));
         }
@@ -270,9 +289,9 @@
     @Test
     void raftMessagesAndLogEntriesKeepTheirBytes() throws IOException {
         Map<String, List<?>> seen = new LinkedHashMap<>();
-        raftMessages().forEach((name, message) -> seen.put(name, LogWire.plain(message)));
+        raftMessages().forEach((name, message) -> seen.put(name, RaftMessageCodec.plain(message)));
         for (LogEntry entry : entries()) {
-            seen.put("entry " + entry.getIndex(), LogWire.plain(entry));
+            seen.put("entry " + entry.getIndex(), RaftMessageCodec.plain(entry));
         }
         assertSame("raft-messages.txt", seen);
     }
@@ -281,11 +300,13 @@
     void storedRaftMessagesAndLogEntriesAreReadAndWrittenAgain() throws IOException {
         for (Map.Entry<String, String> form :
                 StoredForms.read("raft-messages.txt").entrySet()) {
-            List<?> plain = Wire.plain(StoredForms.bytes(form.getValue()));
+            List<?> plain = PolicyMessageCodec.plain(StoredForms.bytes(form.getValue()));
             List<?> again = form.getKey().startsWith("entry")
-                    ? LogWire.plain(LogWire.entry(plain))
-                    : LogWire.plain(LogWire.message(plain));
-            assertThat(StoredForms.hex(Wire.bytes(again))).as(form.getKey()).isEqualTo(form.getValue());
+                    ? RaftMessageCodec.plain(RaftMessageCodec.entry(plain))
+                    : RaftMessageCodec.plain(RaftMessageCodec.message(plain));
+            assertThat(StoredForms.hex(PolicyMessageCodec.bytes(again)))
+                    .as(form.getKey())
+                    .isEqualTo(form.getValue());
         }
     }
 
@@ -295,13 +316,13 @@
         Map<String, String> seen = new LinkedHashMap<>();
         byte[] message = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11};
         int place = 0;
-        for (byte[] piece : new Pieces(13, 0x01020304).cut(message)) {
+        for (byte[] piece : new DatagramReassembler(13, 0x01020304).cut(message)) {
             seen.put("piece " + place++, StoredForms.hex(piece));
         }
         StoredForms.writeSeen("pieces.txt", seen);
         assertThat(seen).isEqualTo(stored);
 
-        Pieces receiver = new Pieces(13, 9);
+        DatagramReassembler receiver = new DatagramReassembler(13, 9);
         byte[] complete = null;
         for (String piece : stored.values()) {
             complete = receiver.whole("sender", StoredForms.bytes(piece));
@@ -321,7 +342,7 @@
 
     private static void assertSame(String resource, Map<String, List<?>> messages) throws IOException {
         Map<String, String> seen = new LinkedHashMap<>();
-        messages.forEach((name, plain) -> seen.put(name, StoredForms.hex(Wire.bytes(plain))));
+        messages.forEach((name, plain) -> seen.put(name, StoredForms.hex(PolicyMessageCodec.bytes(plain))));
         StoredForms.writeSeen(resource, seen);
         assertThat(seen).isEqualTo(StoredForms.read(resource));
     }
--- a/policy/src/test/java/spartrail/governing/PageFormsTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/PageFormsTest.java
@@ -1,4 +1,4 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -19,13 +19,13 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import spartrail.policy.Ask;
-import spartrail.policy.Op;
+import spartrail.policy.LogOperation;
 import spartrail.policy.PolicyFollower;
 import spartrail.policy.PolicyLog;
-import spartrail.policy.PolicyTimes;
-import spartrail.policy.Terms;
-import spartrail.policy.Told;
+import spartrail.policy.PolicyRequest;
+import spartrail.policy.PolicyResponse;
+import spartrail.policy.PolicySettings;
+import spartrail.policy.PolicyTimings;
 
 /** What operators are told about a node keeps its JSON text. */
 class PageFormsTest {
@@ -39,7 +39,7 @@
     private Path folder;
 
     /** A thread's queue and timers, played by hand on a clock that only the test moves. */
-    private static final class ManualPlace implements Deciding.Place {
+    private static final class ManualPlace implements RaftReplica.Place {
         private record Timer(long atMs, long number, Runnable task) {}
 
         private final Deque<Runnable> queue = new ArrayDeque<>();
@@ -98,31 +98,31 @@
     }
 
     private static PolicyFollower follower() {
-        Terms own = Terms.of(Map.of("/sends/most", 4, "/comeback/told", true));
-        return new PolicyFollower("n0", List.of("n0", "n1", "n2"), own, PolicyTimes.USUAL, new Random(5), 0);
+        PolicySettings own = PolicySettings.of(Map.of("/sends/most", 4, "/comeback/told", true));
+        return new PolicyFollower("n0", List.of("n0", "n1", "n2"), own, PolicyTimings.USUAL, new Random(5), 0);
     }
 
     private static PolicyFollower follower(PolicyLog.Entry open) {
         PolicyFollower follower = follower();
-        Ask ask = follower.ask(0);
-        follower.told(new Told(ask.nonce(), 9, HOLDS, open), 1);
+        PolicyRequest ask = follower.ask(0);
+        follower.told(new PolicyResponse(ask.nonce(), 9, HOLDS, open), 1);
         return follower;
     }
 
-    private static String page(PolicyFollower follower, Deciding deciding, double nowMs) {
-        return Page.of("n0", follower.ruling(), follower, deciding, "127.0.0.1:7000", nowMs);
+    private static String page(PolicyFollower follower, RaftReplica deciding, double nowMs) {
+        return PolicyStatusPage.of("n0", follower.ruling(), follower, deciding, "127.0.0.1:7000", nowMs);
     }
 
     /** The log of the only deciding node, which has seen a proposal of each outcome. */
     private String pageOfLeader() throws IOException {
-        Journal.found(folder, "recife", "n0", List.of("n0"));
+        RaftLogStore.found(folder, "recife", "n0", List.of("n0"));
         ManualPlace place = new ManualPlace();
-        try (Journal journal = new Journal(folder, "recife", "n0")) {
-            Deciding deciding = new Deciding(
+        try (RaftLogStore journal = new RaftLogStore(folder, "recife", "n0")) {
+            RaftReplica deciding = new RaftReplica(
                     "n0",
                     "recife",
                     journal,
-                    PolicyTimes.USUAL,
+                    PolicyTimings.USUAL,
                     place,
                     new Random(1),
                     (to, message) -> {},
@@ -132,14 +132,14 @@
             for (int i = 0; i < 1000 && !deciding.leading(); i++) {
                 place.runNextTimer();
             }
-            for (Op op : List.of(
-                    new Op(Op.Kind.PROPOSE, 0, "{\"sends\":{\"most\":3}}", "ana", "t1"),
-                    new Op(Op.Kind.DECIDE, 1, "", "", ""),
-                    new Op(Op.Kind.HOLD, 1, "", "", ""),
-                    new Op(Op.Kind.PROPOSE, 0, "{}", "bo", "t2"),
-                    new Op(Op.Kind.REFUSE, 2, "no", "n2", ""),
-                    new Op(Op.Kind.PROPOSE, 0, "{}", "bo", "t3"),
-                    new Op(Op.Kind.ABORT, 3, "", "ana", ""))) {
+            for (LogOperation op : List.of(
+                    new LogOperation(LogOperation.Kind.PROPOSE, 0, "{\"sends\":{\"most\":3}}", "ana", "t1"),
+                    new LogOperation(LogOperation.Kind.DECIDE, 1, "", "", ""),
+                    new LogOperation(LogOperation.Kind.HOLD, 1, "", "", ""),
+                    new LogOperation(LogOperation.Kind.PROPOSE, 0, "{}", "bo", "t2"),
+                    new LogOperation(LogOperation.Kind.REFUSE, 2, "no", "n2", ""),
+                    new LogOperation(LogOperation.Kind.PROPOSE, 0, "{}", "bo", "t3"),
+                    new LogOperation(LogOperation.Kind.ABORT, 3, "", "ana", ""))) {
                 deciding.order(op, came -> {});
                 place.runQueue();
             }
--- a/policy/src/test/java/spartrail/governing/JournalTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/RaftLogStoreTest.java
@@ -1,4 +1,4 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import spartrail.policy.Op;
+import spartrail.policy.LogOperation;
 
-class JournalTest {
+class RaftLogStoreTest {
     @TempDir
     private Path folder;
 
@@ -29,36 +29,36 @@
     @BeforeEach
     void found() throws IOException {
         quiet.setLevel(Level.OFF);
-        Journal.found(folder, "recife", "n0", List.of("n0", "n1", "n2"));
+        RaftLogStore.found(folder, "recife", "n0", List.of("n0", "n1", "n2"));
         file = folder.resolve("policy.log");
     }
 
     private static LogEntry entry(long index, String text) {
-        return LogWire.MODEL
+        return RaftMessageCodec.MODEL
                 .createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(2)
-                .setOperation(new Op(Op.Kind.PROPOSE, 0, text, "first", "t"))
+                .setOperation(new LogOperation(LogOperation.Kind.PROPOSE, 0, text, "first", "t"))
                 .build();
     }
 
     private void fill() throws IOException {
-        try (Journal journal = new Journal(folder, "recife", "n0")) {
-            journal.persistAndFlushLocalEndpoint(LogWire.MODEL
+        try (RaftLogStore journal = new RaftLogStore(folder, "recife", "n0")) {
+            journal.persistAndFlushLocalEndpoint(RaftMessageCodec.MODEL
                     .createRaftEndpointPersistentStateBuilder()
-                    .setLocalEndpoint(new Decider("n0"))
+                    .setLocalEndpoint(new Voter("n0"))
                     .setVoting(true)
                     .build());
-            journal.persistAndFlushInitialGroupMembers(LogWire.MODEL
+            journal.persistAndFlushInitialGroupMembers(RaftMessageCodec.MODEL
                     .createRaftGroupMembersViewBuilder()
                     .setLogIndex(0)
-                    .setMembers(Decider.of(journal.deciders()))
-                    .setVotingMembers(Decider.of(journal.deciders()))
+                    .setMembers(Voter.of(journal.deciders()))
+                    .setVotingMembers(Voter.of(journal.deciders()))
                     .build());
-            journal.persistAndFlushTerm(LogWire.MODEL
+            journal.persistAndFlushTerm(RaftMessageCodec.MODEL
                     .createRaftTermPersistentStateBuilder()
                     .setTerm(2)
-                    .setVotedFor(new Decider("n1"))
+                    .setVotedFor(new Voter("n1"))
                     .build());
             journal.persistLogEntries(List.of(entry(1, "a"), entry(2, "b"), entry(3, "c")));
             journal.truncateLogEntriesFrom(3);
@@ -68,14 +68,14 @@
     }
 
     private String read() throws IOException {
-        try (Journal journal = new Journal(folder, "recife", "n0")) {
+        try (RaftLogStore journal = new RaftLogStore(folder, "recife", "n0")) {
             RestoredRaftState state = journal.restored();
             return state == null
                     ? "nothing"
                     : state.getTermPersistentState().getTerm() + " "
-                            + Decider.name(state.getTermPersistentState().getVotedFor()) + " "
+                            + Voter.name(state.getTermPersistentState().getVotedFor()) + " "
                             + state.getLogEntries().stream()
-                                    .map(entry -> entry.getIndex() + ((Op) entry.getOperation()).text())
+                                    .map(entry -> entry.getIndex() + ((LogOperation) entry.getOperation()).text())
                                     .collect(Collectors.joining(" "));
         }
     }
@@ -129,22 +129,22 @@
 
     @Test
     void aFolderOfAnotherNodeOrFleetOrInUseIsRefused() throws IOException {
-        assertThatThrownBy(() -> new Journal(folder, "recife", "n1"))
+        assertThatThrownBy(() -> new RaftLogStore(folder, "recife", "n1"))
                 .hasMessage(file + ": is that of n0 in recife, found by n1 in recife");
-        assertThatThrownBy(() -> new Journal(folder, "macon", "n0"))
+        assertThatThrownBy(() -> new RaftLogStore(folder, "macon", "n0"))
                 .hasMessage(file + ": is that of n0 in recife, found by n0 in macon");
-        assertThatThrownBy(() -> Journal.found(folder, "recife", "n0", List.of("n0")))
+        assertThatThrownBy(() -> RaftLogStore.found(folder, "recife", "n0", List.of("n0")))
                 .hasMessage(file + ": is there already");
         Files.writeString(file, "{\"fleet\": \"recife\", \"what\": \"something else\"}");
-        assertThatThrownBy(() -> new Journal(folder, "recife", "n0")).hasMessageContaining("spoilt");
+        assertThatThrownBy(() -> new RaftLogStore(folder, "recife", "n0")).hasMessageContaining("spoilt");
     }
 
     @Test
     void piecesMakeTheMessageWholeInAnyOrderAndOnlyWhole() {
         byte[] message = new byte[5000];
         new java.util.Random(3).nextBytes(message);
-        Pieces from = new Pieces(1100, 7);
-        Pieces to = new Pieces(1100, 9);
+        DatagramReassembler from = new DatagramReassembler(1100, 7);
+        DatagramReassembler to = new DatagramReassembler(1100, 9);
         List<byte[]> pieces = from.cut(message);
         assertThat(pieces).hasSize(5);
         for (int i : new int[] {3, 0, 4, 4, 1}) {
--- a/policy/src/test/java/spartrail/governing/StoredForms.java
+++ b/policy/src/test/java/spartrail/policy/replication/StoredForms.java
@@ -1,4 +1,4 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import java.io.IOException;
 import java.io.InputStream;
