--- a/core/src/main/java/spartrail/policy/LogOperation.java
+++ b/core/src/main/java/spartrail/policy/LogOperation.java
@@ -5,12 +5,12 @@
 /**
  * An entry of the agreed log.
  *
- * @param number of the proposal meant; 0 where it has none yet
+ * @param proposalNumber of the proposal meant; 0 where it has none yet
  * @param text the settings that are proposed, or why one is refused
- * @param who who proposes, refuses or asks
+ * @param issuer who proposes, refuses or asks
  * @param token by chance: the same proposal sent twice is one
  */
-public record LogOperation(Kind kind, long number, String text, String who, String token) {
+public record LogOperation(Kind kind, long proposalNumber, String text, String issuer, String token) {
     /** What it does; LED opens a new leader's time, and changes nothing. */
     public enum Kind {
         LED,
@@ -21,13 +21,13 @@
         HOLD
     }
 
-    public static final LogOperation LEADS = new LogOperation(Kind.LED, 0, "", "", "");
+    public static final LogOperation OF_NEW_TERM = new LogOperation(Kind.LED, 0, "", "", "");
 
-    public List<Object> plain() {
-        return List.of(kind.name(), number, text, who, token);
+    public List<Object> toList() {
+        return List.of(kind.name(), proposalNumber, text, issuer, token);
     }
 
-    public static LogOperation of(List<?> plain) {
+    public static LogOperation fromList(List<?> plain) {
         return new LogOperation(
                 Kind.valueOf((String) plain.get(0)),
                 ((Number) plain.get(1)).longValue(),
--- a/core/src/main/java/spartrail/policy/PolicyFollower.java
+++ b/core/src/main/java/spartrail/policy/PolicyFollower.java
@@ -69,7 +69,7 @@
     }
 
     /** The node's own settings are others now. */
-    public void own(PolicySettings changed) {
+    public void updateLocalSettings(PolicySettings changed) {
         own = changed;
         if (last != null) {
             rule();
@@ -77,26 +77,26 @@
     }
 
     /** When it asks next, or begins to serve by itself. */
-    public double nextMs() {
-        return ruling == null ? Math.min(nextAskMs, bornMs + times.readyMs()) : nextAskMs;
+    public double nextPollAtMs() {
+        return ruling == null ? Math.min(nextAskMs, bornMs + times.startupTimeoutMs()) : nextAskMs;
     }
 
     /** Something has changed, it is said: it asks then. */
-    public void news(double atMs) {
+    public void pollNoLaterThan(double atMs) {
         nextAskMs = Math.min(nextAskMs, atMs);
     }
 
     /** Who was asked does not lead, and says who does; or does not know, where that is empty. */
-    public void elsewhere(String leader, double nowMs) {
+    public void onRedirect(String leader, double nowMs) {
         if (!leader.isEmpty() && !leader.equals(name)) {
             whom = leader;
             unanswered = false;
-            news(Math.max(nowMs, askedMs + SOONEST_MS));
+            pollNoLaterThan(Math.max(nowMs, askedMs + SOONEST_MS));
         }
     }
 
     /** To whom the latest question goes: whoever answered the one before, or was named; else the next of the deciding nodes. */
-    public String whom() {
+    public String pollTarget() {
         return whom;
     }
 
@@ -109,8 +109,8 @@
     }
 
     /** The question that is due, or null. */
-    public PolicyRequest ask(double nowMs) {
-        if (ruling == null && nowMs - bornMs >= times.readyMs()) {
+    public PolicyRequest pollIfDue(double nowMs) {
+        if (ruling == null && nowMs - bornMs >= times.startupTimeoutMs()) {
             ruling = new PolicyLease("0?", own, true, Double.POSITIVE_INFINITY, null);
         }
         if (nowMs < nextAskMs) {
@@ -118,54 +118,58 @@
         }
         choose();
         askedMs = nowMs;
-        nextAskMs = nowMs + times.askMs() * (0.9 + 0.2 * chance.nextDouble());
+        nextAskMs = nowMs + times.pollIntervalMs() * (0.9 + 0.2 * chance.nextDouble());
         long nonce = chance.nextLong();
         asked.put(nonce, nowMs);
         if (asked.size() > MOST_ASKED) {
             asked.remove(asked.keySet().iterator().next());
         }
         return new PolicyRequest(
-                nonce, name, vote, no, ruling == null ? "" : ruling.at(nowMs).name());
+                nonce,
+                name,
+                vote,
+                no,
+                ruling == null ? "" : ruling.activeAt(nowMs).label());
     }
 
     /** An answer has come. */
-    public void told(PolicyResponse told, double nowMs) {
+    public void onResponse(PolicyResponse told, double nowMs) {
         Double sinceMs = asked.remove(told.nonce());
         unanswered &= sinceMs == null;
-        if (sinceMs == null || last != null && told.index() < last.index()) {
+        if (sinceMs == null || last != null && told.appliedIndex() < last.appliedIndex()) {
             return;
         }
         last = told;
         leaseMs = Math.max(leaseMs, sinceMs + times.leaseMs());
         rule();
         if (nowMs >= leaseMs) {
-            news(nowMs);
+            pollNoLaterThan(nowMs);
         }
     }
 
     private void rule() {
         PolicySettings holds;
         try {
-            holds = own.with(PolicySettings.parse(last.holds().settings()));
+            holds = own.overriddenBy(PolicySettings.parse(last.active().settings()));
             unfit = "";
         } catch (IllegalArgumentException e) {
             // Its settings do not go with the version that holds: it takes no part until they do.
-            lapse(last.holds(), e);
+            lapse(last.active(), e);
             return;
         }
-        boolean decided = last.open() != null && last.open().stage() == Stage.DECIDED;
-        String named = Long.toString(last.holds().number());
+        boolean decided = last.pending() != null && last.pending().stage() == Stage.DECIDED;
+        String named = Long.toString(last.active().number());
         PolicySettings guarded = holds;
-        if (last.open() != null) {
+        if (last.pending() != null) {
             try {
-                guarded =
-                        holds.stricter(own.with(PolicySettings.parse(last.open().settings())));
-                named += "|" + last.open().number();
+                guarded = holds.stricterOf(
+                        own.overriddenBy(PolicySettings.parse(last.pending().settings())));
+                named += "|" + last.pending().number();
             } catch (IllegalArgumentException e) {
                 if (decided) {
                     // Danger: it was out of touch and nobody waited for its no; a lease on the version before alone
                     // would outlast that version.
-                    lapse(last.open(), e);
+                    lapse(last.pending(), e);
                     return;
                 }
                 // It says no, so that this will never hold.
@@ -174,7 +178,7 @@
         }
         PolicyLease after = new PolicyLease(named + "?", guarded, true, Double.POSITIVE_INFINITY, null);
         ruling = new PolicyLease(
-                decided ? named : Long.toString(last.holds().number()),
+                decided ? named : Long.toString(last.active().number()),
                 decided ? guarded : holds,
                 decided,
                 leaseMs,
@@ -184,41 +188,41 @@
     /** A version comes that it cannot go by: it is out of touch from now on, or, where it had nothing to go by yet, not ready. */
     private void lapse(Entry version, IllegalArgumentException why) {
         unfit = "cannot go by version " + version.number() + ": " + why.getMessage();
-        while (ruling != null && ruling.next() != null) {
-            ruling = ruling.next();
+        while (ruling != null && ruling.successor() != null) {
+            ruling = ruling.successor();
         }
     }
 
     /** The proposal that this node has yet to say whether it can apply it, or null. */
-    public Entry toCheck() {
-        Entry open = last == null ? null : last.open();
+    public Entry proposalToCheck() {
+        Entry open = last == null ? null : last.pending();
         return open == null || open.stage() != Stage.PROPOSED || vote == open.number() ? null : open;
     }
 
     /** The settings that a proposal would make of this node's own; an IllegalArgumentException where it cannot apply them. */
-    public PolicySettings applied(Entry proposal) {
-        return own.with(PolicySettings.parse(proposal.settings()));
+    public PolicySettings settingsWith(Entry proposal) {
+        return own.overriddenBy(PolicySettings.parse(proposal.settings()));
     }
 
     /** It can apply the proposal, or not because of this. The next question, which says so, is due at once. */
-    public void checked(long number, String because, double nowMs) {
+    public void recordVote(long number, String because, double nowMs) {
         vote = number;
         no = because;
-        news(nowMs);
+        pollNoLaterThan(nowMs);
     }
 
     /** By what this node decides; null while it is to decide nothing yet. */
-    public PolicyLease ruling() {
+    public PolicyLease lease() {
         return ruling;
     }
 
     /** Why it cannot go by the version that holds; empty if it can. */
-    public String unfit() {
+    public String incompatibility() {
         return unfit;
     }
 
     /** What it was told last, or null. */
-    public PolicyResponse last() {
+    public PolicyResponse lastResponse() {
         return last;
     }
 }
--- a/core/src/main/java/spartrail/policy/PolicyLeader.java
+++ b/core/src/main/java/spartrail/policy/PolicyLeader.java
@@ -12,7 +12,7 @@
  * What the leading one of the deciding nodes does: it gathers what nodes say of the open proposal, and moves the log on.
  *
  * <p>A node is told what holds only by a read of the log that a majority has confirmed after it asked. So whoever was told of
- * the version before alone had asked before {@code DECIDE} was applied here, and its lease is over {@link PolicyTimings#overMs}
+ * the version before alone had asked before {@code DECIDE} was applied here, and its lease is over {@link PolicyTimings#leaseExpiryBoundMs}
  * later: no list of leases is needed, none can be lost with a leader. A new leader counts from when it leads.
  *
  * <ol>
@@ -41,7 +41,7 @@
     }
 
     /** Whether this node leads now; whoever begins to has heard nobody yet. */
-    public void leads(boolean leading) {
+    public void setLeading(boolean leading) {
         if (leading != leads) {
             leads = leading;
             known = null;
@@ -51,16 +51,16 @@
     }
 
     /** A node has asked; the lease that it is about to get may last so long at the most. */
-    public void asked(PolicyRequest ask, double nowMs) {
-        if (leads && (leaseMs.containsKey(ask.name()) || leaseMs.size() < MOST_NODES)) {
-            leaseMs.put(ask.name(), nowMs + times.overMs());
-            votes.put(ask.name(), new Vote(ask.vote(), ask.no()));
+    public void onRequest(PolicyRequest ask, double nowMs) {
+        if (leads && (leaseMs.containsKey(ask.node()) || leaseMs.size() < MOST_NODES)) {
+            leaseMs.put(ask.node(), nowMs + times.leaseExpiryBoundMs());
+            votes.put(ask.node(), new Vote(ask.votedNumber(), ask.objection()));
         }
     }
 
     /** What is to be appended to the log now, if anything; {@code there} names the nodes that are there. */
-    public LogOperation due(PolicyLog log, Collection<String> there, double nowMs) {
-        Entry open = log.open();
+    public LogOperation nextOperation(PolicyLog log, Collection<String> there, double nowMs) {
+        Entry open = log.pending();
         if (!leads || open == null) {
             known = null;
             return null;
@@ -71,19 +71,19 @@
             knownMs = nowMs;
             askedFor = -1;
         }
-        if (askedFor == log.applied() && nowMs - askedForMs < times.askMs()) {
+        if (askedFor == log.lastAppliedIndex() && nowMs - askedForMs < times.pollIntervalMs()) {
             return null;
         }
         LogOperation op = open.stage() == Stage.DECIDED ? held(open, nowMs) : decided(open, there, nowMs);
         if (op != null) {
-            askedFor = log.applied();
+            askedFor = log.lastAppliedIndex();
             askedForMs = nowMs;
         }
         return op;
     }
 
     private LogOperation held(Entry open, double nowMs) {
-        return nowMs - knownMs < times.overMs()
+        return nowMs - knownMs < times.leaseExpiryBoundMs()
                 ? null
                 : new LogOperation(LogOperation.Kind.HOLD, open.number(), "", "", "");
     }
@@ -105,15 +105,15 @@
             }
         }
         // Danger: a leader of a moment ago has heard of nobody yet, and would decide for nodes that cannot apply it.
-        if (missing.isEmpty() && nowMs - knownMs >= times.askMs()) {
+        if (missing.isEmpty() && nowMs - knownMs >= times.pollIntervalMs()) {
             return new LogOperation(LogOperation.Kind.DECIDE, open.number(), "", "", "");
         }
-        return nowMs - knownMs < times.prepareMs()
+        return nowMs - knownMs < times.voteTimeoutMs()
                 ? null
                 : new LogOperation(
                         LogOperation.Kind.REFUSE,
                         open.number(),
-                        "said nothing in " + Math.round(times.prepareMs()) + " ms",
+                        "said nothing in " + Math.round(times.voteTimeoutMs()) + " ms",
                         String.join(", ", new ArrayList<>(missing).subList(0, Math.min(5, missing.size()))),
                         "");
     }
--- a/core/src/main/java/spartrail/policy/PolicyLog.java
+++ b/core/src/main/java/spartrail/policy/PolicyLog.java
@@ -34,9 +34,9 @@
     }
 
     /** A proposal and what came of it. */
-    public record Entry(long number, String settings, String by, Stage stage, String why, String token) {
-        Entry at(Stage next, String because) {
-            return new Entry(number, settings, by, next, because, token);
+    public record Entry(long number, String settings, String proposer, Stage stage, String reason, String token) {
+        Entry withStage(Stage next, String because) {
+            return new Entry(number, settings, proposer, next, because, token);
         }
     }
 
@@ -61,23 +61,25 @@
         if (op.kind() == LogOperation.Kind.PROPOSE) {
             return propose(op);
         }
-        if (open == null || open.number() != op.number()) {
-            return "!no proposal " + op.number() + " is open";
+        if (open == null || open.number() != op.proposalNumber()) {
+            return "!no proposal " + op.proposalNumber() + " is open";
         }
         boolean decided = open.stage() == Stage.DECIDED;
         if (decided != (op.kind() == LogOperation.Kind.HOLD)) {
-            return decided ? "!" + op.number() + " is decided and will hold" : "!" + op.number() + " is not decided";
+            return decided
+                    ? "!" + op.proposalNumber() + " is decided and will hold"
+                    : "!" + op.proposalNumber() + " is not decided";
         }
         switch (op.kind()) {
-            case REFUSE -> close(open.at(Stage.REFUSED, op.who() + ": " + op.text()));
-            case ABORT -> close(open.at(Stage.ABORTED, "aborted by " + op.who()));
-            case DECIDE -> open = open.at(Stage.DECIDED, "");
+            case REFUSE -> close(open.withStage(Stage.REFUSED, op.issuer() + ": " + op.text()));
+            case ABORT -> close(open.withStage(Stage.ABORTED, "aborted by " + op.issuer()));
+            case DECIDE -> open = open.withStage(Stage.DECIDED, "");
             default -> {
-                holds = open.at(Stage.HOLDS, "");
+                holds = open.withStage(Stage.HOLDS, "");
                 close(holds);
             }
         }
-        return Long.toString(op.number());
+        return Long.toString(op.proposalNumber());
     }
 
     private String propose(LogOperation op) {
@@ -89,7 +91,7 @@
         if (open != null) {
             return open.token().equals(op.token())
                     ? Long.toString(open.number())
-                    : "!proposal " + open.number() + " by " + open.by() + " is still open";
+                    : "!proposal " + open.number() + " by " + open.proposer() + " is still open";
         }
         try {
             if (op.text().length() > MOST_TEXT) {
@@ -97,7 +99,7 @@
                         op.text().length() + " characters, at most " + MOST_TEXT + " are expected");
             }
             open = new Entry(
-                    last + 1, PolicySettings.parse(op.text()).json(), op.who(), Stage.PROPOSED, "", op.token());
+                    last + 1, PolicySettings.parse(op.text()).toJson(), op.issuer(), Stage.PROPOSED, "", op.token());
         } catch (IllegalArgumentException e) {
             return "!" + e.getMessage();
         }
@@ -113,27 +115,27 @@
     }
 
     /** The version that holds. */
-    public Entry holds() {
+    public Entry active() {
         return holds;
     }
 
     /** The proposal that is open, or null. */
-    public Entry open() {
+    public Entry pending() {
         return open;
     }
 
     /** Index of the entry applied last. */
-    public long applied() {
+    public long lastAppliedIndex() {
         return applied;
     }
 
     /** Proposals that have ended, oldest first, the last two hundred. */
-    public List<Entry> entries() {
+    public List<Entry> finished() {
         return List.copyOf(entries);
     }
 
     /** All of it as plain values, for a snapshot. */
-    public List<Object> plain() {
+    public List<Object> toSnapshot() {
         List<Object> all = new ArrayList<>();
         entries.forEach(entry -> all.add(plain(entry)));
         List<Object> state = new ArrayList<>(List.of(last, plain(holds), all));
@@ -143,11 +145,16 @@
 
     private static List<Object> plain(Entry entry) {
         return List.of(
-                entry.number(), entry.settings(), entry.by(), entry.stage().name(), entry.why(), entry.token());
+                entry.number(),
+                entry.settings(),
+                entry.proposer(),
+                entry.stage().name(),
+                entry.reason(),
+                entry.token());
     }
 
     /** Takes up a snapshot in the place of all it has. */
-    public void restore(long index, List<?> plain) {
+    public void restoreSnapshot(long index, List<?> plain) {
         applied = index;
         last = ((Number) plain.get(0)).longValue();
         holds = entry(plain.get(1));
--- a/core/src/main/java/spartrail/policy/PolicyResponse.java
+++ b/core/src/main/java/spartrail/policy/PolicyResponse.java
@@ -4,7 +4,7 @@
  * What a node is told: this held when it asked.
  *
  * @param nonce of its question
- * @param index the log was applied up to there
- * @param open the proposal that is open, or null
+ * @param appliedIndex the log was applied up to there
+ * @param pending the proposal that is open, or null
  */
-public record PolicyResponse(long nonce, long index, PolicyLog.Entry holds, PolicyLog.Entry open) {}
+public record PolicyResponse(long nonce, long appliedIndex, PolicyLog.Entry active, PolicyLog.Entry pending) {}
--- a/core/src/main/java/spartrail/policy/PolicyService.java
+++ b/core/src/main/java/spartrail/policy/PolicyService.java
@@ -21,22 +21,22 @@
         double nowMs();
 
         /** What of the node's own settings policy may change. */
-        PolicySettings own();
+        PolicySettings localSettings();
 
         /** Tries these terms out of the way of all that is served; why they cannot be gone by, or empty. */
         String rehearse(PolicySettings terms);
 
         /** The node goes by this from now on. */
-        void rule(PolicyLease ruling);
+        void apply(PolicyLease ruling);
     }
 
     /** A part that has been begun. */
     interface Running extends PeerChannel, AutoCloseable {
         /** The node's own settings are others now. */
-        void own(PolicySettings changed);
+        void updateLocalSettings(PolicySettings changed);
 
         /** Waits until the node knows by what to decide. */
-        void awaitRuling() throws InterruptedException;
+        void awaitFirstLease() throws InterruptedException;
 
         @Override
         void close();
--- a/core/src/main/java/spartrail/policy/PolicySettings.java
+++ b/core/src/main/java/spartrail/policy/PolicySettings.java
@@ -174,7 +174,7 @@
     }
 
     /** These, and of that what it states; an IllegalArgumentException where it states what a node does not have. */
-    public PolicySettings with(PolicySettings version) {
+    public PolicySettings overriddenBy(PolicySettings version) {
         TreeMap<String, Object> all = new TreeMap<>(fields);
         version.fields.forEach((field, value) -> {
             if (all.put(field, value) == null) {
@@ -182,7 +182,7 @@
             }
         });
         PolicySettings made = new PolicySettings(all);
-        made.opTypes().forEach(name -> {
+        made.opTypeNames().forEach(name -> {
             if (made.number(OP_TYPES + name + "/budgetMs") > made.number(OP_TYPES + name + "/timeoutMs")) {
                 throw new IllegalArgumentException(OP_TYPES + name + "/budgetMs: found "
                         + made.number(OP_TYPES + name + "/budgetMs") + ", no more than timeoutMs, "
@@ -193,9 +193,9 @@
     }
 
     /** Field by field the stricter of both, as the table above says. Both are of one node, so that they have the same fields. */
-    public PolicySettings stricter(PolicySettings other) {
+    public PolicySettings stricterOf(PolicySettings other) {
         TreeMap<String, Object> all = new TreeMap<>();
-        fields.forEach((field, value) -> all.put(field, stricter(kind(field), value, other.fields.get(field))));
+        fields.forEach((field, value) -> all.put(field, stricterOf(kind(field), value, other.fields.get(field))));
         if (!Objects.equals(fields.get(SPAN), other.fields.get(SPAN))) {
             PolicySettings without = number(SPAN) == 0 ? this : other;
             PolicySettings with = without == this ? other : this;
@@ -208,7 +208,7 @@
         return new PolicySettings(all);
     }
 
-    private static Object stricter(Kind kind, Object one, Object other) {
+    private static Object stricterOf(Kind kind, Object one, Object other) {
         return switch (kind) {
             case LESS, SHARE_LESS, COUNT_LESS -> Math.min((double) one, (double) other);
             case MORE, SHARE_MORE, BUDGET -> Math.max((double) one, (double) other);
@@ -221,14 +221,14 @@
     }
 
     /** Whether whoever keeps to these keeps to those, too; what only orders work is not asked. */
-    public boolean within(PolicySettings wider) {
-        return wider.stricter(this).fields.entrySet().stream()
+    public boolean isWithin(PolicySettings wider) {
+        return wider.stricterOf(this).fields.entrySet().stream()
                 .allMatch(each -> kind(each.getKey()).name().endsWith("FIRST")
                         || each.getValue().equals(fields.get(each.getKey())));
     }
 
     /** Names of op types that are told of. */
-    public List<String> opTypes() {
+    public List<String> opTypeNames() {
         return fields.keySet().stream()
                 .filter(field -> field.startsWith(OP_TYPES))
                 .map(field -> field.split("/")[2])
@@ -249,7 +249,7 @@
     }
 
     /** What differs, a line each: field, here, there. */
-    public List<String> difference(PolicySettings other) {
+    public List<String> differencesTo(PolicySettings other) {
         List<String> lines = new ArrayList<>();
         TreeSet<String> all = new TreeSet<>(fields.keySet());
         all.addAll(other.fields.keySet());
@@ -263,7 +263,7 @@
     }
 
     /** As a JSON object by fields, in their order: the same terms are the same text. */
-    public String json() {
+    public String toJson() {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
             out.writeStartObject();
@@ -296,6 +296,6 @@
 
     @Override
     public String toString() {
-        return json();
+        return toJson();
     }
 }
--- a/core/src/test/java/spartrail/policy/PolicySettingsTest.java
+++ b/core/src/test/java/spartrail/policy/PolicySettingsTest.java
@@ -20,7 +20,7 @@
                             .replace('\'', '"'));
 
     private static PolicySettings with(String version) {
-        return OWN.with(PolicySettings.parse(version.replace('\'', '"')));
+        return OWN.overriddenBy(PolicySettings.parse(version.replace('\'', '"')));
     }
 
     @Test
@@ -31,7 +31,7 @@
                         + "'cold':{'leastShare':0.4,"
                         + "'warmMs':20000,'tipMultiple':1.5,'fallMs':2000},"
                         + "'comeback':{'told':false,'longestMs':500},'inHand':{'most':100}}");
-        assertThat(String.join("\n", OWN.difference(OWN.stricter(other))))
+        assertThat(String.join("\n", OWN.differencesTo(OWN.stricterOf(other))))
                 .isEqualTo(
                         """
                 /cold/tipMultiple: 2.0 -> 1.5
@@ -49,12 +49,12 @@
     /** A budget over another span cannot be compared by its parts. */
     @Test
     void ofTwoBudgetsOverDifferentSpansOnlyWhatIsFreeIsWithinBoth() {
-        assertThat(OWN.difference(OWN.stricter(with("{'furtherSends':{'spanMs':20000,'free':5,'share':0.2}}"))))
+        assertThat(OWN.differencesTo(OWN.stricterOf(with("{'furtherSends':{'spanMs':20000,'free':5,'share':0.2}}"))))
                 .containsExactly(
                         "/furtherSends/free: 10.0 -> 5.0",
                         "/furtherSends/share: 0.1 -> 0.0",
                         "/furtherSends/spanMs: 10000.0 -> 20000.0");
-        assertThat(OWN.stricter(with("{'furtherSends':{'spanMs':0,'free':0,'share':0}}")))
+        assertThat(OWN.stricterOf(with("{'furtherSends':{'spanMs':0,'free':0,'share':0}}")))
                 .isEqualTo(OWN);
     }
 
@@ -65,11 +65,11 @@
         for (int i = 0; i < 2000; i++) {
             PolicySettings one = drawn(chance);
             PolicySettings other = drawn(chance);
-            PolicySettings guarded = one.stricter(other);
-            assertThat(guarded.within(one)).as("%s%n%s", one, other).isTrue();
-            assertThat(guarded.within(other)).as("%s%n%s", one, other).isTrue();
-            assertThat(guarded.stricter(other)).isEqualTo(guarded);
-            assertThat(other.stricter(one).within(guarded)).isTrue();
+            PolicySettings guarded = one.stricterOf(other);
+            assertThat(guarded.isWithin(one)).as("%s%n%s", one, other).isTrue();
+            assertThat(guarded.isWithin(other)).as("%s%n%s", one, other).isTrue();
+            assertThat(guarded.stricterOf(other)).isEqualTo(guarded);
+            assertThat(other.stricterOf(one).isWithin(guarded)).isTrue();
         }
     }
 
@@ -96,7 +96,7 @@
         values.put(
                 "/opTypes/orders/repeat",
                 List.of("RETRIABLE", "DEDUPED", "NON_RETRIABLE").get(chance.nextInt(3)));
-        return OWN.with(PolicySettings.of(values));
+        return OWN.overriddenBy(PolicySettings.of(values));
     }
 
     @Test
@@ -118,6 +118,6 @@
                 .hasMessage("/opTypes/sales/budgetMs: this node has no such op type");
         assertThatThrownBy(() -> with("{'opTypes':{'orders':{'budgetMs':9000}}}"))
                 .hasMessage("/opTypes/orders/budgetMs: found 9000.0, no more than timeoutMs, 4000.0, is expected");
-        assertThat(PolicySettings.parse(OWN.json())).isEqualTo(OWN);
+        assertThat(PolicySettings.parse(OWN.toJson())).isEqualTo(OWN);
     }
 }
--- a/core/src/test/java/spartrail/policy/TermsFormsTest.java
+++ b/core/src/test/java/spartrail/policy/TermsFormsTest.java
@@ -35,11 +35,11 @@
 
     @Test
     void eachFieldKeepsItsText() throws IOException {
-        assertThat(PolicySettings.parse(NESTED).json()).isEqualTo(stored());
+        assertThat(PolicySettings.parse(NESTED).toJson()).isEqualTo(stored());
     }
 
     @Test
     void storedTextIsReadAndWrittenAgain() throws IOException {
-        assertThat(PolicySettings.parse(stored()).json()).isEqualTo(stored());
+        assertThat(PolicySettings.parse(stored()).toJson()).isEqualTo(stored());
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/PolicyAt.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyAt.java
@@ -50,12 +50,12 @@
 
     /** The page of a node that decides, which knows what became of proposals; else that of the node asked. */
     JsonNode decider(AdminClient operator) throws IOException {
-        JsonNode page = Document.JSON.readTree(operator.page(at));
+        JsonNode page = Document.JSON.readTree(operator.fetchStatus(at));
         if (page.get("decides").asBoolean()) {
             return page;
         }
         String leader = page.get("leader").asText();
-        return leader.isEmpty() ? page : Document.JSON.readTree(operator.page(leader));
+        return leader.isEmpty() ? page : Document.JSON.readTree(operator.fetchStatus(leader));
     }
 
     /** The settings of a version: of one that ended, or that holds or is open. */
@@ -85,7 +85,7 @@
             PrintStream out,
             PrintStream err)
             throws IOException, InterruptedException {
-        String came = operator.order(at, kind, number, text, who, address -> address);
+        String came = operator.submit(at, kind, number, text, who, address -> address);
         if (came.startsWith("!")) {
             err.println("spartrail: not taken: " + came.substring(1));
             return 1;
--- a/lab/src/main/java/spartrail/lab/cli/PolicyBootstrap.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyBootstrap.java
@@ -35,7 +35,7 @@
             throw new InvalidInputException(
                     "--decider: found " + deciders + ", 3 or 5 names with " + node + " among them are expected");
         }
-        AdminClient.found(folder, fleet, node, deciders);
+        AdminClient.bootstrap(folder, fleet, node, deciders);
         out.println(folder + ": a log of policy for " + node + " of " + deciders);
         return 0;
     }
--- a/lab/src/main/java/spartrail/lab/cli/PolicyDiff.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyDiff.java
@@ -26,7 +26,7 @@
                     one == 0 ? "{}" : entry(page, one).get("settings").asText());
             PolicySettings to = PolicySettings.parse(
                     other == 0 ? "{}" : entry(page, other).get("settings").asText());
-            from.difference(to).forEach(out::println);
+            from.differencesTo(to).forEach(out::println);
             return 0;
         }
     }
--- a/lab/src/main/java/spartrail/lab/cli/PolicyPropose.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyPropose.java
@@ -40,7 +40,7 @@
     int run(PrintStream out, PrintStream err) throws Exception {
         String settings;
         try {
-            settings = PolicySettings.parse(Files.readString(file)).json();
+            settings = PolicySettings.parse(Files.readString(file)).toJson();
         } catch (IOException e) {
             throw new InvalidInputException("cannot read " + file);
         } catch (IllegalArgumentException e) {
@@ -58,7 +58,7 @@
         for (Map.Entry<String, String> node : nodes().entrySet()) {
             String said;
             try {
-                said = operator.check(node.getValue(), settings);
+                said = operator.dryRun(node.getValue(), settings);
             } catch (IOException e) {
                 said = "!" + e.getMessage();
             }
--- a/lab/src/main/java/spartrail/lab/cli/PolicyShow.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyShow.java
@@ -40,7 +40,7 @@
     int run(PrintStream out, PrintStream err) throws Exception {
         try (AdminClient operator = operator()) {
             switch (what) {
-                case SHOW -> show(Document.JSON.readTree(operator.page(at)), out);
+                case SHOW -> show(Document.JSON.readTree(operator.fetchStatus(at)), out);
                 case HISTORY -> history(decider(operator), out);
                 default -> who(operator, out);
             }
@@ -103,7 +103,7 @@
         ArrayNode all = Document.JSON.createArrayNode();
         for (Map.Entry<String, String> node : nodes().entrySet()) {
             try {
-                JsonNode page = Document.JSON.readTree(operator.page(node.getValue()));
+                JsonNode page = Document.JSON.readTree(operator.fetchStatus(node.getValue()));
                 all.add(page);
                 if (!json) {
                     out.println(state(page));
--- a/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
@@ -138,7 +138,7 @@
             if (plan.policy()) {
                 state = folder.resolve("n" + node + ".state");
                 if (plan.deciders().contains("n" + node)) {
-                    AdminClient.found(state, "rig", "n" + node, plan.deciders());
+                    AdminClient.bootstrap(state, "rig", "n" + node, plan.deciders());
                 }
             }
             if (plan.peers() != null) {
--- a/lab/src/main/java/spartrail/lab/cluster/OperatorCommands.java
+++ b/lab/src/main/java/spartrail/lab/cluster/OperatorCommands.java
@@ -89,7 +89,7 @@
         operators.execute(() -> {
             ObjectNode line = Document.JSON.createObjectNode().put("step", step).put("point", point);
             try (AdminClient operator = new AdminClient(new AdminFrameCodec("rig"), true)) {
-                boolean armed = node >= 0 && operator.arm("127.0.0.1:" + ports.get(node), point);
+                boolean armed = node >= 0 && operator.armCrashPoint("127.0.0.1:" + ports.get(node), point);
                 history.done("armed", line.put("on", "n" + node).put("armed", armed));
             } catch (IOException e) {
                 history.done("armed", line.put("armed", false));
@@ -103,7 +103,7 @@
         IOException last = null;
         for (int i = 0; i < ports.size() && !ended; i++) {
             try {
-                return operator.order(
+                return operator.submit(
                         "127.0.0.1:" + ports.get((via + i) % ports.size()), kind, number, text, "operator", where);
             } catch (IOException e) {
                 last = e;
@@ -115,7 +115,7 @@
     private void follow(AdminClient operator, ObjectNode line, long number) throws IOException {
         for (int node = 0; !ended; node = (node + 1) % ports.size()) {
             try {
-                JsonNode page = Document.JSON.readTree(operator.glance("127.0.0.1:" + ports.get(node)));
+                JsonNode page = Document.JSON.readTree(operator.fetchStatusOnce("127.0.0.1:" + ports.get(node)));
                 for (JsonNode entry : page.get("entries")) {
                     if (entry.get("number").asLong() == number) {
                         history.done(
--- a/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
@@ -96,7 +96,9 @@
 
     /** What holds for a change where no leader is lost. */
     static final PolicyRules.Bounds USUAL_BOUNDS = new PolicyRules.Bounds(
-            TIMES.leaseMs(), TIMES.overMs() + 2 * TIMES.askMs(), TIMES.prepareMs() + 2 * TIMES.overMs());
+            TIMES.leaseMs(),
+            TIMES.leaseExpiryBoundMs() + 2 * TIMES.pollIntervalMs(),
+            TIMES.voteTimeoutMs() + 2 * TIMES.leaseExpiryBoundMs());
 
     /** What a drill wants of what was seen, beside what all want. */
     private interface Wants {
@@ -133,8 +135,8 @@
         // A leader that is lost between the decision and its end makes its successor wait the whole time again.
         this.bounds = new PolicyRules.Bounds(
                 TIMES.leaseMs(),
-                2 * (TIMES.overMs() + TIMES.askMs()) + LEADER_MS + outMs,
-                TIMES.prepareMs() + 2 * TIMES.overMs() + 2 * LEADER_MS);
+                2 * (TIMES.leaseExpiryBoundMs() + TIMES.pollIntervalMs()) + LEADER_MS + outMs,
+                TIMES.voteTimeoutMs() + 2 * TIMES.leaseExpiryBoundMs() + 2 * LEADER_MS);
         this.wants = wants;
     }
 
--- a/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
+++ b/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
@@ -5,16 +5,16 @@
 import spartrail.policy.replication.PolicyMessageCodec;
 
 /** Orders and questions about policy in the frames of talk. */
-public record AdminFrameCodec(String fleet) implements AdminClient.Form {
+public record AdminFrameCodec(String fleet) implements AdminClient.FrameCodec {
     private static final int LONGEST = 65_536;
 
     @Override
-    public byte[] frame(byte[] piece) {
+    public byte[] encode(byte[] piece) {
         return PeerMessageCodec.bytes(fleet, PolicyMessageCodec.LANE, piece);
     }
 
     @Override
-    public byte[] piece(byte[] datagram, int length) {
+    public byte[] decode(byte[] datagram, int length) {
         try {
             PeerMessageCodec.Frame frame = PeerMessageCodec.read(datagram, length, fleet, LONGEST);
             return frame.lane() == PolicyMessageCodec.LANE ? frame.bytes() : null;
--- a/lab/src/main/java/spartrail/lab/simulation/Mutations.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Mutations.java
@@ -104,17 +104,17 @@
             new Plant(
                     LEADER,
                     "a version holds as soon as it is decided",
-                    "nowMs - knownMs < times.overMs() ?",
+                    "nowMs - knownMs < times.leaseExpiryBoundMs() ?",
                     "false ?"),
             new Plant(
                     "policy/PolicyTimings",
                     "the leader waits for half a lease",
-                    "return leaseMs * (1 + drift) / (1 - drift);",
+                    "return leaseMs * (1 + maxClockDrift) / (1 - maxClockDrift);",
                     "return leaseMs / 2;"),
             new Plant(
                     "policy/PolicyTimings",
                     "the leader's wait leaves drift out",
-                    "return leaseMs * (1 + drift) / (1 - drift);",
+                    "return leaseMs * (1 + maxClockDrift) / (1 - maxClockDrift);",
                     "return leaseMs;"),
             new Plant(
                     FOLLOWER, "a lease counts from the answer", "sinceMs + times.leaseMs()", "nowMs + times.leaseMs()"),
@@ -124,11 +124,14 @@
                     "decided ? guarded : holds, decided, leaseMs, after);",
                     "decided ? guarded : holds, decided, Double.POSITIVE_INFINITY, after);"),
             new Plant(
-                    FOLLOWER, "what was overtaken is taken up", "last != null && told.index() < last.index()", "false"),
+                    FOLLOWER,
+                    "what was overtaken is taken up",
+                    "last != null && told.appliedIndex() < last.appliedIndex()",
+                    "false"),
             new Plant(
                     FOLLOWER,
                     "nobody is guarded after the decision",
-                    "last.open().stage() == Stage.DECIDED;\n        String named",
+                    "last.pending().stage() == Stage.DECIDED;\n        String named",
                     "false;\n        String named"),
             new Plant(
                     FOLLOWER,
@@ -138,7 +141,7 @@
             new Plant(
                     FOLLOWER,
                     "a node that starts is ready at once",
-                    "nowMs - bornMs >= times.readyMs()",
+                    "nowMs - bornMs >= times.startupTimeoutMs()",
                     "nowMs >= bornMs"),
             new Plant(
                     FOLLOWER,
@@ -151,7 +154,7 @@
             new Plant(
                     LEADER,
                     "a proposal that not all answer stays open",
-                    "return nowMs - knownMs < times.prepareMs() ? null",
+                    "return nowMs - knownMs < times.voteTimeoutMs() ? null",
                     "return true ? null"),
             new Plant(
                     LOG,
--- a/lab/src/main/java/spartrail/lab/simulation/PolicySimulation.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PolicySimulation.java
@@ -79,9 +79,9 @@
             nowMs = atMs;
             switch (message.kind()) {
                 case "ASK" -> asked(message);
-                case "TOLD" -> follower.told(message.told(), atMs);
-                case "ELSEWHERE" -> follower.elsewhere(message.hint(), atMs);
-                default -> follower.news(atMs);
+                case "TOLD" -> follower.onResponse(message.told(), atMs);
+                case "ELSEWHERE" -> follower.onRedirect(message.hint(), atMs);
+                default -> follower.pollNoLaterThan(atMs);
             }
             advance(atMs);
         }
@@ -98,8 +98,8 @@
                                 leading >= 0 && world.linked(node, leading) ? "n" + leading : ""));
                 return;
             }
-            leader.leads(true);
-            leader.asked(message.ask(), nowMs);
+            leader.setLeading(true);
+            leader.onRequest(message.ask(), nowMs);
             waiting.add(message.ask());
             read();
         }
@@ -116,12 +116,12 @@
                 for (PolicyRequest ask : batch) {
                     if (told != null) {
                         PolicyResponse answer =
-                                new PolicyResponse(ask.nonce(), told.index(), told.holds(), told.open());
-                        if (ask.name().equals("n" + node)) {
-                            follower.told(answer, nowMs);
+                                new PolicyResponse(ask.nonce(), told.appliedIndex(), told.active(), told.pending());
+                        if (ask.node().equals("n" + node)) {
+                            follower.onResponse(answer, nowMs);
                         } else {
                             send(
-                                    Integer.parseInt(ask.name().substring(1)),
+                                    Integer.parseInt(ask.node().substring(1)),
                                     new Message("TOLD", "n" + node, null, answer, ""));
                         }
                     }
@@ -138,17 +138,17 @@
             }
             if (atMs >= nextLookMs) {
                 nextLookMs = atMs + 50;
-                leader.leads(leads);
-                LogOperation op = leads ? leader.due(log, there(node), atMs) : null;
+                leader.setLeading(leads);
+                LogOperation op = leads ? leader.nextOperation(log, there(node), atMs) : null;
                 if (op != null) {
                     append(this, op);
                 }
             }
-            PolicyRequest ask = follower.ask(atMs);
+            PolicyRequest ask = follower.pollIfDue(atMs);
             if (ask != null) {
                 ask(ask);
             }
-            Entry open = follower.toCheck();
+            Entry open = follower.proposalToCheck();
             if (open != null && checking != open.number()) {
                 checking = open.number();
                 checkedMs = atMs + 20 + 200 * chance.nextDouble();
@@ -158,31 +158,31 @@
                 if (open != null) {
                     String no = "";
                     try {
-                        follower.applied(open);
+                        follower.settingsWith(open);
                     } catch (IllegalArgumentException e) {
                         no = e.getMessage();
                     }
-                    follower.checked(open.number(), no, atMs);
+                    follower.recordVote(open.number(), no, atMs);
                 }
             }
         }
 
         private void ask(PolicyRequest ask) {
             if (leads) {
-                leader.leads(true);
-                leader.asked(ask, nowMs);
+                leader.setLeading(true);
+                leader.onRequest(ask, nowMs);
                 waiting.add(ask);
                 read();
                 return;
             }
-            send(Integer.parseInt(follower.whom().substring(1)), new Message("ASK", "n" + node, ask, null, ""));
+            send(Integer.parseInt(follower.pollTarget().substring(1)), new Message("ASK", "n" + node, ask, null, ""));
         }
 
         @Override
         public double nextMs() {
             return tasks.isEmpty()
                     ? Math.min(
-                            Math.min(follower.nextMs(), checkedMs),
+                            Math.min(follower.nextPollAtMs(), checkedMs),
                             node < deciders ? nextLookMs : Double.POSITIVE_INFINITY)
                     : Double.NEGATIVE_INFINITY;
         }
@@ -299,15 +299,15 @@
 
     private void look() {
         world.later(LOOK_MS, this::look);
-        double mostMs = TIMES.prepareMs() + TIMES.overMs() + 4 * TIMES.askMs();
-        if (log.open() != null
+        double mostMs = TIMES.voteTimeoutMs() + TIMES.leaseExpiryBoundMs() + 4 * TIMES.pollIntervalMs();
+        if (log.pending() != null
                 && world.nowMs() - Math.max(openedMs, ledMs) > mostMs
                 && leading >= 0
                 && eligible(leading)) {
             breach(
                     "(f) every proposal ends",
-                    log.open().number() + " is " + log.open().stage() + " after " + Math.round(world.nowMs() - openedMs)
-                            + " ms");
+                    log.pending().number() + " is " + log.pending().stage() + " after "
+                            + Math.round(world.nowMs() - openedMs) + " ms");
             openedMs = Double.POSITIVE_INFINITY;
         }
         if (leading < 0 || !eligible(leading)) {
@@ -361,7 +361,7 @@
             }
         }
         maybe.clear();
-        commit(LogOperation.LEADS);
+        commit(LogOperation.OF_NEW_TERM);
         world.wake(leading);
     }
 
@@ -382,7 +382,7 @@
     /** A read that a majority confirms: what was committed when it began, if this node still leads when it ends. */
     private void confirmed(PolicyGuest guest, Answer answer) {
         boolean could = leading == guest.node && eligible(guest.node);
-        PolicyResponse told = new PolicyResponse(0, index, log.holds(), log.open());
+        PolicyResponse told = new PolicyResponse(0, index, log.active(), log.pending());
         world.later(1 + 40 * world.chance().nextDouble(), () -> {
             boolean can = could && leading == guest.node && eligible(guest.node) && world.guest(guest.node) == guest;
             guest.tasks.add(() -> answer.of(can ? told : null));
@@ -402,15 +402,17 @@
     }
 
     private void commit(LogOperation op) {
-        Entry was = log.open();
+        Entry was = log.pending();
         String came = log.apply(++index, op);
-        openedMs =
-                log.open() != null && (was == null || was.number() != log.open().number()) ? world.nowMs() : openedMs;
+        openedMs = log.pending() != null
+                        && (was == null || was.number() != log.pending().number())
+                ? world.nowMs()
+                : openedMs;
         if (op.kind() == LogOperation.Kind.LED) {
             return;
         }
-        line(op.kind() + " " + op.number() + " " + op.who() + " " + op.text() + ": " + came);
-        Entry open = log.open();
+        line(op.kind() + " " + op.proposalNumber() + " " + op.issuer() + " " + op.text() + ": " + came);
+        Entry open = log.pending();
         if (op.kind() == LogOperation.Kind.PROPOSE && open != null) {
             budgets.put(open.number(), PolicySettings.parse(open.settings()).number(BUDGET));
         }
@@ -423,13 +425,13 @@
                 world.script(List.of(new Fault(world.nowMs(), Fault.Kind.CUT, List.of(cutAt), List.of(), 5000, 0)));
             }
         }
-        if (log.holds().number() != held.get(held.size() - 1)) {
-            held.add(log.holds().number());
+        if (log.active().number() != held.get(held.size() - 1)) {
+            held.add(log.active().number());
             if (was.stage() != Stage.DECIDED) {
                 breach("decided first", was.number() + " holds and was " + was.stage());
             }
         }
-        List<Entry> ended = log.entries();
+        List<Entry> ended = log.finished();
         for (Entry entry : ended) {
             if (ended.stream()
                             .filter(other -> other.token().equals(entry.token()))
@@ -452,9 +454,9 @@
             if (!world.runs(node)) {
                 continue;
             }
-            PolicyLease ruling = guest(node).follower.ruling();
+            PolicyLease ruling = guest(node).follower.lease();
             boolean touch = ruling != null
-                    && !ruling.at(world.clock(node)).name().endsWith("?")
+                    && !ruling.activeAt(world.clock(node)).label().endsWith("?")
                     && world.linked(node, leading)
                     && world.nowMs() - seenMs[node] < LOOK_MS * 2
                     && !world.stands(node);
@@ -481,8 +483,8 @@
     }
 
     void abort() {
-        if (log.open() != null) {
-            ordered(new LogOperation(LogOperation.Kind.ABORT, log.open().number(), "", "operator", ""), 0);
+        if (log.pending() != null) {
+            ordered(new LogOperation(LogOperation.Kind.ABORT, log.pending().number(), "", "operator", ""), 0);
         }
     }
 
@@ -499,8 +501,9 @@
     @Override
     public SimulatedNode<Message> start(
             int node, int startNumber, String address, double nodeMs, RandomGenerator chance) {
-        PolicySettings own =
-                node == unfit ? OWN.with(PolicySettings.parse("{\"opTypes\":{\"orders\":{\"timeoutMs\":2500}}}")) : OWN;
+        PolicySettings own = node == unfit
+                ? OWN.overriddenBy(PolicySettings.parse("{\"opTypes\":{\"orders\":{\"timeoutMs\":2500}}}"))
+                : OWN;
         names[node] = "";
         if (leading == node) {
             leading = -1;
@@ -524,12 +527,12 @@
     @Override
     public void stepped(int node, SimulatedNode<Message> guest, double worldMs, double nodeMs) {
         PolicyGuest stepped = (PolicyGuest) guest;
-        PolicyLease now = stepped.follower.ruling() == null
+        PolicyLease now = stepped.follower.lease() == null
                 ? null
-                : stepped.follower.ruling().at(nodeMs);
-        String name = now == null ? "" : now.name();
+                : stepped.follower.lease().activeAt(nodeMs);
+        String name = now == null ? "" : now.label();
         boolean leased = now != null && !name.endsWith("?");
-        double graceMs = TIMES.leaseMs() / (1 - TIMES.drift()) + 2 * LOOK_MS;
+        double graceMs = TIMES.leaseMs() / (1 - TIMES.maxClockDrift()) + 2 * LOOK_MS;
         if (leased && worldMs - isolatedMs[node] > graceMs && isolated(node)) {
             breach(
                     "(e) out of touch it stops",
@@ -540,7 +543,7 @@
         }
         line("n" + node + " goes by " + name);
         changes++;
-        if (names[node].isEmpty() && name.equals("0?") && nodeMs - stepped.bornMs < TIMES.readyMs()) {
+        if (names[node].isEmpty() && name.equals("0?") && nodeMs - stepped.bornMs < TIMES.startupTimeoutMs()) {
             breach(
                     "ready late enough",
                     "n" + node + " serves after " + Math.round(nodeMs - stepped.bornMs) + " ms and has heard nothing");
@@ -568,17 +571,17 @@
 
     /** Whatever a node goes by is within each version that it names. */
     private void strict(int node, PolicyLease now) {
-        for (long number : numbers(now.name())) {
+        for (long number : numbers(now.label())) {
             double budgetMs = budgets.getOrDefault(number, 0.0);
-            if (now.terms().number(BUDGET) > budgetMs + 1e-9) {
+            if (now.settings().number(BUDGET) > budgetMs + 1e-9) {
                 breach(
                         "guarded is the stricter",
-                        "n" + node + " by " + now.name() + " has a budget of "
-                                + now.terms().number(BUDGET) + ", " + number + " has " + budgetMs);
+                        "n" + node + " by " + now.label() + " has a budget of "
+                                + now.settings().number(BUDGET) + ", " + number + " has " + budgetMs);
             }
         }
-        if (now.guarded() != (now.name().contains("|") || now.name().endsWith("?"))) {
-            breach("guarded is the stricter", "n" + node + " by " + now.name() + " does not say so");
+        if (now.isJoint() != (now.label().contains("|") || now.label().endsWith("?"))) {
+            breach("guarded is the stricter", "n" + node + " by " + now.label() + " does not say so");
         }
     }
 
@@ -598,7 +601,9 @@
 
     private void refused(int node, String name) {
         TreeSet<Long> over = new TreeSet<>();
-        log.entries().stream().filter(entry -> entry.stage() != Stage.HOLDS).forEach(entry -> over.add(entry.number()));
+        log.finished().stream()
+                .filter(entry -> entry.stage() != Stage.HOLDS)
+                .forEach(entry -> over.add(entry.number()));
         over.retainAll(numbers(name));
         if (!over.isEmpty()) {
             breach(
@@ -608,43 +613,45 @@
     }
 
     private void instant(int node, String name, int other) {
-        PolicyLease ruling = guest(other).follower.ruling();
-        PolicyLease theirs = ruling == null ? null : ruling.at(world.clock(other));
-        if (theirs == null || theirs.name().endsWith("?")) {
+        PolicyLease ruling = guest(other).follower.lease();
+        PolicyLease theirs = ruling == null ? null : ruling.activeAt(world.clock(other));
+        if (theirs == null || theirs.label().endsWith("?")) {
             return;
         }
         List<Long> one = numbers(name);
-        List<Long> two = numbers(theirs.name());
+        List<Long> two = numbers(theirs.label());
         boolean same = one.stream().anyMatch(two::contains) && (one.size() > 1 || two.size() > 1 || one.equals(two));
         if (!same) {
             breach(
                     "(c) one version at an instant",
-                    "n" + node + " goes by " + name + " while n" + other + " goes by " + theirs.name());
+                    "n" + node + " goes by " + name + " while n" + other + " goes by " + theirs.label());
         }
     }
 
     /** Long after the last fault: nothing is open, and all that run go by what holds. */
     void settled(int lastBudgetMs) {
-        if (budgets.get(log.holds().number()) != lastBudgetMs) {
+        if (budgets.get(log.active().number()) != lastBudgetMs) {
             breach(
                     "what all can apply holds",
-                    log.holds().number() + " holds, not the one that was proposed when all was well");
+                    log.active().number() + " holds, not the one that was proposed when all was well");
         }
-        if (log.open() != null) {
+        if (log.pending() != null) {
             breach(
                     "(f) every proposal ends",
-                    log.open().number() + " is " + log.open().stage());
+                    log.pending().number() + " is " + log.pending().stage());
         }
         for (int node = 0; node < size; node++) {
-            PolicyLease ruling = world.runs(node) ? guest(node).follower.ruling() : null;
-            String name =
-                    ruling == null ? "nothing" : ruling.at(world.clock(node)).name();
+            PolicyLease ruling = world.runs(node) ? guest(node).follower.lease() : null;
+            String name = ruling == null
+                    ? "nothing"
+                    : ruling.activeAt(world.clock(node)).label();
             if (world.runs(node)
-                    && guest(node).follower.unfit().isEmpty()
-                    && !name.equals(Long.toString(log.holds().number()))) {
+                    && guest(node).follower.incompatibility().isEmpty()
+                    && !name.equals(Long.toString(log.active().number()))) {
                 breach(
                         "all go by what holds",
-                        "n" + node + " goes by " + name + ", and " + log.holds().number() + " holds");
+                        "n" + node + " goes by " + name + ", and "
+                                + log.active().number() + " holds");
             }
         }
     }
--- a/policy/src/main/java/spartrail/policy/replication/AdminClient.java
+++ b/policy/src/main/java/spartrail/policy/replication/AdminClient.java
@@ -24,19 +24,19 @@
     private static final int TRIES_A_CHECK = 8;
 
     /** How bytes of the lane become a datagram, and back; null for one of something else. */
-    public interface Form {
-        byte[] frame(byte[] piece);
+    public interface FrameCodec {
+        byte[] encode(byte[] piece);
 
-        byte[] piece(byte[] datagram, int length);
+        byte[] decode(byte[] datagram, int length);
     }
 
-    private final Form form;
+    private final FrameCodec frames;
     private final DatagramSocket socket;
     private final DatagramReassembler pieces;
 
     /** Speaks from this machine; the node's file has to name it among its operators. */
-    public AdminClient(Form form, boolean loopback) throws IOException {
-        this.form = form;
+    public AdminClient(FrameCodec frames, boolean loopback) throws IOException {
+        this.frames = frames;
         this.socket = loopback
                 ? new DatagramSocket(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0))
                 : new DatagramSocket();
@@ -45,22 +45,22 @@
     }
 
     /** What a node knows, as JSON; an IOException where it does not answer. */
-    public String page(String address) throws IOException {
+    public String fetchStatus(String address) throws IOException {
         return question(address, "show", TRIES_A_QUESTION);
     }
 
     /** The same, asked once. */
-    public String glance(String address) throws IOException {
+    public String fetchStatusOnce(String address) throws IOException {
         return question(address, "show", 1);
     }
 
     /** What these settings would change for a node, a line each; {@code !} and why it cannot go by them. */
-    public String check(String address, String settings) throws IOException {
+    public String dryRun(String address, String settings) throws IOException {
         return question(address, PolicyMessageCodec.CHECK + settings, TRIES_A_CHECK);
     }
 
     /** In drills: the node's process is gone when it next gets to this point. */
-    public boolean arm(String address, String point) throws IOException {
+    public boolean armCrashPoint(String address, String point) throws IOException {
         return question(address, point, TRIES_A_QUESTION).equals("armed");
     }
 
@@ -80,7 +80,7 @@
      * Gives an order, and follows it to whoever leads; a number, or {@code !} and what is wrong. {@code where} is another way to an
      * address that a node names, as a rig has it. The same order may arrive twice and counts once.
      */
-    public String order(
+    public String submit(
             String address,
             LogOperation.Kind kind,
             long number,
@@ -123,8 +123,8 @@
         int colon = address.lastIndexOf(':');
         InetSocketAddress to =
                 new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
-        for (byte[] piece : pieces.cut(PolicyMessageCodec.bytes(question))) {
-            byte[] frame = form.frame(piece);
+        for (byte[] piece : pieces.split(PolicyMessageCodec.bytes(question))) {
+            byte[] frame = frames.encode(piece);
             socket.send(new DatagramPacket(frame, frame.length, to));
         }
         long untilNs = System.nanoTime() + ANSWER_MS * 1_000_000L;
@@ -136,12 +136,11 @@
             } catch (SocketTimeoutException e) {
                 return null;
             }
-            byte[] piece = form.piece(Arrays.copyOf(buffer, packet.getLength()), packet.getLength());
-            byte[] whole = piece == null
-                    ? null
-                    : pieces.whole(packet.getSocketAddress().toString(), piece);
+            byte[] piece = frames.decode(Arrays.copyOf(buffer, packet.getLength()), packet.getLength());
+            byte[] whole =
+                    piece == null ? null : pieces.add(packet.getSocketAddress().toString(), piece);
             List<?> reply = whole == null ? List.of(-1) : PolicyMessageCodec.plain(whole);
-            if (PolicyMessageCodec.whole(reply, 0) == kind && token.equals(reply.get(1))) {
+            if (PolicyMessageCodec.intAt(reply, 0) == kind && token.equals(reply.get(1))) {
                 return reply;
             }
         }
@@ -149,8 +148,8 @@
     }
 
     /** Makes the log of a deciding node of a new set. */
-    public static void found(Path folder, String fleet, String node, List<String> deciders) throws IOException {
-        RaftLogStore.found(folder, fleet, node, deciders);
+    public static void bootstrap(Path folder, String fleet, String node, List<String> deciders) throws IOException {
+        RaftLogStore.bootstrap(folder, fleet, node, deciders);
     }
 
     @Override
--- a/policy/src/main/java/spartrail/policy/replication/DatagramReassembler.java
+++ b/policy/src/main/java/spartrail/policy/replication/DatagramReassembler.java
@@ -27,7 +27,7 @@
         this.number = first;
     }
 
-    public List<byte[]> cut(byte[] message) {
+    public List<byte[]> split(byte[] message) {
         int room = mostBytes - HEAD;
         int count = Math.max(1, (message.length + room - 1) / room);
         if (count > MOST_PIECES) {
@@ -49,7 +49,7 @@
     }
 
     /** The message that this piece makes whole, or null. */
-    public byte[] whole(String from, byte[] piece) {
+    public byte[] add(String from, byte[] piece) {
         if (piece.length < HEAD) {
             return null;
         }
--- a/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
@@ -83,7 +83,7 @@
         times = said.times;
         deciders = said.deciders;
         pieces = new DatagramReassembler(Carrier.MOST_BYTES, chance.nextInt());
-        follower = new PolicyFollower(by.name(), deciders, host.own(), times, chance, host.nowMs());
+        follower = new PolicyFollower(by.name(), deciders, host.localSettings(), times, chance, host.nowMs());
         thread = new Thread(this, "spartrail-policy");
         thread.setDaemon(true);
         thread.start();
@@ -95,7 +95,7 @@
     public void heard(String from, byte[] piece) {
         if (queue.size() < MOST_QUEUED) {
             queue.add(() -> {
-                byte[] message = pieces.whole(from, piece);
+                byte[] message = pieces.add(from, piece);
                 if (message != null) {
                     message(from, message);
                 }
@@ -121,25 +121,25 @@
             there.clear();
             there.addAll(names);
             if (met) {
-                follower.news(host.nowMs());
+                follower.pollNoLaterThan(host.nowMs());
             }
         });
     }
 
     @Override
-    public void own(PolicySettings changed) {
-        queue.add(() -> follower.own(changed));
+    public void updateLocalSettings(PolicySettings changed) {
+        queue.add(() -> follower.updateLocalSettings(changed));
     }
 
     @Override
-    public void awaitRuling() throws InterruptedException {
+    public void awaitFirstLease() throws InterruptedException {
         while (!ruled.await(10, TimeUnit.SECONDS)) {
             LOG.log(
                     System.Logger.Level.WARNING,
                     "not ready: "
-                            + (follower.unfit().isEmpty()
+                            + (follower.incompatibility().isEmpty()
                                     ? "no deciding node has said yet what holds"
-                                    : follower.unfit()));
+                                    : follower.incompatibility()));
         }
     }
 
@@ -187,8 +187,8 @@
         guarded(this::openLog);
         while (!ended) {
             try {
-                double dueMs =
-                        Math.min(later.isEmpty() ? Double.POSITIVE_INFINITY : later.peek().atMs, follower.nextMs());
+                double dueMs = Math.min(
+                        later.isEmpty() ? Double.POSITIVE_INFINITY : later.peek().atMs, follower.nextPollAtMs());
                 double waitMs = Math.max(0, Math.min(LONGEST_WAIT_MS, dueMs - host.nowMs()));
                 Runnable task = queue.poll((long) (1e6 * waitMs), TimeUnit.NANOSECONDS);
                 for (; task != null; task = queue.poll()) {
@@ -228,7 +228,7 @@
             return;
         }
         try {
-            if (!RaftLogStore.there(folder)) {
+            if (!RaftLogStore.exists(folder)) {
                 throw new IOException(
                         folder + ": holds no log of policy; 'spartrail policy found' makes those of a new set");
             }
@@ -255,30 +255,30 @@
         double nowMs = host.nowMs();
         if (deciding != null) {
             deciding.step(there, nowMs);
-            if (leading != deciding.leading()) {
+            if (leading != deciding.isLeader()) {
                 leading = !leading;
                 LOG.log(System.Logger.Level.INFO, leading ? "leads those that decide about policy" : "leads no longer");
                 carrier.note("leads", "on", leading);
             }
         }
-        PolicyRequest ask = follower.ask(nowMs);
+        PolicyRequest ask = follower.pollIfDue(nowMs);
         if (ask != null) {
             ask(ask, nowMs);
         }
-        PolicyLog.Entry open = follower.toCheck();
+        PolicyLog.Entry open = follower.proposalToCheck();
         if (open != null && checking != open.number()) {
             checking = open.number();
             check(open);
         }
-        PolicyLease ruling = follower.ruling();
+        PolicyLease ruling = follower.lease();
         if (ruling != null && ruling != given) {
             given = ruling;
             CrashPoint.reached("before", "becoming", "RULING");
-            host.rule(ruling);
+            host.apply(ruling);
             ruled.countDown();
             CrashPoint.reached("after", "becoming", "RULING");
         }
-        String by = ruling == null ? "" : ruling.at(nowMs).name();
+        String by = ruling == null ? "" : ruling.activeAt(nowMs).label();
         if (!by.equals(name)) {
             name = by;
             LOG.log(System.Logger.Level.INFO, "goes by policy " + by);
@@ -287,38 +287,38 @@
                     "by",
                     by,
                     "guarded",
-                    ruling != null && ruling.at(nowMs).guarded());
+                    ruling != null && ruling.activeAt(nowMs).isJoint());
         }
     }
 
     private void ask(PolicyRequest ask, double nowMs) {
-        if (deciding != null && deciding.leading()) {
-            deciding.asked(ask, nowMs, told -> {
+        if (deciding != null && deciding.isLeader()) {
+            deciding.onPoll(ask, nowMs, told -> {
                 if (told != null) {
                     told(told);
                 }
             });
             return;
         }
-        send(addresses.get(follower.whom()), PolicyMessageCodec.ask(ask));
+        send(addresses.get(follower.pollTarget()), PolicyMessageCodec.ask(ask));
     }
 
     private void told(PolicyResponse heard) {
-        follower.told(heard, host.nowMs());
-        String state = heard.holds().number()
-                + (heard.open() == null
+        follower.onResponse(heard, host.nowMs());
+        String state = heard.active().number()
+                + (heard.pending() == null
                         ? ""
-                        : " " + heard.open().number() + " " + heard.open().stage());
+                        : " " + heard.pending().number() + " " + heard.pending().stage());
         if (!state.equals(told)) {
             told = state;
             carrier.note(
                     "told",
                     "holds",
-                    heard.holds().number(),
+                    heard.active().number(),
                     "open",
-                    heard.open() == null ? 0 : heard.open().number(),
+                    heard.pending() == null ? 0 : heard.pending().number(),
                     "stage",
-                    heard.open() == null ? "" : heard.open().stage().name());
+                    heard.pending() == null ? "" : heard.pending().stage().name());
         }
     }
 
@@ -333,7 +333,7 @@
                                 System.Logger.Level.INFO,
                                 "proposal " + open.number() + ": " + (no.isEmpty() ? "can be applied" : no));
                         CrashPoint.reached("before", "becoming", "VOTE");
-                        follower.checked(open.number(), no, host.nowMs());
+                        follower.recordVote(open.number(), no, host.nowMs());
                         CrashPoint.reached("after", "becoming", "VOTE");
                     });
                 },
@@ -344,12 +344,12 @@
 
     private String no(PolicyLog.Entry open) {
         try {
-            PolicySettings terms = follower.applied(open);
+            PolicySettings terms = follower.settingsWith(open);
             String alone = host.rehearse(terms);
-            PolicyResponse last = follower.last();
+            PolicyResponse last = follower.lastResponse();
             return !alone.isEmpty()
                     ? alone
-                    : host.rehearse(follower.applied(last.holds()).stricter(terms));
+                    : host.rehearse(follower.settingsWith(last.active()).stricterOf(terms));
         } catch (RuntimeException | Error e) {
             return String.valueOf(e.getMessage());
         }
@@ -360,15 +360,15 @@
     private void message(String from, byte[] bytes) {
         try {
             List<?> plain = PolicyMessageCodec.plain(bytes);
-            switch (PolicyMessageCodec.whole(plain, 0)) {
+            switch (PolicyMessageCodec.intAt(plain, 0)) {
                 case PolicyMessageCodec.ASK -> asked(from, PolicyMessageCodec.ask(plain));
                 case PolicyMessageCodec.TOLD -> told(PolicyMessageCodec.told(plain));
-                case PolicyMessageCodec.ELSEWHERE -> follower.elsewhere((String) plain.get(2), host.nowMs());
-                case PolicyMessageCodec.NEWS -> follower.news(host.nowMs());
+                case PolicyMessageCodec.ELSEWHERE -> follower.onRedirect((String) plain.get(2), host.nowMs());
+                case PolicyMessageCodec.NEWS -> follower.pollNoLaterThan(host.nowMs());
                 case PolicyMessageCodec.LOG -> {
                     if (deciding != null) {
                         RaftMessage message = RaftMessageCodec.message((List<?>) plain.get(1));
-                        deciding.heard(message);
+                        deciding.onMessage(message);
                     }
                 }
                 case PolicyMessageCodec.ORDER -> {
@@ -393,13 +393,16 @@
             send(from, List.of(PolicyMessageCodec.ELSEWHERE, ask.nonce(), ""));
             return;
         }
-        deciding.asked(ask, host.nowMs(), told -> {
+        deciding.onPoll(ask, host.nowMs(), told -> {
             if (told != null) {
                 send(from, PolicyMessageCodec.told(told));
             } else {
                 send(
                         from,
-                        List.of(PolicyMessageCodec.ELSEWHERE, ask.nonce(), deciding.leading() ? "" : deciding.leads()));
+                        List.of(
+                                PolicyMessageCodec.ELSEWHERE,
+                                ask.nonce(),
+                                deciding.isLeader() ? "" : deciding.leaderName()));
             }
         });
     }
@@ -424,17 +427,19 @@
 
     /** Whether this node could apply these settings, and what would change for it. One at a time: a rehearsal costs CPU. */
     private void tryOut(String from, Object token, String settings) {
-        if (trying || follower.ruling() == null) {
+        if (trying || follower.lease() == null) {
             send(from, List.of(PolicyMessageCodec.REPLY, token, "!busy"));
             return;
         }
         trying = true;
         PolicyLog.Entry entry = new PolicyLog.Entry(0, settings, from, PolicyLog.Stage.PROPOSED, "", "");
-        PolicySettings now = follower.ruling().terms();
+        PolicySettings now = follower.lease().settings();
         Thread checker = new Thread(
                 () -> {
                     String no = no(entry);
-                    String said = no.isEmpty() ? String.join("\n", now.difference(follower.applied(entry))) : "!" + no;
+                    String said = no.isEmpty()
+                            ? String.join("\n", now.differencesTo(follower.settingsWith(entry)))
+                            : "!" + no;
                     queue.add(() -> {
                         trying = false;
                         send(from, List.of(PolicyMessageCodec.REPLY, token, said));
@@ -448,7 +453,7 @@
     private void order(String from, List<?> plain) {
         LogOperation op = new LogOperation(
                 LogOperation.Kind.valueOf((String) plain.get(2)),
-                PolicyMessageCodec.number(plain, 3),
+                PolicyMessageCodec.longAt(plain, 3),
                 (String) plain.get(4),
                 (String) plain.get(5),
                 (String) plain.get(1));
@@ -459,7 +464,7 @@
             send(from, List.of(PolicyMessageCodec.DONE, op.token(), "", addressOfLeader()));
             return;
         }
-        deciding.order(
+        deciding.replicate(
                 op,
                 came -> send(
                         from,
@@ -467,7 +472,7 @@
     }
 
     private String addressOfLeader() {
-        String leads = deciding != null ? deciding.leads() : follower.whom();
+        String leads = deciding != null ? deciding.leaderName() : follower.pollTarget();
         return addresses.getOrDefault(leads, "");
     }
 
@@ -485,22 +490,22 @@
         carrier.note(
                 "log",
                 "holds",
-                log.holds().number(),
+                log.active().number(),
                 "open",
-                log.open() == null ? 0 : log.open().number(),
+                log.pending() == null ? 0 : log.pending().number(),
                 "stage",
-                log.open() == null ? "" : log.open().stage().name(),
+                log.pending() == null ? "" : log.pending().stage().name(),
                 "leading",
-                deciding.leading(),
+                deciding.isLeader(),
                 "last",
-                log.entries().isEmpty()
+                log.finished().isEmpty()
                         ? ""
-                        : log.entries().get(log.entries().size() - 1).number() + " "
-                                + log.entries().get(log.entries().size() - 1).stage() + " "
-                                + log.entries().get(log.entries().size() - 1).why());
-        if (deciding.leading()) {
+                        : log.finished().get(log.finished().size() - 1).number() + " "
+                                + log.finished().get(log.finished().size() - 1).stage() + " "
+                                + log.finished().get(log.finished().size() - 1).reason());
+        if (deciding.isLeader()) {
             there.forEach(node -> send(addresses.get(node), List.of(PolicyMessageCodec.NEWS)));
-            follower.news(host.nowMs());
+            follower.pollNoLaterThan(host.nowMs());
         }
     }
 
@@ -508,12 +513,12 @@
         if (address == null || address.isEmpty()) {
             return;
         }
-        int kind = PolicyMessageCodec.whole(plain, 0);
+        int kind = PolicyMessageCodec.intAt(plain, 0);
         String called = kind == PolicyMessageCodec.LOG
-                ? RaftMessageCodec.NAMES.get(PolicyMessageCodec.whole((List<?>) plain.get(1), 0) - 1)
+                ? RaftMessageCodec.NAMES.get(PolicyMessageCodec.intAt((List<?>) plain.get(1), 0) - 1)
                 : PolicyMessageCodec.NAMES.get(kind);
         CrashPoint.reached("before", "sending", called);
-        pieces.cut(PolicyMessageCodec.bytes(plain)).forEach(piece -> carrier.send(address, piece));
+        pieces.split(PolicyMessageCodec.bytes(plain)).forEach(piece -> carrier.send(address, piece));
         CrashPoint.reached("after", "sending", called);
     }
 
--- a/policy/src/main/java/spartrail/policy/replication/PolicyConfig.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyConfig.java
@@ -29,16 +29,16 @@
                     "/policy/deciders: found " + tree.get("deciders") + ", the names of 3 or 5 nodes are expected");
         }
         names.forEach(name -> deciders.add(String.valueOf(name)));
-        PolicyTimings usual = PolicyTimings.USUAL;
+        PolicyTimings usual = PolicyTimings.DEFAULTS;
         times = new PolicyTimings(
                 number(tree, "leaseMs", usual.leaseMs()),
-                number(tree, "askMs", usual.askMs()),
-                number(tree, "prepareMs", usual.prepareMs()),
-                number(tree, "readyMs", usual.readyMs()),
-                number(tree, "drift", usual.drift()));
-        if (times.askMs() * 2 > times.leaseMs() || times.drift() > 0.2) {
+                number(tree, "askMs", usual.pollIntervalMs()),
+                number(tree, "prepareMs", usual.voteTimeoutMs()),
+                number(tree, "readyMs", usual.startupTimeoutMs()),
+                number(tree, "drift", usual.maxClockDrift()));
+        if (times.pollIntervalMs() * 2 > times.leaseMs() || times.maxClockDrift() > 0.2) {
             throw new IllegalArgumentException("/policy/leaseMs: found " + times.leaseMs() + " with askMs "
-                    + times.askMs() + " and drift " + times.drift()
+                    + times.pollIntervalMs() + " and drift " + times.maxClockDrift()
                     + ", at least two questions a lease and a drift of 0.2 at most are expected");
         }
     }
--- a/policy/src/main/java/spartrail/policy/replication/PolicyMessageCodec.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyMessageCodec.java
@@ -86,37 +86,46 @@
     }
 
     static List<?> ask(PolicyRequest ask) {
-        return List.of(ASK, ask.nonce(), ask.name(), ask.vote(), ask.no(), ask.by());
+        return List.of(ASK, ask.nonce(), ask.node(), ask.votedNumber(), ask.objection(), ask.activePolicy());
     }
 
     static PolicyRequest ask(List<?> plain) {
         return new PolicyRequest(
-                number(plain, 1), (String) plain.get(2), number(plain, 3), (String) plain.get(4), (String)
+                longAt(plain, 1), (String) plain.get(2), longAt(plain, 3), (String) plain.get(4), (String)
                         plain.get(5));
     }
 
     static List<?> told(PolicyResponse told) {
         return List.of(
-                TOLD, told.nonce(), told.index(), entry(told.holds()), told.open() == null ? "" : entry(told.open()));
+                TOLD,
+                told.nonce(),
+                told.appliedIndex(),
+                entry(told.active()),
+                told.pending() == null ? "" : entry(told.pending()));
     }
 
     static PolicyResponse told(List<?> plain) {
         return new PolicyResponse(
-                number(plain, 1),
-                number(plain, 2),
+                longAt(plain, 1),
+                longAt(plain, 2),
                 entry(plain.get(3)),
                 plain.get(4) instanceof List<?> ? entry(plain.get(4)) : null);
     }
 
     private static List<?> entry(PolicyLog.Entry entry) {
         return List.of(
-                entry.number(), entry.settings(), entry.by(), entry.stage().name(), entry.why(), entry.token());
+                entry.number(),
+                entry.settings(),
+                entry.proposer(),
+                entry.stage().name(),
+                entry.reason(),
+                entry.token());
     }
 
     private static PolicyLog.Entry entry(Object plain) {
         List<?> list = (List<?>) plain;
         return new PolicyLog.Entry(
-                number(list, 0),
+                longAt(list, 0),
                 (String) list.get(1),
                 (String) list.get(2),
                 PolicyLog.Stage.valueOf((String) list.get(3)),
@@ -124,11 +133,11 @@
                 (String) list.get(5));
     }
 
-    static long number(List<?> plain, int at) {
+    static long longAt(List<?> plain, int at) {
         return ((Number) plain.get(at)).longValue();
     }
 
-    static int whole(List<?> plain, int at) {
+    static int intAt(List<?> plain, int at) {
         return ((Number) plain.get(at)).intValue();
     }
 
--- a/policy/src/main/java/spartrail/policy/replication/PolicyStatusPage.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyStatusPage.java
@@ -27,26 +27,27 @@
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
             out.writeStartObject();
             out.writeStringField("node", node);
-            PolicyLease now = given == null ? null : given.at(nowMs);
-            out.writeStringField("by", now == null ? "" : now.name());
-            out.writeBooleanField("guarded", now != null && now.guarded());
+            PolicyLease now = given == null ? null : given.activeAt(nowMs);
+            out.writeStringField("by", now == null ? "" : now.label());
+            out.writeBooleanField("guarded", now != null && now.isJoint());
             out.writeNumberField(
-                    "forMs", now == null || Double.isInfinite(now.untilMs()) ? -1 : Math.round(now.untilMs() - nowMs));
-            out.writeStringField("unfit", follower.unfit());
-            out.writeStringField("terms", now == null ? "{}" : now.terms().json());
+                    "forMs",
+                    now == null || Double.isInfinite(now.expiresAtMs()) ? -1 : Math.round(now.expiresAtMs() - nowMs));
+            out.writeStringField("unfit", follower.incompatibility());
+            out.writeStringField("terms", now == null ? "{}" : now.settings().toJson());
             out.writeBooleanField("decides", deciding != null);
-            out.writeBooleanField("leads", deciding != null && deciding.leading());
+            out.writeBooleanField("leads", deciding != null && deciding.isLeader());
             out.writeStringField("leader", leader);
-            PolicyResponse last = follower.last();
+            PolicyResponse last = follower.lastResponse();
             if (last != null) {
-                entry(out, "holds", last.holds());
-                if (last.open() != null) {
-                    entry(out, "open", last.open());
+                entry(out, "holds", last.active());
+                if (last.pending() != null) {
+                    entry(out, "open", last.pending());
                 }
             }
             out.writeArrayFieldStart("entries");
             if (deciding != null) {
-                var entries = deciding.log().entries();
+                var entries = deciding.log().finished();
                 for (PolicyLog.Entry entry :
                         entries.subList(Math.max(0, entries.size() - MOST_ENTRIES), entries.size())) {
                     entry(out, null, entry);
@@ -67,8 +68,8 @@
         out.writeStartObject();
         out.writeNumberField("number", entry.number());
         out.writeStringField("stage", entry.stage().name());
-        out.writeStringField("by", entry.by());
-        out.writeStringField("why", entry.why());
+        out.writeStringField("by", entry.proposer());
+        out.writeStringField("why", entry.reason());
         out.writeStringField("settings", entry.settings());
         out.writeEndObject();
     }
--- a/policy/src/main/java/spartrail/policy/replication/RaftLogStore.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftLogStore.java
@@ -71,7 +71,7 @@
     private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> chunks = new TreeMap<>();
 
     /** Makes the file of a node of a new set; an IOException where there is one. */
-    static void found(Path folder, String fleet, String node, List<String> deciders) throws IOException {
+    static void bootstrap(Path folder, String fleet, String node, List<String> deciders) throws IOException {
         Files.createDirectories(folder);
         Path fresh = folder.resolve(NAME + ".new");
         try (FileChannel out = FileChannel.open(
@@ -87,7 +87,7 @@
         sync(folder);
     }
 
-    static boolean there(Path folder) {
+    static boolean exists(Path folder) {
         return Files.exists(folder.resolve(NAME));
     }
 
@@ -117,7 +117,7 @@
             throw new IOException(file + ": does not begin as the log of policy does");
         }
         List<?> head = records.get(0);
-        if (PolicyMessageCodec.whole(head, 1) != FORM) {
+        if (PolicyMessageCodec.intAt(head, 1) != FORM) {
             throw new IOException(file + ": is of form " + head.get(1) + ", this program reads form " + FORM);
         }
         if (!head.get(2).equals(fleet) || !head.get(3).equals(node)) {
@@ -172,35 +172,35 @@
         switch ((String) record.get(0)) {
             case "SELF" -> self = RaftMessageCodec.MODEL
                     .createRaftEndpointPersistentStateBuilder()
-                    .setLocalEndpoint(Voter.of(record.get(1)))
+                    .setLocalEndpoint(Voter.endpointOrNull(record.get(1)))
                     .setVoting((Boolean) record.get(2))
                     .build();
             case "GROUP" -> group = RaftMessageCodec.group((List<?>) record.get(1));
             case "TERM" -> term = RaftMessageCodec.MODEL
                     .createRaftTermPersistentStateBuilder()
-                    .setTerm(PolicyMessageCodec.whole(record, 1))
-                    .setVotedFor(Voter.of(record.get(2)))
+                    .setTerm(PolicyMessageCodec.intAt(record, 1))
+                    .setVotedFor(Voter.endpointOrNull(record.get(2)))
                     .build();
             case "ENTRY" -> {
                 LogEntry entry = RaftMessageCodec.entry((List<?>) record.get(1));
                 entries.put(entry.getIndex(), entry);
             }
-            case "FROM" -> entries.tailMap(PolicyMessageCodec.number(record, 1), true)
+            case "FROM" -> entries.tailMap(PolicyMessageCodec.longAt(record, 1), true)
                     .clear();
-            case "UNTIL" -> entries.headMap(PolicyMessageCodec.number(record, 1), true)
+            case "UNTIL" -> entries.headMap(PolicyMessageCodec.longAt(record, 1), true)
                     .clear();
             case "CHUNK" -> {
                 SnapshotChunk chunk = RaftMessageCodec.chunk((List<?>) record.get(1));
                 chunks.computeIfAbsent(chunk.getIndex(), index -> new TreeMap<>())
                         .put(chunk.getSnapshotChunkIndex(), chunk);
             }
-            case "DROP" -> chunks.remove(PolicyMessageCodec.number(record, 1));
+            case "DROP" -> chunks.remove(PolicyMessageCodec.longAt(record, 1));
             default -> throw new IllegalArgumentException("unknown record " + record.get(0));
         }
     }
 
     /** The deciders of the set as it was founded. */
-    List<String> deciders() {
+    List<String> voters() {
         return deciders;
     }
 
@@ -291,7 +291,7 @@
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
-        write(List.of("SELF", Voter.name(state.getLocalEndpoint()), state.isVoting()), true);
+        write(List.of("SELF", Voter.nameOf(state.getLocalEndpoint()), state.isVoting()), true);
     }
 
     @Override
@@ -301,7 +301,7 @@
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
-        write(List.of("TERM", state.getTerm(), Voter.name(state.getVotedFor())), true);
+        write(List.of("TERM", state.getTerm(), Voter.nameOf(state.getVotedFor())), true);
     }
 
     @Override
@@ -358,9 +358,9 @@
                 fresh, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
         List<List<?>> records = new ArrayList<>();
         records.add(first);
-        records.add(List.of("SELF", Voter.name(self.getLocalEndpoint()), self.isVoting()));
+        records.add(List.of("SELF", Voter.nameOf(self.getLocalEndpoint()), self.isVoting()));
         records.add(List.of("GROUP", RaftMessageCodec.plain(group)));
-        records.add(List.of("TERM", term.getTerm(), Voter.name(term.getVotedFor())));
+        records.add(List.of("TERM", term.getTerm(), Voter.nameOf(term.getVotedFor())));
         chunks.values().forEach(parts -> parts.values()
                 .forEach(chunk -> records.add(List.of("CHUNK", RaftMessageCodec.plain(chunk)))));
         entries.values().forEach(entry -> records.add(List.of("ENTRY", RaftMessageCodec.plain(entry))));
--- a/policy/src/main/java/spartrail/policy/replication/RaftMessageCodec.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftMessageCodec.java
@@ -1,7 +1,7 @@
 package spartrail.policy.replication;
 
-import static spartrail.policy.replication.PolicyMessageCodec.number;
-import static spartrail.policy.replication.PolicyMessageCodec.whole;
+import static spartrail.policy.replication.PolicyMessageCodec.intAt;
+import static spartrail.policy.replication.PolicyMessageCodec.longAt;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
@@ -48,7 +48,7 @@
     /** A message; null for a kind that is not known. */
     static List<?> plain(RaftMessage message) {
         List<Object> out =
-                new ArrayList<>(List.of(0, message.getGroupId(), Voter.name(message.getSender()), message.getTerm()));
+                new ArrayList<>(List.of(0, message.getGroupId(), Voter.nameOf(message.getSender()), message.getTerm()));
         if (message instanceof AppendEntriesRequest m) {
             List<Object> entries = new ArrayList<>();
             m.getLogEntries().forEach(entry -> entries.add(plain(entry)));
@@ -74,7 +74,7 @@
                     m.getSnapshotIndex(),
                     m.getTotalSnapshotChunkCount(),
                     m.getSnapshotChunk() == null ? "" : plain(m.getSnapshotChunk()),
-                    Voter.names(m.getSnapshottedMembers()),
+                    Voter.namesOf(m.getSnapshottedMembers()),
                     plain(m.getGroupMembersView()),
                     m.getQuerySequenceNumber(),
                     m.getFlowControlSequenceNumber());
@@ -109,9 +109,9 @@
 
     static RaftMessage message(List<?> in) {
         Object group = in.get(1);
-        RaftEndpoint sender = Voter.of(in.get(2));
-        int term = whole(in, 3);
-        return switch (whole(in, 0)) {
+        RaftEndpoint sender = Voter.endpointOrNull(in.get(2));
+        int term = intAt(in, 3);
+        return switch (intAt(in, 0)) {
             case 1 -> {
                 List<LogEntry> entries = new ArrayList<>();
                 ((List<?>) in.get(7)).forEach(entry -> entries.add(entry((List<?>) entry)));
@@ -119,59 +119,59 @@
                         .setGroupId(group)
                         .setSender(sender)
                         .setTerm(term)
-                        .setPreviousLogTerm(whole(in, 4))
-                        .setPreviousLogIndex(number(in, 5))
-                        .setCommitIndex(number(in, 6))
+                        .setPreviousLogTerm(intAt(in, 4))
+                        .setPreviousLogIndex(longAt(in, 5))
+                        .setCommitIndex(longAt(in, 6))
                         .setLogEntries(entries)
-                        .setQuerySequenceNumber(number(in, 8))
-                        .setFlowControlSequenceNumber(number(in, 9))
+                        .setQuerySequenceNumber(longAt(in, 8))
+                        .setFlowControlSequenceNumber(longAt(in, 9))
                         .build();
             }
             case 2 -> MODEL.createAppendEntriesSuccessResponseBuilder()
                     .setGroupId(group)
                     .setSender(sender)
                     .setTerm(term)
-                    .setLastLogIndex(number(in, 4))
-                    .setQuerySequenceNumber(number(in, 5))
-                    .setFlowControlSequenceNumber(number(in, 6))
+                    .setLastLogIndex(longAt(in, 4))
+                    .setQuerySequenceNumber(longAt(in, 5))
+                    .setFlowControlSequenceNumber(longAt(in, 6))
                     .build();
             case 3 -> MODEL.createAppendEntriesFailureResponseBuilder()
                     .setGroupId(group)
                     .setSender(sender)
                     .setTerm(term)
-                    .setExpectedNextIndex(number(in, 4))
-                    .setQuerySequenceNumber(number(in, 5))
-                    .setFlowControlSequenceNumber(number(in, 6))
+                    .setExpectedNextIndex(longAt(in, 4))
+                    .setQuerySequenceNumber(longAt(in, 5))
+                    .setFlowControlSequenceNumber(longAt(in, 6))
                     .build();
             case 4 -> MODEL.createInstallSnapshotRequestBuilder()
                     .setGroupId(group)
                     .setSender(sender)
                     .setTerm(term)
                     .setSenderLeader((Boolean) in.get(4))
-                    .setSnapshotTerm(whole(in, 5))
-                    .setSnapshotIndex(number(in, 6))
-                    .setTotalSnapshotChunkCount(whole(in, 7))
+                    .setSnapshotTerm(intAt(in, 5))
+                    .setSnapshotIndex(longAt(in, 6))
+                    .setTotalSnapshotChunkCount(intAt(in, 7))
                     .setSnapshotChunk(in.get(8) instanceof List<?> chunk ? chunk(chunk) : null)
-                    .setSnapshottedMembers(Voter.of(PolicyMessageCodec.names(in.get(9))))
+                    .setSnapshottedMembers(Voter.endpoints(PolicyMessageCodec.names(in.get(9))))
                     .setGroupMembersView(group((List<?>) in.get(10)))
-                    .setQuerySequenceNumber(number(in, 11))
-                    .setFlowControlSequenceNumber(number(in, 12))
+                    .setQuerySequenceNumber(longAt(in, 11))
+                    .setFlowControlSequenceNumber(longAt(in, 12))
                     .build();
             case 5 -> MODEL.createInstallSnapshotResponseBuilder()
                     .setGroupId(group)
                     .setSender(sender)
                     .setTerm(term)
-                    .setSnapshotIndex(number(in, 4))
-                    .setRequestedSnapshotChunkIndex(whole(in, 5))
-                    .setQuerySequenceNumber(number(in, 6))
-                    .setFlowControlSequenceNumber(number(in, 7))
+                    .setSnapshotIndex(longAt(in, 4))
+                    .setRequestedSnapshotChunkIndex(intAt(in, 5))
+                    .setQuerySequenceNumber(longAt(in, 6))
+                    .setFlowControlSequenceNumber(longAt(in, 7))
                     .build();
             case 6 -> MODEL.createPreVoteRequestBuilder()
                     .setGroupId(group)
                     .setSender(sender)
                     .setTerm(term)
-                    .setLastLogTerm(whole(in, 4))
-                    .setLastLogIndex(number(in, 5))
+                    .setLastLogTerm(intAt(in, 4))
+                    .setLastLogIndex(longAt(in, 5))
                     .build();
             case 7 -> MODEL.createPreVoteResponseBuilder()
                     .setGroupId(group)
@@ -183,8 +183,8 @@
                     .setGroupId(group)
                     .setSender(sender)
                     .setTerm(term)
-                    .setLastLogTerm(whole(in, 4))
-                    .setLastLogIndex(number(in, 5))
+                    .setLastLogTerm(intAt(in, 4))
+                    .setLastLogIndex(longAt(in, 5))
                     .setSticky((Boolean) in.get(6))
                     .build();
             case 9 -> MODEL.createVoteResponseBuilder()
@@ -197,8 +197,8 @@
                     .setGroupId(group)
                     .setSender(sender)
                     .setTerm(term)
-                    .setLastLogTerm(whole(in, 4))
-                    .setLastLogIndex(number(in, 5))
+                    .setLastLogTerm(intAt(in, 4))
+                    .setLastLogIndex(longAt(in, 5))
                     .build();
             default -> throw new IllegalArgumentException("unknown kind " + in.get(0));
         };
@@ -210,8 +210,8 @@
 
     static LogEntry entry(List<?> in) {
         return MODEL.createLogEntryBuilder()
-                .setIndex(number(in, 0))
-                .setTerm(whole(in, 1))
+                .setIndex(longAt(in, 0))
+                .setTerm(intAt(in, 1))
                 .setOperation(operation((List<?>) in.get(2)))
                 .build();
     }
@@ -221,35 +221,35 @@
         if (operation instanceof UpdateRaftGroupMembersOp op) {
             return List.of(
                     "MEMBERS",
-                    Voter.names(op.getMembers()),
-                    Voter.names(op.getVotingMembers()),
-                    Voter.name(op.getEndpoint()),
+                    Voter.namesOf(op.getMembers()),
+                    Voter.namesOf(op.getVotingMembers()),
+                    Voter.nameOf(op.getEndpoint()),
                     op.getMode().name());
         }
-        return ((LogOperation) operation).plain();
+        return ((LogOperation) operation).toList();
     }
 
     private static Object operation(List<?> in) {
         if (in.get(0).equals("MEMBERS")) {
             return MODEL.createUpdateRaftGroupMembersOpBuilder()
-                    .setMembers(Voter.of(PolicyMessageCodec.names(in.get(1))))
-                    .setVotingMembers(Voter.of(PolicyMessageCodec.names(in.get(2))))
-                    .setEndpoint(Voter.of(in.get(3)))
+                    .setMembers(Voter.endpoints(PolicyMessageCodec.names(in.get(1))))
+                    .setVotingMembers(Voter.endpoints(PolicyMessageCodec.names(in.get(2))))
+                    .setEndpoint(Voter.endpointOrNull(in.get(3)))
                     .setMode(MembershipChangeMode.valueOf((String) in.get(4)))
                     .build();
         }
-        return LogOperation.of(in);
+        return LogOperation.fromList(in);
     }
 
     static List<?> plain(RaftGroupMembersView group) {
-        return List.of(group.getLogIndex(), Voter.names(group.getMembers()), Voter.names(group.getVotingMembers()));
+        return List.of(group.getLogIndex(), Voter.namesOf(group.getMembers()), Voter.namesOf(group.getVotingMembers()));
     }
 
     static RaftGroupMembersView group(List<?> in) {
         return MODEL.createRaftGroupMembersViewBuilder()
-                .setLogIndex(number(in, 0))
-                .setMembers(Voter.of(PolicyMessageCodec.names(in.get(1))))
-                .setVotingMembers(Voter.of(PolicyMessageCodec.names(in.get(2))))
+                .setLogIndex(longAt(in, 0))
+                .setMembers(Voter.endpoints(PolicyMessageCodec.names(in.get(1))))
+                .setVotingMembers(Voter.endpoints(PolicyMessageCodec.names(in.get(2))))
                 .build();
     }
 
@@ -265,11 +265,11 @@
 
     static SnapshotChunk chunk(List<?> in) {
         return MODEL.createSnapshotChunkBuilder()
-                .setIndex(number(in, 0))
-                .setTerm(whole(in, 1))
+                .setIndex(longAt(in, 0))
+                .setTerm(intAt(in, 1))
                 .setOperation(in.get(2))
-                .setSnapshotChunkIndex(whole(in, 3))
-                .setSnapshotChunkCount(whole(in, 4))
+                .setSnapshotChunkIndex(intAt(in, 3))
+                .setSnapshotChunkCount(intAt(in, 4))
                 .setGroupMembersView(group((List<?>) in.get(5)))
                 .build();
     }
--- a/policy/src/main/java/spartrail/policy/replication/RaftReplica.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftReplica.java
@@ -94,7 +94,7 @@
         if (restored != null) {
             builder.setRestoredState(restored);
         } else {
-            builder.setLocalEndpoint(new Voter(name)).setInitialGroupMembers(Voter.of(journal.deciders()));
+            builder.setLocalEndpoint(new Voter(name)).setInitialGroupMembers(Voter.endpoints(journal.voters()));
         }
         raft = builder.build();
         raft.start();
@@ -105,7 +105,7 @@
     @Override
     public Object runOperation(long index, Object operation) {
         if (operation == READ) {
-            return new PolicyResponse(0, log.applied(), log.holds(), log.open());
+            return new PolicyResponse(0, log.lastAppliedIndex(), log.active(), log.pending());
         }
         LogOperation op = (LogOperation) operation;
         PolicyLog.Stage next =
@@ -119,9 +119,9 @@
                 };
         CrashPoint.reached("before", "becoming", String.valueOf(next));
         String came = log.apply(index, op);
-        if (log.holds() != holds || log.open() != open) {
-            holds = log.holds();
-            open = log.open();
+        if (log.active() != holds || log.pending() != open) {
+            holds = log.active();
+            open = log.pending();
             changed.run();
         }
         CrashPoint.reached("after", "becoming", String.valueOf(next));
@@ -130,54 +130,54 @@
 
     @Override
     public void takeSnapshot(long index, Consumer<Object> chunks) {
-        chunks.accept(log.plain());
+        chunks.accept(log.toSnapshot());
     }
 
     @Override
     public void installSnapshot(long index, List<Object> chunks) {
-        log.restore(index, (List<?>) chunks.get(0));
+        log.restoreSnapshot(index, (List<?>) chunks.get(0));
     }
 
     @Override
     public Object getNewTermOperation() {
-        return LogOperation.LEADS;
+        return LogOperation.OF_NEW_TERM;
     }
 
     @Override
     public void send(RaftEndpoint to, RaftMessage message) {
-        sending.accept(Voter.name(to), message);
+        sending.accept(Voter.nameOf(to), message);
     }
 
     @Override
     public boolean isReachable(RaftEndpoint endpoint) {
-        return reachable.test(Voter.name(endpoint));
+        return reachable.test(Voter.nameOf(endpoint));
     }
 
-    void heard(RaftMessage message) {
+    void onMessage(RaftMessage message) {
         raft.handle(message);
     }
 
     // ---- What is asked of it ----
 
     /** Who leads, as far as this node knows; empty where it does not. */
-    String leads() {
+    String leaderName() {
         return raft.getStatus() == RaftNodeStatus.TERMINATED
                 ? ""
-                : Voter.name(raft.getTerm().getLeaderEndpoint());
+                : Voter.nameOf(raft.getTerm().getLeaderEndpoint());
     }
 
-    boolean leading() {
-        return leads().equals(Voter.name(raft.getLocalEndpoint()));
+    boolean isLeader() {
+        return leaderName().equals(Voter.nameOf(raft.getLocalEndpoint()));
     }
 
     /** A node asks what holds; the reply is null where this node cannot say. */
-    void asked(PolicyRequest ask, double nowMs, Consumer<PolicyResponse> reply) {
-        if (!leading() || waiting.size() >= MOST_WAITING) {
+    void onPoll(PolicyRequest ask, double nowMs, Consumer<PolicyResponse> reply) {
+        if (!isLeader() || waiting.size() >= MOST_WAITING) {
             reply.accept(null);
             return;
         }
-        leader.leads(true);
-        leader.asked(ask, nowMs);
+        leader.setLeading(true);
+        leader.onRequest(ask, nowMs);
         waiting.add(new Waiting(ask, reply));
         read();
     }
@@ -198,14 +198,17 @@
                                     told == null
                                             ? null
                                             : new PolicyResponse(
-                                                    each.ask().nonce(), told.index(), told.holds(), told.open())));
+                                                    each.ask().nonce(),
+                                                    told.appliedIndex(),
+                                                    told.active(),
+                                                    told.pending())));
                     read();
                 });
     }
 
     /** An order of an operator; what came of it, or null where this node does not lead, or does not know. */
-    void order(LogOperation op, Consumer<String> came) {
-        if (!leading()) {
+    void replicate(LogOperation op, Consumer<String> came) {
+        if (!isLeader()) {
             came.accept(null);
             return;
         }
@@ -216,8 +219,8 @@
 
     /** What the leading one has to do by now. */
     void step(Collection<String> there, double nowMs) {
-        leader.leads(leading());
-        LogOperation op = leader.due(log, there, nowMs);
+        leader.setLeading(isLeader());
+        LogOperation op = leader.nextOperation(log, there, nowMs);
         if (op != null) {
             raft.<String>replicate(op).whenComplete((answer, failure) -> {});
         }
--- a/policy/src/main/java/spartrail/policy/replication/Voter.java
+++ b/policy/src/main/java/spartrail/policy/replication/Voter.java
@@ -11,19 +11,19 @@
         return name;
     }
 
-    static List<RaftEndpoint> of(Collection<String> names) {
+    static List<RaftEndpoint> endpoints(Collection<String> names) {
         return names.stream().map(name -> (RaftEndpoint) new Voter(name)).toList();
     }
 
-    static RaftEndpoint of(Object plain) {
+    static RaftEndpoint endpointOrNull(Object plain) {
         return plain.equals("") ? null : new Voter((String) plain);
     }
 
-    static String name(RaftEndpoint decider) {
+    static String nameOf(RaftEndpoint decider) {
         return decider == null ? "" : (String) decider.getId();
     }
 
-    static List<String> names(Collection<RaftEndpoint> deciders) {
-        return deciders.stream().map(Voter::name).toList();
+    static List<String> namesOf(Collection<RaftEndpoint> deciders) {
+        return deciders.stream().map(Voter::nameOf).toList();
     }
 }
--- a/policy/src/test/java/spartrail/policy/replication/LogFileFormsTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/LogFileFormsTest.java
@@ -40,7 +40,7 @@
 
     private Path bootstrapped(String name) throws IOException {
         Path made = folder.resolve(name);
-        RaftLogStore.found(made, "recife", "n0", List.of("n0", "n1", "n2"));
+        RaftLogStore.bootstrap(made, "recife", "n0", List.of("n0", "n1", "n2"));
         return made;
     }
 
@@ -48,7 +48,7 @@
         journal.persistAndFlushTerm(RaftMessageCodec.MODEL
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(term)
-                .setVotedFor(Voter.of((Object) votedFor))
+                .setVotedFor(Voter.endpointOrNull((Object) votedFor))
                 .build());
     }
 
@@ -84,10 +84,11 @@
     @Test
     void aStoredLogIsReadWithItsSnapshot() throws IOException {
         try (RaftLogStore journal = open(folderWith("stored", stored(GROWN)))) {
-            assertThat(journal.deciders()).containsExactly("n0", "n1", "n2");
+            assertThat(journal.voters()).containsExactly("n0", "n1", "n2");
             RestoredRaftState state = journal.restored();
             assertThat(state.getTermPersistentState().getTerm()).isEqualTo(2);
-            assertThat(Voter.name(state.getTermPersistentState().getVotedFor())).isEqualTo("n1");
+            assertThat(Voter.nameOf(state.getTermPersistentState().getVotedFor()))
+                    .isEqualTo("n1");
             assertThat(state.getLogEntries())
                     .extracting(LogEntry::getIndex)
                     .containsExactly(303L, 304L, 305L, 306L, 307L, 308L);
--- a/policy/src/test/java/spartrail/policy/replication/MessageFormsTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/MessageFormsTest.java
@@ -82,7 +82,7 @@
                 StoredForms.read("policy-messages.txt").entrySet()) {
             List<?> plain = PolicyMessageCodec.plain(StoredForms.bytes(form.getValue()));
             List<?> again =
-                    switch (PolicyMessageCodec.whole(plain, 0)) {
+                    switch (PolicyMessageCodec.intAt(plain, 0)) {
                         case PolicyMessageCodec.ASK -> PolicyMessageCodec.ask(PolicyMessageCodec.ask(plain));
                         case PolicyMessageCodec.TOLD -> PolicyMessageCodec.told(PolicyMessageCodec.told(plain));
                         case PolicyMessageCodec.LOG -> List.of(
@@ -212,7 +212,7 @@
                 .setSnapshotIndex(300)
                 .setTotalSnapshotChunkCount(1)
                 .setSnapshotChunk(chunk)
-                .setSnapshottedMembers(Voter.of(List.of("n0", "n1")))
+                .setSnapshottedMembers(Voter.endpoints(List.of("n0", "n1")))
                 .setGroupMembersView(members())
                 .setQuerySequenceNumber(4)
                 .setFlowControlSequenceNumber(5)
@@ -223,15 +223,15 @@
         return RaftMessageCodec.MODEL
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(9)
-                .setMembers(Voter.of(List.of("n0", "n1", "n2")))
-                .setVotingMembers(Voter.of(List.of("n0", "n1")))
+                .setMembers(Voter.endpoints(List.of("n0", "n1", "n2")))
+                .setVotingMembers(Voter.endpoints(List.of("n0", "n1")))
                 .build();
     }
 
     /** The state of a log that has seen a proposal of each outcome, as a snapshot holds it. */
     private static List<Object> logState() {
         PolicyLog log = new PolicyLog();
-        log.apply(1, LogOperation.LEADS);
+        log.apply(1, LogOperation.OF_NEW_TERM);
         log.apply(2, new LogOperation(LogOperation.Kind.PROPOSE, 0, "{\"sends\":{\"most\":3}}", "ana", "t1"));
         log.apply(3, new LogOperation(LogOperation.Kind.DECIDE, 1, "", "", ""));
         log.apply(4, new LogOperation(LogOperation.Kind.HOLD, 1, "", "", ""));
@@ -241,7 +241,7 @@
         log.apply(8, new LogOperation(LogOperation.Kind.ABORT, 3, "", "ana", ""));
         log.apply(9, new LogOperation(LogOperation.Kind.PROPOSE, 0, "{}", "bo", "t4"));
         log.apply(10, new LogOperation(LogOperation.Kind.DECIDE, 4, "", "", ""));
-        return log.plain();
+        return log.toSnapshot();
     }
 
     static SnapshotChunk chunk(long index, int place) {
@@ -277,8 +277,8 @@
                     ++index,
                     RaftMessageCodec.MODEL
                             .createUpdateRaftGroupMembersOpBuilder()
-                            .setMembers(Voter.of(List.of("n0", "n1", "n2")))
-                            .setVotingMembers(Voter.of(List.of("n0", "n1")))
+                            .setMembers(Voter.endpoints(List.of("n0", "n1", "n2")))
+                            .setVotingMembers(Voter.endpoints(List.of("n0", "n1")))
                             .setEndpoint(new Voter("n2"))
                             .setMode(mode)
                             .build()));
@@ -316,7 +316,7 @@
         Map<String, String> seen = new LinkedHashMap<>();
         byte[] message = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11};
         int place = 0;
-        for (byte[] piece : new DatagramReassembler(13, 0x01020304).cut(message)) {
+        for (byte[] piece : new DatagramReassembler(13, 0x01020304).split(message)) {
             seen.put("piece " + place++, StoredForms.hex(piece));
         }
         StoredForms.writeSeen("pieces.txt", seen);
@@ -325,7 +325,7 @@
         DatagramReassembler receiver = new DatagramReassembler(13, 9);
         byte[] complete = null;
         for (String piece : stored.values()) {
-            complete = receiver.whole("sender", StoredForms.bytes(piece));
+            complete = receiver.add("sender", StoredForms.bytes(piece));
         }
         assertThat(complete).isEqualTo(message);
     }
--- a/policy/src/test/java/spartrail/policy/replication/PageFormsTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/PageFormsTest.java
@@ -99,37 +99,37 @@
 
     private static PolicyFollower follower() {
         PolicySettings own = PolicySettings.of(Map.of("/sends/most", 4, "/comeback/told", true));
-        return new PolicyFollower("n0", List.of("n0", "n1", "n2"), own, PolicyTimings.USUAL, new Random(5), 0);
+        return new PolicyFollower("n0", List.of("n0", "n1", "n2"), own, PolicyTimings.DEFAULTS, new Random(5), 0);
     }
 
     private static PolicyFollower follower(PolicyLog.Entry open) {
         PolicyFollower follower = follower();
-        PolicyRequest ask = follower.ask(0);
-        follower.told(new PolicyResponse(ask.nonce(), 9, HOLDS, open), 1);
+        PolicyRequest ask = follower.pollIfDue(0);
+        follower.onResponse(new PolicyResponse(ask.nonce(), 9, HOLDS, open), 1);
         return follower;
     }
 
     private static String page(PolicyFollower follower, RaftReplica deciding, double nowMs) {
-        return PolicyStatusPage.of("n0", follower.ruling(), follower, deciding, "127.0.0.1:7000", nowMs);
+        return PolicyStatusPage.of("n0", follower.lease(), follower, deciding, "127.0.0.1:7000", nowMs);
     }
 
     /** The log of the only deciding node, which has seen a proposal of each outcome. */
     private String pageOfLeader() throws IOException {
-        RaftLogStore.found(folder, "recife", "n0", List.of("n0"));
+        RaftLogStore.bootstrap(folder, "recife", "n0", List.of("n0"));
         ManualPlace place = new ManualPlace();
         try (RaftLogStore journal = new RaftLogStore(folder, "recife", "n0")) {
             RaftReplica deciding = new RaftReplica(
                     "n0",
                     "recife",
                     journal,
-                    PolicyTimings.USUAL,
+                    PolicyTimings.DEFAULTS,
                     place,
                     new Random(1),
                     (to, message) -> {},
                     name -> false,
                     () -> {});
             place.runQueue();
-            for (int i = 0; i < 1000 && !deciding.leading(); i++) {
+            for (int i = 0; i < 1000 && !deciding.isLeader(); i++) {
                 place.runNextTimer();
             }
             for (LogOperation op : List.of(
@@ -140,7 +140,7 @@
                     new LogOperation(LogOperation.Kind.REFUSE, 2, "no", "n2", ""),
                     new LogOperation(LogOperation.Kind.PROPOSE, 0, "{}", "bo", "t3"),
                     new LogOperation(LogOperation.Kind.ABORT, 3, "", "ana", ""))) {
-                deciding.order(op, came -> {});
+                deciding.replicate(op, came -> {});
                 place.runQueue();
             }
             String page = page(follower(null), deciding, 100);
--- a/policy/src/test/java/spartrail/policy/replication/RaftLogStoreTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/RaftLogStoreTest.java
@@ -29,7 +29,7 @@
     @BeforeEach
     void found() throws IOException {
         quiet.setLevel(Level.OFF);
-        RaftLogStore.found(folder, "recife", "n0", List.of("n0", "n1", "n2"));
+        RaftLogStore.bootstrap(folder, "recife", "n0", List.of("n0", "n1", "n2"));
         file = folder.resolve("policy.log");
     }
 
@@ -52,8 +52,8 @@
             journal.persistAndFlushInitialGroupMembers(RaftMessageCodec.MODEL
                     .createRaftGroupMembersViewBuilder()
                     .setLogIndex(0)
-                    .setMembers(Voter.of(journal.deciders()))
-                    .setVotingMembers(Voter.of(journal.deciders()))
+                    .setMembers(Voter.endpoints(journal.voters()))
+                    .setVotingMembers(Voter.endpoints(journal.voters()))
                     .build());
             journal.persistAndFlushTerm(RaftMessageCodec.MODEL
                     .createRaftTermPersistentStateBuilder()
@@ -73,7 +73,7 @@
             return state == null
                     ? "nothing"
                     : state.getTermPersistentState().getTerm() + " "
-                            + Voter.name(state.getTermPersistentState().getVotedFor()) + " "
+                            + Voter.nameOf(state.getTermPersistentState().getVotedFor()) + " "
                             + state.getLogEntries().stream()
                                     .map(entry -> entry.getIndex() + ((LogOperation) entry.getOperation()).text())
                                     .collect(Collectors.joining(" "));
@@ -133,7 +133,7 @@
                 .hasMessage(file + ": is that of n0 in recife, found by n1 in recife");
         assertThatThrownBy(() -> new RaftLogStore(folder, "macon", "n0"))
                 .hasMessage(file + ": is that of n0 in recife, found by n0 in macon");
-        assertThatThrownBy(() -> RaftLogStore.found(folder, "recife", "n0", List.of("n0")))
+        assertThatThrownBy(() -> RaftLogStore.bootstrap(folder, "recife", "n0", List.of("n0")))
                 .hasMessage(file + ": is there already");
         Files.writeString(file, "{\"fleet\": \"recife\", \"what\": \"something else\"}");
         assertThatThrownBy(() -> new RaftLogStore(folder, "recife", "n0")).hasMessageContaining("spoilt");
@@ -145,16 +145,16 @@
         new java.util.Random(3).nextBytes(message);
         DatagramReassembler from = new DatagramReassembler(1100, 7);
         DatagramReassembler to = new DatagramReassembler(1100, 9);
-        List<byte[]> pieces = from.cut(message);
+        List<byte[]> pieces = from.split(message);
         assertThat(pieces).hasSize(5);
         for (int i : new int[] {3, 0, 4, 4, 1}) {
-            assertThat(to.whole("a", pieces.get(i))).isNull();
+            assertThat(to.add("a", pieces.get(i))).isNull();
         }
-        assertThat(to.whole("b", pieces.get(2))).isNull();
-        assertThat(to.whole("a", pieces.get(2))).isEqualTo(message);
+        assertThat(to.add("b", pieces.get(2))).isNull();
+        assertThat(to.add("a", pieces.get(2))).isEqualTo(message);
         for (int i = 0; i < 1000; i++) {
-            to.whole("a", from.cut(message).get(0));
+            to.add("a", from.split(message).get(0));
         }
-        assertThat(to.whole("a", new byte[] {1, 2})).isNull();
+        assertThat(to.add("a", new byte[] {1, 2})).isNull();
     }
 }
