--- a/core/src/main/java/spartrail/coordination/OutlierDetector.java
+++ b/core/src/main/java/spartrail/coordination/OutlierDetector.java
@@ -37,6 +37,10 @@
     private final EventContext context;
     private final LatencyEstimator latencies;
     private final Map<String, Double> zoneRelativeLatencies = new LinkedHashMap<>();
+    /** Relative latencies of the median server and of the best zone in this tick. */
+    private double median;
+
+    private double bestZone;
 
     OutlierDetector(EventContext context, LatencyEstimator latencies) {
         this.context = context;
@@ -109,27 +113,29 @@
     }
 
     /**
-     * Ejects and readmits servers by comparison with the median server, as a slowdown of all is no fault of some. Zones are
-     * compared with the best zone: a bad path to half of the servers would make its slowness the median, and a zone has samples
-     * enough where each of its servers is seldom met.
+     * Starts a tick, in which {@link #updateEjection} is called for each live server. Servers are compared with the median one, as a
+     * slowdown of all is no fault of some. Zones are compared with the best zone: a bad path to half of the servers would make its
+     * slowness the median, and a zone has samples enough where each of its servers is seldom met.
      */
-    void updateEjections(List<Server> live) {
-        double median = medianRelativeLatency(live);
-        double bestZone = zoneRelativeLatencies.values().stream()
+    void beginTick(List<Server> live) {
+        median = medianRelativeLatency(live);
+        bestZone = zoneRelativeLatencies.values().stream()
                 .mapToDouble(relativeLatency -> relativeLatency)
                 .min()
                 .orElse(1);
         zoneRelativeLatencies.replaceAll((zone, relativeLatency) ->
                 relativeLatency + (1 - relativeLatency) * EventContext.TICK_INTERVAL_MS / ZONE_DECAY_MS);
-        for (Server server : live) {
-            boolean slowZone = zoneRelativeLatencies.getOrDefault(server.zone, 1.0) > EJECTION_RATIO * bestZone;
-            boolean ejected = currentRelativeLatency(server) > EJECTION_RATIO * median || slowZone;
-            if (ejected && !server.ejected) {
-                server.concurrencyLimit = EJECTED_LIMIT;
-            }
-            server.ejected = ejected;
-            server.relativeLatency += (1 - server.relativeLatency) * EventContext.TICK_INTERVAL_MS / DECAY_MS;
+    }
+
+    /** Ejects or readmits a server. */
+    void updateEjection(Server server) {
+        boolean slowZone = zoneRelativeLatencies.getOrDefault(server.zone, 1.0) > EJECTION_RATIO * bestZone;
+        boolean ejected = currentRelativeLatency(server) > EJECTION_RATIO * median || slowZone;
+        if (ejected && !server.ejected) {
+            server.concurrencyLimit = EJECTED_LIMIT;
         }
+        server.ejected = ejected;
+        server.relativeLatency += (1 - server.relativeLatency) * EventContext.TICK_INTERVAL_MS / DECAY_MS;
     }
 
     private double medianRelativeLatency(List<Server> live) {
--- a/core/src/main/java/spartrail/coordination/SlowStart.java
+++ b/core/src/main/java/spartrail/coordination/SlowStart.java
@@ -127,13 +127,10 @@
         return op.latency.unloadedLatencyMs > 0 ? op.latency.unloadedLatencyMs : latencies.meanLatencyMs(op);
     }
 
-    /** Closes the tick's count of answers of each server. */
-    void updateAnswerRates(List<Server> live) {
-        for (Server server : live) {
-            double tickRate = server.answersThisTick / EventContext.TICK_INTERVAL_MS;
-            server.answerRate +=
-                    (tickRate - server.answerRate) * EventContext.TICK_INTERVAL_MS / OutlierDetector.DECAY_MS;
-            server.answersThisTick = 0;
-        }
+    /** Closes the tick's count of answers of a server. */
+    void updateAnswerRate(Server server) {
+        double tickRate = server.answersThisTick / EventContext.TICK_INTERVAL_MS;
+        server.answerRate += (tickRate - server.answerRate) * EventContext.TICK_INTERVAL_MS / OutlierDetector.DECAY_MS;
+        server.answersThisTick = 0;
     }
 }
--- a/core/src/main/java/spartrail/coordination/WindowCoordinator.java
+++ b/core/src/main/java/spartrail/coordination/WindowCoordinator.java
@@ -283,8 +283,11 @@
     private void onTick() {
         if (!context.hasJustResumed()) {
             List<Server> live = table.matching(server -> server.state == Server.State.LIVE);
-            outliers.updateEjections(live);
-            slowStart.updateAnswerRates(live);
+            outliers.beginTick(live);
+            for (Server server : live) {
+                outliers.updateEjection(server);
+                slowStart.updateAnswerRate(server);
+            }
         }
         slowStart.updateServiceRates();
         endpoints.forgetRemovedServers();
