--- a/core/src/main/java/spartrail/peers/Peer.java
+++ b/core/src/main/java/spartrail/peers/Peer.java
@@ -6,59 +6,59 @@
 
 /** What a node holds of another one. */
 final class Peer {
-    PeerDescriptor card;
-    PeerState standing;
-    double sinceMs;
-    String from;
-    String why = "";
+    PeerDescriptor descriptor;
+    PeerState state;
+    double stateSinceMs;
+    String reporter;
+    String reason = "";
     /** When it last answered this node itself, in this life. */
-    double heardMs = Double.NaN;
+    double lastAckMs = Double.NaN;
     /** When others last held it for there, by what they said. */
     double toldMs = Double.NaN;
     /** When its life began by this node's clock, as far as that is known. */
-    double bornMs = Double.NaN;
+    double incarnationStartMs = Double.NaN;
 
-    double bornKnownMs = Double.NaN;
+    double startEstimatedMs = Double.NaN;
     /** Those who accuse it, and since when; at the due time it is gone. */
     final List<String> accusers = new ArrayList<>();
 
-    double accusedMs;
+    double suspectedSinceMs;
     /** This node itself has asked it since it stands so. */
-    boolean askedAgain;
+    boolean probedSinceChange;
 
-    TimerQueue.Due due;
+    TimerQueue.Due timer;
     /** How often it has been passed on since it changed, and whether it is to be passed on further. */
-    int passedOn;
+    int transmissions;
 
-    boolean standingIsNews;
+    boolean queued;
     /** It counts among those that are there; its place among those that are alive, or -1. */
-    boolean isThere;
+    boolean present;
 
-    int aliveAt = -1;
+    int aliveIndex = -1;
     /** Its part of the digest. */
-    long hash;
+    long digestHash;
 
-    Peer(PeerDescriptor card, PeerState standing) {
-        this.card = card;
-        this.standing = standing;
+    Peer(PeerDescriptor descriptor, PeerState state) {
+        this.descriptor = descriptor;
+        this.state = state;
     }
 
     /** How much older than expected a message of its life is. */
-    double staleMs(double ageMs, double nowMs) {
-        return Double.isNaN(bornMs) ? Double.POSITIVE_INFINITY : nowMs - bornMs - ageMs;
+    double delayMs(double ageMs, double nowMs) {
+        return Double.isNaN(incarnationStartMs) ? Double.POSITIVE_INFINITY : nowMs - incarnationStartMs - ageMs;
     }
 
     /** Its life is so old now, as far as this node knows. */
-    double ageMs(double nowMs) {
-        return Double.isNaN(bornMs) ? 0 : Math.max(0, nowMs - bornMs);
+    double incarnationAgeMs(double nowMs) {
+        return Double.isNaN(incarnationStartMs) ? 0 : Math.max(0, nowMs - incarnationStartMs);
     }
 
     /** Others know how old it was; what was under way for longer makes it look younger, never older. */
-    void aged(double ageMs, double nowMs) {
+    void learnAge(double ageMs, double nowMs) {
         double born = nowMs - ageMs;
-        if (ageMs > 0 && (Double.isNaN(bornMs) || born < bornMs)) {
-            bornMs = born;
-            bornKnownMs = nowMs;
+        if (ageMs > 0 && (Double.isNaN(incarnationStartMs) || born < incarnationStartMs)) {
+            incarnationStartMs = born;
+            startEstimatedMs = nowMs;
         }
     }
 }
--- a/core/src/main/java/spartrail/peers/PeerState.java
+++ b/core/src/main/java/spartrail/peers/PeerState.java
@@ -13,7 +13,7 @@
     LEFT;
 
     /** It counts among those that are there. */
-    public boolean there() {
+    public boolean isPresent() {
         return this != GONE && this != LEFT;
     }
 }
--- a/core/src/main/java/spartrail/peers/SwimMembership.java
+++ b/core/src/main/java/spartrail/peers/SwimMembership.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 import spartrail.model.TimerQueue;
-import spartrail.peers.MembershipView.Seen;
-import spartrail.peers.MembershipView.Sure;
+import spartrail.peers.MembershipView.Confidence;
+import spartrail.peers.MembershipView.Entry;
 import spartrail.peers.PeerMessage.Kind;
 
 /**
@@ -49,174 +49,180 @@
  */
 public final class SwimMembership {
     /** Helpers that are asked when somebody does not answer, and accusers that make a suspicion as short as it gets. */
-    private static final int HELPERS = 3;
+    private static final int INDIRECT_PROBES = 3;
 
-    private static final int ACCUSERS = 3;
+    private static final int MAX_CONFIRMATIONS = 3;
     /** Each piece of news is passed on so many times the decimal logarithm of the fleet; what that misses is found by digests. */
-    private static final int PASSED_ON = 4;
+    private static final int RETRANSMIT_MULTIPLIER = 4;
     /** While views differ a node talks to so many more a round. */
-    private static final int HURRIED = 5;
+    private static final int RECONCILIATION_PROBES_PER_INTERVAL = 5;
     /** The poorer a node's own health, the longer it waits; at the most so much longer. */
-    private static final int WORST_HEALTH = 4;
+    private static final int MAX_HEALTH_MULTIPLIER = 4;
     /**
      * After so many rounds in a row in which neither who was asked nor a helper said a word a node takes itself for cut off: that
      * is sooner than one accuser's suspicion ends. Below so many others it cannot tell.
      */
-    private static final int UNANSWERED = 2;
+    private static final int MAX_UNANSWERED_ROUNDS = 2;
 
-    private static final int FEWEST_TO_TELL = 3;
+    private static final int MIN_PEERS_TO_DETECT_CUT = 3;
     /** Answers that a node which stood still waits for before it trusts itself again. */
-    private static final int HEARD_AGAIN = 2;
+    private static final int ACKS_AFTER_PAUSE = 2;
     /** A node that is late by more than this part of an answer's time on average runs late; and how quickly that is learned. */
-    private static final double LATE = 0.125;
+    private static final double MAX_LATENESS_RATIO = 0.125;
 
-    private static final double LATENESS_LEARNED = 0.1;
-    private static final int GETTING_TO_KNOW_ROUNDS = 30;
-    private static final int FEW_KNOWN = 8;
+    private static final double LATENESS_SMOOTHING = 0.1;
+    private static final int BOOTSTRAP_ROUNDS = 30;
+    private static final int MIN_ALIVE_TO_RECONCILE = 8;
     /** Addresses of which nobody knows yet who is there; and how often one is asked. */
-    private static final int MOST_CONTACTS = 64;
-
-    private static final int CONTACT_TRIES = 4;
-    private static final int CONTACTS_A_ROUND = 4;
-    private static final int SUSPECTS_A_ROUND = 4;
-    private static final int MOST_ERRANDS = 128;
-    private static final int MOST_ASKED = 64;
-    private static final int MOST_EVENTS = 1000;
+    private static final int MAX_CONTACTS = 64;
+
+    private static final int CONTACT_ATTEMPTS = 4;
+    private static final int CONTACTS_PER_INTERVAL = 4;
+    private static final int SUSPECTS_PER_INTERVAL = 4;
+    private static final int MAX_INDIRECT_PROBES = 128;
+    private static final int MAX_OUTSTANDING_PROBES = 64;
+    private static final int MAX_EVENTS = 1000;
     /** What a card usually takes in a message; what it takes beyond goes off its words. */
-    private static final int USUAL_CARD = 100;
+    private static final int USUAL_DESCRIPTOR_BYTES = 100;
     /** A contact is asked four times in these, ever more rarely; then another process of the same name counts as over. */
-    private static final int RIVAL_ROUNDS = 16;
+    private static final int CLAIMANT_TIMEOUT_ROUNDS = 16;
 
     /** A round in which this member was asked. */
-    private static final class Round {
-        Peer asked;
-        Incarnation life;
+    private static final class Probe {
+        Peer target;
+        Incarnation incarnation;
         long nonce;
-        boolean answered;
-        int helpers;
-        int notFound;
+        boolean acknowledged;
+        int relays;
+        int nacks;
     }
 
     /** An address that is to be asked who is there. */
     private static final class Contact {
         final String address;
-        final boolean kept;
+        final boolean seed;
         long nonce;
-        int tries;
-        double nextMs;
+        int attempts;
+        double nextAttemptMs;
 
-        Contact(String address, boolean kept) {
+        Contact(String address, boolean seed) {
             this.address = address;
-            this.kept = kept;
+            this.seed = seed;
         }
     }
 
     /** Somebody asked this node to ask somebody else. */
-    private record Errand(String address, long nonce, PeerDescriptor about) {}
+    private record IndirectProbe(String requesterAddress, long requesterNonce, PeerDescriptor target) {}
 
     private final GossipTimings times;
-    private final RandomGenerator chance;
-    private final Map<String, Peer> members = new HashMap<>();
+    private final RandomGenerator random;
+    private final Map<String, Peer> peers = new HashMap<>();
     private final Map<String, Contact> contacts = new LinkedHashMap<>();
-    private final Map<Long, Errand> errands = new LinkedHashMap<>();
+    private final Map<Long, IndirectProbe> indirectProbes = new LinkedHashMap<>();
     /** Nonces of members asked lately, so that a late answer counts, too. */
-    private final Map<Long, String> asked = new LinkedHashMap<>();
+    private final Map<Long, String> outstandingProbes = new LinkedHashMap<>();
 
-    private final TimerQueue timetable = new TimerQueue();
-    private final List<OutgoingMessage> out = new ArrayList<>();
+    private final TimerQueue timers = new TimerQueue();
+    private final List<OutgoingMessage> outbox = new ArrayList<>();
     private final Deque<PeerEvent> events = new ArrayDeque<>();
-    private final Map<String, Long> counts = new TreeMap<>();
+    private final Map<String, Long> counters = new TreeMap<>();
     /** Whom to ask in the next rounds. */
-    private final Deque<String> turnOf = new ArrayDeque<>();
+    private final Deque<String> probeOrder = new ArrayDeque<>();
     /** Whom to tell of next where two views differ. */
-    private final Deque<String> slice = new ArrayDeque<>();
+    private final Deque<String> reconciliationOrder = new ArrayDeque<>();
     /** Of whom others are to hear: first those of whom nobody has heard yet, then by turns. */
-    private final Deque<Peer> fresh = new ArrayDeque<>();
+    private final Deque<Peer> newUpdates = new ArrayDeque<>();
 
-    private final Deque<Peer> news = new ArrayDeque<>();
+    private final Deque<Peer> sentUpdates = new ArrayDeque<>();
     /** Those held for alive, and how many are held to be there; so that no message costs more the larger the fleet is. */
-    private final List<Peer> alive = new ArrayList<>();
+    private final List<Peer> alivePeers = new ArrayList<>();
 
-    private int others;
+    private int presentPeers;
 
-    private PeerDescriptor self;
-    private PeerState standing = PeerState.JOINING;
-    private final double bornMs;
+    private PeerDescriptor localDescriptor;
+    private PeerState localState = PeerState.JOINING;
+    private final double startedMs;
     private double nowMs;
-    private double meantMs;
-    private Round round;
-    private long roundNumber;
-    private int health;
-    private int unanswered;
+    private double expectedMs;
+    private Probe currentProbe;
+    private long probeRounds;
+    private int healthMultiplier;
+    private int unansweredRounds;
     /** Answers still wanted after a standstill; and until when views are known to differ. */
-    private int heardWanted;
+    private int acksWanted;
 
-    private double standstillMs;
+    private double pauseMs;
     /** How late it is on average where something is due. */
-    private double usuallyLateMs;
+    private double meanLatenessMs;
     /** Somebody held the same as this node, once at least. */
-    private boolean agreed;
+    private boolean hasSeenEqualDigest;
 
-    private double differUntilMs = Double.NEGATIVE_INFINITY;
+    private double reconcileUntilMs = Double.NEGATIVE_INFINITY;
     private long digest;
     /**
      * A later life of this name, from elsewhere; once it has answered this process takes no part. It is asked on and on, and
      * counts as over when so many rounds have passed without an answer.
      */
-    private PeerDescriptor claimed;
+    private PeerDescriptor nameClaimant;
 
-    private PeerDescriptor rival;
-    private int rivalRounds;
-    private double answers;
-    private double answersToUnknown;
-    private double answersMs;
+    private PeerDescriptor nameOwner;
+    private int claimantSilentRounds;
+    private double answerTokens;
+    private double unknownSenderTokens;
+    private double tokensUpdatedMs;
 
     /**
      * Begins a life of a node. Seeds are addresses to ask who is there; the own one among them is passed over.
      */
     public SwimMembership(
-            PeerDescriptor self, List<String> seeds, GossipTimings times, RandomGenerator chance, double nowMs) {
-        this.self = self;
+            PeerDescriptor localDescriptor,
+            List<String> seeds,
+            GossipTimings times,
+            RandomGenerator random,
+            double nowMs) {
+        this.localDescriptor = localDescriptor;
         this.times = times;
-        this.chance = chance;
+        this.random = random;
         this.nowMs = nowMs;
-        this.bornMs = nowMs;
-        this.answersMs = nowMs;
-        this.answers = times.answersPerS();
-        this.answersToUnknown = times.answersPerS() / 2.0;
-        this.digest = hash(self, standing);
-        seeds(seeds);
-        timetable.add(nowMs, this::round);
-        timetable.add(nowMs + times.roundMs() * chance.nextDouble(), this::askSuspects);
-        meantMs = nowMs;
+        this.startedMs = nowMs;
+        this.tokensUpdatedMs = nowMs;
+        this.answerTokens = times.maxAnswersPerSecond();
+        this.unknownSenderTokens = times.maxAnswersPerSecond() / 2.0;
+        this.digest = digestHash(localDescriptor, localState);
+        setSeeds(seeds);
+        timers.add(nowMs, this::startProbe);
+        timers.add(nowMs + times.probeIntervalMs() * random.nextDouble(), this::probeSuspects);
+        expectedMs = nowMs;
     }
 
     /** These are the seeds from now on; nodes that are known stay known. */
-    public void seeds(List<String> addresses) {
-        contacts.values().removeIf(contact -> contact.kept && !addresses.contains(contact.address));
+    public void setSeeds(List<String> addresses) {
+        contacts.values().removeIf(contact -> contact.seed && !addresses.contains(contact.address));
         for (String address : addresses) {
             Contact noted = contacts.get(address);
-            if (!address.equals(self.address()) && (noted == null || !noted.kept) && contacts.size() < MOST_CONTACTS) {
+            if (!address.equals(localDescriptor.address())
+                    && (noted == null || !noted.seed)
+                    && contacts.size() < MAX_CONTACTS) {
                 contacts.put(address, new Contact(address, true));
             }
         }
-        if (addresses.stream().allMatch(self.address()::equals) && members.isEmpty()) {
-            become(PeerState.ALIVE);
+        if (addresses.stream().allMatch(localDescriptor.address()::equals) && peers.isEmpty()) {
+            setState(PeerState.ALIVE);
         }
     }
 
     /** The version of the settings that this node goes by has changed; others hear of it. */
-    public void settings(String version) {
-        if (!version.equals(self.settings())) {
-            reborn(new PeerDescriptor(
-                    self.name(),
-                    self.address(),
-                    self.zone(),
-                    self.weight(),
-                    self.program(),
+    public void setSettingsVersion(String version) {
+        if (!version.equals(localDescriptor.settingsVersion())) {
+            replaceDescriptor(new PeerDescriptor(
+                    localDescriptor.name(),
+                    localDescriptor.address(),
+                    localDescriptor.zone(),
+                    localDescriptor.weight(),
+                    localDescriptor.programVersion(),
                     version,
-                    self.life(),
-                    self.turn() + 1));
+                    localDescriptor.incarnation(),
+                    localDescriptor.refutations() + 1));
         }
     }
 
@@ -225,39 +231,46 @@
      * lost ones, further ones while views differ (a round is at least nine tenths of its length); and what others ask of it: an
      * answer, or an errand's two messages.
      */
-    public static double mostMessagesPerS(GossipTimings times) {
-        return (1 + HELPERS + CONTACTS_A_ROUND + SUSPECTS_A_ROUND + 1 + HURRIED) * 1000 / (0.9 * times.roundMs())
-                + 2.0 * times.answersPerS();
+    public static double maxMessagesPerSecond(GossipTimings times) {
+        return (1
+                                + INDIRECT_PROBES
+                                + CONTACTS_PER_INTERVAL
+                                + SUSPECTS_PER_INTERVAL
+                                + 1
+                                + RECONCILIATION_PROBES_PER_INTERVAL)
+                        * 1000
+                        / (0.9 * times.probeIntervalMs())
+                + 2.0 * times.maxAnswersPerSecond();
     }
 
     // ---- Time ----
 
     /** When {@link #advance} is to be called next, if nothing is heard before. */
     public double nextMs() {
-        return timetable.nextMs();
+        return timers.nextMs();
     }
 
     /** What is due by now is done. */
     public void advance(double atMs) {
-        moveTo(atMs);
-        timetable.run(atMs);
-        meantMs = Math.max(atMs, timetable.nextMs());
+        advanceClock(atMs);
+        timers.run(atMs);
+        expectedMs = Math.max(atMs, timers.nextMs());
     }
 
-    private void moveTo(double atMs) {
-        double lateMs = atMs - meantMs;
+    private void advanceClock(double atMs) {
+        double lateMs = atMs - expectedMs;
         nowMs = Math.max(nowMs, atMs);
         if (lateMs >= 0) {
-            boolean was = runsLate();
+            boolean wasRunningLate = isRunningLate();
             // One long pause is a standstill, and told apart; many short ones make it late.
-            usuallyLateMs += LATENESS_LEARNED * (Math.min(lateMs, times.answerMs()) - usuallyLateMs);
-            if (was && judges()) {
-                suspicionsBeginAnew();
+            meanLatenessMs += LATENESS_SMOOTHING * (Math.min(lateMs, times.ackTimeoutMs()) - meanLatenessMs);
+            if (wasRunningLate && mayAccuse()) {
+                restartSuspicions();
             }
         }
-        if (lateMs > times.stoodMs()) {
-            stoodStill(lateMs);
-            meantMs = atMs;
+        if (lateMs > times.pauseThresholdMs()) {
+            onProcessPause(lateMs);
+            expectedMs = atMs;
         }
     }
 
@@ -265,111 +278,121 @@
      * This node stood still: nobody could answer it meanwhile, so nobody is to blame. Danger: a node that wakes up holds all
      * others for gone and, believed, takes the fleet apart.
      */
-    private void stoodStill(double lateMs) {
-        count("stood still");
-        standstillMs = lateMs;
-        heardWanted = Math.min(HEARD_AGAIN, there() - 1);
-        health = Math.min(WORST_HEALTH, health + 1);
-        round = null;
-        errands.clear();
-        for (Peer member : members.values()) {
-            if (member.due != null) {
-                timetable.remove(member.due);
-                member.accusedMs += lateMs;
-                member.due = timetable.add(member.due.atMs() + lateMs, member.due.what());
+    private void onProcessPause(double lateMs) {
+        incrementCounter("stood still");
+        pauseMs = lateMs;
+        acksWanted = Math.min(ACKS_AFTER_PAUSE, presentCount() - 1);
+        healthMultiplier = Math.min(MAX_HEALTH_MULTIPLIER, healthMultiplier + 1);
+        currentProbe = null;
+        indirectProbes.clear();
+        for (Peer peer : peers.values()) {
+            if (peer.timer != null) {
+                timers.remove(peer.timer);
+                peer.suspectedSinceMs += lateMs;
+                peer.timer = timers.add(peer.timer.atMs() + lateMs, peer.timer.what());
             }
         }
     }
 
     /** Why this node trusts its own view less; empty where it does not. */
-    private String doubt() {
-        return rival != null
-                ? "another process has the name, from " + rival.address()
-                : inDoubtOfItself()
-                        ? "it stood still for " + Math.round(standstillMs) + " ms and has not heard again"
-                        : cutOff()
+    private String healthProblem() {
+        return nameOwner != null
+                ? "another process has the name, from " + nameOwner.address()
+                : isAwaitingAcksAfterPause()
+                        ? "it stood still for " + Math.round(pauseMs) + " ms and has not heard again"
+                        : isCutOff()
                                 ? "it gets no answers"
-                                : runsLate()
-                                        ? "it runs late, by " + Math.round(usuallyLateMs) + " ms on average"
-                                        : standing == PeerState.JOINING
+                                : isRunningLate()
+                                        ? "it runs late, by " + Math.round(meanLatenessMs) + " ms on average"
+                                        : localState == PeerState.JOINING
                                                 ? "it has not heard from anybody yet"
-                                                : gettingToKnow() ? "it is getting to know the others" : "";
+                                                : isBootstrapping() ? "it is getting to know the others" : "";
     }
 
-    private boolean cutOff() {
-        return unanswered >= UNANSWERED && there() > FEWEST_TO_TELL;
+    private boolean isCutOff() {
+        return unansweredRounds >= MAX_UNANSWERED_ROUNDS && presentCount() > MIN_PEERS_TO_DETECT_CUT;
     }
 
     /** It stood still and wants answers; where the others have all left meanwhile, none will come. */
-    private boolean inDoubtOfItself() {
-        return Math.min(heardWanted, there() - 1) > 0;
+    private boolean isAwaitingAcksAfterPause() {
+        return Math.min(acksWanted, presentCount() - 1) > 0;
     }
 
     /**
      * Whatever it does comes late. Danger: a node that gets a small part of a core reads answers and refutations too late, in
      * pauses each of which is too short to count as a standstill, and takes the others for dead.
      */
-    private boolean runsLate() {
-        return usuallyLateMs > LATE * times.answerMs();
+    private boolean isRunningLate() {
+        return meanLatenessMs > MAX_LATENESS_RATIO * times.ackTimeoutMs();
     }
 
     /** It has just started and does not know all others yet. Danger: hundreds that start at once ask a few seeds without pause. */
-    private boolean gettingToKnow() {
-        return !agreed && others > 0 && nowMs - bornMs < GETTING_TO_KNOW_ROUNDS * times.roundMs();
+    private boolean isBootstrapping() {
+        return !hasSeenEqualDigest
+                && presentPeers > 0
+                && nowMs - startedMs < BOOTSTRAP_ROUNDS * times.probeIntervalMs();
     }
 
-    private boolean judges() {
-        return rival == null
-                && !inDoubtOfItself()
-                && !cutOff()
-                && !runsLate()
-                && !gettingToKnow()
-                && standing == PeerState.ALIVE;
+    private boolean mayAccuse() {
+        return nameOwner == null
+                && !isAwaitingAcksAfterPause()
+                && !isCutOff()
+                && !isRunningLate()
+                && !isBootstrapping()
+                && localState == PeerState.ALIVE;
     }
 
     // ---- Rounds ----
 
-    private void round() {
-        endOfRound();
-        double lastsMs = times.roundMs() * (1 + health) * (0.9 + 0.2 * chance.nextDouble());
-        timetable.add(nowMs + lastsMs, this::round);
-        roundNumber++;
-        if (standing == PeerState.LEFT) {
+    private void startProbe() {
+        finishProbe();
+        double intervalMs = times.probeIntervalMs() * (1 + healthMultiplier) * (0.9 + 0.2 * random.nextDouble());
+        timers.add(nowMs + intervalMs, this::startProbe);
+        probeRounds++;
+        if (localState == PeerState.LEFT) {
             return;
         }
-        contact();
-        if (rival != null) {
+        probeContacts();
+        if (nameOwner != null) {
             return;
         }
-        lookForLost();
-        Peer next = next();
-        if (next == null) {
+        probeDeparted();
+        Peer target = nextProbeTarget();
+        if (target == null) {
             return;
         }
-        Round begun = new Round();
-        begun.asked = next;
-        begun.life = next.card.life();
-        begun.nonce = chance.nextLong();
-        round = begun;
-        remember(begun.nonce, next.card.name());
-        send(next.card.address(), Kind.PING, next.card.name(), begun.nonce, null, words(next));
-        timetable.add(nowMs + Math.min(times.answerMs() * (1 + health), 0.8 * lastsMs), () -> askHelpers(begun));
+        Probe probe = new Probe();
+        probe.target = target;
+        probe.incarnation = target.descriptor.incarnation();
+        probe.nonce = random.nextLong();
+        currentProbe = probe;
+        registerProbe(probe.nonce, target.descriptor.name());
+        send(
+                target.descriptor.address(),
+                Kind.PING,
+                target.descriptor.name(),
+                probe.nonce,
+                null,
+                selectUpdates(target));
+        timers.add(
+                nowMs + Math.min(times.ackTimeoutMs() * (1 + healthMultiplier), 0.8 * intervalMs),
+                () -> requestIndirectProbes(probe));
     }
 
     /** Each other node once before any one twice, in an order by chance. */
-    private Peer next() {
-        for (int i = 0; i <= members.size(); i++) {
-            String name = turnOf.poll();
+    private Peer nextProbeTarget() {
+        for (int i = 0; i <= peers.size(); i++) {
+            String name = probeOrder.poll();
             if (name == null) {
-                List<String> names = new ArrayList<>(members.keySet());
+                List<String> names = new ArrayList<>(peers.keySet());
                 Collections.sort(names);
                 shuffle(names);
-                turnOf.addAll(names);
-                name = turnOf.poll();
+                probeOrder.addAll(names);
+                name = probeOrder.poll();
             }
-            Peer member = name == null ? null : members.get(name);
-            if (member != null && member.standing.there()) {
-                return member;
+            Peer peer = name == null ? null : peers.get(name);
+            if (peer != null && peer.state.isPresent()) {
+                return peer;
             }
         }
         return null;
@@ -377,64 +400,65 @@
 
     private void shuffle(List<String> names) {
         for (int i = names.size() - 1; i > 0; i--) {
-            Collections.swap(names, i, chance.nextInt(i + 1));
+            Collections.swap(names, i, random.nextInt(i + 1));
         }
     }
 
-    private void askHelpers(Round asking) {
-        if (asking != round || asking.answered) {
+    private void requestIndirectProbes(Probe probe) {
+        if (probe != currentProbe || probe.acknowledged) {
             return;
         }
-        for (Peer helper : some(HELPERS, asking.asked.card.name())) {
-            asking.helpers++;
+        for (Peer relay : sampleAlive(INDIRECT_PROBES, probe.target.descriptor.name())) {
+            probe.relays++;
             send(
-                    helper.card.address(),
-                    Kind.ASK,
-                    helper.card.name(),
-                    asking.nonce,
-                    asking.asked.card,
-                    words(asking.asked, asking.asked.card));
+                    relay.descriptor.address(),
+                    Kind.PING_REQUEST,
+                    relay.descriptor.name(),
+                    probe.nonce,
+                    probe.target.descriptor,
+                    selectUpdates(probe.target, probe.target.descriptor));
         }
     }
 
     /** So many others by chance that are held to be alive. */
-    private List<Peer> some(int most, String butNot) {
-        List<Peer> some = new ArrayList<>();
-        for (int i = 0; i < alive.size() && some.size() < most; i++) {
-            int at = i + chance.nextInt(alive.size() - i);
-            Peer picked = alive.get(at);
-            alive.set(at, alive.get(i));
-            alive.get(i).aliveAt = at;
-            alive.set(i, picked);
-            picked.aliveAt = i;
-            if (!picked.card.name().equals(butNot)) {
-                some.add(picked);
+    private List<Peer> sampleAlive(int most, String excludedName) {
+        List<Peer> sample = new ArrayList<>();
+        for (int i = 0; i < alivePeers.size() && sample.size() < most; i++) {
+            int at = i + random.nextInt(alivePeers.size() - i);
+            Peer picked = alivePeers.get(at);
+            alivePeers.set(at, alivePeers.get(i));
+            alivePeers.get(i).aliveIndex = at;
+            alivePeers.set(i, picked);
+            picked.aliveIndex = i;
+            if (!picked.descriptor.name().equals(excludedName)) {
+                sample.add(picked);
             }
         }
-        return some;
+        return sample;
     }
 
-    private void endOfRound() {
-        Round ended = round;
-        round = null;
-        if (ended == null || ended.answered) {
+    private void finishProbe() {
+        Probe ended = currentProbe;
+        currentProbe = null;
+        if (ended == null || ended.acknowledged) {
             return;
         }
-        if (ended.notFound > 0) {
-            heardSomebody(0);
+        if (ended.nacks > 0) {
+            onSignOfLife(0);
         } else {
-            unanswered++;
+            unansweredRounds++;
         }
         // Danger: a node that is slow itself takes others for dead. Helpers that do not even say that they found nobody
         // speak against this node, not against the one that was asked.
-        health = Math.min(WORST_HEALTH, health + (ended.helpers > 0 ? ended.helpers - ended.notFound : 0));
-        Peer member = members.get(ended.asked.card.name());
-        if (member == ended.asked && member.card.life().equals(ended.life) && judges()) {
-            accuse(
-                    member,
-                    self.name(),
-                    "no answer in a round of " + Math.round(times.roundMs()) + " ms, " + ended.notFound + " of "
-                            + ended.helpers + " helpers had none");
+        healthMultiplier =
+                Math.min(MAX_HEALTH_MULTIPLIER, healthMultiplier + (ended.relays > 0 ? ended.relays - ended.nacks : 0));
+        Peer peer = peers.get(ended.target.descriptor.name());
+        if (peer == ended.target && peer.descriptor.incarnation().equals(ended.incarnation) && mayAccuse()) {
+            suspect(
+                    peer,
+                    localDescriptor.name(),
+                    "no answer in a round of " + Math.round(times.probeIntervalMs()) + " ms, " + ended.nacks + " of "
+                            + ended.relays + " helpers had none");
         }
     }
 
@@ -442,19 +466,19 @@
      * Those behind a cut are found again by asking one of the lost every other round; and who has left and started again, where
      * no seed can tell it of the others.
      */
-    private void lookForLost() {
-        if (roundNumber % 2 != 0) {
+    private void probeDeparted() {
+        if (probeRounds % 2 != 0) {
             return;
         }
-        List<String> lost = new ArrayList<>();
-        members.forEach((name, member) -> {
-            if (!member.standing.there()) {
-                lost.add(name);
+        List<String> departed = new ArrayList<>();
+        peers.forEach((name, peer) -> {
+            if (!peer.state.isPresent()) {
+                departed.add(name);
             }
         });
-        if (!lost.isEmpty()) {
-            Collections.sort(lost);
-            ask(members.get(lost.get(chance.nextInt(lost.size()))));
+        if (!departed.isEmpty()) {
+            Collections.sort(departed);
+            probe(peers.get(departed.get(random.nextInt(departed.size()))));
         }
     }
 
@@ -462,184 +486,200 @@
      * Those whom this node itself suspects are asked again, whatever its own health. Danger: when many come out of a cut at once,
      * all of them with long rounds, a suspect would hear of the suspicion too late to refute it.
      */
-    private void askSuspects() {
-        timetable.add(nowMs + times.roundMs(), this::askSuspects);
-        if (standing == PeerState.LEFT || rival != null) {
+    private void probeSuspects() {
+        timers.add(nowMs + times.probeIntervalMs(), this::probeSuspects);
+        if (localState == PeerState.LEFT || nameOwner != null) {
             return;
         }
         List<String> names = new ArrayList<>();
-        members.forEach((name, member) -> {
-            if (member.standing == PeerState.SUSPECT && member.accusers.contains(self.name())) {
+        peers.forEach((name, peer) -> {
+            if (peer.state == PeerState.SUSPECT && peer.accusers.contains(localDescriptor.name())) {
                 names.add(name);
             }
         });
         Collections.sort(names);
         shuffle(names);
-        for (String name : names.subList(0, Math.min(SUSPECTS_A_ROUND, names.size()))) {
-            ask(members.get(name));
+        for (String name : names.subList(0, Math.min(SUSPECTS_PER_INTERVAL, names.size()))) {
+            probe(peers.get(name));
         }
     }
 
     /** Asks one beside the rounds: an answer counts, none does not. */
-    private void ask(Peer member) {
-        member.askedAgain = true;
-        long nonce = chance.nextLong();
-        remember(nonce, member.card.name());
-        send(member.card.address(), Kind.PING, member.card.name(), nonce, null, words(member));
+    private void probe(Peer peer) {
+        peer.probedSinceChange = true;
+        long nonce = random.nextLong();
+        registerProbe(nonce, peer.descriptor.name());
+        send(peer.descriptor.address(), Kind.PING, peer.descriptor.name(), nonce, null, selectUpdates(peer));
     }
 
     /** Views differ: for a while words go to more nodes, so that a hundred that start at once know each other in seconds. */
-    private void differ() {
-        if (nowMs >= differUntilMs) {
-            timetable.add(nowMs + times.roundMs() / HURRIED * chance.nextDouble(), this::hurry);
+    private void startReconciliation() {
+        if (nowMs >= reconcileUntilMs) {
+            timers.add(
+                    nowMs + times.probeIntervalMs() / RECONCILIATION_PROBES_PER_INTERVAL * random.nextDouble(),
+                    this::reconcile);
         }
-        differUntilMs = nowMs + 4 * times.roundMs();
+        reconcileUntilMs = nowMs + 4 * times.probeIntervalMs();
     }
 
-    private void hurry() {
-        if (nowMs >= differUntilMs || standing == PeerState.LEFT || rival != null) {
+    private void reconcile() {
+        if (nowMs >= reconcileUntilMs || localState == PeerState.LEFT || nameOwner != null) {
             return;
         }
         // Danger: hundreds that start at once know only the seeds, and would ask nobody else ever faster.
-        if (!gettingToKnow() || alive.size() >= FEW_KNOWN) {
-            some(1, "").forEach(this::ask);
+        if (!isBootstrapping() || alivePeers.size() >= MIN_ALIVE_TO_RECONCILE) {
+            sampleAlive(1, "").forEach(this::probe);
         }
-        timetable.add(nowMs + times.roundMs() / HURRIED, this::hurry);
+        timers.add(nowMs + times.probeIntervalMs() / RECONCILIATION_PROBES_PER_INTERVAL, this::reconcile);
     }
 
-    private void remember(long nonce, String name) {
-        asked.put(nonce, name);
-        if (asked.size() > MOST_ASKED) {
-            asked.remove(asked.keySet().iterator().next());
+    private void registerProbe(long nonce, String name) {
+        outstandingProbes.put(nonce, name);
+        if (outstandingProbes.size() > MAX_OUTSTANDING_PROBES) {
+            outstandingProbes.remove(outstandingProbes.keySet().iterator().next());
         }
     }
 
     // ---- Addresses of which nobody knows yet who is there ----
 
     /** Asks a few addresses who is there; a seed on and on, ever more rarely while nobody answers. */
-    private void contact() {
-        int left = CONTACTS_A_ROUND;
+    private void probeContacts() {
+        int left = CONTACTS_PER_INTERVAL;
         for (Contact contact : List.copyOf(contacts.values())) {
             if (left == 0) {
                 return;
             }
-            if (contact.nextMs > nowMs || contact.kept && known(contact.address)) {
+            if (contact.nextAttemptMs > nowMs || contact.seed && isKnownAddress(contact.address)) {
                 continue;
             }
-            if (!contact.kept && contact.tries >= CONTACT_TRIES) {
+            if (!contact.seed && contact.attempts >= CONTACT_ATTEMPTS) {
                 contacts.remove(contact.address);
                 continue;
             }
             left--;
-            ask(contact);
+            probe(contact);
         }
-        if (claimed != null && rivalRounds++ > RIVAL_ROUNDS) {
-            outbid();
+        if (nameClaimant != null && claimantSilentRounds++ > CLAIMANT_TIMEOUT_ROUNDS) {
+            reclaimName();
         }
     }
 
-    private boolean known(String address) {
-        return members.values().stream()
-                .anyMatch(member -> member.card.address().equals(address) && member.standing.there());
+    private boolean isKnownAddress(String address) {
+        return peers.values().stream()
+                .anyMatch(peer -> peer.descriptor.address().equals(address) && peer.state.isPresent());
     }
 
-    private void ask(Contact contact) {
-        contact.tries++;
-        contact.nonce = chance.nextLong();
-        double waitMs = times.roundMs() * Math.min(16, 1 << Math.min(4, contact.tries - 1));
-        contact.nextMs = nowMs + waitMs * (0.5 + chance.nextDouble());
+    private void probe(Contact contact) {
+        contact.attempts++;
+        contact.nonce = random.nextLong();
+        double waitMs = times.probeIntervalMs() * Math.min(16, 1 << Math.min(4, contact.attempts - 1));
+        contact.nextAttemptMs = nowMs + waitMs * (0.5 + random.nextDouble());
         send(contact.address, Kind.PING, "", contact.nonce, null, List.of());
     }
 
     /** Notes an address that is to be asked; null if it is noted already, or there is no room. */
-    private Contact meet(String address) {
+    private Contact addContact(String address) {
         if (contacts.containsKey(address)) {
             return null;
         }
-        if (contacts.size() >= MOST_CONTACTS) {
+        if (contacts.size() >= MAX_CONTACTS) {
             // Danger: invented names fill the memory, and push out the seeds.
-            count("contacts refused");
+            incrementCounter("contacts refused");
             return null;
         }
-        Contact met = new Contact(address, false);
-        contacts.put(address, met);
-        return met;
+        Contact added = new Contact(address, false);
+        contacts.put(address, added);
+        return added;
     }
 
     // ---- What is heard ----
 
     /** A message has come. */
-    public void heard(PeerMessage message, double atMs) {
-        moveTo(atMs);
-        meantMs = Math.max(meantMs, atMs);
-        if (!message.from().wellFormed()) {
-            count("unusable cards");
+    public void onMessage(PeerMessage message, double atMs) {
+        advanceClock(atMs);
+        expectedMs = Math.max(expectedMs, atMs);
+        if (!message.sender().isWellFormed()) {
+            incrementCounter("unusable cards");
             return;
         }
-        boolean proof = message.kind() == Kind.ACK && proves(message);
-        if (message.from().name().equals(self.name())) {
-            if (message.kind() == Kind.PING && message.from().life().compareTo(self.life()) < 0 && rival == null) {
-                answer(message, false);
+        boolean isFreshAck = message.kind() == Kind.ACK && acceptAck(message);
+        if (message.sender().name().equals(localDescriptor.name())) {
+            if (message.kind() == Kind.PING
+                    && message.sender().incarnation().compareTo(localDescriptor.incarnation()) < 0
+                    && nameOwner == null) {
+                acknowledge(message, false);
             }
-            namesake(message.from(), proof);
+            onSameName(message.sender(), isFreshAck);
             return;
         }
-        if (rival != null || standing == PeerState.LEFT) {
+        if (nameOwner != null || localState == PeerState.LEFT) {
             return;
         }
-        Peer sender = members.get(message.from().name());
-        boolean sameLife =
-                sender != null && sender.card.life().equals(message.from().life());
-        if (sameLife && message.standing() == PeerState.LEFT) {
+        Peer sender = peers.get(message.sender().name());
+        boolean isSameIncarnation = sender != null
+                && sender.descriptor.incarnation().equals(message.sender().incarnation());
+        if (isSameIncarnation && message.state() == PeerState.LEFT) {
             // However old the message is and whatever is held of its sender: a life that has left stays so.
-            take(message.from(), PeerState.LEFT, message.from().name(), message.ageMs(), "it says so");
+            applyState(
+                    message.sender(),
+                    PeerState.LEFT,
+                    message.sender().name(),
+                    message.incarnationAgeMs(),
+                    "it says so");
             return;
         }
-        boolean trusted = sameLife && sender.standing.there();
-        double staleMs = trusted ? sender.staleMs(message.ageMs(), nowMs) : 0;
-        if (trusted && staleMs > times.staleMs() + 0.1 * (nowMs - sender.bornKnownMs)) {
-            count("stale messages");
+        boolean trusted = isSameIncarnation && sender.state.isPresent();
+        double staleMs = trusted ? sender.delayMs(message.incarnationAgeMs(), nowMs) : 0;
+        if (trusted && staleMs > times.maxMessageDelayMs() + 0.1 * (nowMs - sender.startEstimatedMs)) {
+            incrementCounter("stale messages");
             return;
         }
-        if (!trusted && sender != null && message.from().life().compareTo(sender.card.life()) < 0) {
-            count("messages of former lives");
+        if (!trusted
+                && sender != null
+                && message.sender().incarnation().compareTo(sender.descriptor.incarnation()) < 0) {
+            incrementCounter("messages of former lives");
             if (message.kind() == Kind.PING) {
                 // A clock that was set back makes a new life look like a former one; it hears of that and begins
                 // another.
-                answer(message, false);
+                acknowledge(message, false);
             }
             return;
         }
         if (trusted) {
-            take(message.from(), message.standing(), message.from().name(), message.ageMs(), "it says so");
+            applyState(
+                    message.sender(),
+                    message.state(),
+                    message.sender().name(),
+                    message.incarnationAgeMs(),
+                    "it says so");
             if (message.digest() != digest) {
-                differ();
+                startReconciliation();
             } else {
-                agreed = true;
+                hasSeenEqualDigest = true;
             }
         } else {
             // Whoever is not known, or is held for gone, is asked itself first: its words may be an hour old.
-            count("messages of unknown senders");
-            Contact met = meet(message.from().address());
-            if (met != null && allowed(false)) {
-                ask(met);
+            incrementCounter("messages of unknown senders");
+            Contact added = addContact(message.sender().address());
+            if (added != null && mayAnswer(false)) {
+                probe(added);
             }
         }
-        for (PeerUpdate word : message.words()) {
+        for (PeerUpdate update : message.updates()) {
             // Danger: two sides of a cut that hold each other for gone would trust no word that they are not. What a
             // new answer says of this node itself it may refute, whoever says so.
-            if (trusted || proof && word.card().name().equals(self.name())) {
-                word(word, message.from().name());
+            if (trusted || isFreshAck && update.descriptor().name().equals(localDescriptor.name())) {
+                applyUpdate(update, message.sender().name());
             }
         }
         switch (message.kind()) {
-            case PING -> answer(message, trusted);
-            case ASK -> errand(message, trusted);
-            case FOUND -> found(message, trusted);
-            case NOT_FOUND -> {
-                if (trusted && round != null && round.nonce == message.nonce()) {
+            case PING -> acknowledge(message, trusted);
+            case PING_REQUEST -> onPingRequest(message, trusted);
+            case INDIRECT_ACK -> onIndirectAck(message, trusted);
+            case INDIRECT_NACK -> {
+                if (trusted && currentProbe != null && currentProbe.nonce == message.nonce()) {
                     // Danger: one that comes twice would count for two helpers.
-                    round.notFound = Math.min(round.helpers, round.notFound + 1);
+                    currentProbe.nacks = Math.min(currentProbe.relays, currentProbe.nacks + 1);
                 }
             }
             default -> {}
@@ -647,78 +687,86 @@
     }
 
     /** Danger: a flood of questions would make this node send without bound, and starve those that it knows. */
-    private boolean allowed(boolean known) {
-        answers = Math.min(times.answersPerS(), answers + (nowMs - answersMs) / 1000 * times.answersPerS());
-        answersToUnknown = Math.min(
-                times.answersPerS() / 2.0, answersToUnknown + (nowMs - answersMs) / 2000 * times.answersPerS());
-        answersMs = nowMs;
-        if (answers < 1 || !known && answersToUnknown < 1) {
-            count("answers held back");
+    private boolean mayAnswer(boolean known) {
+        answerTokens = Math.min(
+                times.maxAnswersPerSecond(),
+                answerTokens + (nowMs - tokensUpdatedMs) / 1000 * times.maxAnswersPerSecond());
+        unknownSenderTokens = Math.min(
+                times.maxAnswersPerSecond() / 2.0,
+                unknownSenderTokens + (nowMs - tokensUpdatedMs) / 2000 * times.maxAnswersPerSecond());
+        tokensUpdatedMs = nowMs;
+        if (answerTokens < 1 || !known && unknownSenderTokens < 1) {
+            incrementCounter("answers held back");
             return false;
         }
-        answers--;
-        answersToUnknown -= known ? 0 : 1;
+        answerTokens--;
+        unknownSenderTokens -= known ? 0 : 1;
         return true;
     }
 
-    private void answer(PeerMessage message, boolean known) {
-        if (!allowed(known)) {
+    private void acknowledge(PeerMessage message, boolean known) {
+        if (!mayAnswer(known)) {
             return;
         }
-        Peer asker = members.get(message.from().name());
-        List<PeerUpdate> words = known ? words(asker) : asker == null ? List.of() : List.of(word(asker));
-        send(message.from().address(), Kind.ACK, message.from().name(), message.nonce(), null, words);
+        Peer asker = peers.get(message.sender().name());
+        List<PeerUpdate> updates = known ? selectUpdates(asker) : asker == null ? List.of() : List.of(toUpdate(asker));
+        send(message.sender().address(), Kind.ACK, message.sender().name(), message.nonce(), null, updates);
     }
 
     /** An answer to what this node asked lately; what it holds of the sender is taken up. */
-    private boolean proves(PeerMessage message) {
-        PeerDescriptor from = message.from();
-        Errand errand = errands.remove(message.nonce());
-        if (errand != null && errand.about.name().equals(from.name())) {
-            send(errand.address, Kind.FOUND, "", errand.nonce, from, List.of());
+    private boolean acceptAck(PeerMessage message) {
+        PeerDescriptor from = message.sender();
+        IndirectProbe indirectProbe = indirectProbes.remove(message.nonce());
+        if (indirectProbe != null && indirectProbe.target.name().equals(from.name())) {
+            send(indirectProbe.requesterAddress, Kind.INDIRECT_ACK, "", indirectProbe.requesterNonce, from, List.of());
         }
         Contact contact = contacts.values().stream()
-                .filter(each -> each.tries > 0 && each.nonce == message.nonce())
+                .filter(each -> each.attempts > 0 && each.nonce == message.nonce())
                 .findFirst()
                 .orElse(null);
-        String name = asked.remove(message.nonce());
-        if (errand == null && contact == null && !from.name().equals(name)) {
-            count("answers to nothing asked");
+        String name = outstandingProbes.remove(message.nonce());
+        if (indirectProbe == null && contact == null && !from.name().equals(name)) {
+            incrementCounter("answers to nothing asked");
             return false;
         }
         if (contact != null) {
-            contact.tries = 1;
-            if (!contact.kept) {
+            contact.attempts = 1;
+            if (!contact.seed) {
                 contacts.remove(contact.address);
             }
         }
-        if (from.name().equals(self.name())) {
+        if (from.name().equals(localDescriptor.name())) {
             return true;
         }
-        Peer member = members.get(from.name());
-        if (member != null && from.life().compareTo(member.card.life()) < 0) {
+        Peer peer = peers.get(from.name());
+        if (peer != null && from.incarnation().compareTo(peer.descriptor.incarnation()) < 0) {
             return false;
         }
-        take(from, message.standing(), from.name(), message.ageMs(), "it answers");
-        member = members.get(from.name());
-        if (member != null && member.card.life().equals(from.life())) {
-            member.heardMs = nowMs;
-            member.bornMs = nowMs - message.ageMs();
-            member.bornKnownMs = nowMs;
-            answered(member, message.nonce());
+        applyState(from, message.state(), from.name(), message.incarnationAgeMs(), "it answers");
+        peer = peers.get(from.name());
+        if (peer != null && peer.descriptor.incarnation().equals(from.incarnation())) {
+            peer.lastAckMs = nowMs;
+            peer.incarnationStartMs = nowMs - message.incarnationAgeMs();
+            peer.startEstimatedMs = nowMs;
+            onAck(peer, message.nonce());
         }
         return true;
     }
 
-    private void answered(Peer member, long nonce) {
-        heardSomebody(1);
-        if (round != null && round.nonce == nonce && round.asked == member) {
-            round.answered = true;
-            health = Math.max(0, health - 1);
+    private void onAck(Peer peer, long nonce) {
+        onSignOfLife(1);
+        if (currentProbe != null && currentProbe.nonce == nonce && currentProbe.target == peer) {
+            currentProbe.acknowledged = true;
+            healthMultiplier = Math.max(0, healthMultiplier - 1);
         }
-        if (standing == PeerState.JOINING) {
-            become(PeerState.ALIVE);
-            event(self, PeerState.JOINING, PeerState.ALIVE, self.name(), "it has heard from " + member.card.name());
+        if (localState == PeerState.JOINING) {
+            setState(PeerState.ALIVE);
+            recordEvent(
+                    localDescriptor,
+                    PeerState.JOINING,
+                    PeerState.ALIVE,
+                    localDescriptor.name(),
+                    "it has heard from " + peer.descriptor.name());
         }
     }
 
@@ -726,244 +774,250 @@
      * Somebody has told this node something new. Danger: while it doubted itself it could hear no refutation, and suspicions
      * whose time is over would end the moment that it trusts itself again; they begin anew.
      */
-    private void heardSomebody(int answers) {
-        boolean doubted = cutOff() || inDoubtOfItself();
-        unanswered = 0;
-        heardWanted = Math.max(0, heardWanted - answers);
-        if (doubted && !inDoubtOfItself()) {
-            suspicionsBeginAnew();
+    private void onSignOfLife(int answerTokens) {
+        boolean wasDoubtful = isCutOff() || isAwaitingAcksAfterPause();
+        unansweredRounds = 0;
+        acksWanted = Math.max(0, acksWanted - answerTokens);
+        if (wasDoubtful && !isAwaitingAcksAfterPause()) {
+            restartSuspicions();
         }
     }
 
-    private void suspicionsBeginAnew() {
-        for (Peer member : members.values()) {
-            if (member.standing == PeerState.SUSPECT) {
-                member.accusers.clear();
-                member.accusedMs = nowMs;
-                accuse(member, self.name(), member.why);
+    private void restartSuspicions() {
+        for (Peer peer : peers.values()) {
+            if (peer.state == PeerState.SUSPECT) {
+                peer.accusers.clear();
+                peer.suspectedSinceMs = nowMs;
+                suspect(peer, localDescriptor.name(), peer.reason);
             }
         }
     }
 
-    private void errand(PeerMessage message, boolean known) {
-        PeerDescriptor about = message.about();
-        if (!known || about == null || !about.wellFormed() || errands.size() >= MOST_ERRANDS || !allowed(true)) {
-            count("errands refused");
+    private void onPingRequest(PeerMessage message, boolean known) {
+        PeerDescriptor target = message.target();
+        if (!known
+                || target == null
+                || !target.isWellFormed()
+                || indirectProbes.size() >= MAX_INDIRECT_PROBES
+                || !mayAnswer(true)) {
+            incrementCounter("errands refused");
             return;
         }
-        long nonce = chance.nextLong();
-        errands.put(nonce, new Errand(message.from().address(), message.nonce(), about));
-        send(about.address(), Kind.PING, about.name(), nonce, null, words(members.get(about.name())));
-        timetable.add(nowMs + times.answerMs(), () -> {
-            Errand open = errands.remove(nonce);
+        long nonce = random.nextLong();
+        indirectProbes.put(nonce, new IndirectProbe(message.sender().address(), message.nonce(), target));
+        send(target.address(), Kind.PING, target.name(), nonce, null, selectUpdates(peers.get(target.name())));
+        timers.add(nowMs + times.ackTimeoutMs(), () -> {
+            IndirectProbe open = indirectProbes.remove(nonce);
             if (open != null) {
-                send(open.address, Kind.NOT_FOUND, "", open.nonce, null, List.of());
+                send(open.requesterAddress, Kind.INDIRECT_NACK, "", open.requesterNonce, null, List.of());
             }
         });
     }
 
-    private void found(PeerMessage message, boolean known) {
-        PeerDescriptor about = message.about();
+    private void onIndirectAck(PeerMessage message, boolean known) {
+        PeerDescriptor target = message.target();
         if (!known
-                || about == null
-                || round == null
-                || round.nonce != message.nonce()
-                || !about.name().equals(round.asked.card.name())) {
+                || target == null
+                || currentProbe == null
+                || currentProbe.nonce != message.nonce()
+                || !target.name().equals(currentProbe.target.descriptor.name())) {
             return;
         }
-        word(new PeerUpdate(about, PeerState.ALIVE, 0, ""), message.from().name());
-        if (about.life().compareTo(round.life) >= 0) {
-            round.answered = true;
-            heardSomebody(0);
+        applyUpdate(
+                new PeerUpdate(target, PeerState.ALIVE, 0, ""), message.sender().name());
+        if (target.incarnation().compareTo(currentProbe.incarnation) >= 0) {
+            currentProbe.acknowledged = true;
+            onSignOfLife(0);
         }
     }
 
     // ---- What is held ----
 
-    private void word(PeerUpdate word, String from) {
-        if (!word.card().wellFormed()) {
-            count("unusable cards");
+    private void applyUpdate(PeerUpdate update, String from) {
+        if (!update.descriptor().isWellFormed()) {
+            incrementCounter("unusable cards");
             return;
         }
-        if (word.card().name().equals(self.name())) {
-            ofMyself(word, from);
+        if (update.descriptor().name().equals(localDescriptor.name())) {
+            onUpdateAboutSelf(update, from);
             return;
         }
-        Peer member = members.get(word.card().name());
-        if (member == null && !word.standing().there()) {
+        Peer peer = peers.get(update.descriptor().name());
+        if (peer == null && !update.state().isPresent()) {
             // Danger: whom all have forgotten would be handed round without end.
             return;
         }
-        if (word.standing() == PeerState.SUSPECT
-                && member != null
-                && member.standing == PeerState.SUSPECT
-                && member.card.life().equals(word.card().life())
-                && member.card.turn() == word.card().turn()) {
-            accuse(member, word.by(), "accused by " + word.by());
+        if (update.state() == PeerState.SUSPECT
+                && peer != null
+                && peer.state == PeerState.SUSPECT
+                && peer.descriptor.incarnation().equals(update.descriptor().incarnation())
+                && peer.descriptor.refutations() == update.descriptor().refutations()) {
+            suspect(peer, update.accuser(), "accused by " + update.accuser());
         }
-        take(
-                word.card(),
-                word.standing(),
+        applyState(
+                update.descriptor(),
+                update.state(),
                 from,
-                word.ageMs(),
-                word.by().isEmpty() ? "told" : "accused by " + word.by());
-        member = members.get(word.card().name());
-        if (member != null && member.card.life().equals(word.card().life())) {
-            member.aged(word.ageMs(), nowMs);
-            if (word.standing().there()) {
-                member.toldMs = nowMs;
+                update.incarnationAgeMs(),
+                update.accuser().isEmpty() ? "told" : "accused by " + update.accuser());
+        peer = peers.get(update.descriptor().name());
+        if (peer != null
+                && peer.descriptor.incarnation().equals(update.descriptor().incarnation())) {
+            peer.learnAge(update.incarnationAgeMs(), nowMs);
+            if (update.state().isPresent()) {
+                peer.toldMs = nowMs;
             }
-            if (word.standing() == PeerState.SUSPECT
-                    && member.standing == PeerState.SUSPECT
-                    && member.accusers.isEmpty()) {
-                accuse(member, word.by(), "accused by " + word.by());
+            if (update.state() == PeerState.SUSPECT && peer.state == PeerState.SUSPECT && peer.accusers.isEmpty()) {
+                suspect(peer, update.accuser(), "accused by " + update.accuser());
             }
         }
     }
 
     /** Takes up what outranks the word held; the one place where what is held moves. */
-    private void take(PeerDescriptor card, PeerState is, String from, double ageMs, String why) {
-        Peer member = members.get(card.name());
-        if (member != null && PeerUpdate.compare(card, is, member.card, member.standing) <= 0) {
+    private void applyState(PeerDescriptor descriptor, PeerState newState, String from, double ageMs, String reason) {
+        Peer peer = peers.get(descriptor.name());
+        if (peer != null && PeerUpdate.comparePrecedence(descriptor, newState, peer.descriptor, peer.state) <= 0) {
             return;
         }
-        PeerState was = member == null ? null : member.standing;
-        if (member == null) {
-            if (members.size() >= times.mostPeers() && !forgetOne()) {
-                count("peers refused");
+        PeerState previousState = peer == null ? null : peer.state;
+        if (peer == null) {
+            if (peers.size() >= times.maxPeers() && !evictOldestDeparted()) {
+                incrementCounter("peers refused");
                 return;
             }
-            member = new Peer(card, is);
-            members.put(card.name(), member);
+            peer = new Peer(descriptor, newState);
+            peers.put(descriptor.name(), peer);
             // At a place by chance among those to be asked, so that news of many does not make all ask in one order.
-            List<String> names = new ArrayList<>(turnOf);
-            names.add(chance.nextInt(names.size() + 1), card.name());
-            turnOf.clear();
-            turnOf.addAll(names);
-        } else if (!member.card.life().equals(card.life())) {
-            member.heardMs = Double.NaN;
-            member.bornMs = Double.NaN;
-            member.bornKnownMs = Double.NaN;
-            member.toldMs = Double.NaN;
-        }
-        boolean sameStanding = was == is && member.card.life().equals(card.life());
-        if (member.due != null) {
-            timetable.remove(member.due);
-            member.due = null;
-        }
-        member.accusers.clear();
-        member.askedAgain = false;
-        member.card = card;
-        member.standing = is;
-        there(member, is);
-        member.sinceMs = sameStanding ? member.sinceMs : nowMs;
-        member.from = from;
-        member.why = why;
-        tell(member, 0);
-        member.aged(ageMs, nowMs);
-        digest ^= member.hash;
-        member.hash = is.there() ? hash(card, is) : 0;
-        digest ^= member.hash;
-        if (!is.there()) {
-            Peer kept = member;
-            member.due = timetable.add(nowMs + times.keptMs(), () -> forget(kept));
-        }
-        event(card, was, is, from, why);
-    }
-
-    private void tell(Peer member, int passedOn) {
-        member.passedOn = passedOn;
-        if (!member.standingIsNews) {
-            member.standingIsNews = true;
-            fresh.add(member);
+            List<String> names = new ArrayList<>(probeOrder);
+            names.add(random.nextInt(names.size() + 1), descriptor.name());
+            probeOrder.clear();
+            probeOrder.addAll(names);
+        } else if (!peer.descriptor.incarnation().equals(descriptor.incarnation())) {
+            peer.lastAckMs = Double.NaN;
+            peer.incarnationStartMs = Double.NaN;
+            peer.startEstimatedMs = Double.NaN;
+            peer.toldMs = Double.NaN;
+        }
+        boolean sameStanding =
+                previousState == newState && peer.descriptor.incarnation().equals(descriptor.incarnation());
+        if (peer.timer != null) {
+            timers.remove(peer.timer);
+            peer.timer = null;
+        }
+        peer.accusers.clear();
+        peer.probedSinceChange = false;
+        peer.descriptor = descriptor;
+        peer.state = newState;
+        updatePresence(peer, newState);
+        peer.stateSinceMs = sameStanding ? peer.stateSinceMs : nowMs;
+        peer.reporter = from;
+        peer.reason = reason;
+        enqueueUpdate(peer, 0);
+        peer.learnAge(ageMs, nowMs);
+        digest ^= peer.digestHash;
+        peer.digestHash = newState.isPresent() ? digestHash(descriptor, newState) : 0;
+        digest ^= peer.digestHash;
+        if (!newState.isPresent()) {
+            Peer kept = peer;
+            peer.timer = timers.add(nowMs + times.departedRetentionMs(), () -> forget(kept));
+        }
+        recordEvent(descriptor, previousState, newState, from, reason);
+    }
+
+    private void enqueueUpdate(Peer peer, int passedOn) {
+        peer.transmissions = passedOn;
+        if (!peer.queued) {
+            peer.queued = true;
+            newUpdates.add(peer);
         }
     }
 
     /** It stands so from now on; null: it is forgotten. */
-    private void there(Peer member, PeerState is) {
-        others += (is != null && is.there() ? 1 : 0) - (member.isThere ? 1 : 0);
-        member.isThere = is != null && is.there();
-        if (is == PeerState.ALIVE && member.aliveAt < 0) {
-            member.aliveAt = alive.size();
-            alive.add(member);
-        } else if (is != PeerState.ALIVE && member.aliveAt >= 0) {
-            Peer last = alive.remove(alive.size() - 1);
-            if (last != member) {
-                alive.set(member.aliveAt, last);
-                last.aliveAt = member.aliveAt;
+    private void updatePresence(Peer peer, PeerState newState) {
+        presentPeers += (newState != null && newState.isPresent() ? 1 : 0) - (peer.present ? 1 : 0);
+        peer.present = newState != null && newState.isPresent();
+        if (newState == PeerState.ALIVE && peer.aliveIndex < 0) {
+            peer.aliveIndex = alivePeers.size();
+            alivePeers.add(peer);
+        } else if (newState != PeerState.ALIVE && peer.aliveIndex >= 0) {
+            Peer last = alivePeers.remove(alivePeers.size() - 1);
+            if (last != peer) {
+                alivePeers.set(peer.aliveIndex, last);
+                last.aliveIndex = peer.aliveIndex;
             }
-            member.aliveAt = -1;
+            peer.aliveIndex = -1;
         }
     }
 
     /** The accuser's own rounds, or word of another one's. Each further accuser makes the time to refute shorter. */
-    private void accuse(Peer member, String by, String why) {
-        if (!member.standing.there() || by.isEmpty() || member.accusers.contains(by)) {
+    private void suspect(Peer peer, String accuser, String reason) {
+        if (!peer.state.isPresent() || accuser.isEmpty() || peer.accusers.contains(accuser)) {
             return;
         }
-        if (member.standing != PeerState.SUSPECT) {
-            take(member.card, PeerState.SUSPECT, self.name(), 0, why);
+        if (peer.state != PeerState.SUSPECT) {
+            applyState(peer.descriptor, PeerState.SUSPECT, localDescriptor.name(), 0, reason);
         }
-        if (member.accusers.isEmpty()) {
-            member.accusedMs = nowMs;
+        if (peer.accusers.isEmpty()) {
+            peer.suspectedSinceMs = nowMs;
         }
-        if (member.accusers.size() < ACCUSERS + 1) {
-            member.accusers.add(by);
-            tell(member, Math.min(member.passedOn, 1));
+        if (peer.accusers.size() < MAX_CONFIRMATIONS + 1) {
+            peer.accusers.add(accuser);
+            enqueueUpdate(peer, Math.min(peer.transmissions, 1));
         }
-        int there = there();
-        double leastMs = times.leastSuspicionMs(there);
-        double mostMs = 3 * leastMs;
-        int wanted = Math.min(ACCUSERS, Math.max(0, there - 3));
-        double part = wanted == 0 ? 1 : Math.log(member.accusers.size()) / Math.log(wanted + 1);
-        double endsMs = member.accusedMs + Math.max(leastMs, mostMs - (mostMs - leastMs) * part);
-        if (member.due != null) {
-            timetable.remove(member.due);
+        int present = presentCount();
+        double minMs = times.minSuspicionMs(present);
+        double maxMs = 3 * minMs;
+        int confirmationsWanted = Math.min(MAX_CONFIRMATIONS, Math.max(0, present - 3));
+        double shortening =
+                confirmationsWanted == 0 ? 1 : Math.log(peer.accusers.size()) / Math.log(confirmationsWanted + 1);
+        double deadlineMs = peer.suspectedSinceMs + Math.max(minMs, maxMs - (maxMs - minMs) * shortening);
+        if (peer.timer != null) {
+            timers.remove(peer.timer);
         }
-        member.due = timetable.add(Math.max(nowMs, endsMs), () -> unrefuted(member));
+        peer.timer = timers.add(Math.max(nowMs, deadlineMs), () -> onSuspicionTimeout(peer));
     }
 
-    private void unrefuted(Peer member) {
-        member.due = null;
-        if (!judges()) {
+    private void onSuspicionTimeout(Peer peer) {
+        peer.timer = null;
+        if (!mayAccuse()) {
             // In doubt of itself it ends no suspicion; it looks again when a round has passed.
-            member.due = timetable.add(nowMs + times.roundMs(), () -> unrefuted(member));
+            peer.timer = timers.add(nowMs + times.probeIntervalMs(), () -> onSuspicionTimeout(peer));
             return;
         }
-        if (!member.askedAgain) {
+        if (!peer.probedSinceChange) {
             // Danger: who was only told of a suspicion hears of its refutation late where there is much to tell; nobody
             // ends one without having asked the suspect itself.
-            ask(member);
-            member.due = timetable.add(nowMs + times.roundMs(), () -> unrefuted(member));
+            probe(peer);
+            peer.timer = timers.add(nowMs + times.probeIntervalMs(), () -> onSuspicionTimeout(peer));
             return;
         }
-        String accusers = String.join(", ", member.accusers);
-        take(
-                member.card,
+        String accusers = String.join(", ", peer.accusers);
+        applyState(
+                peer.descriptor,
                 PeerState.GONE,
-                self.name(),
+                localDescriptor.name(),
                 0,
-                "accused by " + accusers + ", and it did not refute that in " + Math.round(nowMs - member.accusedMs)
-                        + " ms");
+                "accused by " + accusers + ", and it did not refute that in "
+                        + Math.round(nowMs - peer.suspectedSinceMs) + " ms");
     }
 
-    private void forget(Peer member) {
-        members.remove(member.card.name(), member);
-        member.standingIsNews = false;
-        there(member, null);
-        digest ^= member.hash;
-        event(member.card, member.standing, null, self.name(), "nothing heard of it for long");
+    private void forget(Peer peer) {
+        peers.remove(peer.descriptor.name(), peer);
+        peer.queued = false;
+        updatePresence(peer, null);
+        digest ^= peer.digestHash;
+        recordEvent(peer.descriptor, peer.state, null, localDescriptor.name(), "nothing heard of it for long");
     }
 
     /** Makes room: who has been over for the longest goes. */
-    private boolean forgetOne() {
-        Peer oldest = members.values().stream()
-                .filter(member -> !member.standing.there())
-                .min(Comparator.comparingDouble((Peer member) -> member.sinceMs)
-                        .thenComparing(member -> member.card.name()))
+    private boolean evictOldestDeparted() {
+        Peer oldest = peers.values().stream()
+                .filter(peer -> !peer.state.isPresent())
+                .min(Comparator.comparingDouble((Peer peer) -> peer.stateSinceMs)
+                        .thenComparing(peer -> peer.descriptor.name()))
                 .orElse(null);
         if (oldest != null) {
-            timetable.remove(oldest.due);
+            timers.remove(oldest.timer);
             forget(oldest);
         }
         return oldest != null;
@@ -971,28 +1025,30 @@
 
     // ---- This node itself ----
 
-    private void ofMyself(PeerUpdate word, String from) {
-        int order = word.card().life().compareTo(self.life());
+    private void onUpdateAboutSelf(PeerUpdate update, String from) {
+        int order = update.descriptor().incarnation().compareTo(localDescriptor.incarnation());
         if (order > 0) {
-            namesake(word.card(), false);
-        } else if (order == 0 && word.standing() == PeerState.LEFT && standing != PeerState.LEFT) {
-            count("told that it has left");
-            reborn(self.at(new Incarnation(self.life().startMs() + 1, chance.nextInt()), 0));
+            onSameName(update.descriptor(), false);
+        } else if (order == 0 && update.state() == PeerState.LEFT && localState != PeerState.LEFT) {
+            incrementCounter("told that it has left");
+            replaceDescriptor(localDescriptor.withIncarnation(
+                    new Incarnation(localDescriptor.incarnation().startMs() + 1, random.nextInt()), 0));
         } else if (order == 0
-                && word.standing() != PeerState.LEFT
-                && word.card().turn() >= self.turn()
-                && word.standing().compareTo(PeerState.ALIVE) > 0) {
-            health = Math.min(WORST_HEALTH, health + 1);
-            count("refuted");
-            reborn(self.at(self.life(), word.card().turn() + 1));
+                && update.state() != PeerState.LEFT
+                && update.descriptor().refutations() >= localDescriptor.refutations()
+                && update.state().compareTo(PeerState.ALIVE) > 0) {
+            healthMultiplier = Math.min(MAX_HEALTH_MULTIPLIER, healthMultiplier + 1);
+            incrementCounter("refuted");
+            replaceDescriptor(localDescriptor.withIncarnation(
+                    localDescriptor.incarnation(), update.descriptor().refutations() + 1));
             // Danger: the poorer its health, the rarer its own rounds, and a refutation that comes late is none.
-            differ();
-            event(
-                    self,
-                    word.standing(),
-                    standing,
+            startReconciliation();
+            recordEvent(
+                    localDescriptor,
+                    update.state(),
+                    localState,
                     from,
-                    "refuted what " + (word.by().isEmpty() ? from : word.by()) + " said");
+                    "refuted what " + (update.accuser().isEmpty() ? from : update.accuser()) + " said");
         }
     }
 
@@ -1001,218 +1057,244 @@
      * this address can only be a former life, by a clock that was set back since: this one begins after it. A later one
      * elsewhere is asked: if it answers, this process steps back, and if not, it is over.
      */
-    private void namesake(PeerDescriptor other, boolean answered) {
-        if (other.life().compareTo(self.life()) <= 0) {
-            if (!other.life().equals(self.life())) {
-                meet(other.address());
+    private void onSameName(PeerDescriptor other, boolean answered) {
+        if (other.incarnation().compareTo(localDescriptor.incarnation()) <= 0) {
+            if (!other.incarnation().equals(localDescriptor.incarnation())) {
+                addContact(other.address());
             }
             return;
         }
-        if (other.address().equals(self.address())) {
-            begin(other.life());
+        if (other.address().equals(localDescriptor.address())) {
+            startIncarnationAfter(other.incarnation());
         } else if (answered) {
-            if (rival == null) {
-                event(self, standing, standing, other.name(), "another process has the name, from " + other.address());
-                count("stepped back");
+            if (nameOwner == null) {
+                recordEvent(
+                        localDescriptor,
+                        localState,
+                        localState,
+                        other.name(),
+                        "another process has the name, from " + other.address());
+                incrementCounter("stepped back");
             }
-            rival = other;
-            claimed = other;
-            rivalRounds = 0;
-            meet(other.address());
-        } else if (claimed == null) {
-            claimed = other;
-            rivalRounds = 0;
-            meet(other.address());
+            nameOwner = other;
+            nameClaimant = other;
+            claimantSilentRounds = 0;
+            addContact(other.address());
+        } else if (nameClaimant == null) {
+            nameClaimant = other;
+            claimantSilentRounds = 0;
+            addContact(other.address());
         }
     }
 
     /** The other process of this name has not answered for a while. */
-    private void outbid() {
-        PeerDescriptor over = claimed;
-        rival = null;
-        claimed = null;
-        begin(over.life());
+    private void reclaimName() {
+        PeerDescriptor over = nameClaimant;
+        nameOwner = null;
+        nameClaimant = null;
+        startIncarnationAfter(over.incarnation());
     }
 
-    private void begin(Incarnation former) {
-        reborn(self.at(new Incarnation(Math.max(former.startMs(), self.life().startMs()) + 1, chance.nextInt()), 0));
-        event(self, standing, standing, self.name(), "begins a life after its former one");
+    private void startIncarnationAfter(Incarnation former) {
+        replaceDescriptor(localDescriptor.withIncarnation(
+                new Incarnation(
+                        Math.max(former.startMs(), localDescriptor.incarnation().startMs()) + 1, random.nextInt()),
+                0));
+        recordEvent(
+                localDescriptor, localState, localState, localDescriptor.name(), "begins a life after its former one");
     }
 
-    private void reborn(PeerDescriptor card) {
-        digest ^= hash(self, standing);
-        self = card;
-        digest ^= hash(self, standing);
+    private void replaceDescriptor(PeerDescriptor descriptor) {
+        digest ^= digestHash(localDescriptor, localState);
+        localDescriptor = descriptor;
+        digest ^= digestHash(localDescriptor, localState);
     }
 
-    private void become(PeerState is) {
-        digest ^= hash(self, standing);
-        standing = is;
-        digest ^= hash(self, standing);
+    private void setState(PeerState newState) {
+        digest ^= digestHash(localDescriptor, localState);
+        localState = newState;
+        digest ^= digestHash(localDescriptor, localState);
     }
 
     /** Says at once that this node ends, to as many as pass it on. */
     public void leave(double atMs) {
-        moveTo(atMs);
-        if (standing == PeerState.LEFT) {
+        advanceClock(atMs);
+        if (localState == PeerState.LEFT) {
             return;
         }
-        standing = PeerState.LEFT;
-        event(self, PeerState.ALIVE, PeerState.LEFT, self.name(), "it ends");
-        int most = 2 + 2 * (32 - Integer.numberOfLeadingZeros(members.size()));
-        List<Peer> told = new ArrayList<>(some(most, ""));
+        localState = PeerState.LEFT;
+        recordEvent(localDescriptor, PeerState.ALIVE, PeerState.LEFT, localDescriptor.name(), "it ends");
+        int most = 2 + 2 * (32 - Integer.numberOfLeadingZeros(peers.size()));
+        List<Peer> handled = new ArrayList<>(sampleAlive(most, ""));
         // Those that it holds for lost may be alive; where hardly anybody else is left, they hear of it, too.
-        members.values().stream()
-                .filter(member -> member.standing == PeerState.SUSPECT
-                        || member.standing == PeerState.GONE
-                        || member.standing == PeerState.JOINING)
-                .sorted(Comparator.comparing(member -> member.card.name()))
-                .limit(Math.max(0, most - told.size()))
-                .forEach(told::add);
-        for (Peer member : told) {
-            send(member.card.address(), Kind.PING, member.card.name(), chance.nextLong(), null, List.of());
+        peers.values().stream()
+                .filter(peer -> peer.state == PeerState.SUSPECT
+                        || peer.state == PeerState.GONE
+                        || peer.state == PeerState.JOINING)
+                .sorted(Comparator.comparing(peer -> peer.descriptor.name()))
+                .limit(Math.max(0, most - handled.size()))
+                .forEach(handled::add);
+        for (Peer peer : handled) {
+            send(peer.descriptor.address(), Kind.PING, peer.descriptor.name(), random.nextLong(), null, List.of());
         }
     }
 
     // ---- What is sent ----
 
-    private void send(String address, Kind kind, String to, long nonce, PeerDescriptor about, List<PeerUpdate> words) {
-        out.add(new OutgoingMessage(
-                address, new PeerMessage(kind, self, standing, nowMs - bornMs, to, nonce, digest, about, words)));
+    private void send(
+            String address, Kind kind, String to, long nonce, PeerDescriptor target, List<PeerUpdate> updates) {
+        outbox.add(new OutgoingMessage(
+                address,
+                new PeerMessage(
+                        kind, localDescriptor, localState, nowMs - startedMs, to, nonce, digest, target, updates)));
     }
 
     /** First what this node holds against the one it writes to; then news; then, where views differ, the next of the rest. */
-    private List<PeerUpdate> words(Peer other) {
-        return words(other, null);
+    private List<PeerUpdate> selectUpdates(Peer other) {
+        return selectUpdates(other, null);
     }
 
-    private List<PeerUpdate> words(Peer other, PeerDescriptor about) {
-        List<PeerUpdate> words = new ArrayList<>();
+    private List<PeerUpdate> selectUpdates(Peer other, PeerDescriptor target) {
+        List<PeerUpdate> updates = new ArrayList<>();
         // Danger: cards with long texts would make the message too large for a datagram, and the node mute.
-        int left = times.wordBytes() - Math.max(0, self.bytes() - USUAL_CARD) - (about == null ? 0 : about.bytes());
-        if (other != null && other.standing != PeerState.ALIVE && other.standing != PeerState.JOINING) {
-            words.add(word(other));
+        int left = times.maxUpdateBytes()
+                - Math.max(0, localDescriptor.maxEncodedBytes() - USUAL_DESCRIPTOR_BYTES)
+                - (target == null ? 0 : target.maxEncodedBytes());
+        if (other != null && other.state != PeerState.ALIVE && other.state != PeerState.JOINING) {
+            updates.add(toUpdate(other));
             left -= bytes(other);
         }
-        int most = (int) Math.ceil(PASSED_ON * Math.log10(members.size() + 2));
-        List<Peer> told = new ArrayList<>();
-        for (Deque<Peer> each : List.of(fresh, news)) {
+        int most = (int) Math.ceil(RETRANSMIT_MULTIPLIER * Math.log10(peers.size() + 2));
+        List<Peer> handled = new ArrayList<>();
+        for (Deque<Peer> each : List.of(newUpdates, sentUpdates)) {
             for (int i = each.size(); i > 0 && (each.peek() == other || bytes(each.peek()) <= left); i--) {
-                Peer member = each.poll();
-                if (member == other || !member.standingIsNews || told.contains(member)) {
-                    told.add(member);
+                Peer peer = each.poll();
+                if (peer == other || !peer.queued || handled.contains(peer)) {
+                    handled.add(peer);
                     continue;
                 }
-                left -= bytes(member);
-                words.add(word(member));
-                told.add(member);
-                member.passedOn++;
+                left -= bytes(peer);
+                updates.add(toUpdate(peer));
+                handled.add(peer);
+                peer.transmissions++;
             }
         }
-        for (Peer member : told) {
-            member.standingIsNews = member.standingIsNews && member.passedOn < most;
-            if (member.standingIsNews) {
-                news.add(member);
+        for (Peer peer : handled) {
+            peer.queued = peer.queued && peer.transmissions < most;
+            if (peer.queued) {
+                sentUpdates.add(peer);
             }
         }
-        if (nowMs < differUntilMs) {
-            for (int i = members.size(); i > 0; i--) {
-                if (slice.isEmpty()) {
-                    List<String> names = new ArrayList<>(members.keySet());
+        if (nowMs < reconcileUntilMs) {
+            for (int i = peers.size(); i > 0; i--) {
+                if (reconciliationOrder.isEmpty()) {
+                    List<String> names = new ArrayList<>(peers.keySet());
                     Collections.sort(names);
                     shuffle(names);
-                    slice.addAll(names);
+                    reconciliationOrder.addAll(names);
                 }
-                Peer member = members.get(slice.peek());
-                if (member != null && bytes(member) > left) {
+                Peer peer = peers.get(reconciliationOrder.peek());
+                if (peer != null && bytes(peer) > left) {
                     break;
                 }
-                slice.poll();
-                if (member != null && member != other && !told.contains(member)) {
-                    left -= bytes(member);
-                    words.add(word(member));
+                reconciliationOrder.poll();
+                if (peer != null && peer != other && !handled.contains(peer)) {
+                    left -= bytes(peer);
+                    updates.add(toUpdate(peer));
                 }
             }
         }
-        return words;
+        return updates;
     }
 
-    private static int bytes(Peer member) {
-        return member.card.bytes()
-                + (member.accusers.isEmpty() ? 0 : member.accusers.get(0).length());
+    private static int bytes(Peer peer) {
+        return peer.descriptor.maxEncodedBytes()
+                + (peer.accusers.isEmpty() ? 0 : peer.accusers.get(0).length());
     }
 
-    private PeerUpdate word(Peer member) {
+    private PeerUpdate toUpdate(Peer peer) {
         return new PeerUpdate(
-                member.card,
-                member.standing,
-                member.ageMs(nowMs),
-                member.standing == PeerState.SUSPECT && !member.accusers.isEmpty()
-                        ? member.accusers.get(
-                                member.accusers.contains(self.name()) ? member.accusers.indexOf(self.name()) : 0)
+                peer.descriptor,
+                peer.state,
+                peer.incarnationAgeMs(nowMs),
+                peer.state == PeerState.SUSPECT && !peer.accusers.isEmpty()
+                        ? peer.accusers.get(
+                                peer.accusers.contains(localDescriptor.name())
+                                        ? peer.accusers.indexOf(localDescriptor.name())
+                                        : 0)
                         : "");
     }
 
     /** What is to be sent now; handed out once. */
-    public List<OutgoingMessage> take() {
-        List<OutgoingMessage> taken = List.copyOf(out);
-        out.clear();
+    public List<OutgoingMessage> drainMessages() {
+        List<OutgoingMessage> taken = List.copyOf(outbox);
+        outbox.clear();
         return taken;
     }
 
     // ---- What is known ----
 
     public PeerDescriptor self() {
-        return self;
+        return localDescriptor;
     }
 
     /** What has changed since this was last asked, at most the latest thousand. */
-    public List<PeerEvent> events() {
+    public List<PeerEvent> drainEvents() {
         List<PeerEvent> taken = List.copyOf(events);
         events.clear();
         return taken;
     }
 
-    private void event(PeerDescriptor card, PeerState was, PeerState is, String by, String why) {
-        if (events.size() >= MOST_EVENTS) {
+    private void recordEvent(
+            PeerDescriptor descriptor, PeerState previousState, PeerState newState, String accuser, String reason) {
+        if (events.size() >= MAX_EVENTS) {
             events.poll();
-            count("events left out");
+            incrementCounter("events left out");
         }
-        events.add(new PeerEvent(nowMs, card, was, is, by, why, doubt()));
+        events.add(new PeerEvent(nowMs, descriptor, previousState, newState, accuser, reason, healthProblem()));
     }
 
-    private void count(String what) {
-        counts.merge(what, 1L, Long::sum);
+    private void incrementCounter(String name) {
+        counters.merge(name, 1L, Long::sum);
     }
 
-    private int there() {
-        return 1 + others;
+    private int presentCount() {
+        return 1 + presentPeers;
     }
 
     public MembershipView view(double atMs) {
-        List<Seen> seen = new ArrayList<>();
-        String doubt = doubt();
-        seen.add(new Seen(self, standing, bornMs, self.name(), Sure.HEARD, atMs, "this node"));
+        List<Entry> seen = new ArrayList<>();
+        String healthProblem = healthProblem();
+        seen.add(new Entry(
+                localDescriptor, localState, startedMs, localDescriptor.name(), Confidence.DIRECT, atMs, "this node"));
         int least = 1;
         int most = 1;
-        for (Peer member : members.values()) {
-            boolean heard = atMs - member.heardMs < 4 * times.roundMs() * Math.max(4, members.size());
-            Sure sure = member.standing == PeerState.SUSPECT || !doubt.isEmpty()
-                    ? Sure.DOUBTED
-                    : heard ? Sure.HEARD : Sure.TOLD;
-            least += member.standing == PeerState.ALIVE && doubt.isEmpty() ? 1 : 0;
-            most += member.standing == PeerState.LEFT ? 0 : 1;
-            seen.add(new Seen(
-                    member.card, member.standing, member.sinceMs, member.from, sure, member.heardMs, member.why));
-        }
-        seen.sort(Comparator.comparing(each -> each.card().name()));
+        for (Peer peer : peers.values()) {
+            boolean heard = atMs - peer.lastAckMs < 4 * times.probeIntervalMs() * Math.max(4, peers.size());
+            Confidence sure = peer.state == PeerState.SUSPECT || !healthProblem.isEmpty()
+                    ? Confidence.LOW
+                    : heard ? Confidence.DIRECT : Confidence.REPORTED;
+            least += peer.state == PeerState.ALIVE && healthProblem.isEmpty() ? 1 : 0;
+            most += peer.state == PeerState.LEFT ? 0 : 1;
+            seen.add(new Entry(
+                    peer.descriptor, peer.state, peer.stateSinceMs, peer.reporter, sure, peer.lastAckMs, peer.reason));
+        }
+        seen.sort(Comparator.comparing(each -> each.descriptor().name()));
         most += (int) contacts.values().stream()
-                .filter(contact -> !known(contact.address)
-                        && members.values().stream()
-                                .noneMatch(member -> member.card.address().equals(contact.address)))
+                .filter(contact -> !isKnownAddress(contact.address)
+                        && peers.values().stream()
+                                .noneMatch(peer -> peer.descriptor.address().equals(contact.address)))
                 .count();
         return new MembershipView(
-                self.name(), standing, doubt, atMs, there(), least, most, List.copyOf(seen), Map.copyOf(counts));
+                localDescriptor.name(),
+                localState,
+                healthProblem,
+                atMs,
+                presentCount(),
+                least,
+                most,
+                List.copyOf(seen),
+                Map.copyOf(counters));
     }
 
     /**
@@ -1220,12 +1302,12 @@
      * news that one of them has may miss a node, which would hold it for joining until the two happen to talk. Suspicions are
      * left out, they end by themselves.
      */
-    private static long hash(PeerDescriptor card, PeerState standing) {
-        long hash = card.name().hashCode() * 0x9E3779B97F4A7C15L
-                ^ card.life().startMs() * 0xC2B2AE3D27D4EB4FL
-                ^ card.life().nonce() * 0x165667B19E3779F9L
-                ^ card.turn() * 0xD6E8FEB86659FD93L
-                ^ (standing == PeerState.JOINING ? 0x2545F4914F6CDD1DL : 0);
+    private static long digestHash(PeerDescriptor descriptor, PeerState localState) {
+        long hash = descriptor.name().hashCode() * 0x9E3779B97F4A7C15L
+                ^ descriptor.incarnation().startMs() * 0xC2B2AE3D27D4EB4FL
+                ^ descriptor.incarnation().nonce() * 0x165667B19E3779F9L
+                ^ descriptor.refutations() * 0xD6E8FEB86659FD93L
+                ^ (localState == PeerState.JOINING ? 0x2545F4914F6CDD1DL : 0);
         hash ^= hash >>> 32;
         hash *= 0x9FB21C651E98DF25L;
         return hash ^ hash >>> 28;
--- a/core/src/test/java/spartrail/peers/SwimMembershipTest.java
+++ b/core/src/test/java/spartrail/peers/SwimMembershipTest.java
@@ -26,7 +26,7 @@
         SwimMembership made = new SwimMembership(
                 new PeerDescriptor(name, address(number), "", 1, "1", "", new Incarnation(startMs, number), 0),
                 List.of(address(1), address(2)),
-                GossipTimings.USUAL,
+                GossipTimings.DEFAULT,
                 new SplittableRandom(number),
                 nowMs);
         nodes.put(address(number), made);
@@ -43,11 +43,11 @@
     }
 
     private void deliver(String address) {
-        for (OutgoingMessage outgoing : nodes.get(address).take()) {
+        for (OutgoingMessage outgoing : nodes.get(address).drainMessages()) {
             sent.merge(address, 1, Integer::sum);
             SwimMembership to = nodes.get(outgoing.address());
             if (to != null && passes.test(address, outgoing.address())) {
-                to.heard(outgoing.message(), nowMs);
+                to.onMessage(outgoing.message(), nowMs);
                 deliver(outgoing.address());
             }
         }
@@ -55,11 +55,13 @@
 
     private String seen(int by) {
         MembershipView view = nodes.get(address(by)).view(nowMs);
-        StringBuilder text = new StringBuilder(view.there() + " of " + view.least() + " to " + view.most() + ":");
-        view.peers()
-                .forEach(each ->
-                        text.append(' ').append(each.card().name()).append('=').append(each.standing()));
-        return text + (view.doubt().isEmpty() ? "" : " (" + view.doubt() + ")");
+        StringBuilder text =
+                new StringBuilder(view.presentCount() + " of " + view.minCount() + " to " + view.maxCount() + ":");
+        view.peers().forEach(each -> text.append(' ')
+                .append(each.descriptor().name())
+                .append('=')
+                .append(each.state()));
+        return text + (view.healthProblem().isEmpty() ? "" : " (" + view.healthProblem() + ")");
     }
 
     private void four() {
@@ -99,7 +101,7 @@
         run(20_000);
         assertThat(seen(1)).isEqualTo("4 of 4 to 4: n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE");
         assertThat(nodes.get(address(1)).view(nowMs).peers().stream()
-                        .map(each -> each.card().address())
+                        .map(each -> each.descriptor().address())
                         .toList())
                 .containsExactly(address(1), address(2), address(4), address(3));
     }
@@ -116,7 +118,7 @@
         nodes.remove(address(5));
         run(25_000);
         assertThat(seen(3)).isEqualTo("4 of 4 to 4: n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE");
-        assertThat(nodes.get(address(1)).view(nowMs).peers().get(2).card().address())
+        assertThat(nodes.get(address(1)).view(nowMs).peers().get(2).descriptor().address())
                 .isEqualTo(address(3));
     }
 
@@ -129,9 +131,9 @@
             for (int i = 1; i <= 4; i++) {
                 SwimMembership node = nodes.get(address(i));
                 node.advance(nowMs);
-                for (OutgoingMessage outgoing : node.take()) {
+                for (OutgoingMessage outgoing : node.drainMessages()) {
                     if (passes.test(address(i), outgoing.address())) {
-                        nodes.get(outgoing.address()).heard(outgoing.message(), nowMs);
+                        nodes.get(outgoing.address()).onMessage(outgoing.message(), nowMs);
                     } else if (i == 4 || outgoing.address().equals(address(4))) {
                         held.add(outgoing.message());
                     }
@@ -142,14 +144,14 @@
         run(3_600_000);
         String before = seen(1) + seen(4);
         assertThat(before).doesNotContain("GONE").doesNotContain("SUSPECT");
-        assertThat(held).anyMatch(message -> message.words().stream()
-                .anyMatch(word -> !word.standing().equals(PeerState.ALIVE)));
-        nodes.get(address(1)).events();
-        held.forEach(message -> nodes.get(address(1)).heard(message, nowMs));
-        held.forEach(message -> nodes.get(address(4)).heard(message, nowMs));
+        assertThat(held).anyMatch(message -> message.updates().stream()
+                .anyMatch(word -> !word.state().equals(PeerState.ALIVE)));
+        nodes.get(address(1)).drainEvents();
+        held.forEach(message -> nodes.get(address(1)).onMessage(message, nowMs));
+        held.forEach(message -> nodes.get(address(4)).onMessage(message, nowMs));
         assertThat(seen(1) + seen(4)).isEqualTo(before);
-        assertThat(nodes.get(address(1)).events()).isEmpty();
-        assertThat(nodes.get(address(1)).view(nowMs).counts()).containsKey("stale messages");
+        assertThat(nodes.get(address(1)).drainEvents()).isEmpty();
+        assertThat(nodes.get(address(1)).view(nowMs).counters()).containsKey("stale messages");
     }
 
     @Test
@@ -161,7 +163,7 @@
             nowMs += 0.5;
             PeerDescriptor invented = new PeerDescriptor(
                     "x" + i, "10.9." + i % 250 + "." + i / 250 + ":7400", "", 1, "", "", new Incarnation(1, i), 0);
-            node.heard(
+            node.onMessage(
                     new PeerMessage(
                             PeerMessage.Kind.PING,
                             invented,
@@ -186,7 +188,7 @@
                 .startsWith("4 of 4 to ")
                 .contains("n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE")
                 .doesNotContain("x");
-        assertThat(node.view(nowMs).most()).isLessThanOrEqualTo(4 + 64);
-        assertThat(sent.get(address(1)) / 10.0).isLessThan(SwimMembership.mostMessagesPerS(GossipTimings.USUAL));
+        assertThat(node.view(nowMs).maxCount()).isLessThanOrEqualTo(4 + 64);
+        assertThat(sent.get(address(1)) / 10.0).isLessThan(SwimMembership.maxMessagesPerSecond(GossipTimings.DEFAULT));
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/NodesReplay.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesReplay.java
@@ -44,7 +44,7 @@
         }
         PeersScenario trial = whole ? PeersScenario.drawn(seed, least, most) : Exploration.shrunk(seed, least, most);
         out.print(trial.script());
-        PeersScenario.Outcome outcome = trial.play(GossipTimings.USUAL, true);
+        PeersScenario.Outcome outcome = trial.play(GossipTimings.DEFAULT, true);
         outcome.scene().log().forEach(out::println);
         out.printf("hash %016x, %d messages%n", outcome.hash(), outcome.messages());
         outcome.breaches().forEach(breach -> out.println("BROKEN " + breach));
--- a/lab/src/main/java/spartrail/lab/cluster/HistoryChecker.java
+++ b/lab/src/main/java/spartrail/lab/cluster/HistoryChecker.java
@@ -40,7 +40,7 @@
     private final Map<Integer, Integer> has = new HashMap<>();
     private final Map<Integer, Incarnation> lives = new HashMap<>();
     /** What the process on each machine holds, whether it takes part or not. */
-    private final Map<Integer, Map<Integer, PeersRules.Held>> holds = new HashMap<>();
+    private final Map<Integer, Map<Integer, PeersRules.KnownPeer>> holds = new HashMap<>();
 
     private double lastMs;
 
@@ -119,8 +119,8 @@
         rules.lives(node, life);
     }
 
-    private static PeersRules.Held held(JsonNode tree) {
-        return new PeersRules.Held(
+    private static PeersRules.KnownPeer held(JsonNode tree) {
+        return new PeersRules.KnownPeer(
                 new Incarnation(tree.get("startMs").asLong(), tree.get("nonce").asInt()),
                 tree.get("turn").asInt(),
                 PeerState.valueOf(tree.get("is").asText()));
@@ -131,7 +131,7 @@
         int viewer = bears.getOrDefault(line.node(), line.node());
         if (line.what().equals("standing")) {
             int other = names.indexOf(tree.get("of").asText());
-            Map<Integer, PeersRules.Held> held = holds.computeIfAbsent(line.node(), machine -> new HashMap<>());
+            Map<Integer, PeersRules.KnownPeer> held = holds.computeIfAbsent(line.node(), machine -> new HashMap<>());
             if (tree.get("is").isNull()) {
                 held.remove(other);
             } else if (other != viewer) {
--- a/lab/src/main/java/spartrail/lab/drill/PeersDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/PeersDrill.java
@@ -219,7 +219,7 @@
                                     rules.falseEnds().toString());
                             findings.most(
                                     "messages a second a node, on average while flooded",
-                                    SwimMembership.mostMessagesPerS(GossipTimings.USUAL),
+                                    SwimMembership.maxMessagesPerSecond(GossipTimings.DEFAULT),
                                     outcome.nodes().stream()
                                                     .mapToDouble(node -> node.get("sentMessages")
                                                             .asDouble())
@@ -313,11 +313,11 @@
         return held.getMin() + " and " + held.getMax();
     }
 
-    interface Seen {
+    interface Entry {
         void of(ClusterHarness.Outcome outcome);
     }
 
-    static ObjectNode played(ClusterPlan plan, Seen seen) throws IOException, InterruptedException {
+    static ObjectNode played(ClusterPlan plan, Entry seen) throws IOException, InterruptedException {
         Path folder = KEEP == null
                 ? Files.createTempDirectory("spartrail-nodes")
                 : Files.createTempDirectory(Path.of(KEEP), "nodes");
@@ -362,7 +362,7 @@
                     "time until it was known, median in ms", String.valueOf(Math.round(known.get(known.size() / 2))));
             findings.most(
                     "time until it was known, longest in ms",
-                    GossipTimings.USUAL.knownWithinMs(USUAL_NODES),
+                    GossipTimings.DEFAULT.detectionBoundMs(USUAL_NODES),
                     known.get(known.size() - 1));
         }
     }
--- a/lab/src/main/java/spartrail/lab/rules/PeersRules.java
+++ b/lab/src/main/java/spartrail/lab/rules/PeersRules.java
@@ -24,16 +24,17 @@
     }
 
     /** What a node holds of another one. */
-    public record Held(Incarnation life, int turn, PeerState standing) {}
+    public record KnownPeer(Incarnation incarnation, int refutations, PeerState state) {}
 
     /** A node came to hold this of another one, by its own verdict or by what it was told; why it doubts itself, or empty. */
-    public record Change(double atMs, int viewer, int other, Held now, boolean own, String doubt) {}
+    public record Change(
+            double atMs, int viewer, int subject, KnownPeer known, boolean ownVerdict, String healthProblem) {}
 
     private static final int MOST_BREACHES = 20;
 
     private final int size;
     private final List<Breach> breaches = new ArrayList<>();
-    private final List<Map<Integer, Held>> held = new ArrayList<>();
+    private final List<Map<Integer, KnownPeer>> held = new ArrayList<>();
     private final Incarnation[] lives;
     private final boolean[] runs;
     private final boolean[] said;
@@ -69,7 +70,7 @@
     }
 
     /** A process that ran all along takes part again; it holds this. */
-    public void resumed(int node, Map<Integer, Held> holds) {
+    public void resumed(int node, Map<Integer, KnownPeer> holds) {
         started(node);
         held.get(node).putAll(holds);
     }
@@ -109,48 +110,46 @@
 
     public void changed(Change change) {
         asked++;
-        int other = change.other();
+        int other = change.subject();
         String names = "n" + change.viewer() + " holds n" + other + " for "
-                + change.now().standing();
-        Held before = held.get(change.viewer()).put(other, change.now());
-        if (before != null && compare(change.now(), before) <= 0) {
-            breach(change.atMs(), "1 never back", names + " in " + change.now() + " after " + before);
+                + change.known().state();
+        KnownPeer before = held.get(change.viewer()).put(other, change.known());
+        if (before != null && compare(change.known(), before) <= 0) {
+            breach(change.atMs(), "1 never back", names + " in " + change.known() + " after " + before);
         }
-        PeerState is = change.now().standing();
-        if (change.own()
+        PeerState is = change.known().state();
+        if (change.ownVerdict()
                 && (is == PeerState.SUSPECT || is == PeerState.GONE)
-                && !change.doubt().isEmpty()) {
-            breach(change.atMs(), "4 no verdict in doubt", names + " while in doubt: " + change.doubt());
+                && !change.healthProblem().isEmpty()) {
+            breach(change.atMs(), "4 no verdict in doubt", names + " while in doubt: " + change.healthProblem());
         }
-        if (change.own() && (is == PeerState.SUSPECT || is == PeerState.GONE) && deaf[change.viewer()]) {
+        if (change.ownVerdict() && (is == PeerState.SUSPECT || is == PeerState.GONE) && deaf[change.viewer()]) {
             breach(change.atMs(), "4 no verdict in doubt", names + ", having stood still and heard nothing since");
         }
-        boolean current = change.now().life().equals(lives[other]);
+        boolean current = change.known().incarnation().equals(lives[other]);
         if (is == PeerState.LEFT && current && !said[other]) {
             breach(change.atMs(), "2 only its own word", names + ", and it has not said so");
         }
-        if (change.own() && is == PeerState.SUSPECT && current && runs[other]) {
+        if (change.ownVerdict() && is == PeerState.SUSPECT && current && runs[other]) {
             falseSuspicions++;
             suspicionsInFault += change.atMs() >= firstFaultMs ? 1 : 0;
         }
         goneThoughSaid += is == PeerState.GONE && current && !runs[other] && said[other] ? 1 : 0;
-        if (!is.there() && current && runs[other]) {
+        if (!is.isPresent() && current && runs[other]) {
             falseEnds.merge(other, 1, Integer::sum);
             if (change.atMs() < firstFaultMs) {
                 breach(change.atMs(), "no false end", names + ", and nothing is wrong");
             }
-        } else if (!is.there() && current) {
+        } else if (!is.isPresent() && current) {
             knownMs.add(change.atMs() - endedMs[other]);
         }
     }
 
-    private static int compare(Held one, Held other) {
-        int order = one.life().compareTo(other.life());
-        order = order != 0
-                ? order
-                : Boolean.compare(one.standing() == PeerState.LEFT, other.standing() == PeerState.LEFT);
-        order = order != 0 ? order : Integer.compare(one.turn(), other.turn());
-        return order != 0 ? order : one.standing().compareTo(other.standing());
+    private static int compare(KnownPeer one, KnownPeer other) {
+        int order = one.incarnation().compareTo(other.incarnation());
+        order = order != 0 ? order : Boolean.compare(one.state() == PeerState.LEFT, other.state() == PeerState.LEFT);
+        order = order != 0 ? order : Integer.compare(one.refutations(), other.refutations());
+        return order != 0 ? order : one.state().compareTo(other.state());
     }
 
     /** Time enough has passed since the last fault: all that run hold all that run for alive, and nobody else for there. */
@@ -161,14 +160,14 @@
         }
         for (int viewer = 0; viewer < size && running > 1; viewer++) {
             for (int other = 0; runs[viewer] && other < size; other++) {
-                Held of = held.get(viewer).get(other);
-                boolean current = of != null && of.life().equals(lives[other]);
-                if (other != viewer && runs[other] && (!current || of.standing() != PeerState.ALIVE)) {
+                KnownPeer of = held.get(viewer).get(other);
+                boolean current = of != null && of.incarnation().equals(lives[other]);
+                if (other != viewer && runs[other] && (!current || of.state() != PeerState.ALIVE)) {
                     breach(atMs, "views agree", "n" + viewer + " holds n" + other + " for " + of + ", and it runs");
                 } else if (other != viewer
                         && !runs[other]
                         && of != null
-                        && of.standing().there()) {
+                        && of.state().isPresent()) {
                     breach(
                             atMs,
                             "views agree",
--- a/lab/src/main/java/spartrail/lab/simulation/Exploration.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Exploration.java
@@ -35,7 +35,7 @@
                 .parallel()
                 .map(seed -> {
                     PeersScenario trial = PeersScenario.drawn(seed, least, most);
-                    PeersScenario.Outcome outcome = trial.play(GossipTimings.USUAL, false);
+                    PeersScenario.Outcome outcome = trial.play(GossipTimings.DEFAULT, false);
                     messages.addAndGet(outcome.messages());
                     changes.addAndGet(outcome.scene().rules().asked());
                     if (!outcome.breaches().isEmpty()) {
@@ -55,7 +55,7 @@
         for (long seed = from; seed < from + count; seed++) {
             PeersScenario trial = PeersScenario.drawn(seed, most);
             List<PeersRules.Breach> breaches =
-                    trial.play(GossipTimings.USUAL, false).breaches();
+                    trial.play(GossipTimings.DEFAULT, false).breaches();
             if (!breaches.isEmpty()) {
                 return seed + "\t" + breaches.get(0).rule() + "\t" + trial.size();
             }
@@ -67,9 +67,9 @@
     public static PeersScenario shrunk(long seed, int least, int most) {
         PeersScenario trial = PeersScenario.drawn(seed, least, most);
         List<PeersRules.Breach> breaches =
-                new ArrayList<>(trial.play(GossipTimings.USUAL, false).breaches());
+                new ArrayList<>(trial.play(GossipTimings.DEFAULT, false).breaches());
         return breaches.isEmpty()
                 ? trial
-                : trial.shrunk(GossipTimings.USUAL, breaches.get(0).rule(), UnaryOperator.identity());
+                : trial.shrunk(GossipTimings.DEFAULT, breaches.get(0).rule(), UnaryOperator.identity());
     }
 }
--- a/lab/src/main/java/spartrail/lab/simulation/Mutations.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Mutations.java
@@ -41,59 +41,72 @@
     public static final List<Plant> ALL = List.of(
             new Plant(
                     "older news replaces newer",
-                    "member.card, member.standing) <= 0) {",
-                    "member.card, member.standing) == 0) {"),
+                    "peer.descriptor, peer.state) <= 0) {",
+                    "peer.descriptor, peer.state) == 0) {"),
             new Plant(
                     "a node in doubt ends suspicions",
-                    "        if (!judges()) {\n            // In doubt",
+                    "        if (!mayAccuse()) {\n            // In doubt",
                     "        if (false) {\n            // In doubt"),
             new Plant(
                     "a node in doubt suspects",
-                    "member.card.life().equals(ended.life) && judges()) {",
-                    "member.card.life().equals(ended.life)) {"),
-            new Plant("a standstill is not noticed", "if (lateMs > times.stoodMs()) {", "if (lateMs > 1e12) {"),
+                    "peer.descriptor.incarnation().equals(ended.incarnation) && mayAccuse()) {",
+                    "peer.descriptor.incarnation().equals(ended.incarnation)) {"),
+            new Plant(
+                    "a standstill is not noticed", "if (lateMs > times.pauseThresholdMs()) {", "if (lateMs > 1e12) {"),
             new Plant(
                     "nothing is refuted",
-                    "            reborn(self.at(self.life(), word.card().turn() + 1));\n            // Danger",
+                    "            replaceDescriptor(localDescriptor.withIncarnation(localDescriptor.incarnation(), update.descriptor().refutations() + 1));\n            // Danger",
                     "            // Danger"),
             new Plant(
                     "refuted with the same turn",
-                    "reborn(self.at(self.life(), word.card().turn() + 1));",
-                    "reborn(self.at(self.life(), word.card().turn()));"),
-            new Plant("nobody looks for the lost", "        lookForLost();\n        Peer next", "        Peer next"),
+                    "replaceDescriptor(localDescriptor.withIncarnation(localDescriptor.incarnation(), update.descriptor().refutations() + 1));",
+                    "replaceDescriptor(localDescriptor.withIncarnation(localDescriptor.incarnation(), update.descriptor().refutations()));"),
+            new Plant(
+                    "nobody looks for the lost",
+                    "        probeDeparted();\n        Peer target",
+                    "        Peer target"),
             new Plant(
                     "what a new answer says of this node is not heard",
-                    "if (trusted || proof && word",
-                    "if (trusted || false && word"),
-            new Plant("helpers are not asked", "if (asking != round || asking.answered) {", "if (true) {"),
+                    "if (trusted || isFreshAck && update",
+                    "if (trusted || false && update"),
+            new Plant("helpers are not asked", "if (probe != currentProbe || probe.acknowledged) {", "if (true) {"),
             new Plant(
                     "a helper's find does not count",
-                    "        if (about.life().compareTo(round.life) >= 0) {",
+                    "        if (target.incarnation().compareTo(currentProbe.incarnation) >= 0) {",
                     "        if (false) {"),
             new Plant(
                     "the digest leaves out who is new",
-                    "member.hash = is.there() ? hash(card, is) : 0;",
-                    "member.hash = was != null && is.there() ? hash(card, is) : 0;"),
-            new Plant("news is passed on for ever", "                member.passedOn++;\n", ""),
+                    "peer.digestHash = newState.isPresent() ? digestHash(descriptor, newState) : 0;",
+                    "peer.digestHash = previousState != null && newState.isPresent() ? digestHash(descriptor, newState) : 0;"),
+            new Plant("news is passed on for ever", "                peer.transmissions++;\n", ""),
             new Plant(
                     "who leaves does not say so",
-                    "        standing = PeerState.LEFT;\n",
-                    "        standing = PeerState.ALIVE;\n"),
-            new Plant("a former life's later start is not outbid", "            begin(other.life());\n", ""),
+                    "        localState = PeerState.LEFT;\n",
+                    "        localState = PeerState.ALIVE;\n"),
+            new Plant(
+                    "a former life's later start is not outbid",
+                    "            startIncarnationAfter(other.incarnation());\n",
+                    ""),
             new Plant(
                     "a suspicion never ends",
-                    "() -> unrefuted(member));\n    }\n\n    private void unrefuted",
-                    "() -> { });\n    }\n\n    private void unrefuted"),
-            new Plant("a node that is cut off does not notice", "unanswered >= UNANSWERED", "unanswered >= 1000"),
-            new Plant("suspicions go on where doubt ends", "if (doubted && !inDoubtOfItself()) {", "if (false) {"),
+                    "() -> onSuspicionTimeout(peer));\n    }\n\n    private void onSuspicionTimeout",
+                    "() -> { });\n    }\n\n    private void onSuspicionTimeout"),
+            new Plant(
+                    "a node that is cut off does not notice",
+                    "unansweredRounds >= MAX_UNANSWERED_ROUNDS",
+                    "unansweredRounds >= 1000"),
+            new Plant(
+                    "suspicions go on where doubt ends",
+                    "if (wasDoubtful && !isAwaitingAcksAfterPause()) {",
+                    "if (false) {"),
             new Plant(
                     "suspects are not asked again",
-                    "this::askSuspects);\n        if (standing == PeerState.LEFT ||",
-                    "this::askSuspects);\n        if (true ||"),
+                    "this::probeSuspects);\n        if (localState == PeerState.LEFT ||",
+                    "this::probeSuspects);\n        if (true ||"),
             new Plant(
                     "strangers are not met",
-                    "            Contact met = meet(message.from().address());",
-                    "            Contact met = null;"));
+                    "            Contact added = addContact(message.sender().address());",
+                    "            Contact added = null;"));
 
     private static final String FOLLOWER = "policy/PolicyFollower";
     private static final String LEADER = "policy/PolicyLeader";
--- a/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
@@ -97,12 +97,12 @@
                 at(known, 0.5),
                 at(known, 0.99),
                 at(known, 1),
-                times.knownWithinMs(size),
+                times.detectionBoundMs(size),
                 all.stream().mapToLong(Run::suspicions).sum() / hours,
                 all.stream().mapToLong(Run::ends).sum() / hours,
                 all.stream().mapToDouble(Run::bytes).average().orElse(0),
                 all.stream().mapToDouble(Run::mostBytes).max().orElse(0),
-                SwimMembership.mostMessagesPerS(times) * (PeerMessageCodec.MOST_BYTES + HEADS));
+                SwimMembership.maxMessagesPerSecond(times) * (PeerMessageCodec.MOST_BYTES + HEADS));
     }
 
     private static double at(List<Double> sorted, double part) {
--- a/lab/src/main/java/spartrail/lab/simulation/PeersScenario.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersScenario.java
@@ -137,7 +137,7 @@
 
     /** In so much time after the last fault all views are the same again. */
     public static double settlesMs(int size, GossipTimings times) {
-        return times.roundMs() * (40 + 12 * Math.log(size) / Math.log(2)) + 6 * times.leastSuspicionMs(size);
+        return times.probeIntervalMs() * (40 + 12 * Math.log(size) / Math.log(2)) + 6 * times.minSuspicionMs(size);
     }
 
     public Outcome play(GossipTimings times, boolean logs) {
--- a/lab/src/main/java/spartrail/lab/simulation/PeersSimulation.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersSimulation.java
@@ -36,7 +36,7 @@
         public void heard(PeerMessage message, double nowMs) {
             PeerMessage taken = planted.apply(message);
             if (taken != null) {
-                peers.heard(taken, nowMs);
+                peers.onMessage(taken, nowMs);
                 heard.run();
             }
         }
@@ -54,7 +54,7 @@
         @Override
         public List<Parcel<PeerMessage>> sent() {
             List<Parcel<PeerMessage>> parcels = new ArrayList<>();
-            for (OutgoingMessage outgoing : peers.take()) {
+            for (OutgoingMessage outgoing : peers.drainMessages()) {
                 parcels.add(new Parcel<>(outgoing.address(), outgoing.message()));
             }
             return parcels;
@@ -148,21 +148,21 @@
         return message.nonce()
                 ^ message.digest() * 31
                         + message.kind().ordinal() * 7L
-                        + message.words().size();
+                        + message.updates().size();
     }
 
     @Override
     public void sent(int node, PeerMessage message, double worldMs) {
-        words += message.words().size();
-        if (message.kind() == PeerMessage.Kind.PING && !message.to().isEmpty()) {
-            askedMs.get(node).put(message.to(), worldMs);
+        words += message.updates().size();
+        if (message.kind() == PeerMessage.Kind.PING && !message.recipient().isEmpty()) {
+            askedMs.get(node).put(message.recipient(), worldMs);
         }
         long now = (long) (worldMs / 1000);
         if (second[node] != now) {
             second[node] = now;
             sentThisSecond[node] = 0;
         }
-        if (++sentThisSecond[node] == Math.ceil(2 * SwimMembership.mostMessagesPerS(times)) + 1) {
+        if (++sentThisSecond[node] == Math.ceil(2 * SwimMembership.maxMessagesPerSecond(times)) + 1) {
             rules.breach(worldMs, "5 messages bounded", "n" + node + " sent " + sentThisSecond[node] + " in a second");
         }
     }
@@ -171,7 +171,9 @@
     public void faulted(Fault fault, boolean ends, double worldMs) {
         rules.faulted(worldMs);
         log(fault + (ends ? " ends" : ""));
-        if (ends && fault.kind() == Fault.Kind.STALL && fault.lastsMs() > 2 * times.stoodMs() + times.roundMs()) {
+        if (ends
+                && fault.kind() == Fault.Kind.STALL
+                && fault.lastsMs() > 2 * times.pauseThresholdMs() + times.probeIntervalMs()) {
             fault.nodes().forEach(rules::woke);
         }
         if (!ends
@@ -191,35 +193,39 @@
     @Override
     public void stepped(int node, SimulatedNode<PeerMessage> guest, double worldMs, double nodeMs) {
         SwimMembership peers = ((PeersGuest) guest).peers;
-        rules.lives(node, peers.self().life());
-        for (PeerEvent event : peers.events()) {
+        rules.lives(node, peers.self().incarnation());
+        for (PeerEvent event : peers.drainEvents()) {
             if (logs) {
-                log("n" + node + " holds " + event.card().name() + " " + event.is() + " (was " + event.was() + ", turn "
-                        + event.card().turn() + "), by " + event.by() + ": " + event.why());
+                log("n" + node + " holds " + event.descriptor().name() + " " + event.newState() + " (was "
+                        + event.previousState() + ", turn " + event.descriptor().refutations() + "), by "
+                        + event.reporter() + ": " + event.reason());
             }
-            int other = Integer.parseInt(event.card().name().substring(1));
-            if (event.is() == PeerState.SUSPECT && event.by().equals("n" + node)) {
-                suspectedMs.get(node).put(event.card().name(), worldMs);
+            int other = Integer.parseInt(event.descriptor().name().substring(1));
+            if (event.newState() == PeerState.SUSPECT && event.reporter().equals("n" + node)) {
+                suspectedMs.get(node).put(event.descriptor().name(), worldMs);
             } else {
-                suspectedMs.get(node).remove(event.card().name());
+                suspectedMs.get(node).remove(event.descriptor().name());
             }
-            if (other != node && event.is() == null) {
+            if (other != node && event.newState() == null) {
                 rules.forgotten(node, other);
             } else if (other != node) {
                 rules.changed(new PeersRules.Change(
                         worldMs,
                         node,
                         other,
-                        new PeersRules.Held(event.card().life(), event.card().turn(), event.is()),
-                        event.by().equals("n" + node),
-                        event.doubt()));
+                        new PeersRules.KnownPeer(
+                                event.descriptor().incarnation(),
+                                event.descriptor().refutations(),
+                                event.newState()),
+                        event.reporter().equals("n" + node),
+                        event.healthProblem()));
             }
         }
         if (!suspectedMs.get(node).isEmpty() && peers.nextMs() > nodeMs) {
             MembershipView view = peers.view(nodeMs);
-            if (view.standing() != PeerState.LEFT
+            if (view.state() != PeerState.LEFT
                     && view.peers().stream()
-                                    .filter(seen -> seen.standing() == PeerState.SUSPECT)
+                                    .filter(seen -> seen.state() == PeerState.SUSPECT)
                                     .count()
                             <= FEW_SUSPECTS) {
                 suspectsAsked(node, worldMs);
@@ -231,7 +237,7 @@
     private void suspectsAsked(int node, double worldMs) {
         suspectedMs.get(node).forEach((other, sinceMs) -> {
             double silentMs = worldMs - Math.max(sinceMs, askedMs.get(node).getOrDefault(other, 0.0));
-            if (silentMs > SUSPECT_ROUNDS * times.roundMs()) {
+            if (silentMs > SUSPECT_ROUNDS * times.probeIntervalMs()) {
                 rules.breach(
                         worldMs,
                         "suspects are asked",
@@ -254,7 +260,7 @@
             running += rules.runs(node) ? 1 : 0;
         }
         // A round is a question and its answer; every other one asks one of the lost, too, and tells it how it is held.
-        double most = running * lastedMs / 1000 * 4 * 1000 / times.roundMs() + 10;
+        double most = running * lastedMs / 1000 * 4 * 1000 / times.probeIntervalMs() + 10;
         if (running > 1
                 && rules.breaches().isEmpty()
                 && (world.messages() - calmMessages > most || words - calmWords > 0.25 * most)) {
@@ -278,7 +284,7 @@
                     ? ((PeersGuest) world.guest(node))
                             .peers
                             .view(world.clock(node))
-                            .doubt()
+                            .healthProblem()
                     : "";
             if (!doubt.isEmpty()) {
                 rules.breach(world.nowMs(), "doubt ends", "n" + node + " is still in doubt: " + doubt);
--- a/lab/src/test/java/spartrail/lab/simulation/ExplorationTest.java
+++ b/lab/src/test/java/spartrail/lab/simulation/ExplorationTest.java
@@ -31,7 +31,7 @@
         Fault cut = new Fault(15_848, Fault.Kind.CUT, List.of(0, 1, 3, 5, 8), List.of(), 5834, 0);
         for (PeersScenario trial :
                 List.of(new PeersScenario(6, 18, List.of(left, cut)), new PeersScenario(179, 28, List.of()))) {
-            assertThat(trial.play(GossipTimings.USUAL, false).breaches())
+            assertThat(trial.play(GossipTimings.DEFAULT, false).breaches())
                     .as(trial.script())
                     .isEmpty();
         }
@@ -40,7 +40,7 @@
     /** A hundred nodes at once that know one address only, and nobody is there; later somebody is. */
     @Test
     void nodesWhoseOnlySeedIsDownMeetWhenItComes() {
-        PeersSimulation scene = new PeersSimulation(100, GossipTimings.USUAL, message -> message);
+        PeersSimulation scene = new PeersSimulation(100, GossipTimings.DEFAULT, message -> message);
         scene.seedsEach(1);
         SimulatedNetwork<spartrail.peers.PeerMessage> world = new SimulatedNetwork<>(100, 7, 4, scene);
         scene.in(world);
--- a/peers/src/main/java/spartrail/peers/transport/GossipNode.java
+++ b/peers/src/main/java/spartrail/peers/transport/GossipNode.java
@@ -201,11 +201,11 @@
                     PeerMessageCodec.read(in.array(), in.limit(), file.fleet, PeerMessageCodec.MOST_BYTES);
             if (frame.lane() == PeerMessageCodec.PEERS && file.allowed.test(source)) {
                 var message = frame.message();
-                if (!file.allowed.test(message.from().address())) {
+                if (!file.allowed.test(message.sender().address())) {
                     count("datagrams from addresses not allowed");
                     return true;
                 }
-                peers.heard(message, clock.nowMs());
+                peers.onMessage(message, clock.nowMs());
             } else if (frame.lane() == PeerMessageCodec.QUESTION && file.operators.test(source)) {
                 if (frame.values().get(3) instanceof String question) {
                     MembershipStatusReplies.to(
@@ -234,7 +234,7 @@
 
     /** Sends what is to be sent and tells what has changed. */
     private void carryOut() {
-        for (OutgoingMessage outgoing : peers.take()) {
+        for (OutgoingMessage outgoing : peers.drainMessages()) {
             byte[] bytes = PeerMessageCodec.peers(file.fleet, outgoing.message());
             if (bytes.length > PeerMessageCodec.MOST_BYTES || !file.allowed.test(outgoing.address())) {
                 count(
@@ -245,12 +245,13 @@
             }
             write(bytes, PeersFile.socket(outgoing.address()));
         }
-        var events = peers.events();
-        if (events.isEmpty() && last != null && clock.nowMs() - last.atMs() < file.times.roundMs()) {
+        var events = peers.drainEvents();
+        if (events.isEmpty() && last != null && clock.nowMs() - last.atMs() < file.times.probeIntervalMs()) {
             return;
         }
         MembershipView view = peers.view(clock.nowMs());
-        if (history != null && (told == null || !told.life().equals(peers.self().life()))) {
+        if (history != null
+                && (told == null || !told.incarnation().equals(peers.self().incarnation()))) {
             history.began(peers.self());
         }
         told = peers.self();
@@ -262,18 +263,20 @@
         }
         boolean changed = last == null
                 || !events.isEmpty()
-                || !last.doubt().equals(view.doubt())
-                || last.there() != view.there()
-                || last.least() != view.least()
-                || last.most() != view.most()
-                || last.standing() != view.standing();
+                || !last.healthProblem().equals(view.healthProblem())
+                || last.presentCount() != view.presentCount()
+                || last.minCount() != view.minCount()
+                || last.maxCount() != view.maxCount()
+                || last.state() != view.state();
         if (changed && history != null) {
             history.view(view);
         }
-        if (last != null && !last.doubt().equals(view.doubt())) {
+        if (last != null && !last.healthProblem().equals(view.healthProblem())) {
             LOG.log(
                     System.Logger.Level.INFO,
-                    view.doubt().isEmpty() ? "no longer in doubt of itself" : "in doubt: " + view.doubt());
+                    view.healthProblem().isEmpty()
+                            ? "no longer in doubt of itself"
+                            : "in doubt: " + view.healthProblem());
         }
         last = view;
         lanes.forEach(lane -> lane.seen(view));
@@ -293,13 +296,14 @@
             lines = 0;
             linesFromMs = nowMs;
         }
-        if (lines++ < LINES_A_MINUTE && event.is() != event.was()) {
+        if (lines++ < LINES_A_MINUTE && event.newState() != event.previousState()) {
             LOG.log(
-                    event.is() == PeerState.GONE ? System.Logger.Level.WARNING : System.Logger.Level.INFO,
-                    event.card().name()
-                            + " at " + event.card().address() + " is " + event.is() + " (was " + event.was() + "), by "
-                            + event.by() + ": "
-                            + event.why());
+                    event.newState() == PeerState.GONE ? System.Logger.Level.WARNING : System.Logger.Level.INFO,
+                    event.descriptor().name()
+                            + " at " + event.descriptor().address() + " is " + event.newState() + " (was "
+                            + event.previousState() + "), by "
+                            + event.reporter() + ": "
+                            + event.reason());
         }
     }
 
@@ -323,8 +327,8 @@
     public String reload(Path path) {
         PeersFile changed = PeersFile.read(path);
         tasks.add(() -> {
-            peers.seeds(changed.seeds);
-            peers.settings(changed.settings);
+            peers.setSeeds(changed.seeds);
+            peers.setSettingsVersion(changed.settings);
         });
         selector.wakeup();
         String waiting = "";
--- a/peers/src/main/java/spartrail/peers/transport/MembershipHistory.java
+++ b/peers/src/main/java/spartrail/peers/transport/MembershipHistory.java
@@ -50,35 +50,37 @@
     void began(PeerDescriptor self) {
         line("began", self.name(), line -> {
             line.writeStringField("address", self.address());
-            line.writeNumberField("startMs", self.life().startMs());
-            line.writeNumberField("nonce", self.life().nonce());
+            line.writeNumberField("startMs", self.incarnation().startMs());
+            line.writeNumberField("nonce", self.incarnation().nonce());
         });
     }
 
     void changed(MembershipView view, PeerEvent event) {
         line("standing", view.name(), line -> {
-            line.writeStringField("doubt", event.doubt());
-            line.writeStringField("of", event.card().name());
-            line.writeStringField("address", event.card().address());
-            line.writeNumberField("startMs", event.card().life().startMs());
-            line.writeNumberField("nonce", event.card().life().nonce());
-            line.writeNumberField("turn", event.card().turn());
+            line.writeStringField("doubt", event.healthProblem());
+            line.writeStringField("of", event.descriptor().name());
+            line.writeStringField("address", event.descriptor().address());
+            line.writeNumberField("startMs", event.descriptor().incarnation().startMs());
+            line.writeNumberField("nonce", event.descriptor().incarnation().nonce());
+            line.writeNumberField("turn", event.descriptor().refutations());
             line.writeStringField(
-                    "was", event.was() == null ? null : event.was().name());
-            line.writeStringField("is", event.is() == null ? null : event.is().name());
-            line.writeStringField("by", event.by());
-            line.writeStringField("why", event.why());
+                    "was",
+                    event.previousState() == null ? null : event.previousState().name());
+            line.writeStringField(
+                    "is", event.newState() == null ? null : event.newState().name());
+            line.writeStringField("by", event.reporter());
+            line.writeStringField("why", event.reason());
         });
     }
 
     /** How many, and whether in doubt; written where one of these has changed. */
     void view(MembershipView view) {
         line("view", view.name(), line -> {
-            line.writeStringField("standing", view.standing().name());
-            line.writeStringField("doubt", view.doubt());
-            line.writeNumberField("there", view.there());
-            line.writeNumberField("least", view.least());
-            line.writeNumberField("most", view.most());
+            line.writeStringField("standing", view.state().name());
+            line.writeStringField("doubt", view.healthProblem());
+            line.writeNumberField("there", view.presentCount());
+            line.writeNumberField("least", view.minCount());
+            line.writeNumberField("most", view.maxCount());
         });
     }
 
--- a/peers/src/main/java/spartrail/peers/transport/MembershipStatusReplies.java
+++ b/peers/src/main/java/spartrail/peers/transport/MembershipStatusReplies.java
@@ -32,7 +32,7 @@
             if (from == 0) {
                 head(out, view, counts);
             }
-            List<MembershipView.Seen> page = view.peers().stream()
+            List<MembershipView.Entry> page = view.peers().stream()
                     .skip(from)
                     .limit(from == 0 ? 0 : PEERS_A_PAGE)
                     .toList();
@@ -40,7 +40,7 @@
                 page = view.peers().stream().skip(from - 1L).limit(PEERS_A_PAGE).toList();
             }
             out.writeArrayFieldStart("peers");
-            for (MembershipView.Seen seen : page) {
+            for (MembershipView.Entry seen : page) {
                 seen(out, seen, view.atMs());
             }
             out.writeEndArray();
@@ -55,13 +55,13 @@
 
     private static void head(JsonGenerator out, MembershipView view, Map<String, Long> counts) throws IOException {
         out.writeStringField("name", view.name());
-        out.writeStringField("standing", view.standing().name());
-        out.writeStringField("doubt", view.doubt());
-        out.writeNumberField("there", view.there());
-        out.writeNumberField("least", view.least());
-        out.writeNumberField("most", view.most());
+        out.writeStringField("standing", view.state().name());
+        out.writeStringField("doubt", view.healthProblem());
+        out.writeNumberField("there", view.presentCount());
+        out.writeNumberField("least", view.minCount());
+        out.writeNumberField("most", view.maxCount());
         out.writeObjectFieldStart("counts");
-        for (Map<String, Long> each : List.of(view.counts(), counts)) {
+        for (Map<String, Long> each : List.of(view.counters(), counts)) {
             for (Map.Entry<String, Long> count : new java.util.TreeMap<>(each).entrySet()) {
                 out.writeNumberField(count.getKey(), count.getValue());
             }
@@ -69,24 +69,33 @@
         out.writeEndObject();
     }
 
-    private static void seen(JsonGenerator out, MembershipView.Seen seen, double nowMs) throws IOException {
+    private static void seen(JsonGenerator out, MembershipView.Entry seen, double nowMs) throws IOException {
         out.writeStartObject();
-        out.writeStringField("name", seen.card().name());
-        out.writeStringField("address", seen.card().address());
-        out.writeStringField("zone", seen.card().zone());
-        out.writeNumberField("weight", seen.card().weight());
-        out.writeStringField("program", seen.card().program());
-        out.writeStringField("settings", seen.card().settings());
-        out.writeNumberField("startMs", seen.card().life().startMs());
-        out.writeNumberField("turn", seen.card().turn());
-        out.writeStringField("standing", seen.standing().name());
-        out.writeNumberField("sinceMs", Math.round(nowMs - seen.sinceMs()));
-        out.writeStringField("from", seen.from());
-        out.writeStringField("sure", seen.sure().name());
-        if (!Double.isNaN(seen.heardMs())) {
-            out.writeNumberField("heardMs", Math.round(nowMs - seen.heardMs()));
+        out.writeStringField("name", seen.descriptor().name());
+        out.writeStringField("address", seen.descriptor().address());
+        out.writeStringField("zone", seen.descriptor().zone());
+        out.writeNumberField("weight", seen.descriptor().weight());
+        out.writeStringField("program", seen.descriptor().programVersion());
+        out.writeStringField("settings", seen.descriptor().settingsVersion());
+        out.writeNumberField("startMs", seen.descriptor().incarnation().startMs());
+        out.writeNumberField("turn", seen.descriptor().refutations());
+        out.writeStringField("standing", seen.state().name());
+        out.writeNumberField("sinceMs", Math.round(nowMs - seen.stateSinceMs()));
+        out.writeStringField("from", seen.reporter());
+        out.writeStringField("sure", confidenceText(seen.confidence()));
+        if (!Double.isNaN(seen.lastAckMs())) {
+            out.writeNumberField("heardMs", Math.round(nowMs - seen.lastAckMs()));
         }
-        out.writeStringField("why", seen.why());
+        out.writeStringField("why", seen.reason());
         out.writeEndObject();
     }
+
+    /** The texts that operators' tools of earlier versions read. */
+    private static String confidenceText(MembershipView.Confidence confidence) {
+        return switch (confidence) {
+            case DIRECT -> "HEARD";
+            case REPORTED -> "TOLD";
+            case LOW -> "DOUBTED";
+        };
+    }
 }
--- a/peers/src/main/java/spartrail/peers/transport/PeerMessageCodec.java
+++ b/peers/src/main/java/spartrail/peers/transport/PeerMessageCodec.java
@@ -114,24 +114,24 @@
         return frame(fleet, PEERS, out -> {
             out.writeStartArray();
             out.writeNumber(message.kind().ordinal());
-            card(out, message.from());
-            out.writeNumber(message.standing().ordinal());
-            out.writeNumber(message.ageMs());
-            out.writeString(message.to());
+            card(out, message.sender());
+            out.writeNumber(message.state().ordinal());
+            out.writeNumber(message.incarnationAgeMs());
+            out.writeString(message.recipient());
             out.writeNumber(message.nonce());
             out.writeNumber(message.digest());
-            if (message.about() == null) {
+            if (message.target() == null) {
                 out.writeNull();
             } else {
-                card(out, message.about());
+                card(out, message.target());
             }
             out.writeStartArray();
-            for (PeerUpdate word : message.words()) {
+            for (PeerUpdate word : message.updates()) {
                 out.writeStartArray();
-                card(out, word.card());
-                out.writeNumber(word.standing().ordinal());
-                out.writeNumber(word.ageMs());
-                out.writeString(word.by());
+                card(out, word.descriptor());
+                out.writeNumber(word.state().ordinal());
+                out.writeNumber(word.incarnationAgeMs());
+                out.writeString(word.accuser());
                 out.writeEndArray();
             }
             out.writeEndArray();
@@ -184,11 +184,11 @@
         out.writeString(card.address());
         out.writeString(card.zone());
         out.writeNumber(card.weight());
-        out.writeString(card.program());
-        out.writeString(card.settings());
-        out.writeNumber(card.life().startMs());
-        out.writeNumber(card.life().nonce());
-        out.writeNumber(card.turn());
+        out.writeString(card.programVersion());
+        out.writeString(card.settingsVersion());
+        out.writeNumber(card.incarnation().startMs());
+        out.writeNumber(card.incarnation().nonce());
+        out.writeNumber(card.refutations());
         out.writeEndArray();
     }
 
--- a/peers/src/main/java/spartrail/peers/transport/PeersFile.java
+++ b/peers/src/main/java/spartrail/peers/transport/PeersFile.java
@@ -116,23 +116,24 @@
 
     private static GossipTimings times(Map<?, ?> tree) {
         only(tree, TIMES, "/times");
-        GossipTimings usual = GossipTimings.USUAL;
+        GossipTimings usual = GossipTimings.DEFAULT;
         GossipTimings times = new GossipTimings(
-                number(tree, "roundMs", usual.roundMs(), "/times"),
-                number(tree, "answerMs", usual.answerMs(), "/times"),
-                number(tree, "suspectRounds", usual.suspectRounds(), "/times"),
-                number(tree, "stoodMs", usual.stoodMs(), "/times"),
-                number(tree, "staleMs", usual.staleMs(), "/times"),
-                number(tree, "keptMs", usual.keptMs(), "/times"),
-                (int) number(tree, "mostPeers", usual.mostPeers(), "/times"),
-                (int) number(tree, "wordBytes", usual.wordBytes(), "/times"),
-                (int) number(tree, "answersPerS", usual.answersPerS(), "/times"));
-        if (times.roundMs() < 10 || times.answerMs() >= times.roundMs()) {
-            throw new IllegalArgumentException("/times/answerMs: found " + times.answerMs() + " at rounds of "
-                    + times.roundMs() + ", rounds of 10 or more and less for an answer than a round are expected");
-        }
-        if (times.wordBytes() > PeerMessageCodec.MOST_BYTES - PeerMessageCodec.LEFT_FOR_CARDS) {
-            throw new IllegalArgumentException("/times/wordBytes: found " + times.wordBytes() + ", at most "
+                number(tree, "roundMs", usual.probeIntervalMs(), "/times"),
+                number(tree, "answerMs", usual.ackTimeoutMs(), "/times"),
+                number(tree, "suspectRounds", usual.suspicionRounds(), "/times"),
+                number(tree, "stoodMs", usual.pauseThresholdMs(), "/times"),
+                number(tree, "staleMs", usual.maxMessageDelayMs(), "/times"),
+                number(tree, "keptMs", usual.departedRetentionMs(), "/times"),
+                (int) number(tree, "mostPeers", usual.maxPeers(), "/times"),
+                (int) number(tree, "wordBytes", usual.maxUpdateBytes(), "/times"),
+                (int) number(tree, "answersPerS", usual.maxAnswersPerSecond(), "/times"));
+        if (times.probeIntervalMs() < 10 || times.ackTimeoutMs() >= times.probeIntervalMs()) {
+            throw new IllegalArgumentException(
+                    "/times/answerMs: found " + times.ackTimeoutMs() + " at rounds of " + times.probeIntervalMs()
+                            + ", rounds of 10 or more and less for an answer than a round are expected");
+        }
+        if (times.maxUpdateBytes() > PeerMessageCodec.MOST_BYTES - PeerMessageCodec.LEFT_FOR_CARDS) {
+            throw new IllegalArgumentException("/times/wordBytes: found " + times.maxUpdateBytes() + ", at most "
                     + (PeerMessageCodec.MOST_BYTES - PeerMessageCodec.LEFT_FOR_CARDS)
                     + " is expected, as a message is one datagram");
         }
@@ -158,7 +159,7 @@
 
     private static String named(Map<?, ?> tree, String name) {
         String text = text(tree, name);
-        if (!PeerDescriptor.isName(text)) {
+        if (!PeerDescriptor.isValidName(text)) {
             throw new IllegalArgumentException(
                     "/" + name + ": found '" + text + "', letters, digits, '.', '_' and '-' are expected");
         }
--- a/peers/src/test/java/spartrail/peers/transport/DatagramFormTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/DatagramFormTest.java
@@ -42,9 +42,9 @@
         Map<String, PeerMessage> messages = new LinkedHashMap<>();
         messages.put("ping", message(PeerMessage.Kind.PING, PeerState.JOINING, null, WORDS));
         messages.put("ack", message(PeerMessage.Kind.ACK, PeerState.ALIVE, null, List.of()));
-        messages.put("ask", message(PeerMessage.Kind.ASK, PeerState.SUSPECT, OTHER, WORDS.subList(2, 3)));
-        messages.put("found", message(PeerMessage.Kind.FOUND, PeerState.GONE, OTHER, List.of()));
-        messages.put("not-found", message(PeerMessage.Kind.NOT_FOUND, PeerState.LEFT, THIRD, List.of()));
+        messages.put("ask", message(PeerMessage.Kind.PING_REQUEST, PeerState.SUSPECT, OTHER, WORDS.subList(2, 3)));
+        messages.put("found", message(PeerMessage.Kind.INDIRECT_ACK, PeerState.GONE, OTHER, List.of()));
+        messages.put("not-found", message(PeerMessage.Kind.INDIRECT_NACK, PeerState.LEFT, THIRD, List.of()));
         return messages;
     }
 
--- a/peers/src/test/java/spartrail/peers/transport/GossipNodeTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/GossipNodeTest.java
@@ -98,11 +98,11 @@
     void twoNodesMeetTellEachOtherOfTheirSettingsAndOfTheirEnd() throws Exception {
         start(0);
         PeerTransport.Running other = start(1);
-        await(0, view -> view.there() == 2 && view.least() == 2);
-        await(1, view -> view.there() == 2 && view.doubt().isEmpty());
+        await(0, view -> view.presentCount() == 2 && view.minCount() == 2);
+        await(1, view -> view.presentCount() == 2 && view.healthProblem().isEmpty());
         assertThat(other.reload(file(1, ",\"settings\":\"v8\""))).isEmpty();
         await(0, view -> view.peers().stream()
-                .anyMatch(each -> each.card().settings().equals("v8")));
+                .anyMatch(each -> each.descriptor().settingsVersion().equals("v8")));
         assertThat(ask("recife", "show 0"))
                 .startsWith(
                         "{\"name\":\"n0\",\"standing\":\"ALIVE\",\"doubt\":\"\",\"there\":2,\"least\":2,\"most\":2,")
@@ -114,9 +114,8 @@
                 .contains("\"settings\":\"v8\"")
                 .endsWith("\"next\":-1}");
         other.leave();
-        MembershipView view =
-                await(0, seen -> seen.peers().stream().anyMatch(each -> each.standing() == PeerState.LEFT));
-        assertThat(view.there()).isEqualTo(1);
+        MembershipView view = await(0, seen -> seen.peers().stream().anyMatch(each -> each.state() == PeerState.LEFT));
+        assertThat(view.presentCount()).isEqualTo(1);
         running.get(0).close();
         assertThat(Files.readAllLines(folder.resolve("n0.history")))
                 .allMatch(line -> line.startsWith("{\"ns\":") && line.endsWith("}"))
@@ -130,14 +129,14 @@
         running.add(new DatagramPeerTransport()
                 .start(file(0, ""), Path.of("/dev/full"), 1 << 20, views.get(0)::add, PeerChannel.NONE));
         start(1);
-        await(1, view -> view.there() == 2 && view.doubt().isEmpty());
-        await(0, view -> view.there() == 2);
+        await(1, view -> view.presentCount() == 2 && view.healthProblem().isEmpty());
+        await(0, view -> view.presentCount() == 2);
     }
 
     @Test
     void whatStrangersSendIsDroppedAndCounted() throws Exception {
         start(0);
-        await(0, view -> view.standing() == PeerState.ALIVE);
+        await(0, view -> view.state() == PeerState.ALIVE);
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             for (byte[] bytes : List.of(
                     new byte[3],
--- a/peers/src/test/java/spartrail/peers/transport/PeerMessageCodecTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/PeerMessageCodecTest.java
@@ -27,7 +27,7 @@
     private static final PeerDescriptor OTHER =
             new PeerDescriptor("n2", "10.0.0.2:7400", "", 1, "", "", new Incarnation(1_700_000_000_999L, 77), 0);
     private static final PeerMessage MESSAGE = new PeerMessage(
-            PeerMessage.Kind.ASK,
+            PeerMessage.Kind.PING_REQUEST,
             ONE,
             PeerState.ALIVE,
             1234.5,
@@ -75,7 +75,7 @@
                             new Incarnation(1_700_000_000_000L + i, Integer.MAX_VALUE),
                             1_000_000),
                     List.of("210.210.210.100:65535"),
-                    GossipTimings.USUAL,
+                    GossipTimings.DEFAULT,
                     new SplittableRandom(i),
                     0));
         }
@@ -84,11 +84,11 @@
             for (int i = 0; i < nodes.size(); i++) {
                 // One of them is stopped after a while, so that suspicions and errands are among the messages, too.
                 nodes.get(i).advance(ms);
-                for (OutgoingMessage outgoing : nodes.get(i).take()) {
+                for (OutgoingMessage outgoing : nodes.get(i).drainMessages()) {
                     int to = Integer.parseInt(outgoing.address().substring(12, 15)) - 100;
                     most = Math.max(most, PeerMessageCodec.peers(longest, outgoing.message()).length);
                     if (ms < 4000 || i != 7 && to != 7) {
-                        nodes.get(to).heard(outgoing.message(), ms);
+                        nodes.get(to).onMessage(outgoing.message(), ms);
                     }
                 }
             }
@@ -177,7 +177,7 @@
         byte[] ping = next(0);
         PeerMessage message = PeerMessageCodec.read(ping, ping.length, "recife", PeerMessageCodec.MOST_BYTES)
                 .message();
-        assertThat(message.from()).isEqualTo(ONE);
+        assertThat(message.sender()).isEqualTo(ONE);
         assertThat(message.nonce()).isEqualTo(9);
         assertThat(read(next(12), "recife")).isEqualTo("unknown kinds");
     }
--- a/peers/src/test/java/spartrail/peers/transport/ReplyFormTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/ReplyFormTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 import spartrail.peers.Incarnation;
 import spartrail.peers.MembershipView;
-import spartrail.peers.MembershipView.Seen;
-import spartrail.peers.MembershipView.Sure;
+import spartrail.peers.MembershipView.Confidence;
+import spartrail.peers.MembershipView.Entry;
 import spartrail.peers.PeerDescriptor;
 import spartrail.peers.PeerState;
 
@@ -17,7 +17,7 @@
 class ReplyFormTest {
     private static final String FLEET = "recife";
 
-    private static Seen seen(int number, PeerState standing, Sure sure, double heardMs) {
+    private static Entry seen(int number, PeerState standing, Confidence sure, double heardMs) {
         PeerDescriptor card = new PeerDescriptor(
                 "n" + number,
                 "10.0.0." + number + ":7400",
@@ -27,7 +27,7 @@
                 "v7",
                 new Incarnation(1_700_000_000_000L + number, -5),
                 number);
-        return new Seen(card, standing, 1000.25, "n9", sure, heardMs, "accused by n9");
+        return new Entry(card, standing, 1000.25, "n9", sure, heardMs, "accused by n9");
     }
 
     private static final MembershipView VIEW = new MembershipView(
@@ -39,11 +39,11 @@
             2,
             4,
             List.of(
-                    seen(1, PeerState.ALIVE, Sure.HEARD, 2000.5),
-                    seen(2, PeerState.JOINING, Sure.TOLD, Double.NaN),
-                    seen(3, PeerState.SUSPECT, Sure.DOUBTED, 1500),
-                    seen(4, PeerState.GONE, Sure.TOLD, Double.NaN),
-                    seen(5, PeerState.LEFT, Sure.TOLD, 500)),
+                    seen(1, PeerState.ALIVE, Confidence.DIRECT, 2000.5),
+                    seen(2, PeerState.JOINING, Confidence.REPORTED, Double.NaN),
+                    seen(3, PeerState.SUSPECT, Confidence.LOW, 1500),
+                    seen(4, PeerState.GONE, Confidence.REPORTED, Double.NaN),
+                    seen(5, PeerState.LEFT, Confidence.REPORTED, 500)),
             Map.of("refuted", 2L, "stood still", 1L));
 
     private static List<String> replies(String question) throws Exception {
--- a/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
@@ -107,10 +107,10 @@
     public void seen(MembershipView view) {
         Map<String, String> known = new HashMap<>();
         List<String> names = new ArrayList<>();
-        for (MembershipView.Seen seen : view.peers()) {
-            known.put(seen.card().name(), seen.card().address());
-            if (seen.standing().there()) {
-                names.add(seen.card().name());
+        for (MembershipView.Entry seen : view.peers()) {
+            known.put(seen.descriptor().name(), seen.descriptor().address());
+            if (seen.state().isPresent()) {
+                names.add(seen.descriptor().name());
             }
         }
         queue.add(() -> {
