--- /dev/null
+++ b/core/src/main/java/spartrail/peers/ContactList.java
@@ -0,0 +1,128 @@
+package spartrail.peers;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import spartrail.peers.PeerMessage.Kind;
+
+/**
+ * Addresses at which this node asks who is there: seeds for ever, with a backoff while nobody answers, and addresses that it
+ * met in messages a few times. Bounded, because invented names would else fill the memory and push out the seeds. Each
+ * interval walks over all contacts, at most {@value #MAX_CONTACTS}, and for seeds over the peers.
+ */
+final class ContactList {
+    /** Contacts that are asked in one probe interval. */
+    static final int CONTACTS_PER_INTERVAL = 4;
+
+    private static final int MAX_CONTACTS = 64;
+    private static final int MAX_ATTEMPTS = 4;
+    private static final int MAX_BACKOFF_INTERVALS = 16;
+    private static final int MAX_BACKOFF_DOUBLINGS = 4;
+
+    /** An address that is asked who is there. */
+    private static final class Contact {
+        private final String address;
+        private final boolean seed;
+        private long nonce;
+        private int attempts;
+        private double nextAttemptMs;
+
+        private Contact(String address, boolean seed) {
+            this.address = address;
+            this.seed = seed;
+        }
+    }
+
+    private final MembershipContext context;
+    private final LocalPeer local;
+    private final PeerTable table;
+    private final Outbox outbox;
+    private final Map<String, Contact> contacts = new LinkedHashMap<>();
+
+    ContactList(MembershipContext context, LocalPeer local, PeerTable table, Outbox outbox) {
+        this.context = context;
+        this.local = local;
+        this.table = table;
+        this.outbox = outbox;
+    }
+
+    /** Replaces the seeds; the own address among them is passed over. */
+    void setSeeds(List<String> addresses) {
+        contacts.values().removeIf(contact -> contact.seed && !addresses.contains(contact.address));
+        for (String address : addresses) {
+            Contact known = contacts.get(address);
+            boolean isNew = known == null || !known.seed;
+            if (!address.equals(local.address()) && isNew && contacts.size() < MAX_CONTACTS) {
+                contacts.put(address, new Contact(address, true));
+            }
+        }
+    }
+
+    /** Asks those whose time has come, and returns whether none had to wait for the next interval. */
+    boolean probeDue() {
+        int remaining = CONTACTS_PER_INTERVAL;
+        for (Contact contact : List.copyOf(contacts.values())) {
+            if (remaining == 0) {
+                return false;
+            }
+            if (contact.nextAttemptMs > context.nowMs() || contact.seed && table.hasPresentPeerAt(contact.address)) {
+                continue;
+            }
+            if (!contact.seed && contact.attempts >= MAX_ATTEMPTS) {
+                contacts.remove(contact.address);
+                continue;
+            }
+            remaining--;
+            probe(contact);
+        }
+        return true;
+    }
+
+    private void probe(Contact contact) {
+        contact.attempts++;
+        contact.nonce = context.random().nextLong();
+        int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, contact.attempts - 1);
+        double backoffMs = context.times().probeIntervalMs() * Math.min(MAX_BACKOFF_INTERVALS, 1 << doublings);
+        contact.nextAttemptMs =
+                context.nowMs() + backoffMs * (0.5 + context.random().nextDouble());
+        outbox.send(contact.address, Kind.PING, "", contact.nonce, null, List.of());
+    }
+
+    /** Notes an address that is to be asked, and returns whether it is new and there was room for it. */
+    boolean add(String address) {
+        if (contacts.containsKey(address)) {
+            return false;
+        }
+        if (contacts.size() >= MAX_CONTACTS) {
+            context.increment(MembershipCounter.CONTACTS_REFUSED);
+            return false;
+        }
+        contacts.put(address, new Contact(address, false));
+        return true;
+    }
+
+    void probe(String address) {
+        probe(contacts.get(address));
+    }
+
+    /** Somebody answers with that nonce; returns whether a contact had been asked with it. */
+    boolean acceptAck(long nonce) {
+        for (Contact contact : contacts.values()) {
+            if (contact.attempts > 0 && contact.nonce == nonce) {
+                contact.attempts = 1;
+                if (!contact.seed) {
+                    contacts.remove(contact.address);
+                }
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Addresses at which nobody is known who could be there. */
+    int unknownCount() {
+        return (int) contacts.values().stream()
+                .filter(contact -> !table.hasPeerAt(contact.address))
+                .count();
+    }
+}
--- /dev/null
+++ b/core/src/main/java/spartrail/peers/MembershipContext.java
@@ -0,0 +1,70 @@
+package spartrail.peers;
+
+import java.util.Collections;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.random.RandomGenerator;
+import spartrail.model.TimerQueue;
+
+/** What all parts of one node's membership share: settings, random numbers, timers, the present time and counters. */
+final class MembershipContext {
+    private final GossipTimings times;
+    private final RandomGenerator random;
+    private final TimerQueue timers = new TimerQueue();
+    private final Map<String, Long> counters = new TreeMap<>();
+    private double nowMs;
+
+    MembershipContext(GossipTimings times, RandomGenerator random, double nowMs) {
+        this.times = times;
+        this.random = random;
+        this.nowMs = nowMs;
+    }
+
+    GossipTimings times() {
+        return times;
+    }
+
+    RandomGenerator random() {
+        return random;
+    }
+
+    double nowMs() {
+        return nowMs;
+    }
+
+    /** Moves the present time forward; it never goes back. */
+    void advanceTo(double atMs) {
+        nowMs = Math.max(nowMs, atMs);
+    }
+
+    TimerQueue.Due schedule(double atMs, Runnable task) {
+        return timers.add(atMs, task);
+    }
+
+    void cancel(TimerQueue.Due timer) {
+        timers.remove(timer);
+    }
+
+    double nextTimerMs() {
+        return timers.nextMs();
+    }
+
+    void runTimers(double atMs) {
+        timers.run(atMs);
+    }
+
+    void increment(MembershipCounter counter) {
+        counters.merge(counter.label(), 1L, Long::sum);
+    }
+
+    Map<String, Long> counters() {
+        return Map.copyOf(counters);
+    }
+
+    void shuffle(List<String> names) {
+        for (int i = names.size() - 1; i > 0; i--) {
+            Collections.swap(names, i, random.nextInt(i + 1));
+        }
+    }
+}
--- a/core/src/main/java/spartrail/peers/Peer.java
+++ b/core/src/main/java/spartrail/peers/Peer.java
@@ -4,61 +4,94 @@
 import java.util.List;
 import spartrail.model.TimerQueue;
 
-/** What a node holds of another one. */
+/**
+ * What this node knows of another one. Each group of fields is written by one class: the first by {@link StateTransitions},
+ * the next ones by {@link Suspicions}, {@link Dissemination} and {@link PeerTable}.
+ */
 final class Peer {
     PeerDescriptor descriptor;
     PeerState state;
     double stateSinceMs;
+    /** Who told so: this node itself, or the name of another one. */
     String reporter;
+
     String reason = "";
-    /** When it last answered this node itself, in this life. */
+    /** When it last answered this node itself, in this incarnation. */
     double lastAckMs = Double.NaN;
-    /** When others last held it for there, by what they said. */
-    double toldMs = Double.NaN;
-    /** When its life began by this node's clock, as far as that is known. */
-    double incarnationStartMs = Double.NaN;
+    /** Start of its incarnation by this node's clock, as far as that is known. */
+    private double incarnationStartMs = Double.NaN;
+
+    private double startEstimatedMs = Double.NaN;
+    /** The end of the suspicion, or of the time for which a departed peer is remembered. */
+    TimerQueue.Due timer;
 
-    double startEstimatedMs = Double.NaN;
-    /** Those who accuse it, and since when; at the due time it is gone. */
+    /** Names of the nodes that suspect it, in the order in which they were heard. */
     final List<String> accusers = new ArrayList<>();
 
     double suspectedSinceMs;
-    /** This node itself has asked it since it stands so. */
+    /** This node itself has probed it since its state changed. */
     boolean probedSinceChange;
 
-    TimerQueue.Due timer;
-    /** How often it has been passed on since it changed, and whether it is to be passed on further. */
+    /** How often others were told of the latest change, and whether more are to be told. */
     int transmissions;
 
-    boolean queued;
-    /** It counts among those that are there; its place among those that are alive, or -1. */
-    boolean present;
+    boolean queuedForDissemination;
 
+    boolean countedAsPresent;
+    /** Its place among the alive peers, or -1. */
     int aliveIndex = -1;
     /** Its part of the digest. */
-    long digestHash;
+    long digest;
 
-    Peer(PeerDescriptor descriptor, PeerState state) {
+    Peer(PeerDescriptor descriptor) {
         this.descriptor = descriptor;
-        this.state = state;
     }
 
-    /** How much older than expected a message of its life is. */
-    double delayMs(double ageMs, double nowMs) {
-        return Double.isNaN(incarnationStartMs) ? Double.POSITIVE_INFINITY : nowMs - incarnationStartMs - ageMs;
+    boolean isIn(Incarnation incarnation) {
+        return descriptor.incarnation().equals(incarnation);
     }
 
-    /** Its life is so old now, as far as this node knows. */
-    double incarnationAgeMs(double nowMs) {
-        return Double.isNaN(incarnationStartMs) ? 0 : Math.max(0, nowMs - incarnationStartMs);
+    /** What was known of its former incarnation holds no longer. */
+    void resetIncarnation() {
+        lastAckMs = Double.NaN;
+        incarnationStartMs = Double.NaN;
+        startEstimatedMs = Double.NaN;
     }
 
-    /** Others know how old it was; what was under way for longer makes it look younger, never older. */
+    /** It answered: its incarnation was so old when it did. */
+    void onAck(double incarnationAgeMs, double nowMs) {
+        lastAckMs = nowMs;
+        incarnationStartMs = nowMs - incarnationAgeMs;
+        startEstimatedMs = nowMs;
+    }
+
+    /** Others know how old its incarnation is; a message that was delayed makes it look younger, never older. */
     void learnAge(double ageMs, double nowMs) {
-        double born = nowMs - ageMs;
-        if (ageMs > 0 && (Double.isNaN(incarnationStartMs) || born < incarnationStartMs)) {
-            incarnationStartMs = born;
+        double startMs = nowMs - ageMs;
+        if (ageMs > 0 && (Double.isNaN(incarnationStartMs) || startMs < incarnationStartMs)) {
+            incarnationStartMs = startMs;
             startEstimatedMs = nowMs;
         }
     }
+
+    /** The age of its incarnation as far as this node knows, else 0. */
+    double incarnationAgeMs(double nowMs) {
+        return Double.isNaN(incarnationStartMs) ? 0 : Math.max(0, nowMs - incarnationStartMs);
+    }
+
+    /** How long a message that was sent at that age of the incarnation has been under way. */
+    double messageDelayMs(double ageMs, double nowMs) {
+        return Double.isNaN(incarnationStartMs) ? Double.POSITIVE_INFINITY : nowMs - incarnationStartMs - ageMs;
+    }
+
+    /** How long ago the start of its incarnation was estimated; its clock may have drifted since. */
+    double sinceStartEstimateMs(double nowMs) {
+        return nowMs - startEstimatedMs;
+    }
+
+    /** The most bytes that an update on it takes in a message. */
+    int maxEncodedBytes() {
+        int accuserBytes = accusers.isEmpty() ? 0 : accusers.get(0).length();
+        return descriptor.maxEncodedBytes() + accuserBytes;
+    }
 }
--- a/core/src/main/java/spartrail/peers/PeerDescriptor.java
+++ b/core/src/main/java/spartrail/peers/PeerDescriptor.java
@@ -45,6 +45,10 @@
                 name, address, zone, weight, programVersion, settingsVersion, newIncarnation, newRefutations);
     }
 
+    PeerDescriptor withSettingsVersion(String version, int newRefutations) {
+        return new PeerDescriptor(name, address, zone, weight, programVersion, version, incarnation, newRefutations);
+    }
+
     /** At most so many bytes it takes in a message, with what a word adds to it. */
     int maxEncodedBytes() {
         return 60
--- /dev/null
+++ b/core/src/main/java/spartrail/peers/Suspicions.java
@@ -0,0 +1,122 @@
+package spartrail.peers;
+
+import java.util.function.Consumer;
+
+/**
+ * Suspected peers and the time that they have to refute it, after Lifeguard: it is longest while one node accuses, and each
+ * further accuser makes it shorter.
+ */
+final class Suspicions {
+    /** Accusers beside the first one that make the time as short as it gets. */
+    private static final int MAX_CONFIRMATIONS = 3;
+
+    /** The time while only one node accuses, in shortest times. */
+    private static final double MAX_SUSPICION_FACTOR = 3;
+
+    private final MembershipContext context;
+    private final LocalPeer local;
+    private final PeerTable table;
+    private final LocalHealth health;
+    private final StateTransitions transitions;
+    private final Dissemination dissemination;
+    private final Consumer<Peer> probe;
+
+    Suspicions(
+            MembershipContext context,
+            LocalPeer local,
+            PeerTable table,
+            LocalHealth health,
+            StateTransitions transitions,
+            Dissemination dissemination,
+            Consumer<Peer> probe) {
+        this.context = context;
+        this.local = local;
+        this.table = table;
+        this.health = health;
+        this.transitions = transitions;
+        this.dissemination = dissemination;
+        this.probe = probe;
+    }
+
+    /** That node, this one or another, accuses the peer of not answering. */
+    void accuse(Peer peer, String accuser, String reason) {
+        if (!peer.state.isPresent() || accuser.isEmpty() || peer.accusers.contains(accuser)) {
+            return;
+        }
+        if (peer.state != PeerState.SUSPECT) {
+            transitions.apply(peer.descriptor, PeerState.SUSPECT, local.name(), 0, reason);
+        }
+        if (peer.accusers.isEmpty()) {
+            peer.suspectedSinceMs = context.nowMs();
+        }
+        if (peer.accusers.size() < MAX_CONFIRMATIONS + 1) {
+            peer.accusers.add(accuser);
+            dissemination.enqueue(peer, Math.min(peer.transmissions, 1));
+        }
+        if (peer.timer != null) {
+            context.cancel(peer.timer);
+        }
+        double deadlineMs = peer.suspectedSinceMs + timeToRefuteMs(peer.accusers.size());
+        peer.timer = context.schedule(Math.max(context.nowMs(), deadlineMs), () -> onTimeout(peer));
+    }
+
+    private double timeToRefuteMs(int accusers) {
+        int presentCount = table.presentCount();
+        double minMs = context.times().minSuspicionMs(presentCount);
+        double maxMs = MAX_SUSPICION_FACTOR * minMs;
+        int expectedConfirmations = Math.min(MAX_CONFIRMATIONS, Math.max(0, presentCount - 3));
+        double confirmed = expectedConfirmations == 0 ? 1 : Math.log(accusers) / Math.log(expectedConfirmations + 1);
+        return Math.max(minMs, maxMs - (maxMs - minMs) * confirmed);
+    }
+
+    private void onTimeout(Peer peer) {
+        peer.timer = null;
+        if (!health.mayAccuse()) {
+            extendByOneInterval(peer);
+            return;
+        }
+        if (!peer.probedSinceChange) {
+            // Who was only told of a suspicion hears of its refutation late where there is much to tell, so nobody ends
+            // one
+            // without having probed the suspect itself.
+            probe.accept(peer);
+            extendByOneInterval(peer);
+            return;
+        }
+        String accusers = String.join(", ", peer.accusers);
+        long suspectedMs = Math.round(context.nowMs() - peer.suspectedSinceMs);
+        transitions.apply(
+                peer.descriptor,
+                PeerState.GONE,
+                local.name(),
+                0,
+                "accused by " + accusers + ", and it did not refute that in " + suspectedMs + " ms");
+    }
+
+    private void extendByOneInterval(Peer peer) {
+        double untilMs = context.nowMs() + context.times().probeIntervalMs();
+        peer.timer = context.schedule(untilMs, () -> onTimeout(peer));
+    }
+
+    /** All suspicions begin anew with this node as their only accuser. */
+    void restartAll() {
+        for (Peer peer : table.all()) {
+            if (peer.state == PeerState.SUSPECT) {
+                peer.accusers.clear();
+                peer.suspectedSinceMs = context.nowMs();
+                accuse(peer, local.name(), peer.reason);
+            }
+        }
+    }
+
+    /** This process paused, so nobody could reach it: all timers of suspicions and departed peers end so much later. */
+    void postponeAll(double pausedMs) {
+        for (Peer peer : table.all()) {
+            if (peer.timer != null) {
+                context.cancel(peer.timer);
+                peer.suspectedSinceMs += pausedMs;
+                peer.timer = context.schedule(peer.timer.atMs() + pausedMs, peer.timer.what());
+            }
+        }
+    }
+}
--- /dev/null
+++ b/core/src/main/java/spartrail/peers/UpdateHandler.java
@@ -0,0 +1,112 @@
+package spartrail.peers;
+
+/** Takes up what a message says of nodes; what it says of this node it refutes where that is wrong. */
+final class UpdateHandler {
+    private final MembershipContext context;
+    private final LocalPeer local;
+    private final PeerTable table;
+    private final LocalHealth health;
+    private final NameConflict nameConflict;
+    private final StateTransitions transitions;
+    private final Suspicions suspicions;
+    private final Dissemination dissemination;
+    private final EventLog events;
+
+    UpdateHandler(
+            MembershipContext context,
+            LocalPeer local,
+            PeerTable table,
+            LocalHealth health,
+            NameConflict nameConflict,
+            StateTransitions transitions,
+            Suspicions suspicions,
+            Dissemination dissemination,
+            EventLog events) {
+        this.context = context;
+        this.local = local;
+        this.table = table;
+        this.health = health;
+        this.nameConflict = nameConflict;
+        this.transitions = transitions;
+        this.suspicions = suspicions;
+        this.dissemination = dissemination;
+        this.events = events;
+    }
+
+    /** Takes up an update from the node of that name. */
+    void apply(PeerUpdate update, String reporter) {
+        PeerDescriptor descriptor = update.descriptor();
+        if (!descriptor.isWellFormed()) {
+            context.increment(MembershipCounter.MALFORMED_DESCRIPTORS);
+        } else if (descriptor.name().equals(local.name())) {
+            applyToLocal(update, reporter);
+        } else {
+            applyToPeer(update, reporter);
+        }
+    }
+
+    private void applyToPeer(PeerUpdate update, String reporter) {
+        PeerDescriptor descriptor = update.descriptor();
+        Peer known = table.get(descriptor.name());
+        if (known == null && !update.state().isPresent()) {
+            // A departed peer that all have forgotten would else be passed on without end.
+            return;
+        }
+        String accusation = "accused by " + update.accuser();
+        if (known != null && confirmsSuspicion(update, known)) {
+            suspicions.accuse(known, update.accuser(), accusation);
+        }
+        transitions.apply(
+                descriptor,
+                update.state(),
+                reporter,
+                update.incarnationAgeMs(),
+                update.accuser().isEmpty() ? "told" : accusation);
+        Peer peer = table.get(descriptor.name());
+        if (peer == null || !peer.isIn(descriptor.incarnation())) {
+            return;
+        }
+        peer.learnAge(update.incarnationAgeMs(), context.nowMs());
+        if (update.state() == PeerState.SUSPECT && peer.state == PeerState.SUSPECT && peer.accusers.isEmpty()) {
+            suspicions.accuse(peer, update.accuser(), accusation);
+        }
+    }
+
+    private static boolean confirmsSuspicion(PeerUpdate update, Peer peer) {
+        return update.state() == PeerState.SUSPECT
+                && peer.state == PeerState.SUSPECT
+                && peer.isIn(update.descriptor().incarnation())
+                && peer.descriptor.refutations() == update.descriptor().refutations();
+    }
+
+    private void applyToLocal(PeerUpdate update, String reporter) {
+        int order = update.descriptor().incarnation().compareTo(local.incarnation());
+        if (order > 0) {
+            nameConflict.onSameName(update.descriptor(), false);
+        } else if (order == 0 && update.state() == PeerState.LEFT) {
+            refuteLeaving();
+        } else if (order == 0
+                && update.state().compareTo(PeerState.ALIVE) > 0
+                && update.descriptor().refutations() >= local.descriptor().refutations()) {
+            refute(update, reporter);
+        }
+    }
+
+    /** That an incarnation has left can't be refuted, only be followed by another one. */
+    private void refuteLeaving() {
+        if (!local.hasLeft()) {
+            context.increment(MembershipCounter.REPORTED_AS_LEFT);
+            local.startIncarnationAfter(local.incarnation());
+        }
+    }
+
+    private void refute(PeerUpdate update, String reporter) {
+        health.worsen(1);
+        context.increment(MembershipCounter.REFUTATIONS);
+        local.refute(update.descriptor().refutations());
+        // The poorer its health the rarer its own rounds, and a refutation that comes too late is none.
+        dissemination.startReconciliation();
+        String accuser = update.accuser().isEmpty() ? reporter : update.accuser();
+        events.record(local.descriptor(), update.state(), local.state(), reporter, "refuted what " + accuser + " said");
+    }
+}
--- /dev/null
+++ b/core/src/main/java/spartrail/peers/ViewBuilder.java
@@ -0,0 +1,89 @@
+package spartrail.peers;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import spartrail.peers.MembershipView.Confidence;
+import spartrail.peers.MembershipView.Entry;
+
+/** Makes the view of all nodes that others read. Walks over all peers and, for each contact, over them again. */
+final class ViewBuilder {
+    /** An acknowledgement is fresh for so many rounds times the number of peers, in which each is probed once on average. */
+    private static final int FRESH_ROUNDS = 4;
+
+    private static final int MIN_PEERS_FOR_FRESHNESS = 4;
+
+    private final MembershipContext context;
+    private final LocalPeer local;
+    private final PeerTable table;
+    private final ContactList contacts;
+    private final LocalHealth health;
+
+    ViewBuilder(MembershipContext context, LocalPeer local, PeerTable table, ContactList contacts, LocalHealth health) {
+        this.context = context;
+        this.local = local;
+        this.table = table;
+        this.contacts = contacts;
+        this.health = health;
+    }
+
+    MembershipView build(double atMs) {
+        String healthProblem = health.problem();
+        boolean isHealthy = healthProblem.isEmpty();
+        List<Entry> entries = new ArrayList<>();
+        entries.add(localEntry(atMs));
+        int minCount = 1;
+        int maxCount = 1;
+        for (Peer peer : table.all()) {
+            entries.add(entry(peer, isHealthy, atMs));
+            if (peer.state == PeerState.ALIVE && isHealthy) {
+                minCount++;
+            }
+            if (peer.state != PeerState.LEFT) {
+                maxCount++;
+            }
+        }
+        entries.sort(Comparator.comparing(entry -> entry.descriptor().name()));
+        return new MembershipView(
+                local.name(),
+                local.state(),
+                healthProblem,
+                atMs,
+                table.presentCount(),
+                minCount,
+                maxCount + contacts.unknownCount(),
+                List.copyOf(entries),
+                context.counters());
+    }
+
+    private Entry localEntry(double atMs) {
+        return new Entry(
+                local.descriptor(),
+                local.state(),
+                local.startedMs(),
+                local.name(),
+                Confidence.DIRECT,
+                atMs,
+                "this node");
+    }
+
+    private Entry entry(Peer peer, boolean isHealthy, double atMs) {
+        return new Entry(
+                peer.descriptor,
+                peer.state,
+                peer.stateSinceMs,
+                peer.reporter,
+                confidence(peer, isHealthy, atMs),
+                peer.lastAckMs,
+                peer.reason);
+    }
+
+    private Confidence confidence(Peer peer, boolean isHealthy, double atMs) {
+        if (peer.state == PeerState.SUSPECT || !isHealthy) {
+            return Confidence.LOW;
+        }
+        double freshMs =
+                FRESH_ROUNDS * context.times().probeIntervalMs() * Math.max(MIN_PEERS_FOR_FRESHNESS, table.size());
+        return atMs - peer.lastAckMs < freshMs ? Confidence.DIRECT : Confidence.REPORTED;
+    }
+}
--- a/lab/src/main/java/spartrail/lab/simulation/Mutations.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Mutations.java
@@ -24,11 +24,7 @@
  */
 public final class Mutations {
     /** A fault, and the one place in the source that it changes; how lines are broken there does not matter. */
-    public record Plant(String file, String name, String text, String instead) {
-        Plant(String name, String text, String instead) {
-            this("peers/SwimMembership", name, text, instead);
-        }
-    }
+    public record Plant(String file, String name, String text, String instead) {}
 
     /** Whether it was found, by which seed and rule. */
     public record Caught(Plant plant, String seed, String rule, String size) {
@@ -40,73 +36,92 @@
     /** Faults of peers. */
     public static final List<Plant> ALL = List.of(
             new Plant(
+                    "peers/StateTransitions",
                     "older news replaces newer",
                     "peer.descriptor, peer.state) <= 0) {",
                     "peer.descriptor, peer.state) == 0) {"),
             new Plant(
+                    "peers/Suspicions",
                     "a node in doubt ends suspicions",
-                    "        if (!mayAccuse()) {\n            // In doubt",
-                    "        if (false) {\n            // In doubt"),
+                    "if (!health.mayAccuse()) {",
+                    "if (false) {"),
             new Plant(
+                    "peers/FailureDetector",
                     "a node in doubt suspects",
-                    "peer.descriptor.incarnation().equals(ended.incarnation) && mayAccuse()) {",
-                    "peer.descriptor.incarnation().equals(ended.incarnation)) {"),
+                    "peer.isIn(probe.incarnation) && health.mayAccuse()) {",
+                    "peer.isIn(probe.incarnation)) {"),
             new Plant(
-                    "a standstill is not noticed", "if (lateMs > times.pauseThresholdMs()) {", "if (lateMs > 1e12) {"),
+                    "peers/PauseDetector",
+                    "a standstill is not noticed",
+                    "return latenessMs > times.pauseThresholdMs();",
+                    "return latenessMs > 1e12;"),
             new Plant(
+                    "peers/UpdateHandler",
                     "nothing is refuted",
-                    "            replaceDescriptor(localDescriptor.withIncarnation(localDescriptor.incarnation(), update.descriptor().refutations() + 1));\n            // Danger",
-                    "            // Danger"),
+                    "local.refute(update.descriptor().refutations());",
+                    ""),
             new Plant(
+                    "peers/LocalPeer",
                     "refuted with the same turn",
-                    "replaceDescriptor(localDescriptor.withIncarnation(localDescriptor.incarnation(), update.descriptor().refutations() + 1));",
-                    "replaceDescriptor(localDescriptor.withIncarnation(localDescriptor.incarnation(), update.descriptor().refutations()));"),
-            new Plant(
-                    "nobody looks for the lost",
-                    "        probeDeparted();\n        Peer target",
-                    "        Peer target"),
+                    "withIncarnation(incarnation(), refutations + 1)",
+                    "withIncarnation(incarnation(), refutations)"),
+            new Plant("peers/SwimMembership", "nobody looks for the lost", "failureDetector.probeDeparted();", ""),
             new Plant(
+                    "peers/SwimMembership",
                     "what a new answer says of this node is not heard",
-                    "if (trusted || isFreshAck && update",
-                    "if (trusted || false && update"),
-            new Plant("helpers are not asked", "if (probe != currentProbe || probe.acknowledged) {", "if (true) {"),
+                    "if (isTrusted || isFreshAck && isAboutLocal) {",
+                    "if (isTrusted || false && isAboutLocal) {"),
+            new Plant(
+                    "peers/FailureDetector",
+                    "helpers are not asked",
+                    "if (probe != currentProbe || probe.acknowledged) {",
+                    "if (true) {"),
             new Plant(
+                    "peers/FailureDetector",
                     "a helper's find does not count",
-                    "        if (target.incarnation().compareTo(currentProbe.incarnation) >= 0) {",
-                    "        if (false) {"),
+                    "if (found.compareTo(currentProbe.incarnation) >= 0) {",
+                    "if (false) {"),
             new Plant(
+                    "peers/StateTransitions",
                     "the digest leaves out who is new",
-                    "peer.digestHash = newState.isPresent() ? digestHash(descriptor, newState) : 0;",
-                    "peer.digestHash = previousState != null && newState.isPresent() ? digestHash(descriptor, newState) : 0;"),
-            new Plant("news is passed on for ever", "                peer.transmissions++;\n", ""),
+                    "table.updateDigest(peer);",
+                    "if (previousState != null) { table.updateDigest(peer); }"),
+            new Plant("peers/Dissemination", "news is passed on for ever", "peer.transmissions++;", ""),
             new Plant(
+                    "peers/LocalPeer",
                     "who leaves does not say so",
-                    "        localState = PeerState.LEFT;\n",
-                    "        localState = PeerState.ALIVE;\n"),
+                    "state = PeerState.LEFT;",
+                    "state = PeerState.ALIVE;"),
             new Plant(
+                    "peers/NameConflict",
                     "a former life's later start is not outbid",
-                    "            startIncarnationAfter(other.incarnation());\n",
+                    "startIncarnationAfter(other.incarnation());",
                     ""),
             new Plant(
+                    "peers/Suspicions",
                     "a suspicion never ends",
-                    "() -> onSuspicionTimeout(peer));\n    }\n\n    private void onSuspicionTimeout",
-                    "() -> { });\n    }\n\n    private void onSuspicionTimeout"),
+                    "deadlineMs), () -> onTimeout(peer));",
+                    "deadlineMs), () -> { });"),
             new Plant(
+                    "peers/LocalHealth",
                     "a node that is cut off does not notice",
                     "unansweredRounds >= MAX_UNANSWERED_ROUNDS",
                     "unansweredRounds >= 1000"),
             new Plant(
+                    "peers/LocalHealth",
                     "suspicions go on where doubt ends",
-                    "if (wasDoubtful && !isAwaitingAcksAfterPause()) {",
-                    "if (false) {"),
+                    "return hadNoConfidence && !isAwaitingAcksAfterPause();",
+                    "return false;"),
             new Plant(
+                    "peers/SwimMembership",
                     "suspects are not asked again",
-                    "this::probeSuspects);\n        if (localState == PeerState.LEFT ||",
-                    "this::probeSuspects);\n        if (true ||"),
+                    "if (!local.hasLeft() && !nameConflict.isNameLost()) {\n            failureDetector.probeSuspects();",
+                    "if (false) {\n            failureDetector.probeSuspects();"),
             new Plant(
+                    "peers/SwimMembership",
                     "strangers are not met",
-                    "            Contact added = addContact(message.sender().address());",
-                    "            Contact added = null;"));
+                    "if (contacts.add(address) && rateLimiter",
+                    "if (false && rateLimiter"));
 
     private static final String FOLLOWER = "policy/PolicyFollower";
     private static final String LEADER = "policy/PolicyLeader";
