--- a/core/src/main/java/spartrail/peers/Incarnation.java
+++ b/core/src/main/java/spartrail/peers/Incarnation.java
@@ -1,9 +1,11 @@
 package spartrail.peers;
 
 /**
- * One run of a process under a name: when it began, in Unix milliseconds of its machine, and a number drawn by chance. The
- * later one counts. It survives a restart without a disk, as a restarted process begins later; one whose machine's clock was
- * set back hears of its former life and begins one after it.
+ * One run of a process under a name: the later one outranks the earlier one. It needs no disk, as a restarted process begins
+ * later; one whose machine's clock was set back hears of its former incarnation and begins one after it.
+ *
+ * @param startMs when it began, in Unix milliseconds of its machine
+ * @param nonce a random number, for two that began at the same time
  */
 public record Incarnation(long startMs, int nonce) implements Comparable<Incarnation> {
     @Override
--- a/core/src/main/java/spartrail/peers/MembershipView.java
+++ b/core/src/main/java/spartrail/peers/MembershipView.java
@@ -7,11 +7,13 @@
 /**
  * What a node knows of all front nodes, itself included.
  *
- * @param healthProblem why this node trusts its own view less now, empty where it does not: it decides nothing for the fleet then
- * @param presentCount how many are held to be there, suspects included
- * @param minCount as many are surely there, as far as a node can be sure of others
- * @param maxCount as many can be there: also those that may live on behind a cut
- * @param counters what was refused, dropped or doubted, by name
+ * @param healthProblem why this node trusts its own view less now, empty where it doesn't: it decides nothing for the fleet
+ *     then
+ * @param presentCount how many are held to be present, suspects included
+ * @param minCount as many are surely present, as far as a node can be sure of others
+ * @param maxCount as many can be present: also those that may live on behind a cut
+ * @param peers all nodes by name
+ * @param counters what was refused, dropped or doubted, by the labels of {@link MembershipCounter}
  */
 public record MembershipView(
         String name,
@@ -23,19 +25,23 @@
         int maxCount,
         List<Entry> peers,
         Map<String, Long> counters) {
-    /** How sure it is: by an answer of its own lately, by what others say, or in doubt. */
+    /** How sure a node is of an entry. */
     public enum Confidence {
+        /** By a fresh answer of its own. */
         DIRECT,
+        /** By what others say. */
         REPORTED,
+        /** The entry is a suspect, or the node's own health is in doubt. */
         LOW
     }
 
     /**
      * One node.
      *
-     * @param stateSinceMs since when it stands so, by this node's clock
+     * @param stateSinceMs since when it has that state, by this node's clock
      * @param reporter who told so: this node itself, or the name of another one
      * @param lastAckMs when it last answered this node, or NaN
+     * @param reason why it has that state, in words for operators
      */
     public record Entry(
             PeerDescriptor descriptor,
@@ -46,7 +52,7 @@
             double lastAckMs,
             String reason) {}
 
-    /** What the module is told of it. */
+    /** What the decisions on requests are told of it. */
     public FleetView toFleetView() {
         return new FleetView(maxCount, healthProblem.isEmpty(), true);
     }
--- a/core/src/main/java/spartrail/peers/PeerDescriptor.java
+++ b/core/src/main/java/spartrail/peers/PeerDescriptor.java
@@ -3,12 +3,14 @@
 import java.util.regex.Pattern;
 
 /**
- * What a node says of itself. Its turn goes up when it refutes what others hold of it; nobody else moves it.
+ * How a node describes itself to the others.
  *
  * @param address where its messages go, such as 10.0.3.7:7400
  * @param weight its share of the fleet's work against other nodes', 1 where all are alike
  * @param programVersion version of the program
- * @param settingsVersion version of the settings that it goes by, empty where none is known
+ * @param settingsVersion version of the settings that it uses, empty where none is known
+ * @param incarnation the run of its process
+ * @param refutations how often it has refuted in this incarnation what others held of it; nobody else moves that
  */
 public record PeerDescriptor(
         String name,
@@ -21,21 +23,25 @@
         int refutations) {
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]{1,64}");
     private static final Pattern ADDRESS = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}");
-    private static final int LONGEST = 64;
+    private static final int MAX_TEXT_LENGTH = 64;
+    private static final double MAX_WEIGHT = 1e6;
+    /** Numbers and heads of texts, and what an update adds to the descriptor. */
+    private static final int MAX_FIXED_BYTES = 60;
 
-    /** Whether others can take it up: its texts are short and of the expected form. */
+    /** Whether others can take it: its texts are short and of the expected form, its numbers in range. */
     public boolean isWellFormed() {
         return NAME.matcher(name).matches()
                 && ADDRESS.matcher(address).matches()
-                && zone.length() <= LONGEST
-                && programVersion.length() <= LONGEST
-                && settingsVersion.length() <= LONGEST
+                && zone.length() <= MAX_TEXT_LENGTH
+                && programVersion.length() <= MAX_TEXT_LENGTH
+                && settingsVersion.length() <= MAX_TEXT_LENGTH
                 && weight >= 0
-                && weight <= 1e6
+                && weight <= MAX_WEIGHT
                 && incarnation.startMs() > 0
                 && refutations >= 0;
     }
 
+    /** Whether a node may have that name. */
     public static boolean isValidName(String text) {
         return NAME.matcher(text).matches();
     }
@@ -49,9 +55,9 @@
         return new PeerDescriptor(name, address, zone, weight, programVersion, version, incarnation, newRefutations);
     }
 
-    /** At most so many bytes it takes in a message, with what a word adds to it. */
+    /** The most bytes that it takes in a message as part of an update. */
     int maxEncodedBytes() {
-        return 60
+        return MAX_FIXED_BYTES
                 + name.length()
                 + address.length()
                 + zone.length()
--- a/core/src/main/java/spartrail/peers/PeerEvent.java
+++ b/core/src/main/java/spartrail/peers/PeerEvent.java
@@ -1,12 +1,13 @@
 package spartrail.peers;
 
 /**
- * Something changed in a node's view.
+ * A change of a node's view.
  *
- * @param previousState null: it was not known
- * @param newState null: it is forgotten
+ * @param previousState null where the node was not known
+ * @param newState null where the node is forgotten
  * @param reporter who says so: this node itself, where it is its own verdict
- * @param healthProblem why this node doubted itself then; empty where it did not
+ * @param reason why, in words for operators
+ * @param healthProblem why this node trusted its own view less then; empty where it didn't
  */
 public record PeerEvent(
         double atMs,
--- a/core/src/main/java/spartrail/peers/PeerMessage.java
+++ b/core/src/main/java/spartrail/peers/PeerMessage.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What one node tells another.
+ * What one node sends another.
  *
- * @param sender who says it, as it knows itself
- * @param incarnationAgeMs how old the sender's life is by its own clock; tells a message that was under way for long
+ * @param sender the sender as it describes itself
+ * @param incarnationAgeMs age of the sender's incarnation by its own clock; shows a message that was under way for long
  * @param recipient name of the node that is meant, empty where only its address is known
- * @param nonce drawn by who asks, told back by who answers: proof that the answer is a new one
- * @param digest of whom the sender holds for being there; two that are equal need not compare
- * @param target whom a helper is to ask, or was asked to; else null
+ * @param nonce drawn by the node that asks, returned by the one that answers: proof that the answer is new
+ * @param digest of the nodes that the sender holds for present; two that are equal need no comparison
+ * @param target whom a relay is asked to probe, or has probed; else null
  */
 public record PeerMessage(
         Kind kind,
@@ -22,17 +22,20 @@
         long digest,
         PeerDescriptor target,
         List<PeerUpdate> updates) {
-    /** What it is for. New ones go at the end: a node drops kinds that it does not know. */
+    /**
+     * What a message is for. Datagrams hold the numbers of the constants, so new ones go to the end: a node drops kinds that
+     * it doesn't know.
+     */
     public enum Kind {
-        /** Are you there? */
+        /** A probe. */
         PING,
-        /** I am. */
+        /** The answer to a probe. */
         ACK,
-        /** Ask that one for me. */
+        /** Asks a relay to probe the target. */
         PING_REQUEST,
-        /** I have asked it, and it is there. */
+        /** The relay's probe was answered. */
         INDIRECT_ACK,
-        /** I have asked it, and had no answer yet. */
+        /** The relay's probe was not answered in time. */
         INDIRECT_NACK
     }
 }
--- a/core/src/main/java/spartrail/peers/PeerState.java
+++ b/core/src/main/java/spartrail/peers/PeerState.java
@@ -1,6 +1,9 @@
 package spartrail.peers;
 
-/** How a node stands; the later one outranks the earlier one where life and turn are the same. */
+/**
+ * A node's state in a view; the later one outranks the earlier one where incarnation and refutations are the same. Datagrams
+ * hold the numbers of the constants, the history and replies to operators their names.
+ */
 public enum PeerState {
     /** It has started and not heard from anybody yet. */
     JOINING,
@@ -12,7 +15,7 @@
     /** It has said itself that it ends. */
     LEFT;
 
-    /** It counts among those that are there. */
+    /** Whether it counts among the nodes that are present. */
     public boolean isPresent() {
         return this != GONE && this != LEFT;
     }
--- a/core/src/main/java/spartrail/peers/PeerTransport.java
+++ b/core/src/main/java/spartrail/peers/PeerTransport.java
@@ -6,26 +6,35 @@
 import java.util.function.Consumer;
 
 /**
- * How a node talks to others, found by the service loader; on the class path only where it is asked for. Nothing of it is
- * loaded else.
+ * Exchanges messages with other nodes. Found by the service loader, and on the class path only where an installation switches
+ * it on; else nothing of it is loaded.
  */
 public interface PeerTransport {
-    /** Reads and checks a peers' file; an IllegalArgumentException says in one line what is wrong with it. */
+    /**
+     * Reads and checks a peers' file.
+     *
+     * @throws IllegalArgumentException which says in one line what is wrong with it
+     */
     void check(Path file);
 
     /**
-     * Begins to talk on a thread of its own. Each new view is handed over on that thread.
+     * Starts on a thread of its own, on which each new view is handed over.
      *
-     * @param history where a JSON line is written for each change of the view, bounded; null for nowhere
-     * @param historyBytes it ends at so many bytes
-     * @param lanes whose messages travel along
+     * @param history where a JSON line is written for each change of the view; null for nowhere
+     * @param maxHistoryBytes the history ends at so many bytes
+     * @param channels subsystems whose messages travel along
      */
-    Running start(Path file, Path history, long historyBytes, Consumer<MembershipView> views, List<PeerChannel> lanes)
+    Running start(
+            Path file, Path history, long maxHistoryBytes, Consumer<MembershipView> views, List<PeerChannel> channels)
             throws IOException;
 
-    /** Talk that has begun. */
+    /** A transport that has started. */
     interface Running extends AutoCloseable {
-        /** Goes on by a changed file, as far as it may change while it runs; the rest is told and waits for the next start. */
+        /**
+         * Takes a changed file, as far as it may change while the node runs.
+         *
+         * @return what waits for the next start, in words for operators; empty where nothing does
+         */
         String reload(Path file);
 
         /** Tells others at once that this node ends. */
--- a/core/src/main/java/spartrail/peers/PeerUpdate.java
+++ b/core/src/main/java/spartrail/peers/PeerUpdate.java
@@ -1,19 +1,23 @@
 package spartrail.peers;
 
 /**
- * What is said of a node: the highest word of it that a node has heard is what it holds. Words are ordered by life, then
- * whether it has left, then turn, then standing, so that it does not matter in which order they come, or how often.
+ * What one node says of another. A node holds the update of the highest precedence that it has received: by incarnation, then
+ * whether it has left, then refutations, then state. So it does not matter in which order updates come, or how often.
  *
- * @param incarnationAgeMs how old that life is by the clock of who says so; 0 where it does not know
- * @param accuser who accuses, where it is a suspicion or its end; else empty
+ * @param incarnationAgeMs how old that incarnation is by the clock of the node that says so; 0 where it doesn't know
+ * @param accuser who suspects the node, where it is suspected; else empty
  */
 public record PeerUpdate(PeerDescriptor descriptor, PeerState state, double incarnationAgeMs, String accuser) {
-    /** Above 0 where the first outranks the second. */
+    /** Above 0 where the first descriptor and state outrank the second. */
     static int comparePrecedence(
             PeerDescriptor descriptor, PeerState state, PeerDescriptor other, PeerState otherState) {
         int order = descriptor.incarnation().compareTo(other.incarnation());
-        order = order != 0 ? order : Boolean.compare(state == PeerState.LEFT, otherState == PeerState.LEFT);
-        order = order != 0 ? order : Integer.compare(descriptor.refutations(), other.refutations());
+        if (order == 0) {
+            order = Boolean.compare(state == PeerState.LEFT, otherState == PeerState.LEFT);
+        }
+        if (order == 0) {
+            order = Integer.compare(descriptor.refutations(), other.refutations());
+        }
         return order != 0 ? order : state.compareTo(otherState);
     }
 }
--- a/core/src/main/java/spartrail/peers/package-info.java
+++ b/core/src/main/java/spartrail/peers/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Front nodes among themselves: who is there. Messages that were heard, time and chance come in, messages to send and a
- * view of all nodes go out. No I/O, no clock, no threads: one thread owns it, in a node and on a virtual network alike.
- * Servers are {@code spartrail.endpoint}'s.
+ * Which front nodes are present, by the SWIM protocol. In: messages of other nodes, time, random numbers. Out: messages to
+ * send, a view of all nodes, changes of it. No I/O, no clock, no threads: one thread owns a {@link
+ * spartrail.peers.SwimMembership}, in a node and on a simulated network alike. Index servers belong to {@code
+ * spartrail.endpoint}.
  */
 package spartrail.peers;
