--- a/core/src/main/java/spartrail/endpoint/EndpointList.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointList.java
@@ -13,7 +13,7 @@
 import spartrail.model.Server;
 
 /** A version of the list of servers, or the lines that changed. */
-public record EndpointList(long version, boolean all, List<Endpoint> lines) {
+public record EndpointList(long version, boolean isComplete, List<Endpoint> endpoints) {
     /** A server and its address as this node reaches it; the time of its start is a Unix time, 0 if long ago. */
     public record Endpoint(
             String id,
@@ -22,24 +22,24 @@
             String kind,
             int cell,
             Server.State state,
-            double rating,
+            double weight,
             long bootMs) {
         /** The same server in another state. */
-        public Endpoint with(Server.State other) {
-            return new Endpoint(id, address, zone, kind, cell, other, rating, bootMs);
+        public Endpoint withState(Server.State other) {
+            return new Endpoint(id, address, zone, kind, cell, other, weight, bootMs);
         }
     }
 
     /** The lines as the module takes them. */
-    public List<Server> servers(NodeClock clock) {
-        List<Server> servers = new ArrayList<>(lines.size());
-        for (Endpoint line : lines) {
+    public List<Server> toServers(NodeClock clock) {
+        List<Server> servers = new ArrayList<>(endpoints.size());
+        for (Endpoint line : endpoints) {
             Server server = new Server(line.id());
             server.zone = line.zone();
             server.kind = line.kind();
             server.cell = line.cell();
             server.state = line.state();
-            server.rating = line.rating();
+            server.rating = line.weight();
             server.bornMs = line.bootMs() > 0 ? clock.at(line.bootMs()) : -1;
             servers.add(server);
         }
@@ -52,7 +52,7 @@
     /** Decodes a body in discovery's form; an IllegalArgumentException or IOException where it is none. */
     public static EndpointList decode(byte[] body) throws IOException {
         try (JsonParser parser = JSON.createParser(body)) {
-            if (parser.nextToken() == null || !(JsonTree.value(parser) instanceof Map<?, ?> tree)) {
+            if (parser.nextToken() == null || !(JsonTree.readValue(parser) instanceof Map<?, ?> tree)) {
                 throw new IllegalArgumentException("a list of servers is a JSON object");
             }
             return of(tree);
@@ -63,7 +63,7 @@
         if (!(tree.get("rev") instanceof Number version) || !(tree.get("targets") instanceof List<?> targets)) {
             throw new IllegalArgumentException("a list of servers has 'rev' and 'targets'");
         }
-        List<Endpoint> lines = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (Object target : targets) {
             if (!(target instanceof Map<?, ?> line)
                     || !(line.get("uid") instanceof String id)
@@ -80,7 +80,7 @@
             if (address == null && state != Server.State.GONE) {
                 throw new IllegalArgumentException("a server of the list has an 'endpoint'");
             }
-            lines.add(new Endpoint(
+            endpoints.add(new Endpoint(
                     id,
                     address,
                     String.valueOf(line.get("az")),
@@ -90,7 +90,7 @@
                     line.get("capacity_hint") instanceof Number hint ? hint.doubleValue() : 1,
                     line.get("boot_ms") instanceof Number boot ? boot.longValue() : 0));
         }
-        return new EndpointList(version.longValue(), !Boolean.FALSE.equals(tree.get("all")), lines);
+        return new EndpointList(version.longValue(), !Boolean.FALSE.equals(tree.get("all")), endpoints);
     }
 
     /** An address in the form host:port, without a look-up of names. */
--- a/core/src/main/java/spartrail/endpoint/EndpointRecord.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointRecord.java
@@ -7,7 +7,7 @@
 /** A server in the view. */
 public final class EndpointRecord {
     /** How a server stands in the view. */
-    public enum Standing {
+    public enum Status {
         /** No source has a word on it. */
         UNKNOWN,
         /** Named again after it was gone, and not in use yet, as it has come and gone before. */
@@ -40,10 +40,10 @@
     /** The roll's uid, or null. */
     String uid;
 
-    String endpoint;
+    String address;
     final Map<EndpointSource, Word> words = new LinkedHashMap<>();
-    Standing standing = Standing.UNKNOWN;
-    String rule = "no source names it";
+    Status status = Status.UNKNOWN;
+    String reason = "no source names it";
     double sinceMs;
     /** When it was first seen, or seen again after it was gone. */
     double seenMs;
@@ -52,49 +52,49 @@
     double flaps;
     double flapMs;
     /** The latest start that any source has told; NaN if none has. */
-    double bornMs = Double.NaN;
+    double startedMs = Double.NaN;
     /** Counted among the live servers of its cell. */
     boolean counted;
     /** The cell it is counted in. */
     int cell;
-    /** What was last handed on, and whether that is still so. */
-    SourceReport handed;
+    /** What was last published on, and whether that is still so. */
+    SourceReport published;
 
     boolean changed;
     boolean standby;
 
-    EndpointRecord(String id, String endpoint, double nowMs) {
+    EndpointRecord(String id, String address, double nowMs) {
         this.id = id;
-        this.endpoint = endpoint;
+        this.address = address;
         this.seenMs = nowMs;
         this.sinceMs = nowMs;
     }
 
-    public Standing standing() {
-        return standing;
+    public Status status() {
+        return status;
     }
 
-    /** The rule that decided its standing. */
-    public String rule() {
-        return rule;
+    /** The rule that decided its status. */
+    public String reason() {
+        return reason;
     }
 
-    public double sinceMs() {
+    public double statusSinceMs() {
         return sinceMs;
     }
 
-    public String endpoint() {
-        return endpoint;
+    public String address() {
+        return address;
     }
 
     /** A worse tier than its cell needs. */
-    public boolean standby() {
+    public boolean isStandby() {
         return standby;
     }
 
     /** What the module is to know of it. */
-    public SourceReport line() {
-        return handed;
+    public SourceReport published() {
+        return published;
     }
 
     Word word(EndpointSource.Kind kind) {
@@ -111,7 +111,7 @@
         SourceReport best = null;
         for (Map.Entry<EndpointSource, Word> entry : words.entrySet()) {
             Word word = entry.getValue();
-            if (entry.getKey().kind == EndpointSource.Kind.ROLL) {
+            if (entry.getKey().kind == EndpointSource.Kind.DISCOVERY) {
                 return word.said;
             }
             if (best == null || !word.gone && !word.absent()) {
@@ -122,11 +122,11 @@
     }
 
     boolean inUse() {
-        return standing == Standing.LIVE || standing == Standing.SUSPECT;
+        return status == Status.LIVE || status == Status.SUSPECT;
     }
 
-    static Server.State state(Standing standing) {
-        return switch (standing) {
+    static Server.State state(Status status) {
+        return switch (status) {
             case LIVE, SUSPECT -> Server.State.LIVE;
             case DRAINING -> Server.State.DRAINING;
             default -> Server.State.GONE;
--- a/core/src/main/java/spartrail/endpoint/EndpointRegistry.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointRegistry.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import spartrail.endpoint.EndpointRecord.Standing;
+import spartrail.endpoint.EndpointRecord.Status;
 import spartrail.endpoint.EndpointRecord.Word;
 import spartrail.model.Server;
 import spartrail.model.TimerQueue;
@@ -19,7 +19,7 @@
 /**
  * The view of all servers, merged from sources that disagree.
  *
- * <p>Which rule decides a server's standing; the first that fits does:
+ * <p>Which rule decides a server's status; the first that fits does:
  *
  * <pre>
  *  1 the roll says it drains                               DRAINING  at once, over all others
@@ -46,7 +46,7 @@
     private static final double NEVER = Double.MAX_VALUE;
 
     private final int cells;
-    private final int reach;
+    private final int replicationFactor;
     private final MergeLimits bounds;
     private final Predicate<String> allowed;
     private final Map<String, EndpointSource> sources = new LinkedHashMap<>();
@@ -68,10 +68,10 @@
     private long flapsDamped;
     private long steps;
 
-    /** Shard s is held by the cells (s + j) mod cells, j from 0 to reach - 1; endpoints that are not allowed are refused. */
-    public EndpointRegistry(int cells, int reach, MergeLimits bounds, Predicate<String> allowed) {
+    /** Shard s is held by the cells (s + j) mod cells, j from 0 to replicationFactor - 1; endpoints that are not allowed are refused. */
+    public EndpointRegistry(int cells, int replicationFactor, MergeLimits bounds, Predicate<String> allowed) {
         this.cells = Math.max(1, cells);
-        this.reach = Math.max(1, Math.min(reach, this.cells));
+        this.replicationFactor = Math.max(1, Math.min(replicationFactor, this.cells));
         this.bounds = bounds;
         this.allowed = allowed;
         this.live = new int[this.cells];
@@ -85,7 +85,8 @@
     // ---- News ----
 
     /** A source says this; where it is all that it knows, what it lacks is left out. */
-    public void said(EndpointSource source, boolean whole, List<SourceReport> lines, double lifetimeMs, double atMs) {
+    public void applyReports(
+            EndpointSource source, boolean whole, List<SourceReport> lines, double lifetimeMs, double atMs) {
         nowMs = atMs;
         boolean back = !source.in;
         source.in = true;
@@ -127,7 +128,7 @@
     }
 
     /** A source does not answer. */
-    public void out(EndpointSource source, double atMs) {
+    public void markUnavailable(EndpointSource source, double atMs) {
         nowMs = atMs;
         if (source.in) {
             source.in = false;
@@ -150,13 +151,13 @@
     // ---- Who ----
 
     private EndpointRecord member(EndpointSource source, SourceReport said) {
-        if (said.endpoint() != null && !allowed.test(said.endpoint())) {
+        if (said.address() != null && !allowed.test(said.address())) {
             notAllowed++;
             return null;
         }
-        EndpointRecord known = said.id() != null ? byUid.get(said.id()) : byEndpoint.get(said.endpoint());
-        if (known == null && said.id() != null && said.endpoint() != null) {
-            EndpointRecord there = byEndpoint.get(said.endpoint());
+        EndpointRecord known = said.id() != null ? byUid.get(said.id()) : byEndpoint.get(said.address());
+        if (known == null && said.id() != null && said.address() != null) {
+            EndpointRecord there = byEndpoint.get(said.address());
             if (there != null && there.uid == null) {
                 known = there;
                 known.uid = said.id();
@@ -164,14 +165,14 @@
             }
         }
         if (known == null) {
-            if (said.endpoint() == null
+            if (said.address() == null
                     || said.cell() < 0
                     || said.cell() >= cells
-                    || members.size() >= bounds.mostMembers()) {
+                    || members.size() >= bounds.maxEndpoints()) {
                 refused++;
                 return null;
             }
-            known = new EndpointRecord(said.id() != null ? said.id() : said.endpoint(), said.endpoint(), nowMs);
+            known = new EndpointRecord(said.id() != null ? said.id() : said.address(), said.address(), nowMs);
             // Danger: the name of one that was known by its endpoint may be taken by another's uid.
             if (members.containsKey(known.id)) {
                 refused++;
@@ -182,10 +183,10 @@
             if (said.id() != null) {
                 byUid.put(said.id(), known);
             }
-            settle(known, said.endpoint());
-        } else if (said.endpoint() != null && !said.endpoint().equals(known.endpoint)) {
-            byEndpoint.remove(known.endpoint, known);
-            settle(known, said.endpoint());
+            settle(known, said.address());
+        } else if (said.address() != null && !said.address().equals(known.address)) {
+            byEndpoint.remove(known.address, known);
+            settle(known, said.address());
         }
         return known;
     }
@@ -193,10 +194,10 @@
     /** It is at this endpoint from now on; whoever was there before is not, and words without ids stay with the endpoint. */
     private void settle(EndpointRecord member, String endpoint) {
         EndpointRecord before = byEndpoint.put(endpoint, member);
-        member.endpoint = endpoint;
+        member.address = endpoint;
         if (before != null && before != member) {
             for (Map.Entry<EndpointSource, Word> entry : List.copyOf(before.words.entrySet())) {
-                if (entry.getKey().kind != EndpointSource.Kind.ROLL) {
+                if (entry.getKey().kind != EndpointSource.Kind.DISCOVERY) {
                     before.words.remove(entry.getKey());
                     entry.getKey().words.remove(before);
                     member.words.put(entry.getKey(), entry.getValue());
@@ -229,10 +230,10 @@
         word.absentSinceMs = Double.NaN;
         word.absentAnswers = 0;
         word.gone = false;
-        if (said.tellsStart() && !(said.bornMs() <= member.bornMs)) {
-            member.bornMs = said.bornMs();
+        if (said.hasStart() && !(said.startedMs() <= member.startedMs)) {
+            member.startedMs = said.startedMs();
         }
-        if (again && source.kind != EndpointSource.Kind.ROLL && mayLift(source, member, leftOutSinceMs)) {
+        if (again && source.kind != EndpointSource.Kind.DISCOVERY && mayLift(source, member, leftOutSinceMs)) {
             lift(member);
         }
         return !same;
@@ -252,7 +253,7 @@
 
     /** Danger: a source that never heard of the roll's drain would bring a drained server back. */
     boolean mayLift(EndpointSource source, EndpointRecord member, double leftOutSinceMs) {
-        Word roll = member.word(EndpointSource.Kind.ROLL);
+        Word roll = member.word(EndpointSource.Kind.DISCOVERY);
         if (roll == null || !roll.gone && roll.said.state() == Server.State.LIVE) {
             return false;
         }
@@ -263,28 +264,28 @@
     private void lift(EndpointRecord member) {
         lifted++;
         sources.values().stream()
-                .filter(source -> source.kind == EndpointSource.Kind.ROLL)
+                .filter(source -> source.kind == EndpointSource.Kind.DISCOVERY)
                 .forEach(roll -> {
                     roll.words.remove(member);
                     member.words.remove(roll);
                 });
         member.seenMs = nowMs;
-        member.bornMs = Double.NaN;
+        member.startedMs = Double.NaN;
     }
 
     private boolean rollOut() {
-        return sources.values().stream().noneMatch(source -> source.kind == EndpointSource.Kind.ROLL && source.in);
+        return sources.values().stream().noneMatch(source -> source.kind == EndpointSource.Kind.DISCOVERY && source.in);
     }
 
     // ---- Judgement ----
 
     /** A standing with the rule that made it, and when it may change by itself. */
-    private record Verdict(Standing standing, String rule, double againMs) {}
+    private record Verdict(Status status, String rule, double againMs) {}
 
     private void judge(EndpointRecord member) {
         steps++;
         Verdict verdict = verdict(member);
-        move(member, verdict.standing(), verdict.rule());
+        move(member, verdict.status(), verdict.rule());
         TimerQueue.Due due = dues.remove(member);
         if (due != null) {
             timetable.remove(due);
@@ -301,7 +302,7 @@
         EndpointSource rollSource = null;
         Word roll = null;
         for (Map.Entry<EndpointSource, Word> entry : member.words.entrySet()) {
-            if (entry.getKey().kind == EndpointSource.Kind.ROLL) {
+            if (entry.getKey().kind == EndpointSource.Kind.DISCOVERY) {
                 rollSource = entry.getKey();
                 roll = entry.getValue();
             }
@@ -318,23 +319,22 @@
     private Verdict byRoll(EndpointRecord member, EndpointSource source, Word roll) {
         String tomb = source.in ? "" : ", a tombstone while the roll is out";
         if (roll.said.state() == Server.State.DRAINING) {
-            return new Verdict(Standing.DRAINING, "1 the roll says it drains" + tomb, NEVER);
+            return new Verdict(Status.DRAINING, "1 the roll says it drains" + tomb, NEVER);
         }
         if (roll.said.state() == Server.State.GONE || roll.gone) {
             return forgetting(member, "2 the roll says it is gone" + tomb);
         }
         if (roll.absent()) {
-            double confirmedMs = roll.absentSinceMs + bounds.rollConfirmMs();
+            double confirmedMs = roll.absentSinceMs + bounds.discoveryConfirmMs();
             if (nowMs >= confirmedMs || floorAllows(member)) {
                 roll.gone = true;
                 return forgetting(member, "2 a whole roll lacks it" + tomb);
             }
             heldByFloor++;
-            return new Verdict(
-                    Standing.LIVE, "2 a whole roll lacks it, held for the floor until confirmed", confirmedMs);
+            return new Verdict(Status.LIVE, "2 a whole roll lacks it, held for the floor until confirmed", confirmedMs);
         }
         if (source.in) {
-            return new Verdict(Standing.LIVE, "4 the roll lists it", NEVER);
+            return new Verdict(Status.LIVE, "4 the roll lists it", NEVER);
         }
         return others(member) ? null : frozen(member, lastOutMs(member), "5 the roll listed it and is out");
     }
@@ -351,7 +351,7 @@
     /** Whether a source other than the roll names it and answers. */
     private static boolean others(EndpointRecord member) {
         return member.words.entrySet().stream()
-                .anyMatch(entry -> entry.getKey().kind != EndpointSource.Kind.ROLL
+                .anyMatch(entry -> entry.getKey().kind != EndpointSource.Kind.DISCOVERY
                         && entry.getKey().in
                         && !entry.getValue().absent());
     }
@@ -365,7 +365,7 @@
         for (Map.Entry<EndpointSource, Word> entry : member.words.entrySet()) {
             EndpointSource source = entry.getKey();
             Word word = entry.getValue();
-            if (word.gone || source.kind == EndpointSource.Kind.ROLL && source.in) {
+            if (word.gone || source.kind == EndpointSource.Kind.DISCOVERY && source.in) {
                 continue;
             }
             if (!source.in) {
@@ -381,42 +381,40 @@
             }
         }
         if (names != null) {
-            if (member.standing == Standing.GONE
-                    || member.standing == Standing.UNKNOWN
-                    || member.standing == Standing.JOINING) {
+            if (member.status == Status.GONE || member.status == Status.UNKNOWN || member.status == Status.JOINING) {
                 return joining(member, names);
             }
-            return new Verdict(Standing.LIVE, "6 " + names + " names it", NEVER);
+            return new Verdict(Status.LIVE, "6 " + names + " names it", NEVER);
         }
         if (frozen) {
             return frozen(member, outSinceMs, "9 those that name it are out");
         }
         if (held != null && member.inUse() && !floorAllows(member) && !confirmed(member)) {
             heldByFloor++;
-            return new Verdict(Standing.LIVE, "8 no source names it, held for the floor until confirmed", confirmMs);
+            return new Verdict(Status.LIVE, "8 no source names it, held for the floor until confirmed", confirmMs);
         }
         member.words.forEach((source, word) -> word.gone |= word.absent());
         return forgetting(member, "7 no source names it any more");
     }
 
     private Verdict joining(EndpointRecord member, EndpointSource names) {
-        if (member.standing == Standing.JOINING) {
+        if (member.status == Status.JOINING) {
             return nowMs >= member.joinAtMs
-                    ? new Verdict(Standing.LIVE, "6 " + names + " names it", NEVER)
-                    : new Verdict(Standing.JOINING, member.rule, member.joinAtMs);
+                    ? new Verdict(Status.LIVE, "6 " + names + " names it", NEVER)
+                    : new Verdict(Status.JOINING, member.reason, member.joinAtMs);
         }
         member.seenMs = nowMs;
-        if (member.standing == Standing.UNKNOWN) {
-            return new Verdict(Standing.LIVE, "6 " + names + " names it", NEVER);
+        if (member.status == Status.UNKNOWN) {
+            return new Verdict(Status.LIVE, "6 " + names + " names it", NEVER);
         }
         double waitMs = flapWait(member);
         if (waitMs <= 0) {
-            return new Verdict(Standing.LIVE, "6 " + names + " names it", NEVER);
+            return new Verdict(Status.LIVE, "6 " + names + " names it", NEVER);
         }
         flapsDamped++;
         member.joinAtMs = nowMs + waitMs;
         return new Verdict(
-                Standing.JOINING,
+                Status.JOINING,
                 String.format(
                         Locale.ROOT, "6 %s names it again, it waits %.0f ms as it has come and gone", names, waitMs),
                 member.joinAtMs);
@@ -427,15 +425,17 @@
         if (!atFloor(member.cell, bounds.floor())) {
             return 0;
         }
-        double lately = member.flaps * Math.pow(0.5, (nowMs - member.flapMs) / bounds.flapForgetMs());
-        return lately < 0.5 ? 0 : Math.min(bounds.flapMostMs(), bounds.flapMs() * Math.pow(2, Math.round(lately) - 1));
+        double lately = member.flaps * Math.pow(0.5, (nowMs - member.flapMs) / bounds.flapHalfLifeMs());
+        return lately < 0.5
+                ? 0
+                : Math.min(bounds.maxFlapDelayMs(), bounds.flapDelayMs() * Math.pow(2, Math.round(lately) - 1));
     }
 
     private Verdict frozen(EndpointRecord member, double outSinceMs, String why) {
         double suspectMs = outSinceMs + bounds.freezeMs();
         if (nowMs < suspectMs) {
             return new Verdict(
-                    member.inUse() || member.standing == Standing.UNKNOWN ? Standing.LIVE : member.standing,
+                    member.inUse() || member.status == Status.UNKNOWN ? Status.LIVE : member.status,
                     why + ", its word still holds",
                     suspectMs);
         }
@@ -443,7 +443,7 @@
         if (nowMs < endMs || member.inUse() && !floorAllows(member)) {
             // Looked at again from time to time: the floor may allow it later.
             return new Verdict(
-                    Standing.SUSPECT,
+                    Status.SUSPECT,
                     why + " for too long",
                     nowMs < endMs ? endMs : nowMs + Math.max(1000, bounds.suspectMs()));
         }
@@ -474,9 +474,9 @@
 
     /** Whether each shard that the cell holds has so many servers in use. */
     private boolean atFloor(int ofCell, int least) {
-        for (int first = ofCell - reach + 1; first <= ofCell; first++) {
+        for (int first = ofCell - replicationFactor + 1; first <= ofCell; first++) {
             int count = 0;
-            for (int cell = first; cell < first + reach; cell++) {
+            for (int cell = first; cell < first + replicationFactor; cell++) {
                 count += live[Math.floorMod(cell, cells)];
             }
             if (count < least) {
@@ -488,37 +488,37 @@
 
     /** Gone; it is forgotten altogether when nobody speaks of it any more. */
     private Verdict forgetting(EndpointRecord member, String rule) {
-        double sinceMs = member.standing == Standing.GONE ? member.sinceMs : nowMs;
+        double sinceMs = member.status == Status.GONE ? member.sinceMs : nowMs;
         // Danger: a tombstone that is forgotten while another source still names the server would let it back.
         boolean named = member.words.values().stream()
                 .anyMatch(word -> !word.absent() && word.said.state() == Server.State.LIVE);
-        if (nowMs >= sinceMs + bounds.keptMs() && !rollOut() && !named) {
+        if (nowMs >= sinceMs + bounds.retentionMs() && !rollOut() && !named) {
             forget(member);
-            return new Verdict(Standing.GONE, rule, NEVER);
+            return new Verdict(Status.GONE, rule, NEVER);
         }
-        return new Verdict(Standing.GONE, rule, Math.max(nowMs, sinceMs) + bounds.keptMs());
+        return new Verdict(Status.GONE, rule, Math.max(nowMs, sinceMs) + bounds.retentionMs());
     }
 
     private void forget(EndpointRecord member) {
         members.remove(member.id, member);
         byUid.remove(member.uid, member);
-        byEndpoint.remove(member.endpoint, member);
+        byEndpoint.remove(member.address, member);
         member.words.keySet().forEach(source -> source.words.remove(member));
         cell(member.cell).remove(member);
     }
 
     // ---- What follows ----
 
-    private void move(EndpointRecord member, Standing standing, String rule) {
-        if (standing != member.standing) {
-            if (standing == Standing.GONE && member.standing != Standing.JOINING) {
-                member.flaps = member.flaps * Math.pow(0.5, (nowMs - member.flapMs) / bounds.flapForgetMs()) + 1;
+    private void move(EndpointRecord member, Status status, String rule) {
+        if (status != member.status) {
+            if (status == Status.GONE && member.status != Status.JOINING) {
+                member.flaps = member.flaps * Math.pow(0.5, (nowMs - member.flapMs) / bounds.flapHalfLifeMs()) + 1;
                 member.flapMs = nowMs;
             }
-            member.standing = standing;
+            member.status = status;
             member.sinceMs = nowMs;
         }
-        member.rule = rule;
+        member.reason = rule;
         SourceReport best = member.best();
         int cell = best == null ? member.cell : best.cell();
         if (member.counted) {
@@ -552,43 +552,43 @@
         for (EndpointRecord member : cell) {
             SourceReport said = member.best();
             if (said == null) {
-                said = member.handed;
+                said = member.published;
             }
             if (said == null) {
                 continue;
             }
             member.standby = member.inUse() && said.tier() > best;
-            Server.State state = member.standby ? Server.State.DRAINING : EndpointRecord.state(member.standing);
-            double bornMs = Double.isNaN(member.bornMs) ? member.seenMs : member.bornMs;
+            Server.State state = member.standby ? Server.State.DRAINING : EndpointRecord.state(member.status);
+            double startedMs = Double.isNaN(member.startedMs) ? member.seenMs : member.startedMs;
             SourceReport line = new SourceReport(
                     member.id,
-                    member.endpoint,
+                    member.address,
                     said.zone(),
                     said.kind(),
                     said.cell(),
                     state,
-                    said.rating(),
-                    bornMs,
+                    said.weight(),
+                    startedMs,
                     said.tier());
-            boolean unknown = member.handed == null && state == Server.State.GONE;
-            if (!unknown && !line.equals(member.handed)) {
-                member.handed = line;
+            boolean unknown = member.published == null && state == Server.State.GONE;
+            if (!unknown && !line.equals(member.published)) {
+                member.published = line;
                 changed.add(member);
             }
         }
     }
 
     /** Lines that are others than when this was last asked. */
-    public List<SourceReport> changes() {
+    public List<SourceReport> takeChanges() {
         List<SourceReport> lines = new ArrayList<>();
-        changed.forEach(member -> lines.add(member.handed));
+        changed.forEach(member -> lines.add(member.published));
         changed.clear();
         return lines;
     }
 
     // ---- For operators and snapshots ----
 
-    public Collection<EndpointRecord> members() {
+    public Collection<EndpointRecord> records() {
         return members.values();
     }
 
@@ -610,12 +610,12 @@
                 "%s%s at %s, cell %d: %s%s since %.1f s%n  rule: %s%n",
                 member.id,
                 member.uid == null || member.uid.equals(member.id) ? "" : " (" + member.uid + ")",
-                member.endpoint,
+                member.address,
                 member.cell,
-                member.standing,
+                member.status,
                 member.standby ? " (standby)" : "",
                 (atMs - member.sinceMs) / 1000,
-                member.rule));
+                member.reason));
         member.words.forEach((source, word) -> out.append(String.format(
                 Locale.ROOT,
                 "  %s (%s): %s%s%n",
@@ -632,9 +632,9 @@
         return out.append(String.format(
                         Locale.ROOT,
                         "  start: %s%n",
-                        Double.isNaN(member.bornMs)
+                        Double.isNaN(member.startedMs)
                                 ? "nobody tells; taken for cold from when it was seen"
-                                : member.bornMs < 0 ? "long ago" : "told"))
+                                : member.startedMs < 0 ? "long ago" : "told"))
                 .toString();
     }
 
@@ -652,7 +652,7 @@
     }
 
     /** What a snapshot keeps of one source's word on one server; absences and tombstones are kept with it. */
-    public record Kept(
+    public record SnapshotEntry(
             String source,
             EndpointSource.Kind kind,
             String id,
@@ -661,20 +661,20 @@
             boolean gone,
             double seenMs) {}
 
-    public List<Kept> snapshot() {
-        List<Kept> kept = new ArrayList<>();
+    public List<SnapshotEntry> snapshot() {
+        List<SnapshotEntry> kept = new ArrayList<>();
         for (EndpointRecord member : members.values()) {
-            member.words.forEach((source, word) -> kept.add(new Kept(
-                    source.name, source.kind, member.id, member.endpoint, word.said, word.gone, member.seenMs)));
+            member.words.forEach((source, word) -> kept.add(new SnapshotEntry(
+                    source.name, source.kind, member.id, member.address, word.said, word.gone, member.seenMs)));
         }
         return kept;
     }
 
     /** Takes up a snapshot that was saved then; its sources count as out since, until they answer. */
-    public void restore(List<Kept> kept, double savedMs, double atMs) {
+    public void restore(List<SnapshotEntry> kept, double savedMs, double atMs) {
         nowMs = atMs;
         Set<EndpointRecord> touched = new LinkedHashSet<>();
-        for (Kept line : kept) {
+        for (SnapshotEntry line : kept) {
             EndpointSource source = source(line.source(), line.kind(), savedMs);
             source.outSinceMs = Math.min(source.outSinceMs, savedMs);
             EndpointRecord member = members.get(line.id());
@@ -690,8 +690,8 @@
                                 said.kind(),
                                 said.cell(),
                                 said.state(),
-                                said.rating(),
-                                said.bornMs(),
+                                said.weight(),
+                                said.startedMs(),
                                 said.tier()));
             }
             if (member == null) {
--- a/core/src/main/java/spartrail/endpoint/EndpointSource.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointSource.java
@@ -7,7 +7,7 @@
 public final class EndpointSource {
     /** The roll's word is law on what drains and ends; the others can only add, and leave out. */
     public enum Kind {
-        ROLL,
+        DISCOVERY,
         DNS,
         FILE
     }
--- a/core/src/main/java/spartrail/endpoint/SourceReport.java
+++ b/core/src/main/java/spartrail/endpoint/SourceReport.java
@@ -6,22 +6,22 @@
  * What one source says of one server.
  *
  * @param id its name where the source has names (the roll's uid), else null
- * @param endpoint host:port, a number address
- * @param rating capacity, as a multiple of the usual
- * @param bornMs when its process started, on the node's clock; negative if long ago; NaN where the source does not tell
+ * @param address host:port, a number address
+ * @param weight capacity, as a multiple of the usual
+ * @param startedMs when its process started, on the node's clock; negative if long ago; NaN where the source does not tell
  * @param tier 0 is used first, a higher one only where the cell has nobody better
  */
 public record SourceReport(
         String id,
-        String endpoint,
+        String address,
         String zone,
         String kind,
         int cell,
         Server.State state,
-        double rating,
-        double bornMs,
+        double weight,
+        double startedMs,
         int tier) {
-    boolean tellsStart() {
-        return !Double.isNaN(bornMs);
+    boolean hasStart() {
+        return !Double.isNaN(startedMs);
     }
 }
--- a/core/src/main/java/spartrail/json/JsonTree.java
+++ b/core/src/main/java/spartrail/json/JsonTree.java
@@ -14,17 +14,17 @@
     private JsonTree() {}
 
     /** What is wrong with a text that is no JSON, without where it came from. */
-    public static String fault(JsonProcessingException e) {
+    public static String describe(JsonProcessingException e) {
         return e.getOriginalMessage().replaceAll("\\s*\\(.*", "");
     }
 
     /** The value that begins at the parser's current token. */
-    public static Object value(JsonParser parser) throws IOException {
+    public static Object readValue(JsonParser parser) throws IOException {
         return switch (parser.currentToken()) {
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(parser));
+                    list.add(readValue(parser));
                 }
                 yield list;
             }
@@ -33,7 +33,7 @@
                 while (parser.nextToken() != JsonToken.END_OBJECT) {
                     String name = parser.currentName();
                     parser.nextToken();
-                    map.put(name, value(parser));
+                    map.put(name, readValue(parser));
                 }
                 yield map;
             }
--- a/core/src/main/java/spartrail/policy/PolicySettings.java
+++ b/core/src/main/java/spartrail/policy/PolicySettings.java
@@ -99,7 +99,7 @@
     /** What a version states, as a JSON object, nested or by fields. */
     public static PolicySettings parse(String text) {
         try (JsonParser parser = new JsonFactory().createParser(text)) {
-            if (parser.nextToken() == null || !(JsonTree.value(parser) instanceof Map<?, ?> tree)) {
+            if (parser.nextToken() == null || !(JsonTree.readValue(parser) instanceof Map<?, ?> tree)) {
                 throw new IllegalArgumentException("a JSON object is expected");
             }
             Map<String, Object> values = new TreeMap<>();
@@ -107,7 +107,7 @@
             return of(values);
         } catch (JsonProcessingException e) {
             throw new IllegalArgumentException(
-                    "no JSON: " + JsonTree.fault(e) + " in line "
+                    "no JSON: " + JsonTree.describe(e) + " in line "
                             + e.getLocation().getLineNr(),
                     e);
         } catch (IOException e) {
--- a/core/src/main/java/spartrail/subset/ReplicaGroup.java
+++ b/core/src/main/java/spartrail/subset/ReplicaGroup.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /**
- * The live replicas of the shards that the same cells hold, in this node's order, and which of them it uses.
+ * The live replicas of the shards that the same cells hold, in this node's order, and which of them the node uses.
  *
  * <p>Chosen are, along the order, the first replica of each of the first {@code leastZones} zones and the first of all others, up to
  * {@code replicasPerShard}. Such a choice is the first basis of a matroid, so a replica that joins or leaves exchanges one other at
@@ -22,58 +22,58 @@
     private final Map<String, Integer> replicasInZone = new HashMap<>();
     private List<Replica> selected = List.of();
     private List<Replica> chosen = List.of();
-    private boolean sorted = true;
-    private double inclusion;
+    private boolean isSorted = true;
+    private double inclusionProbability;
 
     void add(Replica replica) {
         ordered.add(replica);
-        sorted = false;
+        isSorted = false;
         replicasInZone.merge(replica.zone, 1, Integer::sum);
     }
 
     void remove(Replica replica) {
-        sort();
+        sortIfNeeded();
         ordered.remove(Collections.binarySearch(ordered, replica));
         replicasInZone.computeIfPresent(replica.zone, (zone, count) -> count == 1 ? null : count - 1);
     }
 
-    private void sort() {
-        if (!sorted) {
+    private void sortIfNeeded() {
+        if (!isSorted) {
             Collections.sort(ordered);
-            sorted = true;
+            isSorted = true;
         }
     }
 
-    /** Chooses anew; the choice holds from {@link #takeChoice} on. */
+    /** Chooses anew; the choice holds from {@link #applyChoice} on. */
     void choose(SubsetSettings settings) {
-        sort();
-        chosen = choice(settings);
-        inclusion = inclusionBound(settings);
+        sortIfNeeded();
+        chosen = chooseReplicas(settings);
+        inclusionProbability = inclusionBound(settings);
     }
 
     /** Those selected so far, and those chosen now. */
-    List<Replica> concerned() {
+    List<Replica> selectedAndChosen() {
         List<Replica> both = new ArrayList<>(selected);
         both.addAll(chosen);
         return both;
     }
 
     /** What was chosen is selected, and each replica counts in how many groups it is. */
-    void takeChoice() {
+    void applyChoice() {
         selected.forEach(replica -> replica.selectedIn--);
         selected = chosen;
         selected.forEach(replica -> replica.selectedIn++);
     }
 
     /** The bound of {@link #inclusionBound} for the present choice; 0 without a replica. */
-    double inclusion() {
-        return inclusion;
+    double inclusionProbability() {
+        return inclusionProbability;
     }
 
-    private List<Replica> choice(SubsetSettings settings) {
+    private List<Replica> chooseReplicas(SubsetSettings settings) {
         int wanted = Math.min(settings.replicasPerShard(), ordered.size());
         int zonesWanted = Math.min(settings.leastZones(), replicasInZone.size());
-        int places = wanted - Math.min(zonesWanted, wanted);
+        int freePlaces = wanted - Math.min(zonesWanted, wanted);
         List<Replica> first = new ArrayList<>(wanted);
         Set<String> zones = new HashSet<>();
         for (Replica replica : ordered) {
@@ -82,8 +82,8 @@
             }
             if (zones.size() < zonesWanted && zones.add(replica.zone)) {
                 first.add(replica);
-            } else if (places > 0) {
-                places--;
+            } else if (freePlaces > 0) {
+                freePlaces--;
                 first.add(replica);
             }
         }
@@ -122,10 +122,10 @@
         double byOrder = heaviest == lightest
                 ? wanted / (double) ordered.size()
                 : wanted * heaviest / Math.max(heaviest, totalWeight - (wanted - 1) * heaviest);
-        return Math.min(1, byOrder + byZone(settings, wanted, heaviest, lightest));
+        return Math.min(1, byOrder + zoneShare(settings, wanted, heaviest, lightest));
     }
 
-    private double byZone(SubsetSettings settings, int wanted, double heaviest, double lightest) {
+    private double zoneShare(SubsetSettings settings, int wanted, double heaviest, double lightest) {
         int others = Math.min(settings.leastZones(), replicasInZone.size()) - 1;
         if (others < 1) {
             return 0;
@@ -140,7 +140,7 @@
         }
         double inLargest =
                 Math.min(1, largest * heaviest / (largest * heaviest + (ordered.size() - largest) * lightest));
-        double allThere = Math.min(1, choices * Math.pow(inLargest, wanted));
-        return allThere * (heaviest / lightest) / sizes.get(sizes.size() - 1);
+        double allInLargest = Math.min(1, choices * Math.pow(inLargest, wanted));
+        return allInLargest * (heaviest / lightest) / sizes.get(sizes.size() - 1);
     }
 }
--- a/core/src/main/java/spartrail/subset/SharingBound.java
+++ b/core/src/main/java/spartrail/subset/SharingBound.java
@@ -1,26 +1,26 @@
 package spartrail.subset;
 
 /**
- * How many of so many nodes choose the same server, as an upper bound that is passed with a stated chance. Nodes choose
- * independently of each other, each with a chance of at most {@code inclusion}; by Chernoff's bound x of n do so with a chance of
- * at most {@code exp(-n KL(x/n, inclusion))}.
+ * How many of so many nodes choose the same server, as an upper bound that is exceeded with a stated probability. Nodes choose
+ * independently of each other, each with a probability of at most {@code inclusionProbability}; by Chernoff's bound x of n do so with a probability of
+ * at most {@code exp(-n KL(x/n, inclusionProbability))}.
  */
 public final class SharingBound {
     /** Of a thousand fleets of a thousand servers each, about one has a server that more nodes share. */
-    public static final double CHANCE = 1e-6;
+    public static final double EXCEEDANCE_PROBABILITY = 1e-6;
 
     private SharingBound() {}
 
-    /** The least count that more nodes pass with less than {@link #CHANCE}; at most all nodes, at least one. */
-    public static int of(int nodes, double inclusion) {
-        if (inclusion >= 1 || nodes <= 1) {
+    /** The least count that is exceeded with a probability of less than {@link #EXCEEDANCE_PROBABILITY}; at most all nodes, at least one. */
+    public static int nodesPerServer(int nodes, double inclusionProbability) {
+        if (inclusionProbability >= 1 || nodes <= 1) {
             return Math.max(1, nodes);
         }
-        int low = (int) Math.floor(nodes * inclusion);
+        int low = (int) Math.floor(nodes * inclusionProbability);
         int high = nodes;
         while (low < high) {
             int middle = (low + high) >>> 1;
-            if (passedChance(middle + 1, nodes, inclusion) < CHANCE) {
+            if (exceedanceProbability(middle + 1, nodes, inclusionProbability) < EXCEEDANCE_PROBABILITY) {
                 high = middle;
             } else {
                 low = middle + 1;
@@ -29,15 +29,16 @@
         return Math.max(1, low);
     }
 
-    private static double passedChance(int count, int nodes, double inclusion) {
+    private static double exceedanceProbability(int count, int nodes, double inclusionProbability) {
         double share = count / (double) nodes;
-        if (share <= inclusion) {
+        if (share <= inclusionProbability) {
             return 1;
         }
         if (share >= 1) {
-            return Math.pow(inclusion, nodes);
+            return Math.pow(inclusionProbability, nodes);
         }
-        double divergence = share * Math.log(share / inclusion) + (1 - share) * Math.log((1 - share) / (1 - inclusion));
+        double divergence = share * Math.log(share / inclusionProbability)
+                + (1 - share) * Math.log((1 - share) / (1 - inclusionProbability));
         return Math.exp(-nodes * divergence);
     }
 }
--- a/core/src/main/java/spartrail/subset/SubsetFilter.java
+++ b/core/src/main/java/spartrail/subset/SubsetFilter.java
@@ -40,15 +40,15 @@
     }
 
     /** What this list, or change of a list, means for the node's own servers. Of a server that is named twice the last counts. */
-    public EndpointList own(EndpointList list, double nowMs) {
+    public EndpointList toSubset(EndpointList list, double nowMs) {
         Map<String, Endpoint> lines = new LinkedHashMap<>();
-        list.lines().forEach(line -> lines.put(line.id(), line));
-        Map<String, Endpoint> gone = note(lines, list.all());
+        list.endpoints().forEach(line -> lines.put(line.id(), line));
+        Map<String, Endpoint> gone = note(lines, list.isComplete());
         List<LiveServer> live = new ArrayList<>();
         List<String> notLive = new ArrayList<>(gone.keySet());
         for (Endpoint line : lines.values()) {
             if (line.state() == Server.State.LIVE) {
-                live.add(new LiveServer(line.id(), line.zone(), line.cell(), line.rating()));
+                live.add(new LiveServer(line.id(), line.zone(), line.cell(), line.weight()));
             } else if (line.state() == Server.State.DRAINING) {
                 notLive.add(line.id());
             }
@@ -91,7 +91,7 @@
                 shared(line.kind()),
                 line.cell(),
                 line.state(),
-                line.rating(),
+                line.weight(),
                 line.bootMs());
     }
 
@@ -103,7 +103,7 @@
         if (line.state() == Server.State.GONE || !told.contains(line.id())) {
             return;
         }
-        if (line.state() == Server.State.LIVE && !selector.selected(line.id())) {
+        if (line.state() == Server.State.LIVE && !selector.isSelected(line.id())) {
             // Also one that drained and is back, while others have taken its place.
             displace(line, own, nowMs);
         } else {
@@ -119,13 +119,13 @@
 
     private void displace(Endpoint line, Map<String, Endpoint> own, double nowMs) {
         displacedMs.putIfAbsent(line.id(), nowMs);
-        own.put(line.id(), line.with(Server.State.DRAINING));
+        own.put(line.id(), line.withState(Server.State.DRAINING));
     }
 
     private void tellGone(Endpoint line, Map<String, Endpoint> own) {
         displacedMs.remove(line.id());
         if (told.remove(line.id())) {
-            own.put(line.id(), line.with(Server.State.GONE));
+            own.put(line.id(), line.withState(Server.State.GONE));
         }
     }
 
@@ -139,7 +139,7 @@
             }
             oldest.remove();
             told.remove(next.getKey());
-            own.put(next.getKey(), known.get(next.getKey()).with(Server.State.GONE));
+            own.put(next.getKey(), known.get(next.getKey()).withState(Server.State.GONE));
         }
     }
 }
--- a/core/src/main/java/spartrail/subset/SubsetSelector.java
+++ b/core/src/main/java/spartrail/subset/SubsetSelector.java
@@ -15,28 +15,28 @@
  * <p>Always:
  * <ol>
  * <li>A shard with a live replica has one in the subset; one with no more live replicas than wanted has all of them.
- * <li>They lie in the least number of zones where the live replicas do.
+ * <li>They are in at least the wanted number of zones where the live replicas are.
  * <li>A server that is not live is not in it; the next in order takes its place at once.
  * <li>The same live servers give the same subset, whatever came before.
  * </ol>
  *
  * <p>Cost: a change of one server takes time by the replicas of the shards that it holds, whatever the number of servers. Memory
- * is kept for every live server, as each is somebody's spare. An instance belongs to one thread.
+ * is kept for every live server, as each may have to take the place of another. An instance belongs to one thread.
  */
 public final class SubsetSelector {
     private final SubsetSettings settings;
     private final RendezvousHash order;
     private final int cells;
-    private final int reach;
+    private final int replicationFactor;
     private final List<ReplicaGroup> groups = new ArrayList<>();
     private final Map<String, Replica> live = new HashMap<>();
 
-    /** Shard s is held by the cells (s + j) mod cells, j from 0 to reach - 1, so shards of the same s mod cells are one group. */
-    public SubsetSelector(String node, SubsetSettings settings, int shards, int cells, int reach) {
+    /** Shard s is held by the cells (s + j) mod cells, j from 0 to replicationFactor - 1, so shards of the same s mod cells are one group. */
+    public SubsetSelector(String node, SubsetSettings settings, int shards, int cells, int replicationFactor) {
         this.settings = settings;
         this.order = new RendezvousHash(node);
         this.cells = Math.max(1, cells);
-        this.reach = Math.min(reach, this.cells);
+        this.replicationFactor = Math.min(replicationFactor, this.cells);
         for (int group = 0; group < Math.min(shards, this.cells); group++) {
             groups.add(new ReplicaGroup());
         }
@@ -51,7 +51,7 @@
         notLive.forEach(id -> remove(id, touched));
         for (LiveServer server : nowLive) {
             Replica known = live.get(server.id);
-            if (known == null || !same(known, server)) {
+            if (known == null || !isUnchanged(known, server)) {
                 remove(server.id, touched);
                 add(server, touched);
             }
@@ -59,7 +59,7 @@
         return select(touched);
     }
 
-    private static boolean same(Replica known, LiveServer server) {
+    private static boolean isUnchanged(Replica known, LiveServer server) {
         return known.zone.equals(server.zone) && known.cell == server.cell && known.weight == server.weight;
     }
 
@@ -84,35 +84,35 @@
     }
 
     private List<ReplicaGroup> groupsOf(int cell) {
-        List<ReplicaGroup> of = new ArrayList<>(reach);
-        for (int back = 0; back < reach; back++) {
-            int group = Math.floorMod(cell - back, cells);
+        List<ReplicaGroup> held = new ArrayList<>(replicationFactor);
+        for (int offset = 0; offset < replicationFactor; offset++) {
+            int group = Math.floorMod(cell - offset, cells);
             if (group < groups.size()) {
-                of.add(groups.get(group));
+                held.add(groups.get(group));
             }
         }
-        return of;
+        return held;
     }
 
     private SubsetChange select(Set<ReplicaGroup> touched) {
-        Set<String> concerned = new LinkedHashSet<>();
+        Set<String> candidates = new LinkedHashSet<>();
         Set<String> before = new HashSet<>();
         for (ReplicaGroup group : touched) {
             group.choose(settings);
-            for (Replica replica : group.concerned()) {
-                concerned.add(replica.id);
+            for (Replica replica : group.selectedAndChosen()) {
+                candidates.add(replica.id);
                 if (replica.selectedIn > 0) {
                     before.add(replica.id);
                 }
             }
         }
-        touched.forEach(ReplicaGroup::takeChoice);
+        touched.forEach(ReplicaGroup::applyChoice);
         List<String> joined = new ArrayList<>();
         List<String> displaced = new ArrayList<>();
-        for (String id : concerned) {
-            if (selected(id) && !before.contains(id)) {
+        for (String id : candidates) {
+            if (isSelected(id) && !before.contains(id)) {
                 joined.add(id);
-            } else if (!selected(id) && before.contains(id) && live.containsKey(id)) {
+            } else if (!isSelected(id) && before.contains(id) && live.containsKey(id)) {
                 displaced.add(id);
             }
         }
@@ -120,34 +120,34 @@
     }
 
     /** Whether this server is in the subset. */
-    public boolean selected(String id) {
+    public boolean isSelected(String id) {
         Replica replica = live.get(id);
         return replica != null && replica.selectedIn > 0;
     }
 
     /** The servers in the subset, each once, shard by shard. */
-    public Collection<String> selected() {
+    public Collection<String> selectedServers() {
         Set<String> ids = new LinkedHashSet<>();
         groups.forEach(group -> group.selected().forEach(replica -> ids.add(replica.id)));
         return ids;
     }
 
-    public int liveServers() {
+    public int liveServerCount() {
         return live.size();
     }
 
-    /** How many groups of shards there are; shard s belongs to group s mod that many or, with more cells than shards, to its own. */
-    public int groups() {
+    /** How many groups of shards there are: shard s belongs to group s mod that many; with more cells than shards, to its own. */
+    public int groupCount() {
         return groups.size();
     }
 
     /** Those chosen for the shards of a group, in order. */
-    public List<String> selected(int group) {
+    public List<String> selectedReplicas(int group) {
         return groups.get(group).selected().stream().map(replica -> replica.id).toList();
     }
 
     /** The zones of those chosen for the shards of a group. */
-    public int zones(int group) {
+    public int zoneCount(int group) {
         return (int) groups.get(group).selected().stream()
                 .map(replica -> replica.zone)
                 .distinct()
@@ -160,14 +160,14 @@
     }
 
     /**
-     * How many of so many nodes can have the same server in their subsets: passed with a chance of less than
-     * {@link SharingBound#CHANCE} for any one server. Cost: by the groups of shards.
+     * How many of so many nodes can have the same server in their subsets: exceeded with a probability of less than
+     * {@link SharingBound#EXCEEDANCE_PROBABILITY} for any one server. Cost: by the groups of shards.
      */
     public int nodesPerServer(int nodes) {
         double largest = 0;
         for (ReplicaGroup group : groups) {
-            largest = Math.max(largest, group.inclusion());
+            largest = Math.max(largest, group.inclusionProbability());
         }
-        return SharingBound.of(nodes, Math.min(1, largest * reach));
+        return SharingBound.nodesPerServer(nodes, Math.min(1, largest * replicationFactor));
     }
 }
--- a/core/src/test/java/spartrail/coordination/ColdFleetTest.java
+++ b/core/src/test/java/spartrail/coordination/ColdFleetTest.java
@@ -60,9 +60,9 @@
     void nodesThatShareAServerByTheirSubsetsDoNotBringItDownWhenItIsCold() {
         double inclusion = REPLICAS / 248.0;
         int mean = (int) Math.round(3900 * inclusion);
-        int most = SharingBound.of(3900, inclusion);
-        double half = SharingBound.of(3900 / 2, inclusion) / (double) mean;
-        double more = SharingBound.of(3900 * 3 / 2, inclusion) / (double) mean;
+        int most = SharingBound.nodesPerServer(3900, inclusion);
+        double half = SharingBound.nodesPerServer(3900 / 2, inclusion) / (double) mean;
+        double more = SharingBound.nodesPerServer(3900 * 3 / 2, inclusion) / (double) mean;
         for (int cores : new int[] {1, 4}) {
             for (double used : new double[] {0.3, 0.6, 0.8}) {
                 assertThat(worst(most, used, cores, 1, 1, 1, 1))
--- a/core/src/test/java/spartrail/endpoint/EndpointRegistryTest.java
+++ b/core/src/test/java/spartrail/endpoint/EndpointRegistryTest.java
@@ -17,7 +17,7 @@
 import spartrail.model.Server;
 
 class EndpointRegistryTest {
-    private static final MergeLimits BOUNDS = new MergeLimits(1, 1000, 1000, 100, 500, 3, 50, 1000, 5000, 1e9, 100);
+    private static final MergeLimits LIMITS = new MergeLimits(1, 1000, 1000, 100, 500, 3, 50, 1000, 5000, 1e9, 100);
     private static final double LIFETIME_MS = 300;
 
     private static SourceReport roll(int number, Server.State state, double bornMs) {
@@ -32,32 +32,32 @@
     /** Drives a view and prints what it hands on. */
     private static final class Drive {
         private final EndpointRegistry view =
-                new EndpointRegistry(3, 1, BOUNDS, endpoint -> !endpoint.startsWith("192."));
-        private final EndpointSource roll = view.source("roll", EndpointSource.Kind.ROLL, 0);
+                new EndpointRegistry(3, 1, LIMITS, endpoint -> !endpoint.startsWith("192."));
+        private final EndpointSource roll = view.source("roll", EndpointSource.Kind.DISCOVERY, 0);
         private final EndpointSource dns = view.source("dns", EndpointSource.Kind.DNS, 0);
         private final StringBuilder seen = new StringBuilder();
 
         void roll(double ms, SourceReport... lines) {
             at(ms);
-            view.said(roll, true, List.of(lines), 0, ms);
+            view.applyReports(roll, true, List.of(lines), 0, ms);
             print(ms, "roll " + lines.length);
         }
 
         void rollChange(double ms, SourceReport line) {
             at(ms);
-            view.said(roll, false, List.of(line), 0, ms);
+            view.applyReports(roll, false, List.of(line), 0, ms);
             print(ms, "roll " + line.id() + " " + line.state());
         }
 
         void dns(double ms, SourceReport... lines) {
             at(ms);
-            view.said(dns, true, List.of(lines), LIFETIME_MS, ms);
+            view.applyReports(dns, true, List.of(lines), LIFETIME_MS, ms);
             print(ms, "dns " + lines.length);
         }
 
         void out(double ms, EndpointSource source) {
             at(ms);
-            view.out(source, ms);
+            view.markUnavailable(source, ms);
             print(ms, source + " out");
         }
 
@@ -71,15 +71,15 @@
 
         private void print(double ms, String what) {
             StringBuilder line = new StringBuilder();
-            for (SourceReport said : view.changes()) {
+            for (SourceReport said : view.takeChanges()) {
                 EndpointRecord member = view.find(said.id());
                 line.append(String.format(
                         Locale.ROOT,
                         " %s %s%s [%s]",
                         said.id(),
                         said.state(),
-                        said.bornMs() >= 0 ? String.format(Locale.ROOT, " born %.0f", said.bornMs()) : "",
-                        member == null ? "forgotten" : member.rule()));
+                        said.startedMs() >= 0 ? String.format(Locale.ROOT, " born %.0f", said.startedMs()) : "",
+                        member == null ? "forgotten" : member.reason()));
             }
             if (line.length() > 0 || !what.equals("time")) {
                 seen.append(String.format(Locale.ROOT, "%6.0f %s:%s%n", ms, what, line));
@@ -180,12 +180,12 @@
         next.view.restore(drive.view.snapshot(), 100, 200);
         next.dns(210, dns(0, 0), dns(1, 0), dns(2, 0), dns(5, 0));
         assertThat(standings(next.view)).isEqualTo("{10.0.0.5:1=LIVE, u0=LIVE, u1=DRAINING, u2=GONE}");
-        assertThat(next.view.find("10.0.0.5:1").line().bornMs()).isEqualTo(5);
+        assertThat(next.view.find("10.0.0.5:1").published().startedMs()).isEqualTo(5);
     }
 
     private static String standings(EndpointRegistry view) {
-        Map<String, EndpointRecord.Standing> all = new TreeMap<>();
-        view.members().forEach(member -> all.put(member.id, member.standing()));
+        Map<String, EndpointRecord.Status> all = new TreeMap<>();
+        view.records().forEach(member -> all.put(member.id, member.status()));
         return all.toString();
     }
 
@@ -193,23 +193,23 @@
     void aChangeOfOneLineDoesNotGoOverTheFleet() {
         EndpointRegistry view = new EndpointRegistry(
                 400, 4, new MergeLimits(1, 1e6, 1e6, 100, 500, 3, 50, 1000, 5000, 5000, 10_000), any -> true);
-        EndpointSource roll = view.source("roll", EndpointSource.Kind.ROLL, 0);
+        EndpointSource roll = view.source("roll", EndpointSource.Kind.DISCOVERY, 0);
         List<SourceReport> all = new ArrayList<>();
         for (int i = 0; i < 2000; i++) {
             all.add(new SourceReport(
                     "u" + i, "10.0." + i / 200 + "." + i % 200 + ":1", "a", "k", i % 400, Server.State.LIVE, 1, -1, 0));
         }
-        view.said(roll, true, all, 0, 0);
-        view.changes();
+        view.applyReports(roll, true, all, 0, 0);
+        view.takeChanges();
         long before = view.counts().get("judgements");
-        view.said(
+        view.applyReports(
                 roll,
                 false,
                 List.of(new SourceReport("u7", null, "a", "k", 7, Server.State.DRAINING, 1, -1, 0)),
                 0,
                 10);
         assertThat(view.counts().get("judgements") - before).isEqualTo(1);
-        assertThat(view.changes()).hasSize(1);
+        assertThat(view.takeChanges()).hasSize(1);
     }
 
     // ---- Any order of events ----
@@ -240,7 +240,7 @@
         Onlooker(EndpointRegistry view, long seed) {
             this.view = view;
             this.chance = new SplittableRandom(seed);
-            this.roll = view.source("roll", EndpointSource.Kind.ROLL, 100);
+            this.roll = view.source("roll", EndpointSource.Kind.DISCOVERY, 100);
             this.dns = new EndpointSource[] {
                 view.source("dns0", EndpointSource.Kind.DNS, 100), view.source("dns1", EndpointSource.Kind.DNS, 100)
             };
@@ -275,7 +275,7 @@
                     in[source] = false;
                     outMs[source] = nowMs;
                 }
-                view.out(source == 2 ? roll : dns[source], nowMs);
+                view.markUnavailable(source == 2 ? roll : dns[source], nowMs);
                 return check(nowMs, -1);
             }
             if (kind < 4) {
@@ -287,7 +287,7 @@
                 }
                 rollWord[server] = state;
                 lifted[server] = false;
-                view.said(roll, false, List.of(roll(server, state, -1)), 0, nowMs);
+                view.applyReports(roll, false, List.of(roll(server, state, -1)), 0, nowMs);
                 return check(nowMs, -1);
             }
             int source = chance.nextInt(2);
@@ -315,7 +315,7 @@
                 }
             }
             lines.add(new SourceReport(null, "192.0.2.9:1", "a", "k", 0, Server.State.LIVE, 1, Double.NaN, 0));
-            view.said(dns[source], true, lines, LIFETIME_MS, nowMs);
+            view.applyReports(dns[source], true, lines, LIFETIME_MS, nowMs);
             return check(nowMs, source);
         }
 
@@ -329,14 +329,14 @@
         private String check(double atMs, int whole) {
             int[] before = shards();
             Set<Integer> was = new HashSet<>(handed);
-            for (SourceReport said : view.changes()) {
-                if (said.endpoint().startsWith("192.")) {
+            for (SourceReport said : view.takeChanges()) {
+                if (said.address().startsWith("192.")) {
                     return "an endpoint that is not allowed was handed on";
                 }
-                int server = said.endpoint().charAt("10.0.0.".length()) - '0';
+                int server = said.address().charAt("10.0.0.".length()) - '0';
                 if (said.state() == Server.State.LIVE) {
                     handed.add(server);
-                    if (rollWord[server] == null && said.bornMs() < firstNamedMs[server]) {
+                    if (rollWord[server] == null && said.startedMs() < firstNamedMs[server]) {
                         return "one whose start nobody told was taken for warm";
                     }
                     if (!was.contains(server)
@@ -369,13 +369,13 @@
             for (int source = 0; source < 2; source++) {
                 if (named[source][server]
                         && leftOutMs[source][server] == 0
-                        && (in[source] || atMs < outMs[source] + BOUNDS.freezeMs() + BOUNDS.suspectMs() - 1)) {
+                        && (in[source] || atMs < outMs[source] + LIMITS.freezeMs() + LIMITS.suspectMs() - 1)) {
                     return "server " + server + " went though dns" + source + " names it";
                 }
             }
             return rollWord[server] == Server.State.LIVE
                             && !in[2]
-                            && atMs < outMs[2] + BOUNDS.freezeMs() + BOUNDS.suspectMs() - 1
+                            && atMs < outMs[2] + LIMITS.freezeMs() + LIMITS.suspectMs() - 1
                             && !lifted[server]
                     ? "server " + server + " went at once as the roll went out"
                     : null;
@@ -397,9 +397,9 @@
                     boolean confirmed = was.stream()
                             .filter(server -> server % 3 == held || Math.floorMod(server % 3 - 1, 3) == held)
                             .filter(server -> !handed.contains(server))
-                            .allMatch(server -> leftOutAnswers[source][server] >= BOUNDS.confirmAnswers()
-                                    || nowMs - leftOutMs[source][server] >= BOUNDS.confirmMs()
-                                    || leftOutAnswers[1 - source][server] >= BOUNDS.confirmAnswers());
+                            .allMatch(server -> leftOutAnswers[source][server] >= LIMITS.confirmAnswers()
+                                    || nowMs - leftOutMs[source][server] >= LIMITS.confirmMs()
+                                    || leftOutAnswers[1 - source][server] >= LIMITS.confirmAnswers());
                     if (!confirmed) {
                         return "one answer of dns" + source + " took shard " + shard + " below its floor";
                     }
@@ -410,7 +410,7 @@
     }
 
     private static EndpointRegistry sound() {
-        return new EndpointRegistry(3, 2, BOUNDS, endpoint -> !endpoint.startsWith("192."));
+        return new EndpointRegistry(3, 2, LIMITS, endpoint -> !endpoint.startsWith("192."));
     }
 
     /** The first seed that breaks something and what, or none. */
@@ -438,7 +438,7 @@
                 bounds -> new EndpointRegistry(3, 2, bounds, endpoint -> !endpoint.startsWith("192."));
         faults.put(
                 "tombstones lifted by anyone",
-                () -> new EndpointRegistry(3, 2, BOUNDS, endpoint -> !endpoint.startsWith("192.")) {
+                () -> new EndpointRegistry(3, 2, LIMITS, endpoint -> !endpoint.startsWith("192.")) {
                     @Override
                     boolean mayLift(EndpointSource source, EndpointRecord member, double leftOutSinceMs) {
                         return true;
@@ -447,7 +447,7 @@
         faults.put("no floor", () -> with.apply(new MergeLimits(0, 1000, 1000, 100, 500, 3, 50, 1000, 5000, 1e9, 100)));
         faults.put(
                 "confirmed by one answer",
-                () -> new EndpointRegistry(3, 2, BOUNDS, endpoint -> !endpoint.startsWith("192.")) {
+                () -> new EndpointRegistry(3, 2, LIMITS, endpoint -> !endpoint.startsWith("192.")) {
                     @Override
                     boolean isConfirmed(EndpointRecord.Word word) {
                         return true;
@@ -455,7 +455,7 @@
                 });
         faults.put(
                 "no wait after flaps",
-                () -> new EndpointRegistry(3, 2, BOUNDS, endpoint -> !endpoint.startsWith("192.")) {
+                () -> new EndpointRegistry(3, 2, LIMITS, endpoint -> !endpoint.startsWith("192.")) {
                     @Override
                     double flapWait(EndpointRecord member) {
                         return 0;
@@ -464,7 +464,7 @@
         faults.put(
                 "a source that is out ends its servers",
                 () -> with.apply(new MergeLimits(1, 0, 0, 100, 500, 3, 50, 1000, 5000, 1e9, 100)));
-        faults.put("any endpoint allowed", () -> new EndpointRegistry(3, 2, BOUNDS, endpoint -> true));
+        faults.put("any endpoint allowed", () -> new EndpointRegistry(3, 2, LIMITS, endpoint -> true));
         Map<String, String> caught = new TreeMap<>();
         faults.forEach((name, views) -> caught.put(
                 name, hunt(views, 2000).replaceAll("seed [0-9]+: ", "").replaceAll("[0-9]", "n")));
--- a/core/src/test/java/spartrail/subset/SubsetFilterTest.java
+++ b/core/src/test/java/spartrail/subset/SubsetFilterTest.java
@@ -24,7 +24,7 @@
                         .mapToObj(number -> new SubsetSelector.LiveServer("s-" + number, "a", 0, 1))
                         .toList(),
                 List.of());
-        byOrder = new java.util.ArrayList<>(order.selected(0));
+        byOrder = new java.util.ArrayList<>(order.selectedReplicas(0));
         byOrder.addAll(order.spares(0));
     }
 
@@ -38,11 +38,11 @@
 
     /** The answer to a list, each line by its place in the node's order. */
     private String own(boolean all, double nowMs, Endpoint... lines) {
-        EndpointList own = filter.own(new EndpointList(1, all, Arrays.asList(lines)), nowMs);
-        assertThat(own.all()).isFalse();
+        EndpointList own = filter.toSubset(new EndpointList(1, all, Arrays.asList(lines)), nowMs);
+        assertThat(own.isComplete()).isFalse();
         return String.join(
                 " ",
-                own.lines().stream()
+                own.endpoints().stream()
                         .map(line -> byOrder.indexOf(line.id()) + "=" + line.state())
                         .sorted()
                         .toList());
@@ -88,7 +88,8 @@
         own(true, 0, live(0), live(1));
         Endpoint again = new Endpoint(
                 byOrder.get(0), new InetSocketAddress("127.0.0.1", 10), "a", "std", 0, Server.State.LIVE, 1, 77);
-        assertThat(filter.own(new EndpointList(2, false, List.of(again)), 1).lines())
+        assertThat(filter.toSubset(new EndpointList(2, false, List.of(again)), 1)
+                        .endpoints())
                 .containsExactly(again);
     }
 
--- a/core/src/test/java/spartrail/subset/SubsetSelectorTest.java
+++ b/core/src/test/java/spartrail/subset/SubsetSelectorTest.java
@@ -36,28 +36,29 @@
 
     @Test
     void fewerThanWantedMeansAllAndNoneIsNone() {
-        assertThat(selector("n", FOUR_IN_TWO_ZONES, servers(3, "a")).selected(0))
+        assertThat(selector("n", FOUR_IN_TWO_ZONES, servers(3, "a")).selectedReplicas(0))
                 .containsExactlyInAnyOrder("s-0", "s-1", "s-2");
-        assertThat(selector("n", FOUR_IN_TWO_ZONES, List.of()).selected(0)).isEmpty();
+        assertThat(selector("n", FOUR_IN_TWO_ZONES, List.of()).selectedReplicas(0))
+                .isEmpty();
     }
 
     @Test
     void theSparesFollowInTheirOrderAtOnce() {
         SubsetSelector selector = selector("n", FOUR_IN_TWO_ZONES, servers(20, "a"));
         List<String> spares = selector.spares(0);
-        List<String> chosen = selector.selected(0);
+        List<String> chosen = selector.selectedReplicas(0);
         assertThat(selector.apply(List.of(), List.of(chosen.get(2))))
                 .isEqualTo(new SubsetChange(List.of(spares.get(0)), List.of()));
         assertThat(selector.apply(List.of(), List.of(chosen.get(0))))
                 .isEqualTo(new SubsetChange(List.of(spares.get(1)), List.of()));
-        assertThat(selector.selected(0))
+        assertThat(selector.selectedReplicas(0))
                 .containsExactlyInAnyOrder(chosen.get(1), chosen.get(3), spares.get(0), spares.get(1));
     }
 
     @Test
     void whoComesBackTakesItsPlaceFromTheLastSpare() {
         SubsetSelector selector = selector("n", FOUR_IN_TWO_ZONES, servers(20, "a"));
-        String first = selector.selected(0).get(0);
+        String first = selector.selectedReplicas(0).get(0);
         String spare = selector.spares(0).get(0);
         selector.apply(List.of(), List.of(first));
         LiveServer again = server(Integer.parseInt(first.substring(2)), "a", 0);
@@ -71,10 +72,10 @@
         servers.add(server(99, "b", 0));
         for (int node = 0; node < 50; node++) {
             SubsetSelector selector = selector("n" + node, FOUR_IN_TWO_ZONES, servers);
-            assertThat(selector.selected(0)).hasSize(4).contains("s-99");
+            assertThat(selector.selectedReplicas(0)).hasSize(4).contains("s-99");
             SubsetChange change = selector.apply(List.of(), List.of("s-99"));
             assertThat(change.joined()).hasSize(1);
-            assertThat(selector.selected(0)).hasSize(4);
+            assertThat(selector.selectedReplicas(0)).hasSize(4);
         }
     }
 
@@ -101,8 +102,10 @@
             selected.removeAll(change.displaced());
             SubsetSelector fresh = new SubsetSelector("n", new SubsetSettings(5, 3), 7, 7, 2);
             fresh.apply(live.values(), List.of());
-            assertThat(selector.selected()).containsExactlyInAnyOrderElementsOf(fresh.selected());
-            assertThat(selected).as("what changes add up to").containsExactlyInAnyOrderElementsOf(selector.selected());
+            assertThat(selector.selectedServers()).containsExactlyInAnyOrderElementsOf(fresh.selectedServers());
+            assertThat(selected)
+                    .as("what changes add up to")
+                    .containsExactlyInAnyOrderElementsOf(selector.selectedServers());
         }
     }
 
@@ -114,10 +117,10 @@
             int number = random.nextInt(60);
             LiveServer server =
                     server(number, List.of("a", "b", "c", "d", "d", "d").get(number % 6), 0);
-            List<String> before = selector.selected(0);
+            List<String> before = selector.selectedReplicas(0);
             boolean joins = random.nextInt(3) > 0;
             selector.apply(joins ? List.of(server) : List.of(), joins ? List.of() : List.of(server.id()));
-            List<String> opened = new ArrayList<>(selector.selected(0));
+            List<String> opened = new ArrayList<>(selector.selectedReplicas(0));
             opened.removeAll(before);
             assertThat(opened).hasSizeLessThanOrEqualTo(1);
         }
@@ -130,8 +133,8 @@
         int[] taken = new int[2];
         for (int node = 0; node < 20_000; node++) {
             SubsetSelector selector = selector("node-" + node, FOUR_IN_TWO_ZONES, servers);
-            taken[0] += selector.selected("s-0") ? 1 : 0;
-            taken[1] += selector.selected("s-1") ? 1 : 0;
+            taken[0] += selector.isSelected("s-0") ? 1 : 0;
+            taken[1] += selector.isSelected("s-1") ? 1 : 0;
         }
         assertThat(taken[1]).isBetween(700, 900);
         assertThat(taken[0] / (double) taken[1]).isBetween(1.8, 2.1);
@@ -148,7 +151,7 @@
             int figure = 0;
             for (int node = 0; node < 1000; node++) {
                 SubsetSelector selector = selector("node-" + node, FOUR_IN_TWO_ZONES, servers);
-                selector.selected(0).forEach(id -> sharing.merge(id, 1, Integer::sum));
+                selector.selectedReplicas(0).forEach(id -> sharing.merge(id, 1, Integer::sum));
                 figure = selector.nodesPerServer(1000);
             }
             int most = sharing.values().stream().mapToInt(count -> count).max().orElseThrow();
@@ -168,11 +171,11 @@
 
     @Test
     void theBoundOfSharingNodesIsPassedWithTheStatedChance() {
-        assertThat(SharingBound.of(100, 1)).isEqualTo(100);
-        assertThat(SharingBound.of(1, 0.1)).isEqualTo(1);
-        assertThat(SharingBound.of(0, 0)).isEqualTo(1);
-        assertThat(SharingBound.of(3900, 8 / 248.0)).isBetween(180, 195);
-        assertThat(SharingBound.of(3900, 1e-9)).isLessThan(4);
+        assertThat(SharingBound.nodesPerServer(100, 1)).isEqualTo(100);
+        assertThat(SharingBound.nodesPerServer(1, 0.1)).isEqualTo(1);
+        assertThat(SharingBound.nodesPerServer(0, 0)).isEqualTo(1);
+        assertThat(SharingBound.nodesPerServer(3900, 8 / 248.0)).isBetween(180, 195);
+        assertThat(SharingBound.nodesPerServer(3900, 1e-9)).isLessThan(4);
     }
 
     @Test
--- a/dns/src/main/java/spartrail/dns/DnsSources.java
+++ b/dns/src/main/java/spartrail/dns/DnsEndpointSourceProvider.java
@@ -14,14 +14,14 @@
 import spartrail.model.Server;
 
 /** DNS SRV names as sources: each name is one source and lists the servers of one cell. */
-public final class DnsSources implements EndpointSourceProvider {
+public final class DnsEndpointSourceProvider implements EndpointSourceProvider {
     @Override
     public String section() {
         return "dns";
     }
 
     @Override
-    public AutoCloseable start(Map<?, ?> settings, Words words) throws IOException {
+    public AutoCloseable start(Map<?, ?> settings, Listener listener) throws IOException {
         List<InetSocketAddress> servers = new ArrayList<>();
         for (Object server : list(settings, "servers")) {
             servers.add(address(String.valueOf(server)));
@@ -40,10 +40,10 @@
                 servers,
                 bailiwick,
                 Boolean.TRUE.equals(settings.get("ipv6")),
-                ResolverSettings.USUAL,
+                ResolverSettings.DEFAULT,
                 RandomGenerator.of("L64X128MixRandom"));
         NodeClock clock = new NodeClock();
-        DnsTransport transport = new DnsTransport(resolver, clock, listing -> tell(listing, cells, words));
+        DnsTransport transport = new DnsTransport(resolver, clock, listing -> tell(listing, cells, listener));
         transport.execute(() -> cells.keySet().forEach(name -> resolver.follow(name, clock.nowMs())));
         return transport;
     }
@@ -69,10 +69,10 @@
         throw new IllegalArgumentException("dns: found '" + text + "', a name server such as 127.0.0.1:53 is expected");
     }
 
-    private static void tell(SrvTargets listing, Map<String, Integer> cells, Words words) {
+    private static void tell(SrvTargets listing, Map<String, Integer> cells, Listener listener) {
         String source = "dns " + listing.name();
-        if (listing.out() || listing.stale()) {
-            words.out(source, EndpointSource.Kind.DNS);
+        if (listing.isUnavailable() || listing.isStale()) {
+            listener.onUnavailable(source, EndpointSource.Kind.DNS);
             return;
         }
         double mean = listing.targets().stream()
@@ -83,7 +83,7 @@
         for (SrvTargets.Target target : listing.targets()) {
             lines.add(new SourceReport(
                     null,
-                    target.endpoint(),
+                    target.address(),
                     "",
                     "dns",
                     cells.get(listing.name()),
@@ -92,6 +92,6 @@
                     Double.NaN,
                     target.priority()));
         }
-        words.said(source, EndpointSource.Kind.DNS, listing.whole(), lines, listing.lifetimeMs());
+        listener.onReports(source, EndpointSource.Kind.DNS, listing.isComplete(), lines, listing.ttlMs());
     }
 }
--- a/dns/src/main/java/spartrail/dns/DnsTransport.java
+++ b/dns/src/main/java/spartrail/dns/DnsTransport.java
@@ -48,9 +48,9 @@
                 channel.close();
                 throw e;
             }
-            due = timetable.add(nowMs() + question.timeOutMs(), () -> {
+            due = timetable.add(nowMs() + question.timeoutMs(), () -> {
                 close();
-                resolver.timedOut(question, nowMs());
+                resolver.onTimeout(question, nowMs());
             });
         }
 
@@ -63,7 +63,7 @@
                     buffer.flip();
                     byte[] bytes = new byte[buffer.remaining()];
                     buffer.get(bytes);
-                    if (resolver.answer(question, bytes, from, nowMs())) {
+                    if (resolver.onResponse(question, bytes, from, nowMs())) {
                         close();
                         return;
                     }
@@ -72,7 +72,7 @@
             } catch (IOException e) {
                 // No such port, say: the time-out would tell the same, later.
                 close();
-                resolver.failed(question, nowMs());
+                resolver.onFailure(question, nowMs());
             }
         }
 
@@ -112,10 +112,10 @@
 
         void ask(DnsQuery question) {
             out.put(question.id(), question);
-            dues.put(question.id(), timetable.add(nowMs() + question.timeOutMs(), () -> {
+            dues.put(question.id(), timetable.add(nowMs() + question.timeoutMs(), () -> {
                 out.remove(question.id());
                 dues.remove(question.id());
-                resolver.timedOut(question, nowMs());
+                resolver.onTimeout(question, nowMs());
                 if (out.isEmpty()) {
                     // It may have swallowed more than this one.
                     end();
@@ -188,7 +188,7 @@
                 head = true;
                 int id = bytes.length < 2 ? -1 : (bytes[0] & 0xff) << 8 | bytes[1] & 0xff;
                 DnsQuery question = out.get(id);
-                if (question != null && resolver.answer(question, bytes, server, nowMs())) {
+                if (question != null && resolver.onResponse(question, bytes, server, nowMs())) {
                     out.remove(id);
                     timetable.remove(dues.remove(id));
                 }
@@ -213,7 +213,7 @@
             out.clear();
             dues.values().forEach(timetable::remove);
             dues.clear();
-            open.forEach(question -> resolver.failed(question, nowMs()));
+            open.forEach(question -> resolver.onFailure(question, nowMs()));
         }
     }
 
@@ -267,12 +267,12 @@
                 timetable.run(nowMs());
                 resolver.advance(nowMs());
                 // Each question may fail at once and leave further ones.
-                for (List<DnsQuery> questions = resolver.questions();
+                for (List<DnsQuery> questions = resolver.takeQueries();
                         !questions.isEmpty();
-                        questions = resolver.questions()) {
+                        questions = resolver.takeQueries()) {
                     questions.forEach(this::send);
                 }
-                resolver.listings(nowMs()).forEach(lists);
+                resolver.takeChangedTargets(nowMs()).forEach(lists);
                 double waitMs = Math.min(timetable.nextMs(), resolver.nextMs()) - nowMs();
                 if (waitMs > 0 && tasks.isEmpty()) {
                     selector.select((long) Math.ceil(Math.min(1000, waitMs)));
@@ -298,7 +298,7 @@
 
     private void send(DnsQuery question) {
         try {
-            if (question.tcp()) {
+            if (question.isTcp()) {
                 Tcp connection = tcp.get(question.server());
                 // Two questions of one id on one connection could not be told apart.
                 if (connection == null || connection.out.containsKey(question.id())) {
@@ -310,7 +310,7 @@
                 udp.put(question.number(), new Udp(question));
             }
         } catch (IOException e) {
-            resolver.failed(question, nowMs());
+            resolver.onFailure(question, nowMs());
         }
     }
 
--- a/dns/src/main/java/spartrail/dns/Resolver.java
+++ b/dns/src/main/java/spartrail/dns/Resolver.java
@@ -85,7 +85,7 @@
         }
 
         boolean usable() {
-            return had() && nowMs < endsMs + lifetimes.staleMs();
+            return had() && nowMs < endsMs + lifetimes.maxStaleMs();
         }
     }
 
@@ -182,7 +182,7 @@
     }
 
     /** Questions that are to be sent now. */
-    public List<DnsQuery> questions() {
+    public List<DnsQuery> takeQueries() {
         List<DnsQuery> now = List.copyOf(questions);
         questions.clear();
         return now;
@@ -206,7 +206,7 @@
     }
 
     private void enqueue(Entry entry) {
-        if (asking.size() >= lifetimes.mostAsking()) {
+        if (asking.size() >= lifetimes.maxInFlight()) {
             entry.queued = true;
             waiting.add(entry);
         } else {
@@ -232,7 +232,7 @@
         message.getHeader().setFlag(Flags.RD);
         message.addRecord(Record.newRecord(entry.chainName, entry.type, DClass.IN), Section.QUESTION);
         message.addRecord(new OPTRecord(EDNS_SIZE, 0, 0), Section.ADDITIONAL);
-        double waitMs = lifetimes.timeOutMs() * Math.min(4, 1 << Math.min(2, entry.tries));
+        double waitMs = lifetimes.timeoutMs() * Math.min(4, 1 << Math.min(2, entry.tries));
         entry.tries++;
         entry.asked = server;
         entry.askedMs = nowMs;
@@ -246,7 +246,7 @@
     // ---- What comes back ----
 
     /** What came for a question; whether it was its answer. If not, the host goes on waiting. */
-    public boolean answer(DnsQuery question, byte[] bytes, InetSocketAddress from, double atMs) {
+    public boolean onResponse(DnsQuery question, byte[] bytes, InetSocketAddress from, double atMs) {
         nowMs = atMs;
         Entry entry = asking.get(question.number());
         if (entry == null) {
@@ -271,7 +271,7 @@
         NameServer server = entry.asked;
         double tookMs = nowMs - entry.askedMs;
         server.smoothMs = server.smoothMs == 0 ? tookMs : 0.7 * server.smoothMs + 0.3 * tookMs;
-        if (truncated(message) && !question.tcp()) {
+        if (truncated(message) && !question.isTcp()) {
             count("truncated");
             send(entry, server, true);
             return true;
@@ -311,24 +311,24 @@
         return true;
     }
 
-    public void timedOut(DnsQuery question, double atMs) {
+    public void onTimeout(DnsQuery question, double atMs) {
         nowMs = atMs;
         Entry entry = asking.get(question.number());
         if (entry != null) {
             count("timed out");
-            entry.asked.smoothMs = Math.max(entry.asked.smoothMs, question.timeOutMs());
+            entry.asked.smoothMs = Math.max(entry.asked.smoothMs, question.timeoutMs());
             over(entry);
             again(entry);
         }
     }
 
     /** The connection was refused or broke, or there was no socket. */
-    public void failed(DnsQuery question, double atMs) {
+    public void onFailure(DnsQuery question, double atMs) {
         nowMs = atMs;
         Entry entry = asking.get(question.number());
         if (entry != null) {
             count("no connection");
-            entry.asked.smoothMs = Math.max(entry.asked.smoothMs, question.timeOutMs());
+            entry.asked.smoothMs = Math.max(entry.asked.smoothMs, question.timeoutMs());
             over(entry);
             again(entry);
         }
@@ -341,13 +341,14 @@
 
     /** Another server, or the end of the tries. */
     private void again(Entry entry) {
-        if (entry.tries < lifetimes.tries()) {
+        if (entry.tries < lifetimes.attempts()) {
             send(entry, pick(entry), false);
             return;
         }
         entry.failures++;
         double waitMs = Math.min(
-                lifetimes.failedMostMs(), lifetimes.failedMs() * Math.pow(2, Math.min(20, entry.failures - 1)));
+                lifetimes.maxFailureBackoffMs(),
+                lifetimes.failureBackoffMs() * Math.pow(2, Math.min(20, entry.failures - 1)));
         count("nobody answers");
         plan(entry, nowMs + waitMs * (0.75 + 0.5 * chance.nextDouble()));
         touched.addAll(entry.users);
@@ -355,7 +356,7 @@
     }
 
     private void next() {
-        while (!waiting.isEmpty() && asking.size() < lifetimes.mostAsking()) {
+        while (!waiting.isEmpty() && asking.size() < lifetimes.maxInFlight()) {
             Entry entry = waiting.poll();
             entry.queued = false;
             send(entry, pick(entry), false);
@@ -386,7 +387,7 @@
                     break;
                 } else if (record instanceof CNAMERecord) {
                     count("failed: a chain of names without end");
-                    entry.tries = lifetimes.tries();
+                    entry.tries = lifetimes.attempts();
                     again(entry);
                     return;
                 }
@@ -402,7 +403,7 @@
         }
         if (found.isEmpty()) {
             count("there is none");
-            leastMs = Math.min(lifetimes.negativeMostMs(), negativeMs(message));
+            leastMs = Math.min(lifetimes.maxNegativeTtlMs(), negativeMs(message));
         }
         hold(entry, found, leastMs);
         if (entry.type == Type.SRV) {
@@ -423,17 +424,17 @@
                 return 1000.0 * Math.max(0, Math.min(soa.getTTL(), soa.getMinimum()));
             }
         }
-        return lifetimes.failedMs();
+        return lifetimes.failureBackoffMs();
     }
 
     private void hold(Entry entry, List<Record> records, double leastMs) {
-        double lifetimeMs = Math.max(lifetimes.leastMs(), Math.min(lifetimes.mostMs(), leastMs));
+        double lifetimeMs = Math.max(lifetimes.minTtlMs(), Math.min(lifetimes.maxTtlMs(), leastMs));
         entry.records = records;
         entry.lifetimeMs = lifetimeMs;
         entry.endsMs = nowMs + lifetimeMs;
         entry.failures = 0;
         // Ahead of its end, spread by chance, so that names that came together are not asked for together.
-        plan(entry, nowMs + Math.max(lifetimes.leastMs(), lifetimeMs * (0.75 + 0.15 * chance.nextDouble())));
+        plan(entry, nowMs + Math.max(lifetimes.minTtlMs(), lifetimeMs * (0.75 + 0.15 * chance.nextDouble())));
         touched.addAll(entry.users);
     }
 
@@ -508,7 +509,7 @@
     // ---- Lists ----
 
     /** Lists that are others than when this was last asked; none while a name's first answers are still coming. */
-    public List<SrvTargets> listings(double atMs) {
+    public List<SrvTargets> takeChangedTargets(double atMs) {
         nowMs = atMs;
         List<SrvTargets> changed = new ArrayList<>();
         for (Srv srv : touched) {
@@ -536,7 +537,7 @@
             if (target.getTarget().equals(Name.root)) {
                 continue;
             }
-            if (targets.size() >= lifetimes.mostTargets()) {
+            if (targets.size() >= lifetimes.maxTargets()) {
                 count("left out: too many targets");
                 whole = false;
                 break;
@@ -570,7 +571,7 @@
                     target.getPriority(),
                     target.getWeight()));
         }
-        targets.sort((a, b) -> a.endpoint().compareTo(b.endpoint()));
+        targets.sort((a, b) -> a.address().compareTo(b.address()));
         return new SrvTargets(srv.name, whole, stale, false, List.copyOf(targets), lifetimeMs);
     }
 
@@ -587,7 +588,7 @@
     }
 
     /** Questions out and held back. */
-    public int outstanding() {
+    public int inFlight() {
         return asking.size();
     }
 
@@ -595,7 +596,7 @@
         return counts;
     }
 
-    int entries() {
+    int cachedEntries() {
         return entries.size();
     }
 }
--- a/dns/src/test/java/spartrail/dns/DnsZone.java
+++ b/dns/src/test/java/spartrail/dns/DnsZone.java
@@ -19,10 +19,10 @@
 import org.xbill.DNS.Type;
 import spartrail.model.TimerQueue;
 
-/** Name servers on a virtual clock, with records and manners that a test chooses, and a resolver that asks them. */
+/** Name servers on a virtual clock, with records and behaviors that a test chooses, and a resolver that request them. */
 final class DnsZone {
-    /** What becomes of a question. */
-    enum Manner {
+    /** How a name server responds. */
+    enum Behavior {
         ANSWER,
         TRUNCATE,
         SERVFAIL,
@@ -37,29 +37,28 @@
 
     static final InetSocketAddress FIRST = new InetSocketAddress("127.0.0.1", 5301);
     static final InetSocketAddress SECOND = new InetSocketAddress("127.0.0.1", 5302);
-    private static final double TRIP_MS = 5;
+    private static final double ROUND_TRIP_MS = 5;
 
     final Map<String, List<String>> records = new HashMap<>();
-    final Map<InetSocketAddress, Manner> manners = new HashMap<>();
-    boolean tcpRefused;
-    boolean additional;
+    final Map<InetSocketAddress, Behavior> behaviors = new HashMap<>();
+    boolean refusesTcp;
+    boolean sendsAdditional;
     final Resolver resolver;
-    final SplittableRandom chance;
+    final SplittableRandom random;
     final StringBuilder seen = new StringBuilder();
     private final TimerQueue wire = new TimerQueue();
     double nowMs;
-    int asked;
-    int mostOut;
+    int queries;
+    int maxInFlight;
 
-    DnsZone(ResolverSettings lifetimes, long seed) {
-        this(lifetimes, seed, null);
+    DnsZone(ResolverSettings settings, long seed) {
+        this(settings, seed, null);
     }
 
-    /** With a resolver of another make, to plant a fault. */
-    DnsZone(ResolverSettings lifetimes, long seed, Resolver other) {
-        chance = new SplittableRandom(seed);
-        resolver =
-                other != null ? other : new Resolver(List.of(FIRST, SECOND), "example.org", false, lifetimes, chance);
+    /** With a resolver that has a fault. */
+    DnsZone(ResolverSettings settings, long seed, Resolver other) {
+        random = new SplittableRandom(seed);
+        resolver = other != null ? other : new Resolver(List.of(FIRST, SECOND), "example.org", false, settings, random);
     }
 
     /** An SRV name of so many targets and their addresses. */
@@ -74,69 +73,69 @@
 
     void follow(String name) {
         resolver.follow(name, nowMs);
-        carry();
+        sendQueries();
     }
 
-    private void carry() {
-        for (DnsQuery question : resolver.questions()) {
-            asked++;
-            Manner manner = manners.getOrDefault(question.server(), Manner.ANSWER);
-            boolean[] over = new boolean[1];
-            if (question.tcp() && tcpRefused) {
-                wire.add(nowMs + TRIP_MS, () -> resolver.failed(question, nowMs));
+    private void sendQueries() {
+        for (DnsQuery query : resolver.takeQueries()) {
+            queries++;
+            Behavior behavior = behaviors.getOrDefault(query.server(), Behavior.ANSWER);
+            boolean[] isOver = new boolean[1];
+            if (query.isTcp() && refusesTcp) {
+                wire.add(nowMs + ROUND_TRIP_MS, () -> resolver.onFailure(query, nowMs));
                 continue;
             }
-            wire.add(nowMs + question.timeOutMs(), () -> {
-                if (!over[0]) {
-                    resolver.timedOut(question, nowMs);
+            wire.add(nowMs + query.timeoutMs(), () -> {
+                if (!isOver[0]) {
+                    resolver.onTimeout(query, nowMs);
                 }
             });
-            if (manner != Manner.SILENT) {
-                double tripMs = manner == Manner.LATE ? question.timeOutMs() + 50 : TRIP_MS;
-                wire.add(nowMs + tripMs, () -> over[0] |= give(question, manner));
+            if (behavior != Behavior.SILENT) {
+                double roundTripMs = behavior == Behavior.LATE ? query.timeoutMs() + 50 : ROUND_TRIP_MS;
+                wire.add(nowMs + roundTripMs, () -> isOver[0] |= respond(query, behavior));
             }
         }
-        mostOut = Math.max(mostOut, resolver.outstanding());
+        maxInFlight = Math.max(maxInFlight, resolver.inFlight());
     }
 
-    private boolean give(DnsQuery question, Manner manner) {
-        byte[] bytes = message(question, manner);
-        InetSocketAddress from = manner == Manner.SPOOF ? new InetSocketAddress("127.0.0.1", 9) : question.server();
-        if (resolver.answer(question, bytes, from, nowMs)) {
+    private boolean respond(DnsQuery query, Behavior behavior) {
+        byte[] bytes = message(query, behavior);
+        InetSocketAddress from = behavior == Behavior.SPOOF ? new InetSocketAddress("127.0.0.1", 9) : query.server();
+        if (resolver.onResponse(query, bytes, from, nowMs)) {
             return true;
         }
         // What was no answer is followed by the true one, but for noise.
-        return manner != Manner.NOISE
-                && resolver.answer(question, message(question, Manner.ANSWER), question.server(), nowMs);
+        return behavior != Behavior.NOISE
+                && resolver.onResponse(query, message(query, Behavior.ANSWER), query.server(), nowMs);
     }
 
-    byte[] message(DnsQuery question, Manner manner) {
+    byte[] message(DnsQuery query, Behavior behavior) {
         try {
-            if (manner == Manner.NOISE) {
-                byte[] noise = new byte[chance.nextInt(200)];
-                chance.nextBytes(noise);
+            if (behavior == Behavior.NOISE) {
+                byte[] noise = new byte[random.nextInt(200)];
+                random.nextBytes(noise);
                 return noise;
             }
-            Message asks = new Message(question.message());
-            Message message = new Message(manner == Manner.WRONG_ID ? question.id() ^ 1 : question.id());
+            Message request = new Message(query.message());
+            Message message = new Message(behavior == Behavior.WRONG_ID ? query.id() ^ 1 : query.id());
             message.getHeader().setFlag(Flags.QR);
-            Name name = asks.getQuestion().getName();
-            Record about = manner == Manner.WRONG_QUESTION
-                    ? Record.newRecord(Name.fromString("other.example.org."), question.type(), DClass.IN)
-                    : asks.getQuestion();
-            message.addRecord(about, Section.QUESTION);
-            if (manner == Manner.SERVFAIL) {
+            Name name = request.getQuestion().getName();
+            Record question = behavior == Behavior.WRONG_QUESTION
+                    ? Record.newRecord(Name.fromString("other.example.org."), query.type(), DClass.IN)
+                    : request.getQuestion();
+            message.addRecord(question, Section.QUESTION);
+            if (behavior == Behavior.SERVFAIL) {
                 message.getHeader().setRcode(Rcode.SERVFAIL);
                 return message.toWire();
             }
-            List<String> lines = find(Type.string(question.type()) + " " + name);
-            if (manner == Manner.WRONG_ID || manner == Manner.WRONG_QUESTION || manner == Manner.SPOOF) {
-                // Whoever is not the server would have other servers asked.
-                lines = List.of(question.type() == Type.SRV ? "4 SRV 0 5 80 s66.example.org." : "6 A 10.0.0.66");
+            List<String> lines = find(Type.string(query.type()) + " " + name);
+            if (behavior == Behavior.WRONG_ID || behavior == Behavior.WRONG_QUESTION || behavior == Behavior.SPOOF) {
+                // Whoever is not the server would have other servers queries.
+                lines = List.of(query.type() == Type.SRV ? "4 SRV 0 5 80 s66.example.org." : "6 A 10.0.0.66");
             }
             int count = 0;
             for (String line : lines) {
-                if (manner == Manner.TRUNCATE && !question.tcp() && count++ >= 1) {
+                if (behavior == Behavior.TRUNCATE && !query.isTcp() && count++ >= 1) {
                     message.getHeader().setFlag(Flags.TC);
                     break;
                 }
@@ -152,7 +151,7 @@
                             record(Name.fromString("example.org."), "60 SOA a. b. 1 2 3 4 2"), Section.AUTHORITY);
                 }
             }
-            if (additional) {
+            if (sendsAdditional) {
                 for (Record answer : message.getSection(Section.ANSWER)) {
                     if (answer.getAdditionalName() != null) {
                         for (String line : find("A " + answer.getAdditionalName())) {
@@ -183,28 +182,28 @@
             nowMs = Math.min(wire.nextMs(), resolver.nextMs());
             wire.run(nowMs);
             resolver.advance(nowMs);
-            carry();
+            sendQueries();
             print();
         }
         nowMs = ms;
     }
 
     void print() {
-        for (SrvTargets listing : resolver.listings(nowMs)) {
+        for (SrvTargets listing : resolver.takeChangedTargets(nowMs)) {
             TreeSet<String> targets = new TreeSet<>();
             listing.targets()
                     .forEach(target ->
-                            targets.add(target.endpoint().replace("10.0.0.", "").replace(":80", "")));
+                            targets.add(target.address().replace("10.0.0.", "").replace(":80", "")));
             seen.append(String.format(
                     Locale.ROOT,
                     "%9.0f %s %s%s%s%s good for %.0f%n",
                     nowMs,
                     listing.name(),
                     targets,
-                    listing.whole() ? "" : " not whole",
-                    listing.stale() ? " stale" : "",
-                    listing.out() ? " OUT" : "",
-                    listing.lifetimeMs()));
+                    listing.isComplete() ? "" : " not whole",
+                    listing.isStale() ? " stale" : "",
+                    listing.isUnavailable() ? " OUT" : "",
+                    listing.ttlMs()));
         }
     }
 }
--- a/dns/src/test/java/spartrail/dns/ResolverTest.java
+++ b/dns/src/test/java/spartrail/dns/ResolverTest.java
@@ -20,7 +20,7 @@
 
 class ResolverTest {
     private static final String BOOKS = "_books._tcp.c3.example.org.";
-    private static final ResolverSettings LIFETIMES =
+    private static final ResolverSettings SETTINGS =
             new ResolverSettings(1000, 3_600_000, 60_000, 1000, 8000, 60_000, 100, 4, 16, 100);
 
     private static void same(String name, String seen) throws IOException {
@@ -38,21 +38,22 @@
 
     /** Each trouble by itself: what the list becomes, with both servers in trouble from 2 s to 8 s; lifetimes of 4 s. */
     @Test
-    void troublesOfNameServersNeverEmptyAList() throws Exception {
+    void failuresOfNameServersNeverEmptyAList() throws Exception {
         StringBuilder seen = new StringBuilder();
-        for (DnsZone.Manner manner : DnsZone.Manner.values()) {
-            for (boolean refused : manner == DnsZone.Manner.TRUNCATE ? new boolean[] {false, true} : new boolean[1]) {
-                DnsZone zone = new DnsZone(LIFETIMES, 1);
+        for (DnsZone.Behavior behavior : DnsZone.Behavior.values()) {
+            for (boolean refused :
+                    behavior == DnsZone.Behavior.TRUNCATE ? new boolean[] {false, true} : new boolean[1]) {
+                DnsZone zone = new DnsZone(SETTINGS, 1);
                 zone.service(BOOKS, 4, 30, 1, 2, 3);
                 zone.follow(BOOKS);
                 zone.until(2000);
-                zone.manners.put(DnsZone.FIRST, manner);
-                zone.manners.put(DnsZone.SECOND, manner);
-                zone.tcpRefused = refused;
+                zone.behaviors.put(DnsZone.FIRST, behavior);
+                zone.behaviors.put(DnsZone.SECOND, behavior);
+                zone.refusesTcp = refused;
                 zone.until(8000);
-                zone.manners.clear();
+                zone.behaviors.clear();
                 zone.until(20_000);
-                seen.append(manner)
+                seen.append(behavior)
                         .append(refused ? ", TCP refused" : "")
                         .append('\n')
                         .append(zone.seen);
@@ -62,8 +63,8 @@
     }
 
     @Test
-    void listsFollowTheirRecords() throws Exception {
-        DnsZone zone = new DnsZone(LIFETIMES, 2);
+    void listingsFollowTheirRecords() throws Exception {
+        DnsZone zone = new DnsZone(SETTINGS, 2);
         zone.service(BOOKS, 4, 30, 1, 2, 3);
         zone.follow(BOOKS);
         zone.until(3000);
@@ -84,35 +85,35 @@
         zone.records.put("CNAME " + BOOKS, List.of("2 CNAME " + BOOKS));
         zone.until(40_000);
         zone.seen.append("all are silent for longer than stale records last\n");
-        zone.manners.put(DnsZone.FIRST, DnsZone.Manner.SILENT);
-        zone.manners.put(DnsZone.SECOND, DnsZone.Manner.SILENT);
+        zone.behaviors.put(DnsZone.FIRST, DnsZone.Behavior.SILENT);
+        zone.behaviors.put(DnsZone.SECOND, DnsZone.Behavior.SILENT);
         zone.until(130_000);
         same("follows", zone.seen.toString());
     }
 
     @Test
-    void questionsAreBoundedWhateverTheLifetimes() {
-        DnsZone zone = new DnsZone(LIFETIMES, 3);
+    void queriesAreBoundedWhateverTheTtls() {
+        DnsZone zone = new DnsZone(SETTINGS, 3);
         for (int i = 0; i < 200; i++) {
             String name = "_books._tcp.c" + i + ".example.org.";
             zone.service(name, 0, 0, i);
             zone.follow(name);
         }
         zone.until(10_000);
-        assertThat(zone.mostOut).isLessThanOrEqualTo(16);
+        assertThat(zone.maxInFlight).isLessThanOrEqualTo(16);
         // No name or address is asked for more than once in its least lifetime of a second.
-        assertThat(zone.asked).isLessThanOrEqualTo(200 * 2 * 11);
-        DnsZone age = new DnsZone(LIFETIMES, 4);
+        assertThat(zone.queries).isLessThanOrEqualTo(200 * 2 * 11);
+        DnsZone age = new DnsZone(SETTINGS, 4);
         age.service(BOOKS, Integer.MAX_VALUE, Integer.MAX_VALUE, 1);
         age.follow(BOOKS);
         age.until(7_200_000);
-        assertThat(age.asked).isBetween(4, 8);
+        assertThat(age.queries).isBetween(4, 8);
     }
 
     @Test
-    void addressesThatComeAlongSaveQuestionsUnlessTheyLieOutside() {
-        DnsZone zone = new DnsZone(LIFETIMES, 5);
-        zone.additional = true;
+    void additionalAddressesSaveQueriesUnlessTheyAreOutOfBailiwick() {
+        DnsZone zone = new DnsZone(SETTINGS, 5);
+        zone.sendsAdditional = true;
         zone.service(BOOKS, 4, 30, 1, 2, 3);
         zone.records.put("SRV " + BOOKS, List.of("4 SRV 0 5 80 s1.example.org.", "4 SRV 0 5 80 www.bank.example."));
         zone.records.put("A www.bank.example.", List.of("30 A 10.0.0.66"));
@@ -120,65 +121,67 @@
         zone.until(100);
         assertThat(zone.resolver.counts().get("dropped: an address out of bailiwick"))
                 .isEqualTo(1);
-        assertThat(zone.asked).as("the name, and the address that lies outside").isEqualTo(2);
+        assertThat(zone.queries)
+                .as("the name, and the address that lies outside")
+                .isEqualTo(2);
     }
 
-    /** Whatever an answer's bytes become, nothing is thrown, and the question is still open or decided. */
+    /** Whatever an answer's bytes become, nothing is thrown, and the query is still open or decided. */
     @Test
-    void aHundredThousandSpoiltMessagesDoNoHarm() {
-        SplittableRandom chance = new SplittableRandom(6);
-        DnsZone zone = new DnsZone(LIFETIMES, 6);
+    void aHundredThousandMalformedMessagesDoNoHarm() {
+        SplittableRandom random = new SplittableRandom(6);
+        DnsZone zone = new DnsZone(SETTINGS, 6);
         zone.service(BOOKS, 4, 30, 1, 2, 3);
-        zone.additional = true;
+        zone.sendsAdditional = true;
         zone.resolver.follow(BOOKS, 0);
         double nowMs = 0;
-        List<DnsQuery> open = new ArrayList<>(zone.resolver.questions());
+        List<DnsQuery> open = new ArrayList<>(zone.resolver.takeQueries());
         for (int i = 0; i < 100_000; i++) {
             nowMs += 1;
             zone.resolver.advance(nowMs);
-            open.addAll(zone.resolver.questions());
+            open.addAll(zone.resolver.takeQueries());
             if (open.isEmpty()) {
                 continue;
             }
-            DnsQuery question = open.get(chance.nextInt(open.size()));
-            byte[] bytes = zone.message(question, DnsZone.Manner.ANSWER);
-            for (int change = chance.nextInt(1, 6); change > 0; change--) {
-                switch (chance.nextInt(3)) {
-                    case 0 -> bytes[chance.nextInt(bytes.length)] = (byte) chance.nextInt(256);
-                    case 1 -> bytes = java.util.Arrays.copyOf(bytes, Math.max(1, bytes.length - chance.nextInt(20)));
-                    default -> bytes[chance.nextInt(bytes.length)] |= (byte) 0xc0;
+            DnsQuery query = open.get(random.nextInt(open.size()));
+            byte[] bytes = zone.message(query, DnsZone.Behavior.ANSWER);
+            for (int change = random.nextInt(1, 6); change > 0; change--) {
+                switch (random.nextInt(3)) {
+                    case 0 -> bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
+                    case 1 -> bytes = java.util.Arrays.copyOf(bytes, Math.max(1, bytes.length - random.nextInt(20)));
+                    default -> bytes[random.nextInt(bytes.length)] |= (byte) 0xc0;
                 }
             }
-            if (zone.resolver.answer(question, bytes, question.server(), nowMs)) {
-                open.remove(question);
-            } else if (chance.nextInt(50) == 0) {
-                zone.resolver.timedOut(question, nowMs);
-                open.remove(question);
+            if (zone.resolver.onResponse(query, bytes, query.server(), nowMs)) {
+                open.remove(query);
+            } else if (random.nextInt(50) == 0) {
+                zone.resolver.onTimeout(query, nowMs);
+                open.remove(query);
             }
-            zone.resolver.listings(nowMs);
-            assertThat(zone.resolver.outstanding()).isLessThanOrEqualTo(16);
+            zone.resolver.takeChangedTargets(nowMs);
+            assertThat(zone.resolver.inFlight()).isLessThanOrEqualTo(16);
         }
-        assertThat(zone.resolver.entries()).isLessThan(5000);
+        assertThat(zone.resolver.cachedEntries()).isLessThan(5000);
     }
 
     // ---- Any order of troubles ----
 
     /** Lists against what the zone truly held lately; what broke, or null. */
     private static String play(LongFunction<Resolver> make, long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        DnsZone zone = new DnsZone(LIFETIMES, seed, make.apply(seed));
-        zone.additional = seed % 2 == 0;
+        SplittableRandom random = new SplittableRandom(seed);
+        DnsZone zone = new DnsZone(SETTINGS, seed, make.apply(seed));
+        zone.sendsAdditional = seed % 2 == 0;
         int[] targets = {1, 2, 3, 4, 5};
         zone.service(BOOKS, 4, 6, targets);
         zone.follow(BOOKS);
         zone.until(50);
         for (int step = 0; step < 12; step++) {
             for (var server : List.of(DnsZone.FIRST, DnsZone.SECOND)) {
-                zone.manners.put(server, DnsZone.Manner.values()[chance.nextInt(DnsZone.Manner.values().length)]);
+                zone.behaviors.put(server, DnsZone.Behavior.values()[random.nextInt(DnsZone.Behavior.values().length)]);
             }
-            zone.tcpRefused = chance.nextBoolean();
+            zone.refusesTcp = random.nextBoolean();
             int before = zone.seen.length();
-            zone.until(zone.nowMs + chance.nextDouble(500, 5000));
+            zone.until(zone.nowMs + random.nextDouble(500, 5000));
             String news = zone.seen.substring(before);
             // The zone holds five targets all the time: a whole list of fewer is a mistake, in whatever trouble.
             for (String line : news.split("\n")) {
@@ -196,12 +199,12 @@
                 }
             }
         }
-        return zone.mostOut > LIFETIMES.mostAsking() ? "too many questions" : null;
+        return zone.maxInFlight > SETTINGS.maxInFlight() ? "too many questions" : null;
     }
 
-    private static Resolver sound(long seed) {
+    private static Resolver withoutFault(long seed) {
         return new Resolver(
-                List.of(DnsZone.FIRST, DnsZone.SECOND), "example.org", false, LIFETIMES, new SplittableRandom(seed));
+                List.of(DnsZone.FIRST, DnsZone.SECOND), "example.org", false, SETTINGS, new SplittableRandom(seed));
     }
 
     private static String hunt(LongFunction<Resolver> make, int seeds) {
@@ -215,8 +218,8 @@
     }
 
     @Test
-    void nothingBreaksOverSeededTroubles() {
-        assertThat(hunt(ResolverTest::sound, 2000)).isEqualTo("none");
+    void nothingBreaksOverSeededFailures() {
+        assertThat(hunt(ResolverTest::withoutFault, 2000)).isEqualTo("none");
     }
 
     @Test
@@ -229,7 +232,7 @@
                                 List.of(DnsZone.FIRST, DnsZone.SECOND),
                                 "example.org",
                                 false,
-                                LIFETIMES,
+                                SETTINGS,
                                 new SplittableRandom(seed)) {
                             @Override
                             boolean truncated(Message message) {
@@ -251,10 +254,10 @@
                                 List.of(DnsZone.FIRST, DnsZone.SECOND),
                                 "example.org",
                                 false,
-                                LIFETIMES,
+                                SETTINGS,
                                 new SplittableRandom(seed)) {
                             @Override
-                            boolean fits(DnsQuery question, Message message) {
+                            boolean fits(DnsQuery query, Message message) {
                                 return true;
                             }
                         });
@@ -269,10 +272,10 @@
     /** dnsjava is asked for what we rely on: the types that records are read as. */
     @Test
     void recordsAreReadAsTheirTypes() throws Exception {
-        DnsZone zone = new DnsZone(LIFETIMES, 7);
+        DnsZone zone = new DnsZone(SETTINGS, 7);
         zone.service(BOOKS, 4, 30, 1);
         zone.resolver.follow(BOOKS, 0);
-        Message message = new Message(zone.message(zone.resolver.questions().get(0), DnsZone.Manner.ANSWER));
+        Message message = new Message(zone.message(zone.resolver.takeQueries().get(0), DnsZone.Behavior.ANSWER));
         Record record = message.getSection(org.xbill.DNS.Section.ANSWER).get(0);
         assertThat(record).isInstanceOf(SRVRecord.class);
         assertThat(((SRVRecord) record).getPort()).isEqualTo(80);
--- a/lab/src/main/java/spartrail/lab/cli/DnsAsk.java
+++ b/lab/src/main/java/spartrail/lab/cli/DnsAsk.java
@@ -51,8 +51,8 @@
     @Override
     String summary() {
         return watch
-                ? "follows SRV names and shows each change of their lists"
-                : "asks for SRV names and shows their lists once";
+                ? "follows SRV names and shows each change of their listings"
+                : "asks for SRV names and shows their listings once";
     }
 
     @Override
@@ -66,44 +66,44 @@
             addresses.add(new InetSocketAddress(server.split(":")[0], Integer.parseInt(server.split(":")[1])));
         }
         Resolver resolver = new Resolver(
-                addresses, bailiwick, false, ResolverSettings.USUAL, RandomGenerator.of("L64X128MixRandom"));
+                addresses, bailiwick, false, ResolverSettings.DEFAULT, RandomGenerator.of("L64X128MixRandom"));
         NodeClock clock = new NodeClock();
-        BlockingQueue<SrvTargets> lists = new LinkedBlockingQueue<>();
-        String[] wrong = new String[1];
-        int told = 0;
-        boolean good = true;
-        try (DnsTransport transport = new DnsTransport(resolver, clock, lists::add)) {
+        BlockingQueue<SrvTargets> listings = new LinkedBlockingQueue<>();
+        String[] invalidName = new String[1];
+        int received = 0;
+        boolean areAvailable = true;
+        try (DnsTransport transport = new DnsTransport(resolver, clock, listings::add)) {
             transport.execute(() -> {
                 try {
                     names.forEach(name -> resolver.follow(name, clock.nowMs()));
                 } catch (IllegalArgumentException e) {
-                    wrong[0] = e.getMessage();
+                    invalidName[0] = e.getMessage();
                 }
             });
             double fromMs = clock.nowMs();
             double untilMs = fromMs + 1000 * seconds;
-            while (clock.nowMs() < untilMs && (watch || told < names.size())) {
-                SrvTargets listing = lists.poll(50, TimeUnit.MILLISECONDS);
-                if (wrong[0] != null) {
-                    throw new InvalidInputException(wrong[0]);
+            while (clock.nowMs() < untilMs && (watch || received < names.size())) {
+                SrvTargets listing = listings.poll(50, TimeUnit.MILLISECONDS);
+                if (invalidName[0] != null) {
+                    throw new InvalidInputException(invalidName[0]);
                 }
                 if (listing != null) {
-                    told++;
-                    good &= !listing.out();
+                    received++;
+                    areAvailable &= !listing.isUnavailable();
                     print(out, listing, clock.nowMs() - fromMs);
                 }
             }
             transport.execute(() -> out.println(resolver.counts()));
-            transport.execute(() -> lists.add(new SrvTargets("", true, false, false, List.of(), 0)));
-            while (lists.take().name().length() > 0) {
+            transport.execute(() -> listings.add(new SrvTargets("", true, false, false, List.of(), 0)));
+            while (listings.take().name().length() > 0) {
                 // Until the counts are printed.
             }
         }
-        if (told < names.size()) {
-            err.println("spartrail: no answer for " + (names.size() - told) + " of " + names.size() + " names within "
-                    + seconds + " s");
+        if (received < names.size()) {
+            err.println("spartrail: no answer for " + (names.size() - received) + " of " + names.size()
+                    + " names within " + seconds + " s");
         }
-        return good && told >= names.size() ? 0 : 1;
+        return areAvailable && received >= names.size() ? 0 : 1;
     }
 
     private static void print(PrintStream out, SrvTargets listing, double ms) {
@@ -113,16 +113,16 @@
                 ms,
                 listing.name(),
                 listing.targets().size(),
-                listing.lifetimeMs() / 1000,
-                listing.whole() ? "" : ", not whole",
-                listing.stale() ? ", stale" : "",
-                listing.out() ? ", OUT" : "");
+                listing.ttlMs() / 1000,
+                listing.isComplete() ? "" : ", not whole",
+                listing.isStale() ? ", stale" : "",
+                listing.isUnavailable() ? ", OUT" : "");
         listing.targets()
                 .forEach(target -> out.printf(
                         Locale.ROOT,
                         "            %-40s %-24s priority %d weight %d%n",
                         target.host(),
-                        target.endpoint(),
+                        target.address(),
                         target.priority(),
                         target.weight()));
     }
--- a/lab/src/main/java/spartrail/lab/cli/LabCommandLine.java
+++ b/lab/src/main/java/spartrail/lab/cli/LabCommandLine.java
@@ -50,9 +50,9 @@
         COMMANDS.put("drill run", DrillRun::new);
         COMMANDS.put("scale list", ScaleList::new);
         COMMANDS.put("scale run", ScaleRun::new);
-        COMMANDS.put("subset even", () -> new SubsetFleet(SubsetFleet.What.EVEN));
-        COMMANDS.put("subset check", () -> new SubsetFleet(SubsetFleet.What.CHECK));
-        COMMANDS.put("subset planted", () -> new SubsetFleet(SubsetFleet.What.PLANTED));
+        COMMANDS.put("subset even", () -> new SubsetFleet(SubsetFleet.Mode.EVEN));
+        COMMANDS.put("subset check", () -> new SubsetFleet(SubsetFleet.Mode.CHECK));
+        COMMANDS.put("subset planted", () -> new SubsetFleet(SubsetFleet.Mode.PLANTED));
         COMMANDS.put("completion", Completion::new);
     }
 
--- a/lab/src/main/java/spartrail/lab/cli/SubsetFleet.java
+++ b/lab/src/main/java/spartrail/lab/cli/SubsetFleet.java
@@ -13,9 +13,9 @@
 import spartrail.lab.subset.SubsetRun;
 import spartrail.subset.SubsetSettings;
 
-/** Hollow fleets that use subsets: how even they are, whether they keep their promises, and which planted faults are caught. */
+/** Hollow fleets that use subsets: how even they are, whether they keep their rules, and which mutations are caught. */
 final class SubsetFleet extends Command {
-    enum What {
+    enum Mode {
         EVEN,
         CHECK,
         PLANTED
@@ -60,12 +60,12 @@
             usage = "check, planted: single changes, three times so many (default 10)")
     private int changes = 10;
 
-    private final What what;
+    private final Mode mode;
 
-    SubsetFleet(What what) {
-        this.what = what;
+    SubsetFleet(Mode mode) {
+        this.mode = mode;
         // Checks are to meet shards whose zones bind.
-        boolean checks = what != What.EVEN;
+        boolean checks = mode != Mode.EVEN;
         zones = checks ? 4 : 8;
         replicas = checks ? 4 : 8;
         leastZones = checks ? 3 : 2;
@@ -73,7 +73,7 @@
 
     @Override
     String summary() {
-        return switch (what) {
+        return switch (mode) {
             case EVEN -> "hollow fleets: how many nodes share a server, and what a change moves, beside other ways to choose";
             case CHECK -> "hollow fleets through losses and lists that part: what subsets promise, checked after each change";
             case PLANTED -> "the same with faults planted: each has to be caught";
@@ -87,10 +87,10 @@
         }
         // Before anything is printed: settings that no subset can keep are refused.
         settings();
-        return switch (what) {
-            case EVEN -> even(out);
-            case CHECK -> check(out, err);
-            case PLANTED -> planted(out, err);
+        return switch (mode) {
+            case EVEN -> compareStrategies(out);
+            case CHECK -> checkRules(out, err);
+            case PLANTED -> checkMutations(out);
         };
     }
 
@@ -102,13 +102,13 @@
         }
     }
 
-    private FleetShape whole() {
+    private FleetShape fleetShape() {
         return new FleetShape(nodes, servers, shards, zones, settings(), "");
     }
 
-    private int even(PrintStream out) {
+    private int compareStrategies(PrintStream out) {
         List<FleetShape> shapes = regions == 1
-                ? List.of(whole())
+                ? List.of(fleetShape())
                 : IntStream.range(0, regions)
                         .mapToObj(region -> new FleetShape(
                                 nodes / regions,
@@ -125,7 +125,7 @@
                 "| way to choose | nodes a server: least | mean | p99 | most | most over mean | connections a node | least zones of a shard "
                         + "| shards left empty | moved by a join | by a leave | by a replacement |");
         out.println("|---|---|---|---|---|---|---|---|---|---|---|---|");
-        for (SubsetFigures.Row row : SubsetFigures.of(shapes)) {
+        for (SubsetFigures.Row row : SubsetFigures.measure(shapes)) {
             out.printf(
                     Locale.ROOT,
                     "| %s | %d | %.1f | %d | %d | %.2f | %.0f | %d | %d | %.1f | %.1f | %.1f |%n",
@@ -145,43 +145,43 @@
         return 0;
     }
 
-    private int check(PrintStream out, PrintStream err) {
-        int broken = 0;
+    private int checkRules(PrintStream out, PrintStream err) {
+        int violations = 0;
         out.println("| seed | steps | checks of a shard | broken | hash |");
         out.println("|---|---|---|---|---|");
         for (int seed = 1; seed <= (seeds == 0 ? 100 : seeds); seed++) {
-            SubsetRun.Outcome outcome = SubsetRun.play(whole(), seed, changes, SubsetMutation.NONE);
-            broken += outcome.breaches();
+            SubsetRun.Outcome outcome = SubsetRun.play(fleetShape(), seed, changes, SubsetMutation.NONE);
+            violations += outcome.violations();
             out.printf(
                     "| %d | %d | %d | %d | %s |%n",
-                    seed, outcome.steps(), outcome.checks(), outcome.breaches(), Long.toHexString(outcome.hash()));
+                    seed, outcome.steps(), outcome.checks(), outcome.violations(), Long.toHexString(outcome.hash()));
             outcome.examples().forEach(example -> err.println("seed " + outcome.seed() + ": " + example));
         }
-        return broken == 0 ? 0 : 1;
+        return violations == 0 ? 0 : 1;
     }
 
-    private int planted(PrintStream out, PrintStream err) {
+    private int checkMutations(PrintStream out) {
         int uncaught = 0;
         int count = seeds == 0 ? 10 : seeds;
         out.println("| planted | caught on seeds | first seed | broken there | example |");
         out.println("|---|---|---|---|---|");
-        for (SubsetMutation fault : SubsetMutation.values()) {
+        for (SubsetMutation mutation : SubsetMutation.values()) {
             List<SubsetRun.Outcome> caught = new ArrayList<>();
             for (int seed = 1; seed <= count; seed++) {
-                SubsetRun.Outcome outcome = SubsetRun.play(whole(), seed, changes, fault);
-                if (outcome.breaches() > 0) {
+                SubsetRun.Outcome outcome = SubsetRun.play(fleetShape(), seed, changes, mutation);
+                if (outcome.violations() > 0) {
                     caught.add(outcome);
                 }
             }
-            boolean expected = fault == SubsetMutation.NONE ? caught.isEmpty() : !caught.isEmpty();
+            boolean expected = mutation == SubsetMutation.NONE ? caught.isEmpty() : !caught.isEmpty();
             uncaught += expected ? 0 : 1;
             out.printf(
                     "| %s | %d of %d | %s | %s | %s |%n",
-                    fault.summary(),
+                    mutation.summary(),
                     caught.size(),
                     count,
                     caught.isEmpty() ? "-" : caught.get(0).seed(),
-                    caught.isEmpty() ? "-" : caught.get(0).breaches(),
+                    caught.isEmpty() ? "-" : caught.get(0).violations(),
                     caught.isEmpty() ? "-" : caught.get(0).examples().get(0));
         }
         return uncaught == 0 ? 0 : 1;
--- a/lab/src/main/java/spartrail/lab/dns/DnsServerEmulator.java
+++ b/lab/src/main/java/spartrail/lab/dns/DnsServerEmulator.java
@@ -28,7 +28,7 @@
 /** One name server. Its zone can be changed while it runs; names are looked up as they stand, lower case, with their dot. */
 public final class DnsServerEmulator implements AutoCloseable {
     /** What becomes of questions. */
-    public enum Manner {
+    public enum Behavior {
         ANSWER,
         TRUNCATE,
         TRUNCATE_AND_REFUSE_TCP,
@@ -55,7 +55,7 @@
 
     private final AtomicInteger asked = new AtomicInteger();
     private final Random chance;
-    private volatile Manner manner = Manner.ANSWER;
+    private volatile Behavior behavior = Behavior.ANSWER;
     private volatile boolean closed;
 
     public DnsServerEmulator(long seed) throws IOException {
@@ -90,16 +90,16 @@
         return new InetSocketAddress("127.0.0.1", udp.getLocalPort());
     }
 
-    public int asked() {
+    public int queries() {
         return asked.get();
     }
 
-    public void behave(Manner how) {
-        manner = how;
+    public void setBehavior(Behavior how) {
+        behavior = how;
     }
 
     /** Replaces the records of a name and type. */
-    public void set(String type, String name, List<String> lines) {
+    public void setRecords(String type, String name, List<String> lines) {
         records.put(type + " " + name, List.copyOf(lines));
     }
 
@@ -115,26 +115,26 @@
                 udp.receive(packet);
                 asked.incrementAndGet();
                 byte[] question = java.util.Arrays.copyOf(packet.getData(), packet.getLength());
-                Manner now = manner;
+                Behavior now = behavior;
                 byte[] answer = answer(question, now, false);
                 if (answer == null) {
                     continue;
                 }
                 DatagramPacket reply = new DatagramPacket(answer, answer.length, packet.getSocketAddress());
-                if (now == Manner.LATE) {
+                if (now == Behavior.LATE) {
                     start("late", () -> {
                         pause(LATE_MS);
                         send(reply);
                     });
-                } else if (now == Manner.SPOOF) {
+                } else if (now == Behavior.SPOOF) {
                     try (DatagramSocket other = new DatagramSocket(new InetSocketAddress("127.0.0.1", 0))) {
                         other.send(reply);
                     }
                 } else {
                     send(reply);
                 }
-                if (now == Manner.SPOOF || now == Manner.WRONG_ID || now == Manner.WRONG_QUESTION) {
-                    byte[] right = answer(question, Manner.ANSWER, false);
+                if (now == Behavior.SPOOF || now == Behavior.WRONG_ID || now == Behavior.WRONG_QUESTION) {
+                    byte[] right = answer(question, Behavior.ANSWER, false);
                     send(new DatagramPacket(right, right.length, packet.getSocketAddress()));
                 }
             } catch (IOException e) {
@@ -163,7 +163,7 @@
         while (!closed) {
             try {
                 Socket socket = tcp.accept();
-                if (manner == Manner.TRUNCATE_AND_REFUSE_TCP) {
+                if (behavior == Behavior.TRUNCATE_AND_REFUSE_TCP) {
                     socket.setSoLinger(true, 0);
                     socket.close();
                 } else {
@@ -183,7 +183,7 @@
                 byte[] question = new byte[in.readUnsignedShort()];
                 in.readFully(question);
                 asked.incrementAndGet();
-                byte[] answer = answer(question, manner, true);
+                byte[] answer = answer(question, behavior, true);
                 if (answer == null) {
                     continue;
                 }
@@ -191,11 +191,11 @@
                 framed[0] = (byte) (answer.length >> 8);
                 framed[1] = (byte) answer.length;
                 System.arraycopy(answer, 0, framed, 2, answer.length);
-                if (manner == Manner.TRUNCATE_AND_CUT_TCP) {
+                if (behavior == Behavior.TRUNCATE_AND_CUT_TCP) {
                     out.write(framed, 0, framed.length / 2);
                     return;
                 }
-                if (manner == Manner.TCP_ONE_OCTET_AT_A_TIME) {
+                if (behavior == Behavior.TCP_ONE_OCTET_AT_A_TIME) {
                     for (byte octet : framed) {
                         out.write(octet);
                         out.flush();
@@ -210,11 +210,11 @@
     }
 
     /** An answer's bytes, or null for none. */
-    private byte[] answer(byte[] bytes, Manner how, boolean overTcp) throws IOException {
-        if (how == Manner.SILENT) {
+    private byte[] answer(byte[] bytes, Behavior how, boolean overTcp) throws IOException {
+        if (how == Behavior.SILENT) {
             return null;
         }
-        if (how == Manner.NOISE) {
+        if (how == Behavior.NOISE) {
             byte[] noise = new byte[1 + chance.nextInt(300)];
             chance.nextBytes(noise);
             return noise;
@@ -223,26 +223,26 @@
         Name name = question.getQuestion().getName();
         int type = question.getQuestion().getType();
         int id = question.getHeader().getID();
-        Message message = new Message(how == Manner.WRONG_ID ? id ^ 0x5555 : id);
+        Message message = new Message(how == Behavior.WRONG_ID ? id ^ 0x5555 : id);
         message.getHeader().setFlag(Flags.QR);
         message.addRecord(
-                how == Manner.WRONG_QUESTION
+                how == Behavior.WRONG_QUESTION
                         ? Record.newRecord(Name.fromString("other.example.org."), type, DClass.IN)
                         : question.getQuestion(),
                 Section.QUESTION);
-        if (how == Manner.SERVFAIL) {
+        if (how == Behavior.SERVFAIL) {
             message.getHeader().setRcode(Rcode.SERVFAIL);
             return message.toWire();
         }
-        List<String> lines = how == Manner.EMPTY || how == Manner.NXDOMAIN
+        List<String> lines = how == Behavior.EMPTY || how == Behavior.NXDOMAIN
                 ? List.of()
                 : new ArrayList<>(records.getOrDefault(Type.string(type) + " " + name, List.of()));
         if (lines.isEmpty()) {
-            List<String> alias = how == Manner.EMPTY || how == Manner.NXDOMAIN
+            List<String> alias = how == Behavior.EMPTY || how == Behavior.NXDOMAIN
                     ? List.of()
                     : records.getOrDefault("CNAME " + name, List.of());
             if (alias.isEmpty()) {
-                message.getHeader().setRcode(how == Manner.NXDOMAIN ? Rcode.NXDOMAIN : Rcode.NOERROR);
+                message.getHeader().setRcode(how == Behavior.NXDOMAIN ? Rcode.NXDOMAIN : Rcode.NOERROR);
                 message.addRecord(record(Name.fromString("example.org."), "60 SOA a. b. 1 2 3 4 1"), Section.AUTHORITY);
             } else {
                 message.addRecord(record(name, alias.get(0)), Section.ANSWER);
@@ -255,7 +255,7 @@
         }
         byte[] wire = message.toWire();
         boolean cuts =
-                how.name().startsWith("TRUNCATE") || how == Manner.TCP_ONE_OCTET_AT_A_TIME || wire.length > UDP_MOST;
+                how.name().startsWith("TRUNCATE") || how == Behavior.TCP_ONE_OCTET_AT_A_TIME || wire.length > UDP_MOST;
         if (!overTcp && cuts) {
             Message cut = new Message(id);
             cut.getHeader().setFlag(Flags.QR);
--- a/lab/src/main/java/spartrail/lab/drill/DnsNodeDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/DnsNodeDrill.java
@@ -70,8 +70,8 @@
                         + "'perS':60}}],'streams':[{'opTypes':[{'name':'orders'}],'shards':{'of':4,'least':2},'clientMs':5000}]}");
         Path folder = Files.createTempDirectory("spartrail-drill");
         try (Fleet fleet = new Fleet(plan, checker);
-                DnsServerEmulator names = new DnsServerEmulator(seed)) {
-            members(fleet, names, folder);
+                DnsServerEmulator nameServer = new DnsServerEmulator(seed)) {
+            members(fleet, nameServer, folder);
             if (!contradict) {
                 fleet.play();
             }
@@ -83,8 +83,8 @@
             try (NodeProcess node = NodeProcess.start(
                     NodeProcess.ownJar(), config, folder, "n0", settings.memoryMb(), folder.resolve("members.json"))) {
                 // Lifetimes are a second: by then it has heard of all.
-                long asked = names.asked() + 2L * (SERVERS + 2);
-                for (int i = 0; names.asked() < asked && i < 6000; i++) {
+                long asked = nameServer.queries() + 2L * (SERVERS + 2);
+                for (int i = 0; nameServer.queries() < asked && i < 6000; i++) {
                     Thread.sleep(5);
                 }
                 try (LoadSession session = new LoadSession(
@@ -94,9 +94,9 @@
                     }
                     for (int i = 0; !session.await(1000) && i < 60; i++) {
                         if (!contradict && i == 2) {
-                            names.behave(DnsServerEmulator.Manner.TRUNCATE_AND_REFUSE_TCP);
+                            nameServer.setBehavior(DnsServerEmulator.Behavior.TRUNCATE_AND_REFUSE_TCP);
                         } else if (!contradict && i == 5) {
-                            names.behave(DnsServerEmulator.Manner.SILENT);
+                            nameServer.setBehavior(DnsServerEmulator.Behavior.SILENT);
                         }
                     }
                     judge(findings, session, checker, fleet, node);
@@ -124,7 +124,7 @@
     }
 
     /** Every server in DNS, a name for each cell, and the file that tells the node so. */
-    private static void members(Fleet fleet, DnsServerEmulator names, Path folder) throws java.io.IOException {
+    private static void members(Fleet fleet, DnsServerEmulator nameServer, Path folder) throws java.io.IOException {
         StringBuilder list = new StringBuilder();
         for (int cell = 0; cell < fleet.plan().cells(); cell++) {
             String name = "_books._tcp.c" + cell + ".books.example.org.";
@@ -133,10 +133,10 @@
                 if (server.cell() == cell) {
                     String[] address = fleet.serverAddress(0, server.id()).split(":");
                     lines.add("1 SRV 0 5 " + address[1] + " " + server.id() + ".books.example.org.");
-                    names.set("A", server.id() + ".books.example.org.", List.of("1 A " + address[0]));
+                    nameServer.setRecords("A", server.id() + ".books.example.org.", List.of("1 A " + address[0]));
                 }
             }
-            names.set("SRV", name, lines);
+            nameServer.setRecords("SRV", name, lines);
             list.append(cell == 0 ? "" : ",")
                     .append("{\"name\":\"")
                     .append(name)
@@ -147,7 +147,7 @@
         Files.writeString(
                 folder.resolve("members.json"),
                 "{\"allow\":[\"127.0.0.0/8\"],\"dns\":{\"servers\":[\"127.0.0.1:"
-                        + names.address().getPort() + "\"],\"bailiwick\":\"books.example.org\",\"names\":[" + list
+                        + nameServer.address().getPort() + "\"],\"bailiwick\":\"books.example.org\",\"names\":[" + list
                         + "]}}");
     }
 }
--- a/lab/src/main/java/spartrail/lab/drill/DnsResolverDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/DnsResolverDrill.java
@@ -13,20 +13,20 @@
 import spartrail.endpoint.MergeLimits;
 import spartrail.endpoint.SourceReport;
 import spartrail.lab.dns.DnsServerEmulator;
-import spartrail.lab.dns.DnsServerEmulator.Manner;
+import spartrail.lab.dns.DnsServerEmulator.Behavior;
 import spartrail.model.NodeClock;
 import spartrail.model.Server;
 
 /**
- * Resolver, transport and view on real sockets, against name servers in trouble. In each trouble twenty servers stay in
+ * Resolver, transport and registry on real sockets, against name servers in trouble. In each trouble twenty servers stay in
  * use, and when it is over the list is fresh again. Only the stand-ins sleep; no verdict hangs on how long anything takes.
  */
 public final class DnsResolverDrill implements Drill {
     private static final String NAME = "_books._tcp.c0.books.example.org.";
     private static final int TARGETS = 20;
-    private static final ResolverSettings LIFETIMES =
+    private static final ResolverSettings RESOLVER_SETTINGS =
             new ResolverSettings(300, 3_600_000, 300, 100, 400, 600_000, 100, 4, 16, 512);
-    private static final MergeLimits BOUNDS =
+    private static final MergeLimits MERGE_LIMITS =
             new MergeLimits(10, 600_000, 600_000, 400, 600_000, 1_000_000, 0, 0, 1, 600_000, 1000);
 
     @Override
@@ -46,109 +46,117 @@
 
     @Override
     public void run(long seed, Findings findings) throws Exception {
-        for (Manner manner : Manner.values()) {
-            play(manner, seed, findings);
+        for (Behavior behavior : Behavior.values()) {
+            play(behavior, seed, findings);
         }
     }
 
     /** One trouble. */
-    static void play(Manner manner, long seed, Findings findings) throws Exception {
+    static void play(Behavior behavior, long seed, Findings findings) throws Exception {
         NodeClock clock = new NodeClock();
-        EndpointRegistry view = new EndpointRegistry(1, 1, BOUNDS, any -> true);
-        EndpointSource source = view.source(NAME, EndpointSource.Kind.DNS, clock.nowMs());
-        List<SrvTargets> told = new CopyOnWriteArrayList<>();
+        EndpointRegistry registry = new EndpointRegistry(1, 1, MERGE_LIMITS, any -> true);
+        EndpointSource source = registry.source(NAME, EndpointSource.Kind.DNS, clock.nowMs());
+        List<SrvTargets> listings = new CopyOnWriteArrayList<>();
         int[] least = {Integer.MAX_VALUE};
         try (DnsServerEmulator one = new DnsServerEmulator(seed);
                 DnsServerEmulator other = new DnsServerEmulator(seed + 1)) {
             for (DnsServerEmulator server : List.of(one, other)) {
-                List<String> lines = new ArrayList<>();
+                List<String> reports = new ArrayList<>();
                 for (int i = 0; i < TARGETS; i++) {
-                    lines.add("1 SRV 0 5 " + (7000 + i) + " s" + i + ".books.example.org.");
-                    server.set("A", "s" + i + ".books.example.org.", List.of("1 A 127.0.0." + (i + 1)));
+                    reports.add("1 SRV 0 5 " + (7000 + i) + " s" + i + ".books.example.org.");
+                    server.setRecords("A", "s" + i + ".books.example.org.", List.of("1 A 127.0.0." + (i + 1)));
                 }
-                server.set("SRV", NAME, lines);
+                server.setRecords("SRV", NAME, reports);
             }
             Resolver resolver = new Resolver(
                     List.of(one.address(), other.address()),
                     "books.example.org",
                     false,
-                    LIFETIMES,
+                    RESOLVER_SETTINGS,
                     new SplittableRandom(seed));
             try (DnsTransport transport = new DnsTransport(resolver, clock, listing -> {
-                merge(view, source, listing, clock.nowMs());
-                if (view.members().size() == TARGETS) {
-                    least[0] = Math.min(least[0], inUse(view));
+                merge(registry, source, listing, clock.nowMs());
+                if (registry.records().size() == TARGETS) {
+                    least[0] = Math.min(least[0], inUse(registry));
                 }
-                told.add(listing);
+                listings.add(listing);
             })) {
                 transport.execute(() -> resolver.follow(NAME, clock.nowMs()));
-                await(told, 0, false);
-                int before = told.size();
-                one.behave(manner);
-                other.behave(manner);
+                await(listings, 0, false);
+                int before = listings.size();
+                one.setBehavior(behavior);
+                other.setBehavior(behavior);
                 // Until it has been met a number of times, whatever that takes.
-                int asked = one.asked() + other.asked();
-                for (int i = 0; one.asked() + other.asked() < asked + 3 * TARGETS; i++) {
-                    bounded(i, "the trouble was not met often enough");
+                int asked = one.queries() + other.queries();
+                for (int i = 0; one.queries() + other.queries() < asked + 3 * TARGETS; i++) {
+                    checkLooks(i, "the trouble was not met often enough");
                 }
-                boolean shrank = told.subList(before, told.size()).stream()
-                        .anyMatch(listing -> listing.whole()
-                                && !listing.out()
+                boolean shrank = listings.subList(before, listings.size()).stream()
+                        .anyMatch(listing -> listing.isComplete()
+                                && !listing.isUnavailable()
                                 && listing.targets().size() < TARGETS);
-                one.behave(Manner.ANSWER);
-                other.behave(Manner.ANSWER);
-                SrvTargets last =
-                        await(told, told.size(), !(told.get(told.size() - 1).stale() || shrank));
-                boolean says = manner == Manner.EMPTY || manner == Manner.NXDOMAIN;
-                findings.equal(manner + ": a whole list that lacks servers", says, shrank);
-                findings.least(manner + ": servers in use, at the least", says ? BOUNDS.floor() : TARGETS, least[0]);
+                one.setBehavior(Behavior.ANSWER);
+                other.setBehavior(Behavior.ANSWER);
+                SrvTargets last = await(
+                        listings,
+                        listings.size(),
+                        !(listings.get(listings.size() - 1).isStale() || shrank));
+                boolean saysNone = behavior == Behavior.EMPTY || behavior == Behavior.NXDOMAIN;
+                findings.equal(behavior + ": a whole list that lacks servers", saysNone, shrank);
+                findings.least(
+                        behavior + ": servers in use, at the least",
+                        saysNone ? MERGE_LIMITS.floor() : TARGETS,
+                        least[0]);
                 findings.equal(
-                        manner + ": targets afterwards", TARGETS, last.targets().size());
+                        behavior + ": targets afterwards",
+                        TARGETS,
+                        last.targets().size());
             }
         }
     }
 
-    /** A fresh whole list that was told after so many; the present one will do where nothing changed. */
-    private static SrvTargets await(List<SrvTargets> told, int after, boolean presentWillDo)
+    /** A fresh whole list that was listings after so many; the present one will do where nothing changed. */
+    private static SrvTargets await(List<SrvTargets> listings, int after, boolean isPresentEnough)
             throws InterruptedException {
         for (int i = 0; ; i++) {
-            if (!told.isEmpty()) {
-                SrvTargets last = told.get(told.size() - 1);
-                if ((told.size() > after || presentWillDo)
-                        && last.whole()
-                        && !last.stale()
+            if (!listings.isEmpty()) {
+                SrvTargets last = listings.get(listings.size() - 1);
+                if ((listings.size() > after || isPresentEnough)
+                        && last.isComplete()
+                        && !last.isStale()
                         && last.targets().size() == TARGETS) {
                     return last;
                 }
             }
-            bounded(i, "no fresh whole list came");
+            checkLooks(i, "no fresh whole list came");
         }
     }
 
-    /** A look each 5 ms; what takes minutes does not come any more. */
-    private static void bounded(int looks, String what) throws InterruptedException {
+    /** A look each 5 ms; failure takes minutes does not come any more. */
+    private static void checkLooks(int looks, String failure) throws InterruptedException {
         if (looks > 24_000) {
-            throw new IllegalStateException(what);
+            throw new IllegalStateException(failure);
         }
         Thread.sleep(5);
     }
 
-    private static int inUse(EndpointRegistry view) {
-        return (int) view.members().stream()
-                .filter(member -> member.line() != null && member.line().state() == Server.State.LIVE)
+    private static int inUse(EndpointRegistry registry) {
+        return (int) registry.records().stream()
+                .filter(record ->
+                        record.published() != null && record.published().state() == Server.State.LIVE)
                 .count();
     }
 
-    private static void merge(EndpointRegistry view, EndpointSource source, SrvTargets listing, double nowMs) {
-        if (listing.out() || listing.stale()) {
-            view.out(source, nowMs);
+    private static void merge(EndpointRegistry registry, EndpointSource source, SrvTargets listing, double nowMs) {
+        if (listing.isUnavailable() || listing.isStale()) {
+            registry.markUnavailable(source, nowMs);
             return;
         }
-        List<SourceReport> lines = new ArrayList<>();
+        List<SourceReport> reports = new ArrayList<>();
         listing.targets()
-                .forEach(target -> lines.add(new SourceReport(
-                        null, target.endpoint(), "a", "dns", 0, Server.State.LIVE, 1, Double.NaN, target.priority())));
-        view.said(source, listing.whole(), lines, listing.lifetimeMs(), nowMs);
-        view.changes();
+                .forEach(target -> reports.add(new SourceReport(
+                        null, target.address(), "a", "dns", 0, Server.State.LIVE, 1, Double.NaN, target.priority())));
+        registry.applyReports(source, listing.isComplete(), reports, listing.ttlMs(), nowMs);
+        registry.takeChanges();
     }
 }
--- a/lab/src/main/java/spartrail/lab/scale/HollowNode.java
+++ b/lab/src/main/java/spartrail/lab/scale/HollowNode.java
@@ -79,8 +79,8 @@
     }
 
     public Decisions wholeList(EndpointList list) {
-        EndpointList own = filter == null ? list : filter.own(list, nowMs);
-        return coordinator.listed(own.servers(CLOCK), own.all(), true, nowMs);
+        EndpointList own = filter == null ? list : filter.toSubset(list, nowMs);
+        return coordinator.listed(own.toServers(CLOCK), own.isComplete(), true, nowMs);
     }
 
     /** One server drains, or is back. */
--- a/lab/src/main/java/spartrail/lab/scale/HollowServers.java
+++ b/lab/src/main/java/spartrail/lab/scale/HollowServers.java
@@ -37,9 +37,9 @@
         StringBuilder text = new StringBuilder("{\"rev\":")
                 .append(list.version())
                 .append(",\"all\":")
-                .append(list.all())
+                .append(list.isComplete())
                 .append(",\"targets\":[");
-        for (Endpoint line : list.lines()) {
+        for (Endpoint line : list.endpoints()) {
             text.append(text.charAt(text.length() - 1) == '[' ? "" : ",")
                     .append("{\"uid\":\"")
                     .append(line.id())
--- a/lab/src/main/java/spartrail/lab/scale/ListBenchmark.java
+++ b/lab/src/main/java/spartrail/lab/scale/ListBenchmark.java
@@ -39,7 +39,7 @@
         whole = HollowServers.list(servers, HollowNode.SHARDS, HollowNode.ZONES);
         body = HollowServers.json(whole).getBytes(StandardCharsets.UTF_8);
         filter = HollowNode.filter(replicas);
-        filter.own(whole, 0);
+        filter.toSubset(whole, 0);
     }
 
     @Benchmark
@@ -50,14 +50,14 @@
     @Benchmark
     public Object subsetOfWholeList() {
         SubsetFilter fresh = HollowNode.filter(replicas);
-        return fresh.own(whole, 0);
+        return fresh.toSubset(whole, 0);
     }
 
     @Benchmark
     public Object subsetAfterOneChange() {
         draining = !draining;
         Server.State state = draining ? Server.State.DRAINING : Server.State.LIVE;
-        return filter.own(
+        return filter.toSubset(
                 new EndpointList(
                         2,
                         false,
--- a/lab/src/main/java/spartrail/lab/scale/ScaleTests.java
+++ b/lab/src/main/java/spartrail/lab/scale/ScaleTests.java
@@ -158,7 +158,7 @@
 
     private double subsetHeap(int servers) throws Exception {
         SubsetFilter filter = HollowNode.filter(Math.max(8, replicas));
-        filter.own(EndpointList.decode(body(servers)), 0);
+        filter.toSubset(EndpointList.decode(body(servers)), 0);
         return megabytes(filter);
     }
 
--- a/lab/src/main/java/spartrail/lab/subset/FleetShape.java
+++ b/lab/src/main/java/spartrail/lab/subset/FleetShape.java
@@ -11,8 +11,8 @@
  * @param region before the names of nodes and servers, where regions have lists of their own
  */
 public record FleetShape(int nodes, int servers, int shards, int zones, SubsetSettings settings, String region) {
-    /** What is sent to a server may be out for so long. */
-    static final double LONGEST_OUT_MS = 1000;
+    /** A request may be in flight to a server for so long. */
+    static final double MAX_IN_FLIGHT_MS = 1000;
 
     public String node(int number) {
         return region + "node-" + number;
@@ -23,6 +23,6 @@
     }
 
     SubsetFilter filter(int node) {
-        return new SubsetFilter(selector(node, settings), LONGEST_OUT_MS);
+        return new SubsetFilter(selector(node, settings), MAX_IN_FLIGHT_MS);
     }
 }
--- a/lab/src/main/java/spartrail/lab/subset/SubsetFigures.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetFigures.java
@@ -11,17 +11,19 @@
 import java.util.concurrent.atomic.AtomicIntegerArray;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.IntStream;
+import spartrail.endpoint.EndpointList.Endpoint;
 import spartrail.lab.scale.HollowServers;
+import spartrail.model.Server;
 import spartrail.subset.SubsetSelector.LiveServer;
 import spartrail.subset.SubsetSettings;
 
-/** How even the ways to choose are, and what a change moves with each. */
+/** How evenly each strategy shares the servers, and what a change moves with it. */
 public final class SubsetFigures {
     /** Shards on which joins, leaves and replacements are tried. */
-    private static final int SHARDS_MOVED = 4;
+    private static final int MAX_CHANGED_SHARDS = 4;
 
     /**
-     * One way to choose in one fleet; moves are connections that all nodes together open beyond those to the new server itself,
+     * One strategy in one fleet; moves are connections that all nodes together open beyond those to the new server itself,
      * for one server that joins, leaves or is replaced.
      */
     public record Row(
@@ -43,14 +45,14 @@
 
     private SubsetFigures() {}
 
-    /** Every way to choose, for fleets that together are one: one, or one for each region. */
-    public static List<Row> of(List<FleetShape> regions) {
+    /** Every strategy, for fleets that together are one: one, or one for each region. */
+    public static List<Row> measure(List<FleetShape> regions) {
         return Arrays.stream(SubsetStrategy.values())
-                .map(strategy -> row(strategy, regions))
+                .map(strategy -> measureRow(strategy, regions))
                 .toList();
     }
 
-    private static Row row(SubsetStrategy strategy, List<FleetShape> regions) {
+    private static Row measureRow(SubsetStrategy strategy, List<FleetShape> regions) {
         List<Integer> sharing = new ArrayList<>();
         AtomicLong connections = new AtomicLong();
         AtomicInteger leastZones = new AtomicInteger(Integer.MAX_VALUE);
@@ -59,7 +61,7 @@
         int nodes = regions.stream().mapToInt(FleetShape::nodes).sum();
         sharing.sort(null);
         double mean = sharing.stream().mapToInt(each -> each).average().orElse(0);
-        double[] moves = moves(strategy, regions.get(0));
+        double[] moves = meanMoves(strategy, regions.get(0));
         return new Row(
                 strategy.summary,
                 sharing.get(0),
@@ -77,14 +79,9 @@
     private static List<LiveServer> replicas(FleetShape shape, int shard) {
         List<LiveServer> replicas = new ArrayList<>();
         for (int number = shard; number < shape.servers(); number += shape.shards()) {
-            var line = HollowServers.endpoint(
-                    shape.region() + "s-" + number,
-                    number,
-                    shape.shards(),
-                    shape.zones(),
-                    spartrail.model.Server.State.LIVE,
-                    0);
-            replicas.add(new LiveServer(line.id(), line.zone(), line.cell(), line.rating()));
+            Endpoint endpoint = HollowServers.endpoint(
+                    shape.region() + "s-" + number, number, shape.shards(), shape.zones(), Server.State.LIVE, 0);
+            replicas.add(new LiveServer(endpoint.id(), endpoint.zone(), endpoint.cell(), endpoint.weight()));
         }
         return replicas;
     }
@@ -100,33 +97,33 @@
                 .parallel()
                 .mapToObj(shard -> {
                     List<LiveServer> replicas = replicas(shape, shard);
-                    Map<String, Integer> places = new HashMap<>();
-                    replicas.forEach(server -> places.put(server.id(), places.size()));
-                    AtomicIntegerArray ofShard = new AtomicIntegerArray(replicas.size());
+                    Map<String, Integer> indexById = new HashMap<>();
+                    replicas.forEach(server -> indexById.put(server.id(), indexById.size()));
+                    AtomicIntegerArray countsOfShard = new AtomicIntegerArray(replicas.size());
                     for (int node = 0; node < shape.nodes(); node++) {
                         List<String> chosen = strategy.choose(node, shape.node(node), replicas, shape.settings());
                         Set<String> zones = new HashSet<>();
                         for (String id : chosen) {
-                            ofShard.incrementAndGet(places.get(id));
-                            zones.add(replicas.get(places.get(id)).zone());
+                            countsOfShard.incrementAndGet(indexById.get(id));
+                            zones.add(replicas.get(indexById.get(id)).zone());
                         }
                         connections.addAndGet(chosen.size());
                         leastZones.accumulateAndGet(zones.size(), Math::min);
                         empty.addAndGet(chosen.isEmpty() ? 1 : 0);
                     }
-                    return ofShard;
+                    return countsOfShard;
                 })
                 .toList();
-        for (AtomicIntegerArray ofShard : counts) {
-            for (int i = 0; i < ofShard.length(); i++) {
-                all.add(ofShard.get(i));
+        for (AtomicIntegerArray countsOfShard : counts) {
+            for (int i = 0; i < countsOfShard.length(); i++) {
+                all.add(countsOfShard.get(i));
             }
         }
         return all;
     }
 
-    private static double[] moves(SubsetStrategy strategy, FleetShape shape) {
-        int shards = Math.min(SHARDS_MOVED, shape.shards());
+    private static double[] meanMoves(SubsetStrategy strategy, FleetShape shape) {
+        int shards = Math.min(MAX_CHANGED_SHARDS, shape.shards());
         long[] moved = new long[3];
         for (int shard = 0; shard < shards; shard++) {
             List<LiveServer> before = replicas(shape, shard);
@@ -140,13 +137,13 @@
             replaced.add(fresh);
             List<List<LiveServer>> changes = List.of(joined, left, replaced);
             for (int i = 0; i < changes.size(); i++) {
-                moved[i] += moved(strategy, shape, before, changes.get(i), fresh.id());
+                moved[i] += countMoves(strategy, shape, before, changes.get(i), fresh.id());
             }
         }
         return Arrays.stream(moved).mapToDouble(each -> each / (double) shards).toArray();
     }
 
-    private static long moved(
+    private static long countMoves(
             SubsetStrategy strategy, FleetShape shape, List<LiveServer> before, List<LiveServer> after, String fresh) {
         SubsetSettings settings = shape.settings();
         return IntStream.range(0, shape.nodes())
@@ -154,7 +151,8 @@
                 .mapToLong(node -> {
                     List<String> chosen = new ArrayList<>(strategy.choose(node, shape.node(node), after, settings));
                     chosen.remove(fresh);
-                    return SubsetStrategy.opened(strategy.choose(node, shape.node(node), before, settings), chosen);
+                    return SubsetStrategy.countOpened(
+                            strategy.choose(node, shape.node(node), before, settings), chosen);
                 })
                 .sum();
     }
--- a/lab/src/main/java/spartrail/lab/subset/SubsetMutation.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetMutation.java
@@ -13,55 +13,57 @@
 import spartrail.subset.SubsetSelector;
 import spartrail.subset.SubsetSettings;
 
-/** Faults that the checks of subsets must catch: each makes a node's lists as a subset with that mistake would. */
+/** Mutations that the checks of subsets must catch: each makes a node's lists as a subset with that mistake would. */
 public enum SubsetMutation {
-    NONE("as it is", node -> node.filter()::own),
+    NONE("as it is", node -> node.filter()::toSubset),
     SPARES_FORGOTTEN("no spare follows one that is gone", node -> {
         SubsetFilter filter = node.filter();
-        return (list, nowMs) -> list.all()
-                ? filter.own(list, nowMs)
-                : only(filter.own(list, nowMs), line -> line.state() != Server.State.LIVE || named(list, line.id()));
+        return (list, nowMs) -> list.isComplete()
+                ? filter.toSubset(list, nowMs)
+                : filtered(
+                        filter.toSubset(list, nowMs),
+                        endpoint -> endpoint.state() != Server.State.LIVE || isNamed(list, endpoint.id()));
     }),
     ZONE_IGNORED("zones do not count", node -> {
         SubsetSettings settings = node.shape().settings();
         return new SubsetFilter(
                 node.shape().selector(node.number(), new SubsetSettings(settings.replicasPerShard(), 1)),
-                FleetShape.LONGEST_OUT_MS)::own;
+                FleetShape.MAX_IN_FLIGHT_MS)::toSubset;
     }),
     DRAINING_KEPT("a draining server stays in use", node -> {
         SubsetFilter filter = node.filter();
         return (list, nowMs) -> {
-            List<Endpoint> lines = new ArrayList<>();
-            for (Endpoint line : filter.own(list, nowMs).lines()) {
-                boolean drains = line.state() == Server.State.DRAINING && named(list, line.id());
-                lines.add(drains ? line.with(Server.State.LIVE) : line);
+            List<Endpoint> endpoints = new ArrayList<>();
+            for (Endpoint endpoint : filter.toSubset(list, nowMs).endpoints()) {
+                boolean drains = endpoint.state() == Server.State.DRAINING && isNamed(list, endpoint.id());
+                endpoints.add(drains ? endpoint.withState(Server.State.LIVE) : endpoint);
             }
-            return new EndpointList(list.version(), false, lines);
+            return new EndpointList(list.version(), false, endpoints);
         };
     }),
-    ORDER_NOT_STABLE("the order depends on the list's version", node -> new ReshufflingFilter(node)::own),
-    RAMP_BY_ALL_NODES("the ramp of cold servers is shared by all nodes", node -> node.filter()::own),
+    ORDER_NOT_STABLE("the order depends on the list's version", node -> new ReshufflingFilter(node)::toSubset),
+    RAMP_BY_ALL_NODES("the ramp of cold servers is shared by all nodes", node -> node.filter()::toSubset),
     DISPLACED_AS_GONE("a server that leaves the subset is told as gone at once", node -> {
         SubsetFilter filter = node.filter();
         return (list, nowMs) -> {
-            List<Endpoint> lines = new ArrayList<>();
-            for (Endpoint line : filter.own(list, nowMs).lines()) {
-                lines.add(
-                        line.state() == Server.State.DRAINING && !named(list, line.id())
-                                ? line.with(Server.State.GONE)
-                                : line);
+            List<Endpoint> endpoints = new ArrayList<>();
+            for (Endpoint endpoint : filter.toSubset(list, nowMs).endpoints()) {
+                endpoints.add(
+                        endpoint.state() == Server.State.DRAINING && !isNamed(list, endpoint.id())
+                                ? endpoint.withState(Server.State.GONE)
+                                : endpoint);
             }
-            return new EndpointList(list.version(), false, lines);
+            return new EndpointList(list.version(), false, endpoints);
         };
     }),
     WHOLE_LIST_ADDS_ONLY("a whole list ends no server that it leaves out", node -> {
         SubsetFilter filter = node.filter();
-        return (list, nowMs) -> filter.own(new EndpointList(list.version(), false, list.lines()), nowMs);
+        return (list, nowMs) -> filter.toSubset(new EndpointList(list.version(), false, list.endpoints()), nowMs);
     });
 
     /** Makes the lists of one node. */
     interface Lists {
-        EndpointList own(EndpointList list, double nowMs);
+        EndpointList toSubset(EndpointList list, double nowMs);
     }
 
     /** The node whose lists are made. */
@@ -72,11 +74,11 @@
     }
 
     final String summary;
-    private final Function<Node, Lists> making;
+    private final Function<Node, Lists> factory;
 
-    SubsetMutation(String summary, Function<Node, Lists> making) {
+    SubsetMutation(String summary, Function<Node, Lists> factory) {
         this.summary = summary;
-        this.making = making;
+        this.factory = factory;
     }
 
     public String summary() {
@@ -84,56 +86,58 @@
     }
 
     Lists lists(FleetShape shape, int node) {
-        return making.apply(new Node(shape, node));
+        return factory.apply(new Node(shape, node));
     }
 
-    /** What a node takes as the count of those that share a server. */
-    int nodesPerServer(FleetShape shape, int figure) {
-        return this == RAMP_BY_ALL_NODES ? shape.nodes() : figure;
+    /** How many nodes share a server, as a node counts them. */
+    int nodesPerServer(FleetShape shape, int counted) {
+        return this == RAMP_BY_ALL_NODES ? shape.nodes() : counted;
     }
 
-    private static EndpointList only(EndpointList list, Predicate<Endpoint> kept) {
+    private static EndpointList filtered(EndpointList list, Predicate<Endpoint> isKept) {
         return new EndpointList(
-                list.version(), list.all(), list.lines().stream().filter(kept).toList());
+                list.version(),
+                list.isComplete(),
+                list.endpoints().stream().filter(isKept).toList());
     }
 
-    private static boolean named(EndpointList list, String id) {
-        return list.lines().stream().anyMatch(line -> line.id().equals(id));
+    private static boolean isNamed(EndpointList list, String id) {
+        return list.endpoints().stream().anyMatch(endpoint -> endpoint.id().equals(id));
     }
 
     /** Chooses anew in another order with each version of the list. */
     private static final class ReshufflingFilter {
         private final Node node;
         private final Map<String, Endpoint> all = new LinkedHashMap<>();
-        private final Map<String, Endpoint> told = new LinkedHashMap<>();
+        private final Map<String, Endpoint> published = new LinkedHashMap<>();
 
         ReshufflingFilter(Node node) {
             this.node = node;
         }
 
-        EndpointList own(EndpointList list, double nowMs) {
-            if (list.all()) {
+        EndpointList toSubset(EndpointList list, double nowMs) {
+            if (list.isComplete()) {
                 all.clear();
             }
-            for (Endpoint line : list.lines()) {
-                if (line.state() == Server.State.GONE) {
-                    all.remove(line.id());
+            for (Endpoint endpoint : list.endpoints()) {
+                if (endpoint.state() == Server.State.GONE) {
+                    all.remove(endpoint.id());
                 } else {
-                    all.put(line.id(), line);
+                    all.put(endpoint.id(), endpoint);
                 }
             }
             FleetShape shape = node.shape();
             var selector = new SubsetSelector(
                     shape.node(node.number()) + list.version(), shape.settings(), shape.shards(), shape.shards(), 1);
-            EndpointList fresh = new SubsetFilter(selector, FleetShape.LONGEST_OUT_MS)
-                    .own(new EndpointList(list.version(), true, List.copyOf(all.values())), nowMs);
-            List<Endpoint> lines = new ArrayList<>(fresh.lines());
-            told.values().stream()
-                    .filter(line -> !named(fresh, line.id()))
-                    .forEach(line -> lines.add(line.with(Server.State.GONE)));
-            told.clear();
-            fresh.lines().forEach(line -> told.put(line.id(), line));
-            return new EndpointList(list.version(), false, lines);
+            EndpointList fresh = new SubsetFilter(selector, FleetShape.MAX_IN_FLIGHT_MS)
+                    .toSubset(new EndpointList(list.version(), true, List.copyOf(all.values())), nowMs);
+            List<Endpoint> endpoints = new ArrayList<>(fresh.endpoints());
+            published.values().stream()
+                    .filter(endpoint -> !isNamed(fresh, endpoint.id()))
+                    .forEach(endpoint -> endpoints.add(endpoint.withState(Server.State.GONE)));
+            published.clear();
+            fresh.endpoints().forEach(endpoint -> published.put(endpoint.id(), endpoint));
+            return new EndpointList(list.version(), false, endpoints);
         }
     }
 }
--- a/lab/src/main/java/spartrail/lab/subset/SubsetReader.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetReader.java
@@ -10,9 +10,9 @@
 import spartrail.endpoint.EndpointList.Endpoint;
 import spartrail.model.Server;
 
-/** Who reads a node's own lists, as its module does: the servers that it may send to, shard by shard. */
+/** A reader of a node's own lists, as its coordinator is one: the servers that it may send to, shard by shard. */
 final class SubsetReader {
-    private final Map<String, Endpoint> told = new HashMap<>();
+    private final Map<String, Endpoint> known = new HashMap<>();
     private final List<Set<String>> live = new ArrayList<>();
 
     SubsetReader(int shards) {
@@ -21,23 +21,25 @@
         }
     }
 
-    /** Takes a list; returns how many servers it has newly been told to use. */
-    int take(EndpointList list) {
+    /** Applies a list; returns how many servers have come into use. */
+    int apply(EndpointList list) {
         int opened = 0;
-        for (Endpoint line : list.lines()) {
-            Endpoint before = line.state() == Server.State.GONE ? told.remove(line.id()) : told.put(line.id(), line);
+        for (Endpoint endpoint : list.endpoints()) {
+            Endpoint before = endpoint.state() == Server.State.GONE
+                    ? known.remove(endpoint.id())
+                    : known.put(endpoint.id(), endpoint);
             if (before != null) {
                 live.get(before.cell()).remove(before.id());
             }
-            if (line.state() == Server.State.LIVE) {
-                live.get(line.cell()).add(line.id());
+            if (endpoint.state() == Server.State.LIVE) {
+                live.get(endpoint.cell()).add(endpoint.id());
                 opened += before == null || before.state() != Server.State.LIVE ? 1 : 0;
             }
         }
         return opened;
     }
 
-    Set<String> live(int shard) {
+    Set<String> liveServers(int shard) {
         return live.get(shard);
     }
 
@@ -45,8 +47,8 @@
         return live.stream().mapToInt(Set::size).sum();
     }
 
-    /** Servers told of, those that drain included. */
-    int told() {
-        return told.size();
+    /** Servers that it knows, draining ones included. */
+    int knownServers() {
+        return known.size();
     }
 }
--- a/lab/src/main/java/spartrail/lab/subset/SubsetScript.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetScript.java
@@ -12,14 +12,14 @@
 import spartrail.model.Server;
 
 /**
- * What happens to the servers of a fleet, drawn from a seed: servers replaced, drained and brought back, a rack and a zone lost and
- * back, and a while in which some nodes hear of nothing until they are told the whole list.
+ * What happens to the servers of a fleet, generated from a seed: servers replaced, drained and brought back, a rack and a zone lost and
+ * restored.
  */
 final class SubsetScript {
-    private static final int RACK = 20;
-    private static final double STEP_MS = 300;
+    private static final int RACK_SERVERS = 20;
+    private static final double STEP_INTERVAL_MS = 300;
 
-    /** A step, what it changes, and the lines of all servers after it by their names. */
+    /** A step, what it changes, and the endpoints of all servers after it by their names. */
     record Step(String what, double atMs, EndpointList change, Map<String, Endpoint> after) {}
 
     private final FleetShape shape;
@@ -35,114 +35,117 @@
     }
 
     /** So many single changes around a loss of a rack and of a zone. */
-    static List<Step> of(FleetShape shape, long seed, int changes) {
+    static List<Step> generate(FleetShape shape, long seed, int changes) {
         SubsetScript script = new SubsetScript(shape, seed);
         script.start();
         for (int i = 0; i < changes; i++) {
-            script.single();
+            script.changeOne();
         }
-        script.lose("rack", script.rack());
+        script.remove("rack", script.randomRack());
         for (int i = 0; i < changes; i++) {
-            script.single();
+            script.changeOne();
         }
-        script.back("rack");
-        script.lose("zone", script.zone());
-        script.single();
-        script.back("zone");
+        script.restore("rack");
+        script.remove("zone", script.randomZone());
+        script.changeOne();
+        script.restore("zone");
         for (int i = 0; i < changes; i++) {
-            script.single();
+            script.changeOne();
         }
         return script.steps;
     }
 
     private void start() {
-        List<Endpoint> lines = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int number = 0; number < shape.servers(); number++) {
-            lines.add(line(number, number, 0, Server.State.LIVE));
+            endpoints.add(endpoint(number, number, 0, Server.State.LIVE));
         }
-        lines.forEach(line -> present.put(line.id(), line));
-        steps.add(new Step("start", 0, new EndpointList(version, true, lines), present));
+        endpoints.forEach(endpoint -> present.put(endpoint.id(), endpoint));
+        steps.add(new Step("start", 0, new EndpointList(version, true, endpoints), present));
     }
 
-    private Endpoint line(int place, int name, long bootMs, Server.State state) {
+    private Endpoint endpoint(int place, int name, long bootMs, Server.State state) {
         return HollowServers.endpoint(
                 shape.region() + "s-" + name, place, shape.shards(), shape.zones(), state, bootMs);
     }
 
-    private void step(String what, List<Endpoint> lines) {
+    private void step(String what, List<Endpoint> endpoints) {
         Map<String, Endpoint> after = new LinkedHashMap<>(present);
-        for (Endpoint line : lines) {
-            if (line.state() == Server.State.GONE) {
-                after.remove(line.id());
+        for (Endpoint endpoint : endpoints) {
+            if (endpoint.state() == Server.State.GONE) {
+                after.remove(endpoint.id());
             } else {
-                after.put(line.id(), line);
+                after.put(endpoint.id(), endpoint);
             }
         }
         present = after;
-        steps.add(new Step(what, steps.size() * STEP_MS, new EndpointList(++version, false, lines), after));
+        steps.add(
+                new Step(what, steps.size() * STEP_INTERVAL_MS, new EndpointList(++version, false, endpoints), after));
     }
 
-    private Endpoint any() {
+    private Endpoint randomEndpoint() {
         List<String> names = new ArrayList<>(present.keySet());
         return present.get(names.get(random.nextInt(names.size())));
     }
 
-    private void single() {
-        Endpoint line = any();
+    private void changeOne() {
+        Endpoint endpoint = randomEndpoint();
         switch (random.nextInt(4)) {
             case 0 -> {
                 Endpoint next = new Endpoint(
                         shape.region() + "r-" + replaced++,
-                        line.address(),
-                        line.zone(),
-                        line.kind(),
-                        line.cell(),
+                        endpoint.address(),
+                        endpoint.zone(),
+                        endpoint.kind(),
+                        endpoint.cell(),
                         Server.State.LIVE,
-                        line.rating(),
+                        endpoint.weight(),
                         steps.size());
-                step("replacement", List.of(line.with(Server.State.GONE), next));
+                step("replacement", List.of(endpoint.withState(Server.State.GONE), next));
             }
-            case 1 -> step("drain", List.of(line.with(Server.State.DRAINING)));
-            case 2 -> step("back", List.of(line.with(Server.State.LIVE)));
-            default -> step("leave", List.of(line.with(Server.State.GONE)));
+            case 1 -> step("drain", List.of(endpoint.withState(Server.State.DRAINING)));
+            case 2 -> step("back", List.of(endpoint.withState(Server.State.LIVE)));
+            default -> step("leave", List.of(endpoint.withState(Server.State.GONE)));
         }
     }
 
-    private List<Endpoint> rack() {
-        int from = random.nextInt(Math.max(1, present.size() - RACK));
-        return present.values().stream().skip(from).limit(RACK).toList();
+    private List<Endpoint> randomRack() {
+        int from = random.nextInt(Math.max(1, present.size() - RACK_SERVERS));
+        return present.values().stream().skip(from).limit(RACK_SERVERS).toList();
     }
 
-    private List<Endpoint> zone() {
+    private List<Endpoint> randomZone() {
         List<String> zones = new ArrayList<>(
                 new TreeSet<>(present.values().stream().map(Endpoint::zone).toList()));
         String lost = zones.get(random.nextInt(zones.size()));
         return present.values().stream()
-                .filter(line -> line.zone().equals(lost))
+                .filter(endpoint -> endpoint.zone().equals(lost))
                 .toList();
     }
 
     private List<Endpoint> lost = List.of();
 
-    private void lose(String what, List<Endpoint> servers) {
+    private void remove(String what, List<Endpoint> servers) {
         lost = servers;
         step(
                 what + " lost",
-                servers.stream().map(line -> line.with(Server.State.GONE)).toList());
+                servers.stream()
+                        .map(endpoint -> endpoint.withState(Server.State.GONE))
+                        .toList());
     }
 
-    private void back(String what) {
+    private void restore(String what) {
         step(
                 what + " back",
                 lost.stream()
-                        .map(line -> new Endpoint(
-                                line.id(),
-                                line.address(),
-                                line.zone(),
-                                line.kind(),
-                                line.cell(),
+                        .map(endpoint -> new Endpoint(
+                                endpoint.id(),
+                                endpoint.address(),
+                                endpoint.zone(),
+                                endpoint.kind(),
+                                endpoint.cell(),
                                 Server.State.LIVE,
-                                line.rating(),
+                                endpoint.weight(),
                                 steps.size()))
                         .toList());
     }
--- a/lab/src/main/java/spartrail/lab/subset/SubsetStrategy.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetStrategy.java
@@ -10,7 +10,7 @@
 import spartrail.subset.SubsetSelector.LiveServer;
 import spartrail.subset.SubsetSettings;
 
-/** Ways to choose a node's replicas of one shard. */
+/** Strategies to choose a node's replicas of one shard. */
 enum SubsetStrategy {
     RENDEZVOUS("weighted rendezvous by names") {
         @Override
@@ -21,7 +21,7 @@
                             .map(server -> new LiveServer(server.id(), server.zone(), 0, server.weight()))
                             .toList(),
                     List.of());
-            return selector.selected(0);
+            return selector.selectedReplicas(0);
         }
     },
     ALL("all replicas") {
@@ -64,7 +64,7 @@
     abstract List<String> choose(int ordinal, String node, List<LiveServer> replicas, SubsetSettings settings);
 
     /** How many of the second choice are not in the first. */
-    static int opened(List<String> before, List<String> after) {
+    static int countOpened(List<String> before, List<String> after) {
         Set<String> known = new HashSet<>(before);
         return (int) after.stream().filter(id -> !known.contains(id)).count();
     }
--- a/lab/src/test/java/spartrail/lab/subset/SubsetRunTest.java
+++ b/lab/src/test/java/spartrail/lab/subset/SubsetRunTest.java
@@ -27,7 +27,7 @@
     void everyPlantedFaultIsCaught() {
         for (SubsetMutation fault : SubsetMutation.values()) {
             int caught = (int) IntStream.rangeClosed(1, 3)
-                    .filter(seed -> SubsetRun.play(SHAPE, seed, CHANGES, fault).breaches() > 0)
+                    .filter(seed -> SubsetRun.play(SHAPE, seed, CHANGES, fault).violations() > 0)
                     .count();
             if (fault == SubsetMutation.NONE) {
                 assertThat(caught).as(fault.summary()).isZero();
@@ -40,7 +40,7 @@
     @Test
     void aChangeMovesNothingButTheServerItselfAndWhatItDisplaces() {
         FleetShape shape = new FleetShape(200, 2000, 50, 8, new SubsetSettings(8, 2), "");
-        List<SubsetFigures.Row> rows = SubsetFigures.of(List.of(shape));
+        List<SubsetFigures.Row> rows = SubsetFigures.measure(List.of(shape));
         SubsetFigures.Row rendezvous = rows.get(SubsetStrategy.RENDEZVOUS.ordinal());
         assertThat(rendezvous.connections()).isEqualTo(400);
         assertThat(rendezvous.emptyShards()).isZero();
--- a/node/src/main/java/spartrail/cli/SubsetCommand.java
+++ b/node/src/main/java/spartrail/cli/SubsetCommand.java
@@ -48,25 +48,25 @@
         SubsetSelector selector = deployment.subsetSelector();
         selector.apply(live(), List.of());
         summary(out, deployment, selector);
-        for (int group = 0; group < selector.groups(); group++) {
+        for (int group = 0; group < selector.groupCount(); group++) {
             List<String> follow = selector.spares(group);
-            out.println("shard " + group + ": uses " + String.join(" ", selector.selected(group)) + "; then "
+            out.println("shard " + group + ": uses " + String.join(" ", selector.selectedReplicas(group)) + "; then "
                     + (follow.isEmpty()
                             ? "none"
                             : String.join(" ", follow.subList(0, Math.min(Math.max(0, spares), follow.size()))))
-                    + " (" + follow.size() + " spares, " + selector.zones(group) + " zones)");
+                    + " (" + follow.size() + " spares, " + selector.zoneCount(group) + " zones)");
         }
         return 0;
     }
 
     private List<LiveServer> live() {
         try {
-            return EndpointList.decode(Files.readAllBytes(list)).lines().stream()
+            return EndpointList.decode(Files.readAllBytes(list)).endpoints().stream()
                     .filter(line -> line.state() == Server.State.LIVE)
-                    .map(line -> new LiveServer(line.id(), line.zone(), line.cell(), line.rating()))
+                    .map(line -> new LiveServer(line.id(), line.zone(), line.cell(), line.weight()))
                     .toList();
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException(list + ": no JSON: " + JsonTree.fault(e), e);
+            throw new IllegalArgumentException(list + ": no JSON: " + JsonTree.describe(e), e);
         } catch (IOException e) {
             throw new IllegalArgumentException("cannot read " + list, e);
         } catch (IllegalArgumentException e) {
@@ -75,17 +75,17 @@
     }
 
     private static void summary(PrintStream out, DeploymentFile deployment, SubsetSelector selector) {
-        int used = selector.selected().size();
+        int used = selector.selectedServers().size();
         out.printf(
                 Locale.ROOT,
                 "node %s uses %d of %d live servers; each is used by %.1f of %d nodes on average, by more than %d with a"
                         + " chance below %.0e%n",
                 deployment.name(),
                 used,
-                selector.liveServers(),
-                deployment.nodes() * used / (double) Math.max(1, selector.liveServers()),
+                selector.liveServerCount(),
+                deployment.nodes() * used / (double) Math.max(1, selector.liveServerCount()),
                 deployment.nodes(),
                 selector.nodesPerServer(deployment.nodes()),
-                SharingBound.CHANCE);
+                SharingBound.EXCEEDANCE_PROBABILITY);
     }
 }
--- a/node/src/main/java/spartrail/config/DeploymentFile.java
+++ b/node/src/main/java/spartrail/config/DeploymentFile.java
@@ -60,7 +60,7 @@
 
     public static DeploymentFile parse(String text) throws IOException {
         try (JsonParser parser = new JsonFactory().createParser(text)) {
-            if (parser.nextToken() == null || !(JsonTree.value(parser) instanceof Map<?, ?> tree)) {
+            if (parser.nextToken() == null || !(JsonTree.readValue(parser) instanceof Map<?, ?> tree)) {
                 throw new IllegalArgumentException("a JSON object is expected");
             }
             if (!(tree.get("settings") instanceof Map<?, ?>)) {
@@ -74,7 +74,7 @@
                 throw new IllegalArgumentException("a setting is of the wrong kind", e);
             }
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("no JSON: " + JsonTree.fault(e) + " in line "
+            throw new IllegalArgumentException("no JSON: " + JsonTree.describe(e) + " in line "
                     + e.getLocation().getLineNr());
         }
     }
--- a/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
+++ b/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
@@ -22,7 +22,7 @@
  * Stands between the roll's watch and the loop: what sources say goes into the view, and the lines that change come out as
  * changes of the list. One thread owns the view.
  */
-public final class EndpointSources implements DiscoveryClient.Listener, EndpointSourceProvider.Words, AutoCloseable {
+public final class EndpointSources implements DiscoveryClient.Listener, EndpointSourceProvider.Listener, AutoCloseable {
     private static final System.Logger LOG = System.getLogger("spartrail.members");
 
     private final EndpointRegistry view;
@@ -45,7 +45,7 @@
     public EndpointSources(
             EndpointSourcesFile file,
             int cells,
-            int reach,
+            int replicationFactor,
             NodeClock clock,
             EndpointList known,
             DiscoveryClient.Listener loop) {
@@ -53,17 +53,17 @@
         this.loop = loop;
         var allowed = file.allowed();
         List<String> rolled =
-                known.lines().stream().map(line -> text(line.address())).toList();
+                known.endpoints().stream().map(line -> text(line.address())).toList();
         // What the roll names is allowed: its word is law. Ranges bound what others may name.
         this.view = new EndpointRegistry(
                 cells,
-                reach,
-                file.bounds(),
+                replicationFactor,
+                file.limits(),
                 endpoint -> allowed.test(endpoint) || rolled.contains(endpoint) || fromRoll);
-        this.roll = view.source("roll", EndpointSource.Kind.ROLL, clock.nowMs());
-        byRoll(() -> view.said(roll, true, lines(known), 0, clock.nowMs()));
-        view.out(roll, clock.nowMs());
-        view.changes();
+        this.roll = view.source("roll", EndpointSource.Kind.DISCOVERY, clock.nowMs());
+        byRoll(() -> view.applyReports(roll, true, lines(known), 0, clock.nowMs()));
+        view.markUnavailable(roll, clock.nowMs());
+        view.takeChanges();
     }
 
     private void byRoll(Runnable what) {
@@ -87,45 +87,49 @@
     }
 
     @Override
-    public void listed(EndpointList list) {
+    public void onEndpointUpdate(EndpointList list) {
         thread.execute(() -> {
-            byRoll(() -> view.said(roll, list.all(), lines(list), 0, clock.nowMs()));
+            byRoll(() -> view.applyReports(roll, list.isComplete(), lines(list), 0, clock.nowMs()));
             // Also where nothing changed: who asks for the list waits for its answer.
             hand(true);
         });
     }
 
     @Override
-    public void unlisted() {
+    public void onDiscoveryUnavailable() {
         thread.execute(() -> {
-            view.out(roll, clock.nowMs());
+            view.markUnavailable(roll, clock.nowMs());
             hand(false);
         });
-        loop.unlisted();
+        loop.onDiscoveryUnavailable();
     }
 
     @Override
-    public void said(
-            String source, EndpointSource.Kind kind, boolean whole, List<SourceReport> lines, double lifetimeMs) {
+    public void onReports(
+            String source,
+            EndpointSource.Kind kind,
+            boolean isComplete,
+            List<SourceReport> reports,
+            double lifetimeMs) {
         thread.execute(() -> {
             double nowMs = clock.nowMs();
-            view.said(view.source(source, kind, nowMs), whole, lines, lifetimeMs, nowMs);
+            view.applyReports(view.source(source, kind, nowMs), isComplete, reports, lifetimeMs, nowMs);
             hand(false);
         });
     }
 
     @Override
-    public void out(String source, EndpointSource.Kind kind) {
+    public void onUnavailable(String source, EndpointSource.Kind kind) {
         thread.execute(() -> {
             double nowMs = clock.nowMs();
-            view.out(view.source(source, kind, nowMs), nowMs);
+            view.markUnavailable(view.source(source, kind, nowMs), nowMs);
             hand(false);
         });
     }
 
     private List<SourceReport> lines(EndpointList list) {
         List<SourceReport> lines = new ArrayList<>();
-        for (EndpointList.Endpoint line : list.lines()) {
+        for (EndpointList.Endpoint line : list.endpoints()) {
             lines.add(new SourceReport(
                     line.id(),
                     line.address() == null ? null : text(line.address()),
@@ -133,7 +137,7 @@
                     line.kind(),
                     line.cell(),
                     line.state(),
-                    line.rating(),
+                    line.weight(),
                     line.bootMs() > 0 ? clock.at(line.bootMs()) : -1,
                     0));
         }
@@ -148,23 +152,23 @@
     private void hand(boolean always) {
         view.advance(clock.nowMs());
         List<EndpointList.Endpoint> lines = new ArrayList<>();
-        for (SourceReport said : view.changes()) {
+        for (SourceReport said : view.takeChanges()) {
             lines.add(new EndpointList.Endpoint(
                     said.id(),
-                    EndpointList.address(said.endpoint()),
+                    EndpointList.address(said.address()),
                     said.zone(),
                     said.kind(),
                     said.cell(),
                     said.state(),
-                    said.rating(),
-                    said.bornMs() > 0 ? unix(said.bornMs()) : 0));
+                    said.weight(),
+                    said.startedMs() > 0 ? unix(said.startedMs()) : 0));
             LOG.log(
                     System.Logger.Level.INFO,
-                    said.id() + " at " + said.endpoint() + " is " + said.state() + ": "
-                            + view.find(said.id()).rule());
+                    said.id() + " at " + said.address() + " is " + said.state() + ": "
+                            + view.find(said.id()).reason());
         }
         if (always || !lines.isEmpty()) {
-            loop.listed(new EndpointList(++version, false, lines));
+            loop.onEndpointUpdate(new EndpointList(++version, false, lines));
         }
         if (due != null) {
             due.cancel(false);
--- a/node/src/main/java/spartrail/endpoint/sources/EndpointSourcesFile.java
+++ b/node/src/main/java/spartrail/endpoint/sources/EndpointSourcesFile.java
@@ -46,17 +46,17 @@
             throw new IllegalArgumentException("cannot read " + path, e);
         }
         try (JsonParser parser = new JsonFactory().createParser(text)) {
-            if (parser.nextToken() == null || !(JsonTree.value(parser) instanceof Map<?, ?> tree)) {
+            if (parser.nextToken() == null || !(JsonTree.readValue(parser) instanceof Map<?, ?> tree)) {
                 throw new IllegalArgumentException(path + ": a JSON object is expected");
             }
             EndpointSourcesFile file = new EndpointSourcesFile(tree);
             file.known();
-            file.bounds();
+            file.limits();
             file.allowed();
             return file;
         } catch (JsonProcessingException e) {
             throw new IllegalArgumentException(
-                    path + ":" + e.getLocation().getLineNr() + ": no JSON: " + JsonTree.fault(e), e);
+                    path + ":" + e.getLocation().getLineNr() + ": no JSON: " + JsonTree.describe(e), e);
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(
                     e.getMessage().startsWith(path.toString()) ? e.getMessage() : path + ": " + e.getMessage(), e);
@@ -76,7 +76,7 @@
         }
     }
 
-    MergeLimits bounds() {
+    MergeLimits limits() {
         Map<?, ?> merge = tree.get("merge") instanceof Map<?, ?> given ? given : Map.of();
         for (Object name : merge.keySet()) {
             if (!BOUNDS.contains(name)) {
@@ -84,19 +84,19 @@
                         + BOUNDS.stream().sorted().toList() + " is expected");
             }
         }
-        MergeLimits usual = MergeLimits.USUAL;
+        MergeLimits usual = MergeLimits.DEFAULT;
         return new MergeLimits(
                 (int) number(merge, "floor", usual.floor()),
                 number(merge, "freezeMs", usual.freezeMs()),
                 number(merge, "suspectMs", usual.suspectMs()),
-                number(merge, "rollConfirmMs", usual.rollConfirmMs()),
+                number(merge, "rollConfirmMs", usual.discoveryConfirmMs()),
                 number(merge, "confirmMs", usual.confirmMs()),
                 (int) number(merge, "confirmAnswers", usual.confirmAnswers()),
-                number(merge, "flapMs", usual.flapMs()),
-                number(merge, "flapMostMs", usual.flapMostMs()),
-                number(merge, "flapForgetMs", usual.flapForgetMs()),
-                number(merge, "keptMs", usual.keptMs()),
-                (int) number(merge, "mostMembers", usual.mostMembers()));
+                number(merge, "flapMs", usual.flapDelayMs()),
+                number(merge, "flapMostMs", usual.maxFlapDelayMs()),
+                number(merge, "flapForgetMs", usual.flapHalfLifeMs()),
+                number(merge, "keptMs", usual.retentionMs()),
+                (int) number(merge, "mostMembers", usual.maxEndpoints()));
     }
 
     private static double number(Map<?, ?> merge, String name, double usual) {
--- a/node/src/main/java/spartrail/sim/SimHost.java
+++ b/node/src/main/java/spartrail/sim/SimHost.java
@@ -39,7 +39,7 @@
             try {
                 batch = batch(line);
             } catch (JsonProcessingException e) {
-                return refuse(number, "no JSON: " + JsonTree.fault(e));
+                return refuse(number, "no JSON: " + JsonTree.describe(e));
             } catch (IllegalArgumentException e) {
                 return refuse(number, "no batch: " + e.getMessage());
             }
@@ -59,7 +59,7 @@
             if (parser.nextToken() == null) {
                 throw new IllegalArgumentException("the line is empty");
             }
-            value = JsonTree.value(parser);
+            value = JsonTree.readValue(parser);
             if (parser.nextToken() != null) {
                 throw new IllegalArgumentException("more than one value on the line");
             }
