--- a/node/src/test/java/spartrail/discovery/DiscoveryClientTest.java
+++ b/node/src/test/java/spartrail/discovery/DiscoveryClientTest.java
@@ -37,9 +37,9 @@
     private final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
     private final List<HttpServer> servers = new ArrayList<>();
     private XnioWorker worker;
-    private DiscoveryClient watch;
+    private DiscoveryClient client;
     /** Whether time passes only as the test says. */
-    private boolean held;
+    private boolean isTimeManual;
 
     private ManualTimers timers;
 
@@ -77,17 +77,18 @@
     private void watch(InetSocketAddress address, boolean onRequest) throws IOException {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         timers = new ManualTimers(worker.getIoThread());
-        watch = new DiscoveryClient(
+        client = new DiscoveryClient(
                 worker.getIoThread(),
-                held ? timers : IoTimers.of(worker.getIoThread()),
+                isTimeManual ? timers : IoTimers.of(worker.getIoThread()),
                 new DefaultByteBufferPool(true, 1024),
                 address,
                 onRequest,
                 new DiscoveryClient.Listener() {
                     @Override
-                    public void listed(EndpointList list) {
-                        StringBuilder told = new StringBuilder(list.version() + (list.all() ? " all" : " changes"));
-                        list.lines().forEach(line -> told.append(' ')
+                    public void onEndpointUpdate(EndpointList list) {
+                        StringBuilder told =
+                                new StringBuilder(list.version() + (list.isComplete() ? " all" : " changes"));
+                        list.endpoints().forEach(line -> told.append(' ')
                                 .append(line.id())
                                 .append('=')
                                 .append(line.state()));
@@ -95,11 +96,11 @@
                     }
 
                     @Override
-                    public void unlisted() {
+                    public void onDiscoveryUnavailable() {
                         seen.add("not to be had");
                     }
                 });
-        worker.getIoThread().execute(watch::start);
+        worker.getIoThread().execute(client::start);
     }
 
     private String trace(int lines) throws InterruptedException {
@@ -114,7 +115,7 @@
     void close() throws InterruptedException {
         CountDownLatch closed = new CountDownLatch(1);
         worker.getIoThread().execute(() -> {
-            watch.close();
+            client.close();
             closed.countDown();
         });
         closed.await();
@@ -123,7 +124,7 @@
     }
 
     @Test
-    void changesAreToldInOrderAndWhateverGoesWrongIsAListThatCouldNotBeHad() throws Exception {
+    void changesArriveInOrderAndEveryFailureIsReportedAsUnavailable() throws Exception {
         watch(discovery(
                 "",
                 list(41, true, LINE.formatted("s-1", "SERVING"), LINE.formatted("s-2", "SERVING")),
@@ -155,26 +156,25 @@
     }
 
     @Test
-    void aSilentWatchIsOpenedAnewBeforeItsNewsCountAsToldAndOneThatWasSilentFindsOutSoonWhetherItStillIs()
-            throws Exception {
-        held = true;
+    void aSilentLongPollIsFollowedByShortPollsBeforeItsChangesMustBeKnown() throws Exception {
+        isTimeManual = true;
         watch(discovery("", list(41, true, LINE.formatted("s-1", "SERVING"))));
         assertThat(trace(3)).endsWith("GET /discovery/hosts?since=41&timeout_ms=4000\n");
-        timers.pass(4601);
+        timers.advance(4601);
         assertThat(seen).isEmpty();
-        timers.pass(1);
+        timers.advance(1);
         assertThat(trace(2)).isEqualTo("not to be had\nGET /discovery/hosts?since=41&timeout_ms=50\n");
-        timers.pass(651);
+        timers.advance(651);
         assertThat(seen).isEmpty();
-        timers.pass(1);
+        timers.advance(1);
         assertThat(trace(1)).isEqualTo("not to be had\n");
-        timers.pass(200);
+        timers.advance(200);
         assertThat(trace(1)).isEqualTo("GET /discovery/hosts?since=41&timeout_ms=50\n");
         assertThat(timers.nanoTime()).as("before the news count as told").isLessThan(6_000_000_000L);
     }
 
     @Test
-    void whereTheListIsAskedForACallBehindAFailedOneHardlyWaits() throws Exception {
+    void onRequestAPollAfterAFailedOneIsShort() throws Exception {
         watch(
                 discovery(
                                 "",
@@ -185,7 +185,7 @@
                         .getAddress(),
                 true);
         assertThat(trace(4)).endsWith("GET /discovery/hosts?since=41&timeout_ms=4000\nnot to be had\n");
-        worker.getIoThread().execute(watch::start);
+        worker.getIoThread().execute(client::start);
         assertThat(trace(3))
                 .isEqualTo(
                         """
@@ -240,7 +240,7 @@
     }
 
     @Test
-    void aListWithoutALengthIsWholeAtTheEndOfItsStreamAndAResetIsNoEnd() throws Exception {
+    void aBodyWithoutLengthIsCompleteAtTheEndOfItsStreamAndAResetIsAFailure() throws Exception {
         String list = list(41, true, LINE.formatted("s-1", "SERVING")).replace(",", ",\n   ");
         raw("HTTP/1.1 200 OK\r\n\r\n" + list, 4096, End.RESET);
         assertThat(trace(1)).isEqualTo("not to be had\n");
@@ -251,23 +251,23 @@
     }
 
     @Test
-    void aListThatFallsSilentInTheMiddleIsGivenUpAndAskedForAnew() throws Exception {
-        held = true;
+    void aBodyThatStallsIsGivenUpAndAskedForAgain() throws Exception {
+        isTimeManual = true;
         raw(
                 "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + list(41, true, LINE.formatted("s-1", "SERVING")),
                 4096,
                 End.SILENCE);
         awaitSilent(1);
-        timers.pass(602);
+        timers.advance(602);
         assertThat(trace(1)).isEqualTo("not to be had\n");
         awaitSilent(2);
-        timers.pass(602);
+        timers.advance(602);
         assertThat(trace(1)).isEqualTo("not to be had\n");
         assertThat(silent).as("connections, each for one call").hasSizeGreaterThan(1);
     }
 
     @Test
-    void aWatchThatMovesAsksForTheWholeListAndWaitsForNothingAtTheOldAddress() throws Exception {
+    void aClientThatMovesAsksForTheCompleteListAndWaitsForNothingAtTheOldAddress() throws Exception {
         HttpServer second = discovery("2nd ", list(43, true, LINE.formatted("s-1", "DRAINING")));
         HttpServer third = discovery(
                 "3rd ",
@@ -276,8 +276,8 @@
         watch(discovery("", list(41, true, LINE.formatted("s-1", "SERVING"))));
         assertThat(trace(3)).endsWith("GET /discovery/hosts?since=41&timeout_ms=4000\n");
         worker.getIoThread().execute(() -> {
-            watch.move(second.getAddress());
-            watch.move(second.getAddress());
+            client.moveTo(second.getAddress());
+            client.moveTo(second.getAddress());
         });
         assertThat(trace(3))
                 .isEqualTo(
@@ -286,7 +286,7 @@
                 43 all s-1=DRAINING
                 2nd GET /discovery/hosts?since=43&timeout_ms=4000
                 """);
-        worker.getIoThread().execute(() -> watch.move(third.getAddress()));
+        worker.getIoThread().execute(() -> client.moveTo(third.getAddress()));
         assertThat(trace(4))
                 .isEqualTo(
                         """
--- a/node/src/test/java/spartrail/discovery/ManualTimers.java
+++ b/node/src/test/java/spartrail/discovery/ManualTimers.java
@@ -9,10 +9,10 @@
 
 /** Time stands still until a test lets it pass; what is due then runs on the I/O thread, in order. */
 final class ManualTimers implements IoTimers {
-    private record Due(long atNs, Runnable task) {}
+    private record Timer(long atNs, Runnable task) {}
 
     private final XnioIoThread io;
-    private final List<Due> dues = new ArrayList<>();
+    private final List<Timer> timers = new ArrayList<>();
     private long nowNs;
 
     ManualTimers(XnioIoThread io) {
@@ -21,9 +21,9 @@
 
     @Override
     public XnioExecutor.Key after(long ms, Runnable task) {
-        Due due = new Due(nowNs + ms * 1_000_000, task);
-        dues.add(due);
-        return () -> dues.remove(due);
+        Timer timer = new Timer(nowNs + ms * 1_000_000, task);
+        timers.add(timer);
+        return () -> timers.remove(timer);
     }
 
     @Override
@@ -31,26 +31,26 @@
         return nowNs;
     }
 
-    /** Lets so much time pass, and returns when all that was due has run. */
-    void pass(long ms) throws InterruptedException {
-        CountDownLatch passed = new CountDownLatch(1);
+    /** Advances the time by so much, and returns when all that was due has run. */
+    void advance(long ms) throws InterruptedException {
+        CountDownLatch done = new CountDownLatch(1);
         io.execute(() -> {
             long untilNs = nowNs + ms * 1_000_000;
-            for (Due next = next(untilNs); next != null; next = next(untilNs)) {
-                dues.remove(next);
+            for (Timer next = next(untilNs); next != null; next = next(untilNs)) {
+                timers.remove(next);
                 nowNs = Math.max(nowNs, next.atNs);
                 next.task.run();
             }
             nowNs = untilNs;
-            passed.countDown();
+            done.countDown();
         });
-        passed.await();
+        done.await();
     }
 
-    private Due next(long untilNs) {
-        return dues.stream()
-                .filter(due -> due.atNs <= untilNs)
-                .min(Comparator.comparingLong(Due::atNs))
+    private Timer next(long untilNs) {
+        return timers.stream()
+                .filter(timer -> timer.atNs <= untilNs)
+                .min(Comparator.comparingLong(Timer::atNs))
                 .orElse(null);
     }
 }
--- a/node/src/test/java/spartrail/discovery/RetryTimesTest.java
+++ b/node/src/test/java/spartrail/discovery/RetryDelayTest.java
@@ -10,25 +10,25 @@
 import spartrail.model.OpType;
 
 /**
- * How late a change can be heard of: a change counts as told 6 s after discovery had it and could be reached, whatever calls
- * failed before. The worst case is an outage that ends just after a call has begun which is answered no more.
+ * How late a change can arrive: it must be known 6 s after discovery had it and could be reached, whatever polls
+ * failed before. The worst case is an outage that ends just after a poll has begun which is answered no more.
  */
-class RetryTimesTest {
-    private static final double COUNTS_AS_TOLD_MS = 6000;
-    /** The first call that is answered may take as long as one that is given up, connecting included. */
-    private static final double ANSWERED_MS = DiscoveryClient.RETRY_CALL_MS;
+class RetryDelayTest {
+    private static final double MUST_BE_KNOWN_MS = 6000;
+    /** The first poll that is answered may take as long as one that is given up, connecting included. */
+    private static final double RESPONSE_MS = DiscoveryClient.RETRY_TIMEOUT_MS;
 
     @Test
-    void whereTheAgentIsWatchedTheNextCallIsAnsweredInTime() {
-        assertThat(DiscoveryClient.RETRY_CALL_MS + DiscoveryClient.PAUSE_MS + ANSWERED_MS)
-                .isLessThan(COUNTS_AS_TOLD_MS);
-        assertThat(DiscoveryClient.WAITING_CALL_MS + ANSWERED_MS)
-                .as("the watch that fell silent is followed at once")
-                .isLessThan(COUNTS_AS_TOLD_MS);
+    void theNextPollAfterAFailedOneIsAnsweredInTime() {
+        assertThat(DiscoveryClient.RETRY_TIMEOUT_MS + DiscoveryClient.RETRY_PAUSE_MS + RESPONSE_MS)
+                .isLessThan(MUST_BE_KNOWN_MS);
+        assertThat(DiscoveryClient.LONG_POLL_TIMEOUT_MS + RESPONSE_MS)
+                .as("the long poll that fell silent is followed at once")
+                .isLessThan(MUST_BE_KNOWN_MS);
     }
 
     @Test
-    void whereTheListIsAskedForThePauseOfTheModuleFitsIn() {
+    void onRequestThePauseOfTheCoordinatorFitsIn() {
         Random seeds = new Random(5);
         for (int node = 0; node < 100; node++) {
             Coordinator coordinator = new WindowCoordinator(new Random(seeds.nextLong()), List.of(new OpType()))
@@ -42,10 +42,10 @@
                 do {
                     nowMs += coordinator.waitMs(nowMs);
                 } while (!coordinator.waited(nowMs).follow);
-                double callMs = failure == 0 ? DiscoveryClient.WAITING_CALL_MS : DiscoveryClient.RETRY_CALL_MS;
-                assertThat(callMs + (nowMs - failedMs) + ANSWERED_MS)
+                double pollMs = failure == 0 ? DiscoveryClient.LONG_POLL_TIMEOUT_MS : DiscoveryClient.RETRY_TIMEOUT_MS;
+                assertThat(pollMs + (nowMs - failedMs) + RESPONSE_MS)
                         .as("failure %d of node %d", failure, node)
-                        .isLessThan(COUNTS_AS_TOLD_MS);
+                        .isLessThan(MUST_BE_KNOWN_MS);
             }
         }
     }
--- a/node/src/test/java/spartrail/endpoint/sources/EndpointSourcesFileTest.java
+++ b/node/src/test/java/spartrail/endpoint/sources/EndpointSourcesFileTest.java
@@ -16,7 +16,7 @@
         Files.writeString(file, text.replace('\'', '"'));
         try {
             EndpointSourcesFile read = EndpointSourcesFile.read(file);
-            return "floor " + read.bounds().floor() + ", 10.1.2.3 "
+            return "floor " + read.limits().floor() + ", 10.1.2.3 "
                     + read.allowed().test("10.1.2.3:80") + ", 10.2.0.1 "
                     + read.allowed().test("10.2.0.1:80") + ", a name "
                     + read.allowed().test("books.example.org:80");
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void whatIsWrongIsOneLineWithItsPlace() throws Exception {
+    void errorsAreOneLineWithTheirPlace() throws Exception {
         assertThat(String.join(
                         "\n",
                         read("{}"),
--- a/node/src/test/java/spartrail/front/FrontNodeTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeTest.java
@@ -862,8 +862,8 @@
                         new SubsetSelector.LiveServer("s-0", "a", 0, 1),
                         new SubsetSelector.LiveServer("s-2", "a", 2, 1)),
                 List.of());
-        ToyFleet.Toy first =
-                fleet.servers.get(Integer.parseInt(order.selected(0).get(0).substring(2)));
+        ToyFleet.Toy first = fleet.servers.get(
+                Integer.parseInt(order.selectedReplicas(0).get(0).substring(2)));
         ToyFleet.Toy second = fleet.servers.get(2 - first.cell);
         CompletableFuture<ToyFleet.Link> held = new CompletableFuture<>();
         fleet.servers.forEach(toy -> toy.manner = new ToyFleet.Manner() {
--- a/peers/src/main/java/spartrail/peers/transport/PeerMessageCodec.java
+++ b/peers/src/main/java/spartrail/peers/transport/PeerMessageCodec.java
@@ -219,7 +219,7 @@
         }
         try (JsonParser in = CBOR.createParser(bytes, 0, length - CRC)) {
             if (in.nextToken() == null
-                    || !(JsonTree.value(in) instanceof List<?> values)
+                    || !(JsonTree.readValue(in) instanceof List<?> values)
                     || values.size() < 4
                     || !(values.get(0) instanceof Number)
                     || !(values.get(2) instanceof Number lane)) {
--- a/peers/src/main/java/spartrail/peers/transport/PeersFile.java
+++ b/peers/src/main/java/spartrail/peers/transport/PeersFile.java
@@ -102,13 +102,13 @@
             throw new IllegalArgumentException("cannot read " + path, e);
         }
         try (JsonParser parser = new JsonFactory().createParser(text)) {
-            if (parser.nextToken() == null || !(JsonTree.value(parser) instanceof Map<?, ?> tree)) {
+            if (parser.nextToken() == null || !(JsonTree.readValue(parser) instanceof Map<?, ?> tree)) {
                 throw new IllegalArgumentException("a JSON object is expected");
             }
             return new PeersFile(tree);
         } catch (JsonProcessingException e) {
             throw new IllegalArgumentException(
-                    path + ":" + e.getLocation().getLineNr() + ": no JSON: " + JsonTree.fault(e), e);
+                    path + ":" + e.getLocation().getLineNr() + ": no JSON: " + JsonTree.describe(e), e);
         } catch (IllegalArgumentException | IOException e) {
             throw new IllegalArgumentException(path + ": " + e.getMessage(), e);
         }
--- a/policy/src/main/java/spartrail/policy/replication/PolicyMessageCodec.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyMessageCodec.java
@@ -76,7 +76,7 @@
     /** The other way; an IOException where they are no list. */
     public static List<?> plain(byte[] bytes) throws IOException {
         try (JsonParser in = CBOR.createParser(bytes)) {
-            if (in.nextToken() == null || !(JsonTree.value(in) instanceof List<?> list)) {
+            if (in.nextToken() == null || !(JsonTree.readValue(in) instanceof List<?> list)) {
                 throw new IOException("a list is expected");
             }
             return list;
