--- /dev/null
+++ b/core/src/main/java/spartrail/endpoint/EndpointExplanation.java
@@ -0,0 +1,68 @@
+package spartrail.endpoint;
+
+import java.util.Locale;
+
+/** A text for operators: what each source reports on an endpoint, the rule that decided its status, and since when. */
+public final class EndpointExplanation {
+    private static final double MS_PER_S = 1000;
+
+    private EndpointExplanation() {}
+
+    /** Explains the record as it stands at this time. */
+    public static String of(EndpointRecord record, double atMs) {
+        StringBuilder text = new StringBuilder(status(record, atMs));
+        record.entries.forEach((source, entry) -> text.append(sourceLine(source, entry, atMs)));
+        return text.append(String.format(Locale.ROOT, "  start: %s%n", start(record)))
+                .toString();
+    }
+
+    private static String status(EndpointRecord record, double atMs) {
+        boolean hasOtherUid = record.uid() != null && !record.uid().equals(record.id());
+        return String.format(
+                Locale.ROOT,
+                "%s%s at %s, cell %d: %s%s since %.1f s%n  rule: %s%n",
+                record.id(),
+                hasOtherUid ? " (" + record.uid() + ")" : "",
+                record.address(),
+                record.cell,
+                record.status(),
+                record.isStandby() ? " (standby)" : "",
+                (atMs - record.statusSinceMs()) / MS_PER_S,
+                record.reason());
+    }
+
+    private static String sourceLine(EndpointSource source, SourceEntry entry, double atMs) {
+        return String.format(
+                Locale.ROOT,
+                "  %s (%s): %s%s%n",
+                source,
+                availability(source, atMs),
+                entry.report().state(),
+                absence(entry, atMs));
+    }
+
+    private static String availability(EndpointSource source, double atMs) {
+        if (source.isAvailable()) {
+            return "answers";
+        }
+        return String.format(Locale.ROOT, "out for %.1f s", (atMs - source.unavailableSinceMs()) / MS_PER_S);
+    }
+
+    private static String absence(SourceEntry entry, double atMs) {
+        if (!entry.isAbsent()) {
+            return "";
+        }
+        return String.format(
+                Locale.ROOT,
+                ", left out for %.1f s by %d answers",
+                (atMs - entry.absentSinceMs()) / MS_PER_S,
+                entry.absentAnswers());
+    }
+
+    private static String start(EndpointRecord record) {
+        if (Double.isNaN(record.startedMs)) {
+            return "nobody tells; taken for cold from when it was seen";
+        }
+        return record.startedMs < 0 ? "long ago" : "told";
+    }
+}
--- a/core/src/main/java/spartrail/endpoint/EndpointRecord.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointRecord.java
@@ -4,132 +4,156 @@
 import java.util.Map;
 import spartrail.model.Server;
 
-/** A server in the view. */
+/**
+ * One endpoint, what each source reports on it, and the status that follows. Only the registry's thread reads and changes it; the
+ * classes of this package share the fields that are not private.
+ */
 public final class EndpointRecord {
-    /** How a server stands in the view. */
+    /** The status of an endpoint in the registry. */
     public enum Status {
-        /** No source has a word on it. */
+        /** No source has reported on it. */
         UNKNOWN,
         /** Named again after it was gone, and not in use yet, as it has come and gone before. */
         JOINING,
+        /** In use. */
         LIVE,
-        /** In use, but those that named it have been out for longer than their words are good for. */
+        /** In use, but those that named it have been unavailable for longer than their reports are valid. */
         SUSPECT,
+        /** Gets no new work. */
         DRAINING,
-        GONE
-    }
-
-    /** One source's word on it. */
-    static final class Word {
-        SourceReport said;
-        double sinceMs;
-        /** The source's whole answers have left it out since then; NaN while they name it. */
-        double absentSinceMs = Double.NaN;
-
-        int absentAnswers;
-        /** The absence counts. */
-        boolean gone;
-
-        boolean absent() {
-            return !Double.isNaN(absentSinceMs);
+        /** Not in use, and remembered for a while. */
+        GONE;
+
+        Server.State toServerState() {
+            return switch (this) {
+                case LIVE, SUSPECT -> Server.State.LIVE;
+                case DRAINING -> Server.State.DRAINING;
+                default -> Server.State.GONE;
+            };
         }
     }
 
-    /** What the module knows it by: the name under which it was first seen. */
-    public final String id;
-    /** The roll's uid, or null. */
-    String uid;
-
-    String address;
-    final Map<EndpointSource, Word> words = new LinkedHashMap<>();
-    Status status = Status.UNKNOWN;
-    String reason = "no source names it";
-    double sinceMs;
+    final Map<EndpointSource, SourceEntry> entries = new LinkedHashMap<>();
+    final FlapHistory flaps = new FlapHistory();
     /** When it was first seen, or seen again after it was gone. */
     double seenMs;
-
+    /** When an endpoint that is joining comes into use. */
     double joinAtMs;
-    double flaps;
-    double flapMs;
-    /** The latest start that any source has told; NaN if none has. */
+    /** The latest start that any source has reported; NaN if none has. */
     double startedMs = Double.NaN;
-    /** Counted among the live servers of its cell. */
-    boolean counted;
-    /** The cell it is counted in. */
+    /** Whether it counts among the endpoints in use of its cell. */
+    boolean isCounted;
+    /** The cell that it is listed in. */
     int cell;
-    /** What was last published on, and whether that is still so. */
+    /** What was last published of it; null before. */
     SourceReport published;
+    /** Whether its cell has endpoints of a better tier. */
+    boolean isStandby;
 
-    boolean changed;
-    boolean standby;
+    private final String id;
+    private String uid;
+    private String address;
+    private Status status = Status.UNKNOWN;
+    private String reason = "no source names it";
+    private double statusSinceMs;
 
-    EndpointRecord(String id, String address, double nowMs) {
+    EndpointRecord(String id, String uid, String address, double nowMs) {
         this.id = id;
+        this.uid = uid;
         this.address = address;
         this.seenMs = nowMs;
-        this.sinceMs = nowMs;
+        this.statusSinceMs = nowMs;
+    }
+
+    /** The name under which it was first seen, by which the coordinator knows it. */
+    public String id() {
+        return id;
+    }
+
+    /** Discovery's uid; null where discovery has not named it. */
+    public String uid() {
+        return uid;
+    }
+
+    /** The address and port. */
+    public String address() {
+        return address;
     }
 
     public Status status() {
         return status;
     }
 
-    /** The rule that decided its status. */
+    /** The rule that decided the status. */
     public String reason() {
         return reason;
     }
 
     public double statusSinceMs() {
-        return sinceMs;
-    }
-
-    public String address() {
-        return address;
+        return statusSinceMs;
     }
 
-    /** A worse tier than its cell needs. */
+    /** Whether it stands by, as its cell has endpoints of a better tier in use. */
     public boolean isStandby() {
-        return standby;
+        return isStandby;
     }
 
-    /** What the module is to know of it. */
+    /** What was last published of it; null if it never was. */
     public SourceReport published() {
         return published;
     }
 
-    Word word(EndpointSource.Kind kind) {
-        for (Map.Entry<EndpointSource, Word> entry : words.entrySet()) {
-            if (entry.getKey().kind == kind) {
-                return entry.getValue();
+    void setUid(String newUid) {
+        uid = newUid;
+    }
+
+    void setAddress(String newAddress) {
+        address = newAddress;
+    }
+
+    void setStatus(Status newStatus, String newReason, double nowMs) {
+        if (newStatus != status) {
+            status = newStatus;
+            statusSinceMs = nowMs;
+        }
+        reason = newReason;
+    }
+
+    boolean isInUse() {
+        return status == Status.LIVE || status == Status.SUSPECT;
+    }
+
+    /** The source of this kind that has reported on it, or null. */
+    EndpointSource sourceOf(EndpointSource.Kind kind) {
+        for (EndpointSource source : entries.keySet()) {
+            if (source.kind() == kind) {
+                return source;
             }
         }
         return null;
     }
 
-    /** The word that tells most: the roll's, else one that names it. */
-    SourceReport best() {
+    /** The report that says most: discovery's, else that of a source that names it. */
+    SourceReport bestReport() {
         SourceReport best = null;
-        for (Map.Entry<EndpointSource, Word> entry : words.entrySet()) {
-            Word word = entry.getValue();
-            if (entry.getKey().kind == EndpointSource.Kind.DISCOVERY) {
-                return word.said;
+        for (Map.Entry<EndpointSource, SourceEntry> each : entries.entrySet()) {
+            SourceEntry entry = each.getValue();
+            if (each.getKey().isDiscovery()) {
+                return entry.report();
             }
-            if (best == null || !word.gone && !word.absent()) {
-                best = word.said;
+            boolean isNamed = !entry.isRemoved() && !entry.isAbsent();
+            if (best == null || isNamed) {
+                best = entry.report();
             }
         }
         return best;
     }
 
-    boolean inUse() {
-        return status == Status.LIVE || status == Status.SUSPECT;
-    }
-
-    static Server.State state(Status status) {
-        return switch (status) {
-            case LIVE, SUSPECT -> Server.State.LIVE;
-            case DRAINING -> Server.State.DRAINING;
-            default -> Server.State.GONE;
-        };
+    /** Keeps the latest start: an earlier one is that of a process which has been replaced. */
+    void learnStart(SourceReport report) {
+        boolean isLater = !(report.startedMs() <= startedMs);
+        if (report.hasStart() && isLater) {
+            startedMs = report.startedMs();
+        }
     }
 }
--- /dev/null
+++ b/core/src/main/java/spartrail/endpoint/FlapHistory.java
@@ -0,0 +1,16 @@
+package spartrail.endpoint;
+
+/** How often an endpoint has been removed lately, as a count that decays exponentially. */
+final class FlapHistory {
+    private double removals;
+    private double updatedMs;
+
+    void recordRemoval(double nowMs, double halfLifeMs) {
+        removals = recentRemovals(nowMs, halfLifeMs) + 1;
+        updatedMs = nowMs;
+    }
+
+    double recentRemovals(double nowMs, double halfLifeMs) {
+        return removals * Math.pow(0.5, (nowMs - updatedMs) / halfLifeMs);
+    }
+}
--- a/core/src/main/java/spartrail/endpoint/MergeLimits.java
+++ b/core/src/main/java/spartrail/endpoint/MergeLimits.java
@@ -1,18 +1,18 @@
 package spartrail.endpoint;
 
 /**
- * The figures of the view; times in milliseconds.
+ * The limits of the merge; times in milliseconds.
  *
- * @param floor no single answer takes the live servers of a shard below this
- * @param freezeMs words of a source that is out stay good for so long
- * @param suspectMs after so much longer its servers go, where the floor allows
- * @param discoveryConfirmMs a whole roll that leaves out more than the floor allows is taken at its word after so long; below
- *        the grace in which sends to a server that is gone must end
- * @param confirmMs the same for other sources, or after {@code confirmAnswers} whole answers, whichever comes first
- * @param flapDelayMs a server that comes back after it was gone waits so long, twice as long each further time
+ * @param floor no single answer takes the endpoints in use of a shard below this
+ * @param freezeMs reports of a source that is unavailable stay valid for so long
+ * @param suspectMs after so much longer its endpoints go, where the floor allows
+ * @param discoveryConfirmMs a complete list of discovery that leaves out more than the floor allows is believed after so long;
+ *        below the grace in which requests to an endpoint that is gone must end
+ * @param confirmMs the same for other sources, or after {@code confirmAnswers} complete answers, whichever comes first
+ * @param flapDelayMs an endpoint that comes back after it was gone waits so long, twice as long each further time
  * @param maxFlapDelayMs but no longer than this
- * @param flapHalfLifeMs half of what is held against it is forgotten in so long
- * @param retentionMs a server that is gone is remembered for so long
+ * @param flapHalfLifeMs half of the removals that are held against it are forgotten in so long
+ * @param retentionMs an endpoint that is gone is remembered for so long
  * @param maxEndpoints no more are known; further ones are refused and counted
  */
 public record MergeLimits(
@@ -27,6 +27,7 @@
         double flapHalfLifeMs,
         double retentionMs,
         int maxEndpoints) {
+    /** What holds where the sources file says nothing. */
     public static final MergeLimits DEFAULT =
             new MergeLimits(1, 300_000, 300_000, 400, 30_000, 3, 2000, 60_000, 60_000, 600_000, 10_000);
 }
--- a/core/src/main/java/spartrail/endpoint/package-info.java
+++ b/core/src/main/java/spartrail/endpoint/package-info.java
@@ -1,5 +1,6 @@
 /**
- * One view of the servers from sources that disagree. Sources hand in what they say and when; out come the lines that the
- * module is to know, and why. No I/O, no clock, no threads: one thread owns it.
+ * One view of the endpoints from sources that disagree. Reports of sources come in with the time of their arrival; out come the
+ * endpoints that have changed as the coordinator is to know them, and the rule that decided. No I/O, no clock, no threads: one
+ * thread owns a registry.
  */
 package spartrail.endpoint;
--- a/core/src/main/java/spartrail/subset/ReplicaGroup.java
+++ b/core/src/main/java/spartrail/subset/ReplicaGroup.java
@@ -90,6 +90,7 @@
         return first;
     }
 
+    /** Those that the node uses, in order. */
     List<Replica> selected() {
         return selected;
     }
@@ -101,7 +102,7 @@
     }
 
     /**
-     * An upper bound of the chance that a node whose name is a random one has a given replica in its subset, whichever it is. A
+     * An upper bound of the probability that a node with a random name has a given replica in its subset, whichever it is. A
      * replica is in for its place in the order, or as the first of its zone. The first is exactly wanted / size where weights are
      * equal; else each of the draws takes it with at most its weight over what the heaviest draws before leave. The second needs
      * that all draws miss all zones but {@code leastZones - 1}, and then that it is the first of its zone.
--- a/core/src/main/java/spartrail/subset/SharingBound.java
+++ b/core/src/main/java/spartrail/subset/SharingBound.java
@@ -2,8 +2,8 @@
 
 /**
  * How many of so many nodes choose the same server, as an upper bound that is exceeded with a stated probability. Nodes choose
- * independently of each other, each with a probability of at most {@code inclusionProbability}; by Chernoff's bound x of n do so with a probability of
- * at most {@code exp(-n KL(x/n, inclusionProbability))}.
+ * independently of each other, each with a probability of at most p; by Chernoff's bound x of n do so with a probability of at most
+ * {@code exp(-n KL(x/n, p))}.
  */
 public final class SharingBound {
     /** Of a thousand fleets of a thousand servers each, about one has a server that more nodes share. */
@@ -11,7 +11,10 @@
 
     private SharingBound() {}
 
-    /** The least count that is exceeded with a probability of less than {@link #EXCEEDANCE_PROBABILITY}; at most all nodes, at least one. */
+    /**
+     * The least count that is exceeded with a probability of less than {@link #EXCEEDANCE_PROBABILITY}; at most all nodes, at least
+     * one.
+     */
     public static int nodesPerServer(int nodes, double inclusionProbability) {
         if (inclusionProbability >= 1 || nodes <= 1) {
             return Math.max(1, nodes);
--- a/core/src/main/java/spartrail/subset/SubsetSelector.java
+++ b/core/src/main/java/spartrail/subset/SubsetSelector.java
@@ -31,7 +31,10 @@
     private final List<ReplicaGroup> groups = new ArrayList<>();
     private final Map<String, Replica> live = new HashMap<>();
 
-    /** Shard s is held by the cells (s + j) mod cells, j from 0 to replicationFactor - 1, so shards of the same s mod cells are one group. */
+    /**
+     * Shard s is held by the cells (s + j) mod cells, j from 0 to the replication factor less one, so shards of the same s mod cells
+     * are one group.
+     */
     public SubsetSelector(String node, SubsetSettings settings, int shards, int cells, int replicationFactor) {
         this.settings = settings;
         this.order = new RendezvousHash(node);
@@ -132,6 +135,7 @@
         return ids;
     }
 
+    /** How many servers are live. */
     public int liveServerCount() {
         return live.size();
     }
--- a/core/src/test/java/spartrail/endpoint/EndpointRegistryTest.java
+++ b/core/src/test/java/spartrail/endpoint/EndpointRegistryTest.java
@@ -132,8 +132,8 @@
         drive.out(100, drive.roll);
         drive.at(5000);
         drive.seen
-                .append(drive.view.explain(drive.view.find("u0"), 5000))
-                .append(drive.view.explain(drive.view.find("u3"), 5000));
+                .append(EndpointExplanation.of(drive.view.find("u0"), 5000))
+                .append(EndpointExplanation.of(drive.view.find("u3"), 5000));
         drive.roll(5100, roll(0, Server.State.LIVE, -1), roll(3, Server.State.LIVE, -1));
         GoldenFile.same("members-out", drive.seen.toString());
     }
@@ -185,7 +185,7 @@
 
     private static String standings(EndpointRegistry view) {
         Map<String, EndpointRecord.Status> all = new TreeMap<>();
-        view.records().forEach(member -> all.put(member.id, member.status()));
+        view.records().forEach(member -> all.put(member.id(), member.status()));
         return all.toString();
     }
 
@@ -201,14 +201,14 @@
         }
         view.applyReports(roll, true, all, 0, 0);
         view.takeChanges();
-        long before = view.counts().get("judgements");
+        long before = view.counts().evaluations();
         view.applyReports(
                 roll,
                 false,
                 List.of(new SourceReport("u7", null, "a", "k", 7, Server.State.DRAINING, 1, -1, 0)),
                 0,
                 10);
-        assertThat(view.counts().get("judgements") - before).isEqualTo(1);
+        assertThat(view.counts().evaluations() - before).isEqualTo(1);
         assertThat(view.takeChanges()).hasSize(1);
     }
 
@@ -413,6 +413,10 @@
         return new EndpointRegistry(3, 2, LIMITS, endpoint -> !endpoint.startsWith("192."));
     }
 
+    private static EndpointRegistry withRules(StatusRules.Factory rules) {
+        return new EndpointRegistry(3, 2, LIMITS, endpoint -> !endpoint.startsWith("192."), rules);
+    }
+
     /** The first seed that breaks something and what, or none. */
     private static String hunt(java.util.function.Supplier<EndpointRegistry> views, int seeds) {
         for (long seed = 1; seed <= seeds; seed++) {
@@ -438,29 +442,30 @@
                 bounds -> new EndpointRegistry(3, 2, bounds, endpoint -> !endpoint.startsWith("192."));
         faults.put(
                 "tombstones lifted by anyone",
-                () -> new EndpointRegistry(3, 2, LIMITS, endpoint -> !endpoint.startsWith("192.")) {
+                () -> withRules((limits, cells, sources) -> new StatusRules(limits, cells, sources) {
                     @Override
-                    boolean mayLift(EndpointSource source, EndpointRecord member, double leftOutSinceMs) {
+                    boolean mayLiftTombstone(
+                            EndpointSource source, EndpointRecord record, double leftOutSinceMs, double nowMs) {
                         return true;
                     }
-                });
+                }));
         faults.put("no floor", () -> with.apply(new MergeLimits(0, 1000, 1000, 100, 500, 3, 50, 1000, 5000, 1e9, 100)));
         faults.put(
                 "confirmed by one answer",
-                () -> new EndpointRegistry(3, 2, LIMITS, endpoint -> !endpoint.startsWith("192.")) {
+                () -> withRules((limits, cells, sources) -> new StatusRules(limits, cells, sources) {
                     @Override
-                    boolean isConfirmed(EndpointRecord.Word word) {
+                    boolean isConfirmed(SourceEntry entry, double nowMs) {
                         return true;
                     }
-                });
+                }));
         faults.put(
                 "no wait after flaps",
-                () -> new EndpointRegistry(3, 2, LIMITS, endpoint -> !endpoint.startsWith("192.")) {
+                () -> withRules((limits, cells, sources) -> new StatusRules(limits, cells, sources) {
                     @Override
-                    double flapWait(EndpointRecord member) {
+                    double flapDelayMs(EndpointRecord record, double nowMs) {
                         return 0;
                     }
-                });
+                }));
         faults.put(
                 "a source that is out ends its servers",
                 () -> with.apply(new MergeLimits(1, 0, 0, 100, 500, 3, 50, 1000, 5000, 1e9, 100)));
--- /dev/null
+++ b/dns/src/main/java/spartrail/dns/AliasChain.java
@@ -0,0 +1,88 @@
+package spartrail.dns;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.xbill.DNS.CNAMERecord;
+import org.xbill.DNS.DClass;
+import org.xbill.DNS.Message;
+import org.xbill.DNS.Name;
+import org.xbill.DNS.Record;
+import org.xbill.DNS.Section;
+
+/** Follows the aliases (CNAME) of a response from a name to its records of the wanted type. */
+final class AliasChain {
+    private static final int MAX_LENGTH = 8;
+
+    private final int type;
+    private final List<Record> records = new ArrayList<>();
+    private Name name;
+    private int length;
+    private double ttlMs;
+    private boolean isTooLong;
+
+    /** Continues the chain of the entry. */
+    AliasChain(CacheEntry entry) {
+        this.type = entry.type();
+        this.name = entry.chainName;
+        this.length = entry.chainLength;
+        this.ttlMs = entry.chainTtlMs;
+    }
+
+    /** The records of the wanted type; none where the chain leads out of the response. */
+    List<Record> records() {
+        return records;
+    }
+
+    /** The name that the chain has led to. */
+    Name name() {
+        return name;
+    }
+
+    int length() {
+        return length;
+    }
+
+    /** The least TTL of the chain. */
+    double ttlMs() {
+        return ttlMs;
+    }
+
+    /** Whether there are more aliases than are followed. */
+    boolean isTooLong() {
+        return isTooLong;
+    }
+
+    void follow(Message message) {
+        boolean hasMoved = true;
+        while (hasMoved && !isTooLong) {
+            hasMoved = followOnce(message);
+        }
+    }
+
+    /** Whether an alias has led to another name. */
+    private boolean followOnce(Message message) {
+        for (Record record : message.getSection(Section.ANSWER)) {
+            if (record.getDClass() != DClass.IN || !record.getName().equals(name)) {
+                continue;
+            }
+            if (record.getType() == type) {
+                records.add(record);
+                ttlMs = Ttl.leastMs(ttlMs, record);
+            } else if (record instanceof CNAMERecord alias) {
+                return followAlias(alias);
+            }
+        }
+        return false;
+    }
+
+    private boolean followAlias(CNAMERecord alias) {
+        if (length >= MAX_LENGTH) {
+            isTooLong = true;
+            return false;
+        }
+        length++;
+        name = alias.getTarget();
+        ttlMs = Ttl.leastMs(ttlMs, alias);
+        return true;
+    }
+}
--- a/dns/src/main/java/spartrail/dns/DnsQuery.java
+++ b/dns/src/main/java/spartrail/dns/DnsQuery.java
@@ -3,10 +3,12 @@
 import java.net.InetSocketAddress;
 
 /**
- * One question to one name server, to be sent now.
+ * One query to one name server, to be sent now.
  *
+ * @param number unique in its resolver
+ * @param id the id in the message
  * @param message its bytes; over TCP the transport puts the length before them (RFC 1035, section 4.2.2)
- * @param timeoutMs the transport gives up after so long and says so
+ * @param timeoutMs the transport gives up after so long and reports it
  */
 public record DnsQuery(
         long number,
--- /dev/null
+++ b/dns/src/main/java/spartrail/dns/NameServerSelector.java
@@ -0,0 +1,36 @@
+package spartrail.dns;
+
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.random.RandomGenerator;
+
+/** Which name server is asked next: the one that responds soonest, now and then another, not the one that has just failed. */
+final class NameServerSelector {
+    /** The share of queries that go to a server drawn at random, so that one that has recovered is found. */
+    private static final double EXPLORATION_SHARE = 0.05;
+
+    private final List<NameServer> servers;
+    private final RandomGenerator random;
+
+    NameServerSelector(List<InetSocketAddress> addresses, RandomGenerator random) {
+        this.servers = addresses.stream().map(NameServer::new).toList();
+        this.random = random;
+    }
+
+    NameServer select(CacheEntry entry) {
+        NameServer fastest = fastestFor(entry);
+        boolean explores = random.nextDouble() < EXPLORATION_SHARE;
+        return explores ? servers.get(random.nextInt(servers.size())) : fastest;
+    }
+
+    private NameServer fastestFor(CacheEntry entry) {
+        NameServer fastest = null;
+        for (NameServer server : servers) {
+            boolean hasJustFailed = server == entry.server && entry.attempts > 0 && servers.size() > 1;
+            if (!hasJustFailed && (fastest == null || server.smoothedMs() < fastest.smoothedMs())) {
+                fastest = server;
+            }
+        }
+        return fastest;
+    }
+}
--- a/dns/src/main/java/spartrail/dns/Resolver.java
+++ b/dns/src/main/java/spartrail/dns/Resolver.java
@@ -2,30 +2,19 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Deque;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.random.RandomGenerator;
-import org.xbill.DNS.AAAARecord;
-import org.xbill.DNS.ARecord;
-import org.xbill.DNS.CNAMERecord;
 import org.xbill.DNS.DClass;
-import org.xbill.DNS.Flags;
 import org.xbill.DNS.Message;
 import org.xbill.DNS.Name;
-import org.xbill.DNS.OPTRecord;
-import org.xbill.DNS.Opcode;
 import org.xbill.DNS.Rcode;
 import org.xbill.DNS.Record;
-import org.xbill.DNS.SOARecord;
 import org.xbill.DNS.SRVRecord;
 import org.xbill.DNS.Section;
 import org.xbill.DNS.TextParseException;
@@ -33,570 +22,389 @@
 import spartrail.model.TimerQueue;
 
 /**
- * Follows SRV names (RFC 2782) over several name servers: what to ask whom next, and what the lists now are. No I/O, no
- * clock; the host sends the questions, hands in answers, time-outs and failures, and asks what is due.
+ * Follows SRV names (RFC 2782) over several name servers: what to ask whom next, and what the targets are now. No I/O, no clock;
+ * the host sends the queries, hands in responses, timeouts and failures, and asks what is due.
  *
  * <pre>
- * state      what happens                            next
- * idle       due, or needed for a name               asking: one question at a time for a name and type
- * asking     an answer that fits                     held for the least lifetime of its chain, refreshed ahead of its end
- * asking     one that says there is none             held as none, by the SOA (RFC 2308)
- * asking     truncated, over UDP                     asking the same server over TCP; what was cut is never used
- * asking     a failure code, a time-out, TCP refused asking the next server, with a longer wait, a bounded number of times
- * asking     none of them answers                    what is held goes on stale (RFC 8767), next try after a growing wait
- * asking     what does not fit the question          dropped and counted; the true answer is still waited for
- * stale      longer than allowed                     out: nothing can be said of the name
+ * state      event                                   next
+ * idle       refresh due, or needed for a service    in flight: one query at a time for a name and type
+ * in flight  a response that fits                    cached for the least TTL of its chain, refreshed ahead of its end
+ * in flight  one that says there is none             cached as none, by the SOA (RFC 2308)
+ * in flight  truncated, over UDP                     in flight to the same server over TCP; what was cut is never used
+ * in flight  a failure code, a timeout, TCP refused  in flight to the next server, with a longer wait, so many attempts
+ * in flight  all attempts used up                    what is cached goes on stale (RFC 8767), next round after a backoff
+ * in flight  what does not fit the query             dropped and counted; the true response is still waited for
+ * stale      longer than allowed                     unavailable: nothing can be said of the name
  * </pre>
+ *
+ * <p>Cost: a response costs its records and the services that need them; {@link #advance} walks all services.
  */
-public class Resolver {
-    private static final int EDNS_SIZE = 1232;
-    private static final int MOST_CHAIN = 8;
-    private static final double EXPLORE = 0.05;
-
-    /** A name and type that is held or asked for. */
-    private final class Entry {
-        private final Name name;
-        private final int type;
-        /** The SRV names that need it. */
-        private final Set<Srv> users = new LinkedHashSet<>();
-        /** Null while nothing was ever answered; empty where there is none. */
-        private List<Record> records;
-
-        private double endsMs = Double.NEGATIVE_INFINITY;
-        private double lifetimeMs;
-        private DnsQuery asking;
-        private boolean queued;
-        private int tries;
-        private int failures;
-        private int chain;
-        private Name chainName;
-        private double chainLeastMs = Double.MAX_VALUE;
-        private NameServer asked;
-        private double askedMs;
-        private TimerQueue.Due due;
-
-        Entry(Name name, int type) {
-            this.name = name;
-            this.type = type;
-        }
-
-        boolean had() {
-            return records != null;
-        }
-
-        boolean usable() {
-            return had() && nowMs < endsMs + lifetimes.maxStaleMs();
-        }
-    }
-
-    /** One SRV name that is followed. */
-    private static final class Srv {
-        private final String name;
-        private final Entry entry;
-        private SrvTargets told;
-
-        Srv(String name, Entry entry) {
-            this.name = name;
-            this.entry = entry;
-        }
-    }
-
-    private static final class NameServer {
-        private final InetSocketAddress address;
-        /** Smoothed round trip; a time-out counts as its wait. */
-        private double smoothMs;
-
-        NameServer(InetSocketAddress address) {
-            this.address = address;
-        }
-    }
-
-    private final ResolverSettings lifetimes;
-    private final RandomGenerator chance;
-    private final boolean six;
-    private final List<NameServer> servers = new ArrayList<>();
-    private final Map<String, Entry> entries = new HashMap<>();
-    private final Map<String, Srv> srvs = new LinkedHashMap<>();
-    private final Map<Long, Entry> asking = new HashMap<>();
-    private final Deque<Entry> waiting = new ArrayDeque<>();
-    private final List<DnsQuery> questions = new ArrayList<>();
-    private final Set<Srv> touched = new LinkedHashSet<>();
-    private final TimerQueue timetable = new TimerQueue();
-    private final Map<String, Long> counts = new TreeMap<>();
+public final class Resolver {
+    private static final int[] IPV4_ONLY = {Type.A};
+    private static final int[] IPV4_AND_IPV6 = {Type.A, Type.AAAA};
+    private static final int MAX_BACKOFF_DOUBLINGS = 20;
+    private static final double BACKOFF_LEAST_SHARE = 0.75;
+    private static final double BACKOFF_JITTER_SHARE = 0.5;
+    private static final double REFRESH_LEAST_SHARE = 0.75;
+    private static final double REFRESH_JITTER_SHARE = 0.15;
+
+    private final ResolverSettings settings;
+    private final RandomGenerator random;
+    private final ResponseValidator validator;
+    private final int[] addressTypes;
     private final String bailiwick;
+    private final ResolverCounts counts = new ResolverCounts();
+    private final QueryDispatcher queries;
+    private final RecordCache cache = new RecordCache();
+    private final Map<String, FollowedService> services = new LinkedHashMap<>();
+    private final Set<FollowedService> touched = new LinkedHashSet<>();
+    private final TimerQueue timers = new TimerQueue();
     private double nowMs;
-    private long number;
 
-    /** Addresses that come along count only for names within {@code bailiwick}; AAAA is asked for only where wanted. */
+    /**
+     * Additional addresses of a response count only for names within {@code bailiwick}; AAAA is asked for only with
+     * {@code hasIpv6}.
+     */
     public Resolver(
             List<InetSocketAddress> nameServers,
             String bailiwick,
-            boolean six,
-            ResolverSettings lifetimes,
-            RandomGenerator chance) {
-        nameServers.forEach(address -> servers.add(new NameServer(address)));
+            boolean hasIpv6,
+            ResolverSettings settings,
+            RandomGenerator random) {
+        this(nameServers, bailiwick, hasIpv6, settings, random, new ResponseValidator());
+    }
+
+    Resolver(
+            List<InetSocketAddress> nameServers,
+            String bailiwick,
+            boolean hasIpv6,
+            ResolverSettings settings,
+            RandomGenerator random,
+            ResponseValidator validator) {
         this.bailiwick = ("." + bailiwick.toLowerCase(Locale.ROOT) + ".").replaceAll("\\.+", ".");
-        this.six = six;
-        this.lifetimes = lifetimes;
-        this.chance = chance;
+        this.addressTypes = hasIpv6 ? IPV4_AND_IPV6 : IPV4_ONLY;
+        this.settings = settings;
+        this.random = random;
+        this.validator = validator;
+        this.queries = new QueryDispatcher(nameServers, settings, random, counts);
     }
 
-    /** Follows this SRV name from now on. */
+    /** Follows this SRV name from now on; an IllegalArgumentException where it is no name. */
     public void follow(String name, double atMs) {
         nowMs = atMs;
+        CacheEntry entry = cache.getOrCreate(parse(name), Type.SRV);
+        FollowedService service = services.computeIfAbsent(name, key -> new FollowedService(key, entry));
+        entry.users.add(service);
+        askIfNeeded(entry);
+    }
+
+    private static Name parse(String name) {
         try {
-            Name absolute = Name.fromString(name, Name.root);
-            Entry entry = entry(absolute, Type.SRV);
-            Srv srv = srvs.computeIfAbsent(name, key -> new Srv(key, entry));
-            entry.users.add(srv);
-            need(entry);
+            return Name.fromString(name, Name.root);
         } catch (TextParseException e) {
             throw new IllegalArgumentException("'" + name + "' is no name: " + e.getMessage(), e);
         }
     }
 
-    private static String key(Name name, int type) {
-        return type + " " + name.toString().toLowerCase(Locale.ROOT);
-    }
-
-    private Entry entry(Name name, int type) {
-        return entries.computeIfAbsent(key(name, type), key -> new Entry(name, type));
-    }
+    // Queries
 
-    private void count(String what) {
-        counts.merge(what, 1L, Long::sum);
-    }
-
-    // ---- What to ask ----
-
-    /** Does what is due. */
+    /** Does what is due by now. */
     public void advance(double atMs) {
         nowMs = atMs;
-        timetable.run(atMs);
-        // A name whose records have become too old in between.
-        touched.addAll(srvs.values());
+        timers.run(atMs);
+        // The records of a service may have become too old meanwhile.
+        touched.addAll(services.values());
     }
 
+    /** When {@link #advance} has something to do next. */
     public double nextMs() {
-        return timetable.nextMs();
+        return timers.nextMs();
     }
 
-    /** Questions that are to be sent now. */
+    /** The queries that are to be sent now. */
     public List<DnsQuery> takeQueries() {
-        List<DnsQuery> now = List.copyOf(questions);
-        questions.clear();
-        return now;
+        return queries.takeUnsent();
     }
 
-    private void need(Entry entry) {
-        if (entry.asking != null || entry.queued || entry.had() && nowMs < entry.endsMs || entry.due != null) {
-            return;
+    /** Queries in flight. */
+    public int inFlight() {
+        return queries.inFlight();
+    }
+
+    private void askIfNeeded(CacheEntry entry) {
+        boolean isScheduled = entry.refresh != null;
+        if (!entry.isPending() && !entry.isFresh(nowMs) && !isScheduled) {
+            ask(entry);
         }
-        ask(entry);
     }
 
-    /** From the beginning of its chain. */
-    private void ask(Entry entry) {
-        entry.tries = 0;
-        entry.chain = 0;
-        entry.chainName = entry.name;
-        entry.chainLeastMs = Double.MAX_VALUE;
-        unplan(entry);
-        enqueue(entry);
+    private void ask(CacheEntry entry) {
+        entry.resetChain();
+        cancelRefresh(entry);
+        queries.enqueue(entry, nowMs);
     }
 
-    private void enqueue(Entry entry) {
-        if (asking.size() >= lifetimes.maxInFlight()) {
-            entry.queued = true;
-            waiting.add(entry);
-        } else {
-            send(entry, pick(entry), false);
+    private void scheduleRefresh(CacheEntry entry, double atMs) {
+        cancelRefresh(entry);
+        entry.refresh = timers.add(atMs, () -> {
+            entry.refresh = null;
+            refreshOrForget(entry);
+        });
+    }
+
+    private void refreshOrForget(CacheEntry entry) {
+        if (entry.users.isEmpty()) {
+            cache.remove(entry);
+        } else if (!entry.isPending()) {
+            ask(entry);
         }
     }
 
-    /** The server that answers soonest, now and then another; not the one that just failed. */
-    private NameServer pick(Entry entry) {
-        NameServer best = null;
-        for (NameServer server : servers) {
-            boolean other = server != entry.asked || entry.tries == 0 || servers.size() == 1;
-            if (other && (best == null || server.smoothMs < best.smoothMs)) {
-                best = server;
-            }
+    private void cancelRefresh(CacheEntry entry) {
+        if (entry.refresh != null) {
+            timers.remove(entry.refresh);
+            entry.refresh = null;
         }
-        return chance.nextDouble() < EXPLORE ? servers.get(chance.nextInt(servers.size())) : best;
-    }
-
-    private void send(Entry entry, NameServer server, boolean tcp) {
-        int id = chance.nextInt(1 << 16);
-        Message message = new Message(id);
-        message.getHeader().setFlag(Flags.RD);
-        message.addRecord(Record.newRecord(entry.chainName, entry.type, DClass.IN), Section.QUESTION);
-        message.addRecord(new OPTRecord(EDNS_SIZE, 0, 0), Section.ADDITIONAL);
-        double waitMs = lifetimes.timeoutMs() * Math.min(4, 1 << Math.min(2, entry.tries));
-        entry.tries++;
-        entry.asked = server;
-        entry.askedMs = nowMs;
-        entry.asking = new DnsQuery(
-                number++, entry.chainName.toString(), entry.type, server.address, tcp, id, message.toWire(), waitMs);
-        asking.put(entry.asking.number(), entry);
-        questions.add(entry.asking);
-        count(tcp ? "asked over TCP" : "asked over UDP");
-    }
-
-    // ---- What comes back ----
-
-    /** What came for a question; whether it was its answer. If not, the host goes on waiting. */
-    public boolean onResponse(DnsQuery question, byte[] bytes, InetSocketAddress from, double atMs) {
+    }
+
+    // Responses
+
+    /** What came for a query; whether it was its response. If not, the host goes on waiting. */
+    public boolean onResponse(DnsQuery query, byte[] bytes, InetSocketAddress from, double atMs) {
         nowMs = atMs;
-        Entry entry = asking.get(question.number());
+        CacheEntry entry = queries.find(query);
         if (entry == null) {
-            count("dropped: nobody waits for it");
+            counts.increment(ResolverCounts.UNEXPECTED);
             return false;
         }
-        if (!question.server().equals(from)) {
-            count("dropped: from another address");
+        if (!query.server().equals(from)) {
+            counts.increment(ResolverCounts.OTHER_ADDRESS);
             return false;
         }
-        Message message;
-        try {
-            message = new Message(bytes);
-        } catch (IOException | RuntimeException e) {
-            count("dropped: cannot be read");
-            return false;
-        }
-        if (!fits(question, message)) {
+        Message message = decode(bytes);
+        if (message == null || !isResponse(query, message)) {
             return false;
         }
-        over(entry);
-        NameServer server = entry.asked;
-        double tookMs = nowMs - entry.askedMs;
-        server.smoothMs = server.smoothMs == 0 ? tookMs : 0.7 * server.smoothMs + 0.3 * tookMs;
-        if (truncated(message) && !question.isTcp()) {
-            count("truncated");
-            send(entry, server, true);
-            return true;
-        }
-        int code = message.getRcode();
-        if (code != Rcode.NOERROR && code != Rcode.NXDOMAIN || truncated(message)) {
-            count("failed: " + Rcode.string(code));
-            again(entry);
-            return true;
-        }
-        take(entry, message);
-        next();
+        queries.complete(entry);
+        entry.server.recordResponse(nowMs - entry.sentMs);
+        handleResponse(entry, query, message);
         return true;
     }
 
-    /** Danger: a list that is cut looks like a shorter one. */
-    boolean truncated(Message message) {
-        return message.getHeader().getFlag(Flags.TC);
+    /** The message, or null where the bytes are none. */
+    private Message decode(byte[] bytes) {
+        try {
+            return new Message(bytes);
+        } catch (IOException | RuntimeException e) {
+            // The library reports some malformed messages by unchecked exceptions.
+            counts.increment(ResolverCounts.UNREADABLE);
+            return null;
+        }
     }
 
-    boolean fits(DnsQuery question, Message message) {
-        if (message.getHeader().getID() != question.id()) {
-            count("dropped: another id");
+    private boolean isResponse(DnsQuery query, Message message) {
+        if (!validator.hasId(query, message)) {
+            counts.increment(ResolverCounts.OTHER_ID);
             return false;
         }
-        Record asked = message.getQuestion();
-        if (!message.getHeader().getFlag(Flags.QR)
-                || message.getHeader().getOpcode() != Opcode.QUERY
-                || asked == null
-                || message.getSection(Section.QUESTION).size() != 1
-                || asked.getType() != question.type()
-                || asked.getDClass() != DClass.IN
-                || !asked.getName().toString().equalsIgnoreCase(question.name())) {
-            count("dropped: another question");
+        if (!validator.answersQuestion(query, message)) {
+            counts.increment(ResolverCounts.OTHER_QUESTION);
             return false;
         }
         return true;
     }
 
-    public void onTimeout(DnsQuery question, double atMs) {
-        nowMs = atMs;
-        Entry entry = asking.get(question.number());
-        if (entry != null) {
-            count("timed out");
-            entry.asked.smoothMs = Math.max(entry.asked.smoothMs, question.timeoutMs());
-            over(entry);
-            again(entry);
+    private void handleResponse(CacheEntry entry, DnsQuery query, Message message) {
+        boolean isTruncated = validator.isTruncated(message);
+        if (isTruncated && !query.isTcp()) {
+            counts.increment(ResolverCounts.TRUNCATED);
+            queries.retryOverTcp(entry, nowMs);
+            return;
+        }
+        int code = message.getRcode();
+        boolean isAnswer = code == Rcode.NOERROR || code == Rcode.NXDOMAIN;
+        if (!isAnswer || isTruncated) {
+            counts.incrementFailure(Rcode.string(code));
+            retryOrBackOff(entry);
+            return;
         }
+        storeAnswer(entry, message);
+        queries.sendWaiting(nowMs);
+    }
+
+    /** No response came in the query's time. */
+    public void onTimeout(DnsQuery query, double atMs) {
+        fail(query, ResolverCounts.TIMED_OUT, atMs);
     }
 
     /** The connection was refused or broke, or there was no socket. */
-    public void onFailure(DnsQuery question, double atMs) {
+    public void onFailure(DnsQuery query, double atMs) {
+        fail(query, ResolverCounts.NO_CONNECTION, atMs);
+    }
+
+    private void fail(DnsQuery query, String event, double atMs) {
         nowMs = atMs;
-        Entry entry = asking.get(question.number());
+        CacheEntry entry = queries.find(query);
         if (entry != null) {
-            count("no connection");
-            entry.asked.smoothMs = Math.max(entry.asked.smoothMs, question.timeoutMs());
-            over(entry);
-            again(entry);
+            counts.increment(event);
+            entry.server.recordFailure(query.timeoutMs());
+            queries.complete(entry);
+            retryOrBackOff(entry);
         }
     }
 
-    private void over(Entry entry) {
-        asking.remove(entry.asking.number());
-        entry.asking = null;
-    }
-
-    /** Another server, or the end of the tries. */
-    private void again(Entry entry) {
-        if (entry.tries < lifetimes.attempts()) {
-            send(entry, pick(entry), false);
+    /** Another attempt, or the end of the round: what is cached is used on, and the next round begins after a backoff. */
+    private void retryOrBackOff(CacheEntry entry) {
+        if (queries.retry(entry, nowMs)) {
             return;
         }
         entry.failures++;
-        double waitMs = Math.min(
-                lifetimes.maxFailureBackoffMs(),
-                lifetimes.failureBackoffMs() * Math.pow(2, Math.min(20, entry.failures - 1)));
-        count("nobody answers");
-        plan(entry, nowMs + waitMs * (0.75 + 0.5 * chance.nextDouble()));
+        counts.increment(ResolverCounts.NO_SERVER_ANSWERS);
+        double jitter = BACKOFF_LEAST_SHARE + BACKOFF_JITTER_SHARE * random.nextDouble();
+        scheduleRefresh(entry, nowMs + backoffMs(entry.failures) * jitter);
         touched.addAll(entry.users);
-        next();
+        queries.sendWaiting(nowMs);
     }
 
-    private void next() {
-        while (!waiting.isEmpty() && asking.size() < lifetimes.maxInFlight()) {
-            Entry entry = waiting.poll();
-            entry.queued = false;
-            send(entry, pick(entry), false);
-        }
+    private double backoffMs(int failures) {
+        int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, failures - 1);
+        return Math.min(settings.maxFailureBackoffMs(), settings.failureBackoffMs() * Math.pow(2, doublings));
     }
 
-    // ---- Records ----
-
-    private void take(Entry entry, Message message) {
-        List<Record> found = new ArrayList<>();
-        Name name = entry.chainName;
-        double leastMs = entry.chainLeastMs;
-        boolean moved = true;
-        while (moved) {
-            moved = false;
-            for (Record record : message.getSection(Section.ANSWER)) {
-                if (record.getDClass() != DClass.IN || !record.getName().equals(name)) {
-                    continue;
-                }
-                if (record.getType() == entry.type) {
-                    found.add(record);
-                    leastMs = least(leastMs, record);
-                } else if (record instanceof CNAMERecord alias && entry.chain < MOST_CHAIN) {
-                    entry.chain++;
-                    name = alias.getTarget();
-                    leastMs = least(leastMs, record);
-                    moved = true;
-                    break;
-                } else if (record instanceof CNAMERecord) {
-                    count("failed: a chain of names without end");
-                    entry.tries = lifetimes.attempts();
-                    again(entry);
-                    return;
-                }
-            }
+    // Records
+
+    private void storeAnswer(CacheEntry entry, Message message) {
+        AliasChain chain = new AliasChain(entry);
+        chain.follow(message);
+        entry.chainLength = chain.length();
+        if (chain.isTooLong()) {
+            counts.increment(ResolverCounts.ENDLESS_CHAIN);
+            entry.attempts = settings.attempts();
+            retryOrBackOff(entry);
+            return;
         }
-        if (found.isEmpty() && !name.equals(entry.chainName)) {
-            // The chain leads out of this answer.
-            entry.chainName = name;
-            entry.chainLeastMs = leastMs;
-            entry.tries = 0;
-            enqueue(entry);
+        List<Record> records = chain.records();
+        boolean leadsOut = !chain.name().equals(entry.chainName);
+        if (records.isEmpty() && leadsOut) {
+            entry.chainName = chain.name();
+            entry.chainTtlMs = chain.ttlMs();
+            entry.attempts = 0;
+            queries.enqueue(entry, nowMs);
             return;
         }
-        if (found.isEmpty()) {
-            count("there is none");
-            leastMs = Math.min(lifetimes.maxNegativeTtlMs(), negativeMs(message));
+        double ttlMs = chain.ttlMs();
+        if (records.isEmpty()) {
+            counts.increment(ResolverCounts.NO_RECORDS);
+            ttlMs = Math.min(settings.maxNegativeTtlMs(), Ttl.negativeMs(message, settings.failureBackoffMs()));
         }
-        hold(entry, found, leastMs);
-        if (entry.type == Type.SRV) {
-            additional(entry, message);
-            found.forEach(record -> targets(entry, (SRVRecord) record));
+        store(entry, records, ttlMs);
+        if (entry.type() == Type.SRV) {
+            storeAdditionalAddresses(entry, message);
+            records.forEach(record -> askForAddresses(entry, (SRVRecord) record));
         }
     }
 
-    /** The least lifetime of a chain counts. */
-    double least(double leastMs, Record record) {
-        return Math.min(leastMs, 1000.0 * Math.max(0, record.getTTL()));
+    private void store(CacheEntry entry, List<Record> records, double ttlMs) {
+        double boundedMs = Math.max(settings.minTtlMs(), Math.min(settings.maxTtlMs(), ttlMs));
+        entry.store(records, boundedMs, nowMs);
+        // Ahead of its end, spread by chance, so that names that came together are not asked for together.
+        double share = REFRESH_LEAST_SHARE + REFRESH_JITTER_SHARE * random.nextDouble();
+        scheduleRefresh(entry, nowMs + Math.max(settings.minTtlMs(), boundedMs * share));
+        touched.addAll(entry.users);
     }
 
-    /** The lesser of the SOA's lifetime and its minimum (RFC 2308, section 5). */
-    private double negativeMs(Message message) {
-        for (Record record : message.getSection(Section.AUTHORITY)) {
-            if (record instanceof SOARecord soa) {
-                return 1000.0 * Math.max(0, Math.min(soa.getTTL(), soa.getMinimum()));
+    /** Additional addresses are as good as asked for, within the bailiwick. */
+    private void storeAdditionalAddresses(CacheEntry srv, Message message) {
+        Map<String, List<Record>> byKey = new LinkedHashMap<>();
+        Set<String> wanted = targetNames(srv);
+        for (Record record : message.getSection(Section.ADDITIONAL)) {
+            if (!isAddress(record) || !wanted.contains(lowerCase(record.getName()))) {
+                continue;
+            }
+            if (!isInBailiwick(record.getName())) {
+                counts.increment(ResolverCounts.OUT_OF_BAILIWICK);
+                continue;
             }
+            String key = RecordCache.key(record.getName(), record.getType());
+            byKey.computeIfAbsent(key, each -> new ArrayList<>()).add(record);
         }
-        return lifetimes.failureBackoffMs();
+        byKey.values().forEach(this::storeAddresses);
     }
 
-    private void hold(Entry entry, List<Record> records, double leastMs) {
-        double lifetimeMs = Math.max(lifetimes.minTtlMs(), Math.min(lifetimes.maxTtlMs(), leastMs));
-        entry.records = records;
-        entry.lifetimeMs = lifetimeMs;
-        entry.endsMs = nowMs + lifetimeMs;
-        entry.failures = 0;
-        // Ahead of its end, spread by chance, so that names that came together are not asked for together.
-        plan(entry, nowMs + Math.max(lifetimes.minTtlMs(), lifetimeMs * (0.75 + 0.15 * chance.nextDouble())));
-        touched.addAll(entry.users);
+    private static Set<String> targetNames(CacheEntry srv) {
+        Set<String> names = new LinkedHashSet<>();
+        srv.records().forEach(record -> names.add(lowerCase(((SRVRecord) record).getTarget())));
+        return names;
     }
 
-    private void plan(Entry entry, double atMs) {
-        unplan(entry);
-        entry.due = timetable.add(atMs, () -> {
-            entry.due = null;
-            if (!entry.users.isEmpty() && entry.asking == null && !entry.queued) {
-                ask(entry);
-            } else if (entry.users.isEmpty()) {
-                entries.remove(key(entry.name, entry.type), entry);
-            }
-        });
+    private static String lowerCase(Name name) {
+        return name.toString().toLowerCase(Locale.ROOT);
     }
 
-    private void unplan(Entry entry) {
-        if (entry.due != null) {
-            timetable.remove(entry.due);
-            entry.due = null;
+    private boolean isAddress(Record record) {
+        boolean isWantedType = false;
+        for (int type : addressTypes) {
+            isWantedType |= record.getType() == type;
         }
+        return isWantedType && record.getDClass() == DClass.IN;
     }
 
-    /** Danger: whoever answers for one zone could name addresses for any other. */
-    boolean inBailiwick(Name name) {
-        return ("." + name.toString().toLowerCase(Locale.ROOT)).endsWith(bailiwick);
+    /** A name server that answers for one zone could name addresses of any other. */
+    private boolean isInBailiwick(Name name) {
+        return ("." + lowerCase(name)).endsWith(bailiwick);
     }
 
-    /** Addresses that came along are as good as asked for. */
-    private void additional(Entry srv, Message message) {
-        Map<String, List<Record>> came = new LinkedHashMap<>();
-        Set<String> wanted = new LinkedHashSet<>();
-        srv.records.forEach(
-                record -> wanted.add(((SRVRecord) record).getTarget().toString().toLowerCase(Locale.ROOT)));
-        for (Record record : message.getSection(Section.ADDITIONAL)) {
-            boolean address = record.getType() == Type.A || six && record.getType() == Type.AAAA;
-            if (!address
-                    || record.getDClass() != DClass.IN
-                    || !wanted.contains(record.getName().toString().toLowerCase(Locale.ROOT))) {
-                continue;
-            }
-            if (!inBailiwick(record.getName())) {
-                count("dropped: an address out of bailiwick");
-                continue;
-            }
-            came.computeIfAbsent(key(record.getName(), record.getType()), key -> new ArrayList<>())
-                    .add(record);
+    private void storeAddresses(List<Record> records) {
+        Record first = records.get(0);
+        CacheEntry entry = cache.getOrCreate(first.getName(), first.getType());
+        if (entry.isPending()) {
+            return;
         }
-        came.forEach((key, records) -> {
-            Entry entry = entry(records.get(0).getName(), records.get(0).getType());
-            if (entry.asking == null && !entry.queued) {
-                double leastMs = Double.MAX_VALUE;
-                for (Record record : records) {
-                    leastMs = least(leastMs, record);
-                }
-                hold(entry, records, leastMs);
-            }
-        });
+        double ttlMs = Double.MAX_VALUE;
+        for (Record record : records) {
+            ttlMs = Ttl.leastMs(ttlMs, record);
+        }
+        store(entry, records, ttlMs);
     }
 
-    private void targets(Entry srv, SRVRecord record) {
+    private void askForAddresses(CacheEntry srv, SRVRecord record) {
         // A target of the root says that there is no such service (RFC 2782).
         if (record.getTarget().equals(Name.root)) {
             return;
         }
-        for (int type : six ? new int[] {Type.A, Type.AAAA} : new int[] {Type.A}) {
-            Entry address = entry(record.getTarget(), type);
+        for (int type : addressTypes) {
+            CacheEntry address = cache.getOrCreate(record.getTarget(), type);
             address.users.addAll(srv.users);
-            need(address);
+            askIfNeeded(address);
         }
     }
 
-    // ---- Lists ----
+    // Targets
 
-    /** Lists that are others than when this was last asked; none while a name's first answers are still coming. */
+    /** The targets that have changed since this was last asked; none of a service whose first answers are on their way. */
     public List<SrvTargets> takeChangedTargets(double atMs) {
         nowMs = atMs;
         List<SrvTargets> changed = new ArrayList<>();
-        for (Srv srv : touched) {
-            SrvTargets listing = listing(srv);
-            if (listing != null && !listing.equals(srv.told)) {
-                srv.told = listing;
-                changed.add(listing);
+        for (FollowedService service : touched) {
+            SrvTargetsBuilder builder = new SrvTargetsBuilder(cache, settings, addressTypes, nowMs);
+            SrvTargets srvTargets = builder.build(service);
+            if (builder.hasTooManyTargets()) {
+                counts.increment(ResolverCounts.TOO_MANY_TARGETS);
+            }
+            if (srvTargets != null && service.replaceTargets(srvTargets)) {
+                changed.add(srvTargets);
             }
         }
         touched.clear();
         return changed;
     }
 
-    private SrvTargets listing(Srv srv) {
-        Entry entry = srv.entry;
-        if (!entry.usable()) {
-            return entry.had() || entry.failures > 0 ? new SrvTargets(srv.name, false, true, true, List.of(), 0) : null;
-        }
-        boolean whole = true;
-        boolean stale = nowMs >= entry.endsMs;
-        double lifetimeMs = entry.lifetimeMs;
-        List<SrvTargets.Target> targets = new ArrayList<>();
-        for (Record record : entry.records) {
-            SRVRecord target = (SRVRecord) record;
-            if (target.getTarget().equals(Name.root)) {
-                continue;
-            }
-            if (targets.size() >= lifetimes.maxTargets()) {
-                count("left out: too many targets");
-                whole = false;
-                break;
-            }
-            String address = null;
-            boolean known = true;
-            for (int type : six ? new int[] {Type.A, Type.AAAA} : new int[] {Type.A}) {
-                Entry held = entries.get(key(target.getTarget(), type));
-                boolean usable = held != null && held.usable();
-                known &= usable;
-                if (usable && !held.records.isEmpty()) {
-                    // One server at several addresses: the least, so that it is the same one each time.
-                    String least = held.records.stream()
-                            .map(Resolver::address)
-                            .min(String::compareTo)
-                            .orElseThrow();
-                    address = address == null ? least : address;
-                    lifetimeMs = Math.min(lifetimeMs, held.lifetimeMs);
-                }
-            }
-            if (address == null) {
-                if (!known && held(target) == null) {
-                    return null;
-                }
-                whole &= known;
-                continue;
-            }
-            targets.add(new SrvTargets.Target(
-                    target.getTarget().toString(true),
-                    address + ":" + target.getPort(),
-                    target.getPriority(),
-                    target.getWeight()));
-        }
-        targets.sort((a, b) -> a.address().compareTo(b.address()));
-        return new SrvTargets(srv.name, whole, stale, false, List.copyOf(targets), lifetimeMs);
-    }
-
-    /** Its address was looked for, and that came to an end, good or bad. */
-    private Entry held(SRVRecord target) {
-        Entry entry = entries.get(key(target.getTarget(), Type.A));
-        return entry != null && (entry.had() || entry.failures > 0) ? entry : null;
-    }
-
-    private static String address(Record record) {
-        return record instanceof ARecord four
-                ? four.getAddress().getHostAddress()
-                : "[" + ((AAAARecord) record).getAddress().getHostAddress() + "]";
-    }
-
-    /** Questions out and held back. */
-    public int inFlight() {
-        return asking.size();
-    }
-
+    /** How often each thing has happened, by its text. */
     public Map<String, Long> counts() {
-        return counts;
+        return counts.asMap();
     }
 
     int cachedEntries() {
-        return entries.size();
+        return cache.size();
     }
 }
--- a/dns/src/test/java/spartrail/dns/ResolverTest.java
+++ b/dns/src/test/java/spartrail/dns/ResolverTest.java
@@ -207,6 +207,16 @@
                 List.of(DnsZone.FIRST, DnsZone.SECOND), "example.org", false, SETTINGS, new SplittableRandom(seed));
     }
 
+    private static Resolver withValidator(long seed, ResponseValidator validator) {
+        return new Resolver(
+                List.of(DnsZone.FIRST, DnsZone.SECOND),
+                "example.org",
+                false,
+                SETTINGS,
+                new SplittableRandom(seed),
+                validator);
+    }
+
     private static String hunt(LongFunction<Resolver> make, int seeds) {
         for (long seed = 1; seed <= seeds; seed++) {
             String broken = play(make, seed);
@@ -227,18 +237,12 @@
         Map<String, LongFunction<Resolver>> faults = new TreeMap<>();
         faults.put(
                 "truncation ignored",
-                seed ->
-                        new Resolver(
-                                List.of(DnsZone.FIRST, DnsZone.SECOND),
-                                "example.org",
-                                false,
-                                SETTINGS,
-                                new SplittableRandom(seed)) {
-                            @Override
-                            boolean truncated(Message message) {
-                                return false;
-                            }
-                        });
+                seed -> withValidator(seed, new ResponseValidator() {
+                    @Override
+                    boolean isTruncated(Message message) {
+                        return false;
+                    }
+                }));
         faults.put(
                 "the lifetime of the last record",
                 seed -> new Resolver(
@@ -249,18 +253,17 @@
                         new SplittableRandom(seed)));
         faults.put(
                 "questions not compared",
-                seed ->
-                        new Resolver(
-                                List.of(DnsZone.FIRST, DnsZone.SECOND),
-                                "example.org",
-                                false,
-                                SETTINGS,
-                                new SplittableRandom(seed)) {
-                            @Override
-                            boolean fits(DnsQuery query, Message message) {
-                                return true;
-                            }
-                        });
+                seed -> withValidator(seed, new ResponseValidator() {
+                    @Override
+                    boolean hasId(DnsQuery query, Message message) {
+                        return true;
+                    }
+
+                    @Override
+                    boolean answersQuestion(DnsQuery query, Message message) {
+                        return true;
+                    }
+                }));
         StringBuilder caught = new StringBuilder();
         faults.forEach((name, make) -> caught.append(name)
                 .append(": ")
--- a/lab/src/main/java/spartrail/lab/cli/DnsAsk.java
+++ b/lab/src/main/java/spartrail/lab/cli/DnsAsk.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
@@ -93,11 +94,12 @@
                     print(out, listing, clock.nowMs() - fromMs);
                 }
             }
-            transport.execute(() -> out.println(resolver.counts()));
-            transport.execute(() -> listings.add(new SrvTargets("", true, false, false, List.of(), 0)));
-            while (listings.take().name().length() > 0) {
-                // Until the counts are printed.
-            }
+            CountDownLatch printed = new CountDownLatch(1);
+            transport.execute(() -> {
+                out.println(resolver.counts());
+                printed.countDown();
+            });
+            printed.await();
         }
         if (received < names.size()) {
             err.println("spartrail: no answer for " + (names.size() - received) + " of " + names.size()
--- a/lab/src/main/java/spartrail/lab/dns/DnsServerEmulator.java
+++ b/lab/src/main/java/spartrail/lab/dns/DnsServerEmulator.java
@@ -9,25 +9,17 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
-import java.util.ArrayList;
-import java.util.Collections;
+import java.util.Arrays;
 import java.util.List;
-import java.util.Map;
-import java.util.Random;
-import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.xbill.DNS.DClass;
-import org.xbill.DNS.Flags;
-import org.xbill.DNS.Message;
-import org.xbill.DNS.Name;
-import org.xbill.DNS.Rcode;
-import org.xbill.DNS.Record;
-import org.xbill.DNS.Section;
-import org.xbill.DNS.Type;
 
-/** One name server. Its zone can be changed while it runs; names are looked up as they stand, lower case, with their dot. */
+/**
+ * One name server over UDP and TCP, on threads of its own. Its records and its behavior may be changed while it runs; names are
+ * looked up as they stand, in lower case, with their dot.
+ */
 public final class DnsServerEmulator implements AutoCloseable {
-    /** What becomes of questions. */
+    /** How it responds. */
     public enum Behavior {
         ANSWER,
         TRUNCATE,
@@ -42,31 +34,46 @@
         WRONG_ID,
         WRONG_QUESTION,
         SPOOF,
-        NOISE
+        NOISE;
+
+        /** Whether responses over UDP are truncated, whatever their length. */
+        boolean isTruncating() {
+            return this == TRUNCATE
+                    || this == TRUNCATE_AND_REFUSE_TCP
+                    || this == TRUNCATE_AND_CUT_TCP
+                    || this == TCP_ONE_OCTET_AT_A_TIME;
+        }
+
+        /** Whether the true response follows a false one. */
+        boolean isFollowedByTrueResponse() {
+            return this == SPOOF || this == WRONG_ID || this == WRONG_QUESTION;
+        }
     }
 
-    private static final int UDP_MOST = 512;
+    private static final String LOOPBACK = "127.0.0.1";
+    private static final int MAX_DATAGRAM_BYTES = 4096;
+    private static final int LENGTH_BYTES = 2;
     private static final long LATE_MS = 1500;
+    private static final int BACKLOG = 64;
+    private static final int PORT_ATTEMPTS = 50;
 
     private final DatagramSocket udp;
     private final ServerSocket tcp;
-    /** Records by {@code TYPE name}, each {@code TTL TYPE data}. */
-    private final Map<String, List<String>> records = new ConcurrentHashMap<>();
-
-    private final AtomicInteger asked = new AtomicInteger();
-    private final Random chance;
+    private final DnsResponder responder;
+    private final AtomicInteger queries = new AtomicInteger();
     private volatile Behavior behavior = Behavior.ANSWER;
-    private volatile boolean closed;
+    private volatile boolean isClosed;
 
+    /** Starts it on a free port. */
     public DnsServerEmulator(long seed) throws IOException {
-        chance = new Random(seed);
+        responder = new DnsResponder(seed);
         ServerSocket listening = null;
         DatagramSocket datagrams = null;
         // Both have the same port: another process may hold one of a pair.
-        for (int i = 0; i < 50 && datagrams == null; i++) {
-            listening = new ServerSocket(0, 64, InetAddress.getByName("127.0.0.1"));
+        for (int i = 0; i < PORT_ATTEMPTS && datagrams == null; i++) {
+            listening = new ServerSocket(0, BACKLOG, InetAddress.getByName(LOOPBACK));
             try {
-                datagrams = new DatagramSocket(new InetSocketAddress("127.0.0.1", listening.getLocalPort()));
+                datagrams = new DatagramSocket(new InetSocketAddress(LOOPBACK, listening.getLocalPort()));
             } catch (IOException e) {
                 listening.close();
             }
@@ -76,98 +83,107 @@
         }
         tcp = listening;
         udp = datagrams;
-        start("udp", this::datagrams);
-        start("tcp", this::connections);
+        startThread("udp", this::serveUdp);
+        startThread("tcp", this::acceptTcp);
     }
 
-    private void start(String what, Runnable task) {
-        Thread thread = new Thread(task, "spartrail-name-server-" + what);
+    private static void startThread(String name, Runnable task) {
+        Thread thread = new Thread(task, "spartrail-name-server-" + name);
         thread.setDaemon(true);
         thread.start();
     }
 
+    /** The address of both UDP and TCP. */
     public InetSocketAddress address() {
-        return new InetSocketAddress("127.0.0.1", udp.getLocalPort());
+        return new InetSocketAddress(LOOPBACK, udp.getLocalPort());
     }
 
+    /** Queries received so far. */
     public int queries() {
-        return asked.get();
+        return queries.get();
     }
 
-    public void setBehavior(Behavior how) {
-        behavior = how;
+    /** Responds like this from now on. */
+    public void setBehavior(Behavior newBehavior) {
+        behavior = newBehavior;
     }
 
-    /** Replaces the records of a name and type. */
+    /** Replaces the records of a name and type, each {@code TTL TYPE data}. */
     public void setRecords(String type, String name, List<String> lines) {
-        records.put(type + " " + name, List.copyOf(lines));
+        responder.setRecords(type, name, lines);
     }
 
-    public void remove(String type, String name) {
-        records.remove(type + " " + name);
-    }
+    // UDP
 
-    private void datagrams() {
-        byte[] buffer = new byte[4096];
-        while (!closed) {
+    private void serveUdp() {
+        byte[] buffer = new byte[MAX_DATAGRAM_BYTES];
+        while (!isClosed) {
             try {
                 DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
                 udp.receive(packet);
-                asked.incrementAndGet();
-                byte[] question = java.util.Arrays.copyOf(packet.getData(), packet.getLength());
-                Behavior now = behavior;
-                byte[] answer = answer(question, now, false);
-                if (answer == null) {
-                    continue;
-                }
-                DatagramPacket reply = new DatagramPacket(answer, answer.length, packet.getSocketAddress());
-                if (now == Behavior.LATE) {
-                    start("late", () -> {
-                        pause(LATE_MS);
-                        send(reply);
-                    });
-                } else if (now == Behavior.SPOOF) {
-                    try (DatagramSocket other = new DatagramSocket(new InetSocketAddress("127.0.0.1", 0))) {
-                        other.send(reply);
-                    }
-                } else {
-                    send(reply);
-                }
-                if (now == Behavior.SPOOF || now == Behavior.WRONG_ID || now == Behavior.WRONG_QUESTION) {
-                    byte[] right = answer(question, Behavior.ANSWER, false);
-                    send(new DatagramPacket(right, right.length, packet.getSocketAddress()));
-                }
+                queries.incrementAndGet();
+                respondOverUdp(packet);
             } catch (IOException e) {
-                // Closed, or a question that was none.
+                // Closed, or a query that was none.
             }
         }
     }
 
-    private void send(DatagramPacket packet) {
-        try {
-            udp.send(packet);
-        } catch (IOException e) {
-            // Whoever asked has gone.
+    private void respondOverUdp(DatagramPacket packet) throws IOException {
+        byte[] query = Arrays.copyOf(packet.getData(), packet.getLength());
+        Behavior now = behavior;
+        byte[] response = responder.respond(query, now, false);
+        if (response == null) {
+            return;
+        }
+        DatagramPacket reply = new DatagramPacket(response, response.length, packet.getSocketAddress());
+        if (now == Behavior.LATE) {
+            startThread("late", () -> sendLate(reply));
+        } else if (now == Behavior.SPOOF) {
+            sendFromOtherPort(reply);
+        } else {
+            send(reply);
+        }
+        if (now.isFollowedByTrueResponse()) {
+            byte[] trueResponse = responder.respond(query, Behavior.ANSWER, false);
+            send(new DatagramPacket(trueResponse, trueResponse.length, packet.getSocketAddress()));
         }
     }
 
-    private static void pause(long ms) {
+    private void sendLate(DatagramPacket reply) {
         try {
-            Thread.sleep(ms);
+            TimeUnit.MILLISECONDS.sleep(LATE_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
+        send(reply);
+    }
+
+    private static void sendFromOtherPort(DatagramPacket reply) throws IOException {
+        try (DatagramSocket other = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0))) {
+            other.send(reply);
+        }
     }
 
-    private void connections() {
-        while (!closed) {
+    private void send(DatagramPacket packet) {
+        try {
+            udp.send(packet);
+        } catch (IOException e) {
+            // The client has gone.
+        }
+    }
+
+    // TCP
+
+    private void acceptTcp() {
+        while (!isClosed) {
             try {
                 Socket socket = tcp.accept();
                 if (behavior == Behavior.TRUNCATE_AND_REFUSE_TCP) {
                     socket.setSoLinger(true, 0);
                     socket.close();
                 } else {
-                    start("connection", () -> serve(socket));
+                    startThread("connection", () -> serveTcp(socket));
                 }
             } catch (IOException e) {
                 // Closed.
@@ -175,108 +191,47 @@
         }
     }
 
-    private void serve(Socket socket) {
+    private void serveTcp(Socket socket) {
         try (socket) {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             OutputStream out = socket.getOutputStream();
-            while (!closed) {
-                byte[] question = new byte[in.readUnsignedShort()];
-                in.readFully(question);
-                asked.incrementAndGet();
-                byte[] answer = answer(question, behavior, true);
-                if (answer == null) {
-                    continue;
-                }
-                byte[] framed = new byte[2 + answer.length];
-                framed[0] = (byte) (answer.length >> 8);
-                framed[1] = (byte) answer.length;
-                System.arraycopy(answer, 0, framed, 2, answer.length);
-                if (behavior == Behavior.TRUNCATE_AND_CUT_TCP) {
-                    out.write(framed, 0, framed.length / 2);
-                    return;
-                }
-                if (behavior == Behavior.TCP_ONE_OCTET_AT_A_TIME) {
-                    for (byte octet : framed) {
-                        out.write(octet);
-                        out.flush();
-                    }
-                } else {
-                    out.write(framed);
-                }
+            boolean isOpen = true;
+            while (isOpen && !isClosed) {
+                byte[] query = new byte[in.readUnsignedShort()];
+                in.readFully(query);
+                queries.incrementAndGet();
+                byte[] response = responder.respond(query, behavior, true);
+                isOpen = response == null || writeOverTcp(out, response);
             }
         } catch (IOException e) {
-            // The other side has gone.
+            // The client has gone.
         }
     }
 
-    /** An answer's bytes, or null for none. */
-    private byte[] answer(byte[] bytes, Behavior how, boolean overTcp) throws IOException {
-        if (how == Behavior.SILENT) {
-            return null;
-        }
-        if (how == Behavior.NOISE) {
-            byte[] noise = new byte[1 + chance.nextInt(300)];
-            chance.nextBytes(noise);
-            return noise;
+    /** Writes a response after its length; false where it is cut and the connection ends. */
+    private boolean writeOverTcp(OutputStream out, byte[] response) throws IOException {
+        byte[] framed = new byte[LENGTH_BYTES + response.length];
+        framed[0] = (byte) (response.length >> Byte.SIZE);
+        framed[1] = (byte) response.length;
+        System.arraycopy(response, 0, framed, LENGTH_BYTES, response.length);
+        if (behavior == Behavior.TRUNCATE_AND_CUT_TCP) {
+            out.write(framed, 0, framed.length / 2);
+            return false;
         }
-        Message question = new Message(bytes);
-        Name name = question.getQuestion().getName();
-        int type = question.getQuestion().getType();
-        int id = question.getHeader().getID();
-        Message message = new Message(how == Behavior.WRONG_ID ? id ^ 0x5555 : id);
-        message.getHeader().setFlag(Flags.QR);
-        message.addRecord(
-                how == Behavior.WRONG_QUESTION
-                        ? Record.newRecord(Name.fromString("other.example.org."), type, DClass.IN)
-                        : question.getQuestion(),
-                Section.QUESTION);
-        if (how == Behavior.SERVFAIL) {
-            message.getHeader().setRcode(Rcode.SERVFAIL);
-            return message.toWire();
-        }
-        List<String> lines = how == Behavior.EMPTY || how == Behavior.NXDOMAIN
-                ? List.of()
-                : new ArrayList<>(records.getOrDefault(Type.string(type) + " " + name, List.of()));
-        if (lines.isEmpty()) {
-            List<String> alias = how == Behavior.EMPTY || how == Behavior.NXDOMAIN
-                    ? List.of()
-                    : records.getOrDefault("CNAME " + name, List.of());
-            if (alias.isEmpty()) {
-                message.getHeader().setRcode(how == Behavior.NXDOMAIN ? Rcode.NXDOMAIN : Rcode.NOERROR);
-                message.addRecord(record(Name.fromString("example.org."), "60 SOA a. b. 1 2 3 4 1"), Section.AUTHORITY);
-            } else {
-                message.addRecord(record(name, alias.get(0)), Section.ANSWER);
+        if (behavior == Behavior.TCP_ONE_OCTET_AT_A_TIME) {
+            for (byte octet : framed) {
+                out.write(octet);
+                out.flush();
             }
         } else {
-            Collections.shuffle(lines, chance);
-            for (String line : lines) {
-                message.addRecord(record(name, line), Section.ANSWER);
-            }
+            out.write(framed);
         }
-        byte[] wire = message.toWire();
-        boolean cuts =
-                how.name().startsWith("TRUNCATE") || how == Behavior.TCP_ONE_OCTET_AT_A_TIME || wire.length > UDP_MOST;
-        if (!overTcp && cuts) {
-            Message cut = new Message(id);
-            cut.getHeader().setFlag(Flags.QR);
-            cut.getHeader().setFlag(Flags.TC);
-            cut.addRecord(question.getQuestion(), Section.QUESTION);
-            if (!lines.isEmpty()) {
-                cut.addRecord(record(name, lines.get(0)), Section.ANSWER);
-            }
-            return cut.toWire();
-        }
-        return wire;
-    }
-
-    private static Record record(Name name, String line) throws IOException {
-        String[] words = line.split(" ", 3);
-        return Record.fromString(name, Type.value(words[1]), DClass.IN, Long.parseLong(words[0]), words[2], Name.root);
+        return true;
     }
 
     @Override
     public void close() throws IOException {
-        closed = true;
+        isClosed = true;
         udp.close();
         tcp.close();
     }
--- a/lab/src/main/java/spartrail/lab/dns/package-info.java
+++ b/lab/src/main/java/spartrail/lab/dns/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in for name servers on the loopback, UDP and TCP, whose answers and manners are a script. */
+/** An emulated name server with faults, for drills and measurements; it listens on loopback, on threads of its own. */
 package spartrail.lab.dns;
--- a/lab/src/main/java/spartrail/lab/scale/ListBenchmark.java
+++ b/lab/src/main/java/spartrail/lab/scale/ListBenchmark.java
@@ -13,6 +13,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import spartrail.endpoint.EndpointList;
+import spartrail.endpoint.EndpointListDecoder;
 import spartrail.model.Server;
 import spartrail.subset.SubsetFilter;
 
@@ -44,7 +45,7 @@
 
     @Benchmark
     public Object decode() throws IOException {
-        return EndpointList.decode(body);
+        return EndpointListDecoder.decode(body);
     }
 
     @Benchmark
--- a/lab/src/main/java/spartrail/lab/scale/ScaleTests.java
+++ b/lab/src/main/java/spartrail/lab/scale/ScaleTests.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.openjdk.jol.info.GraphLayout;
-import spartrail.endpoint.EndpointList;
+import spartrail.endpoint.EndpointListDecoder;
 import spartrail.lab.file.InvalidInputException;
 import spartrail.lab.simulation.PeersFigures;
 import spartrail.peers.GossipTimings;
@@ -103,7 +103,7 @@
                         "list-heap",
                         "the whole list in memory",
                         "MB",
-                        size -> megabytes(EndpointList.decode(body(size)))),
+                        size -> megabytes(EndpointListDecoder.decode(body(size)))),
                 servers(
                         "subset-whole-list",
                         "the subset chosen from the whole list",
@@ -158,7 +158,7 @@
 
     private double subsetHeap(int servers) throws Exception {
         SubsetFilter filter = HollowNode.filter(Math.max(8, replicas));
-        filter.toSubset(EndpointList.decode(body(servers)), 0);
+        filter.toSubset(EndpointListDecoder.decode(body(servers)), 0);
         return megabytes(filter);
     }
 
--- a/lab/src/test/java/spartrail/lab/scale/ScaleTestsTest.java
+++ b/lab/src/test/java/spartrail/lab/scale/ScaleTestsTest.java
@@ -11,6 +11,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import spartrail.endpoint.EndpointList;
+import spartrail.endpoint.EndpointListDecoder;
 import spartrail.lab.file.InvalidInputException;
 
 class ScaleTestsTest {
@@ -62,7 +63,7 @@
     @Test
     void theListIsTheOneThatNodesRead() throws Exception {
         EndpointList list = HollowServers.list(600, 250, 32);
-        assertThat(EndpointList.decode(HollowServers.json(list).getBytes(StandardCharsets.UTF_8)))
+        assertThat(EndpointListDecoder.decode(HollowServers.json(list).getBytes(StandardCharsets.UTF_8)))
                 .isEqualTo(list);
     }
 
--- a/node/src/main/java/spartrail/cli/SubsetCommand.java
+++ b/node/src/main/java/spartrail/cli/SubsetCommand.java
@@ -10,7 +10,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 import spartrail.config.DeploymentFile;
-import spartrail.endpoint.EndpointList;
+import spartrail.endpoint.EndpointListDecoder;
 import spartrail.json.JsonTree;
 import spartrail.model.Server;
 import spartrail.subset.SharingBound;
@@ -61,7 +61,7 @@
 
     private List<LiveServer> live() {
         try {
-            return EndpointList.decode(Files.readAllBytes(list)).endpoints().stream()
+            return EndpointListDecoder.decode(Files.readAllBytes(list)).endpoints().stream()
                     .filter(line -> line.state() == Server.State.LIVE)
                     .map(line -> new LiveServer(line.id(), line.zone(), line.cell(), line.weight()))
                     .toList();
--- a/node/src/main/java/spartrail/config/DeploymentFile.java
+++ b/node/src/main/java/spartrail/config/DeploymentFile.java
@@ -18,7 +18,9 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import spartrail.coordination.Coordinator;
+import spartrail.endpoint.EndpointAddress;
 import spartrail.endpoint.EndpointList;
+import spartrail.endpoint.EndpointListDecoder;
 import spartrail.json.JsonTree;
 import spartrail.model.OpType;
 import spartrail.subset.SubsetFilter;
@@ -36,10 +38,10 @@
     private DeploymentFile(Map<?, ?> tree) {
         this.tree = tree;
         this.info = (Map<?, ?>) tree.get("settings");
-        this.listen = EndpointList.address(text("listen"));
-        this.discovery = EndpointList.address(text("discovery"));
+        this.listen = EndpointAddress.parse(text("listen"));
+        this.discovery = EndpointAddress.parse(text("discovery"));
         this.known = tree.get("known") instanceof Map<?, ?> list
-                ? EndpointList.of(list)
+                ? EndpointListDecoder.decode(list)
                 : new EndpointList(0, true, List.of());
     }
 
--- a/node/src/main/java/spartrail/endpoint/sources/EndpointSourcesFile.java
+++ b/node/src/main/java/spartrail/endpoint/sources/EndpointSourcesFile.java
@@ -15,11 +15,14 @@
 import spartrail.model.AddressRanges;
 
 /**
- * The file that names further sources and how they are merged; its form is {@code deploy/members.schema.json}. Times are
- * milliseconds.
+ * The file that names further sources of endpoints and how they are merged; its form is {@code deploy/members.schema.json}. Times
+ * are milliseconds. What is wrong with a file is an IllegalArgumentException of one line with the place.
  */
 public final class EndpointSourcesFile {
-    private static final Set<String> BOUNDS = Set.of(
+    private static final String ALLOW = "allow";
+    private static final String MERGE = "merge";
+    private static final Set<String> SECTIONS = Set.of(ALLOW, MERGE, "dns");
+    private static final Set<String> LIMITS = Set.of(
             "floor",
             "freezeMs",
             "suspectMs",
@@ -33,76 +36,70 @@
             "mostMembers");
 
     private final Map<?, ?> tree;
+    private final MergeLimits limits;
+    private final Predicate<String> allowed;
 
     private EndpointSourcesFile(Map<?, ?> tree) {
         this.tree = tree;
+        checkNames(tree, SECTIONS, "/");
+        this.limits = readLimits(tree.get(MERGE) instanceof Map<?, ?> merge ? merge : Map.of());
+        this.allowed = new AddressRanges(tree.get(ALLOW) instanceof List<?> ranges ? ranges : List.of(), "/" + ALLOW);
     }
 
+    /** Reads and checks a file. */
     public static EndpointSourcesFile read(Path path) throws IOException {
-        String text;
-        try {
-            text = Files.readString(path);
-        } catch (IOException e) {
-            throw new IllegalArgumentException("cannot read " + path, e);
-        }
+        String text = readText(path);
         try (JsonParser parser = new JsonFactory().createParser(text)) {
             if (parser.nextToken() == null || !(JsonTree.readValue(parser) instanceof Map<?, ?> tree)) {
-                throw new IllegalArgumentException(path + ": a JSON object is expected");
+                throw new IllegalArgumentException("a JSON object is expected");
             }
-            EndpointSourcesFile file = new EndpointSourcesFile(tree);
-            file.known();
-            file.limits();
-            file.allowed();
-            return file;
+            return new EndpointSourcesFile(tree);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException(
-                    path + ":" + e.getLocation().getLineNr() + ": no JSON: " + JsonTree.describe(e), e);
+            String place = path + ":" + e.getLocation().getLineNr();
+            throw new IllegalArgumentException(place + ": no JSON: " + JsonTree.describe(e), e);
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException(
-                    e.getMessage().startsWith(path.toString()) ? e.getMessage() : path + ": " + e.getMessage(), e);
+            throw new IllegalArgumentException(path + ": " + e.getMessage(), e);
         }
     }
 
-    /** The part of a kind of source, or null. */
-    Map<?, ?> section(String name) {
-        return tree.get(name) instanceof Map<?, ?> section ? section : null;
+    private static String readText(Path path) {
+        try {
+            return Files.readString(path);
+        } catch (IOException e) {
+            throw new IllegalArgumentException("cannot read " + path, e);
+        }
     }
 
-    private void known() {
-        for (Object name : tree.keySet()) {
-            if (!Set.of("allow", "merge", "dns").contains(name)) {
-                throw new IllegalArgumentException("/" + name + ": is unknown, one of [allow, dns, merge] is expected");
+    private static void checkNames(Map<?, ?> section, Set<String> known, String place) {
+        for (Object name : section.keySet()) {
+            if (!known.contains(name)) {
+                throw new IllegalArgumentException(place + name + ": is unknown, one of "
+                        + known.stream().sorted().toList() + " is expected");
             }
         }
     }
 
-    MergeLimits limits() {
-        Map<?, ?> merge = tree.get("merge") instanceof Map<?, ?> given ? given : Map.of();
-        for (Object name : merge.keySet()) {
-            if (!BOUNDS.contains(name)) {
-                throw new IllegalArgumentException("/merge/" + name + ": is unknown, one of "
-                        + BOUNDS.stream().sorted().toList() + " is expected");
-            }
-        }
-        MergeLimits usual = MergeLimits.DEFAULT;
+    private static MergeLimits readLimits(Map<?, ?> merge) {
+        checkNames(merge, LIMITS, "/" + MERGE + "/");
+        MergeLimits defaults = MergeLimits.DEFAULT;
         return new MergeLimits(
-                (int) number(merge, "floor", usual.floor()),
-                number(merge, "freezeMs", usual.freezeMs()),
-                number(merge, "suspectMs", usual.suspectMs()),
-                number(merge, "rollConfirmMs", usual.discoveryConfirmMs()),
-                number(merge, "confirmMs", usual.confirmMs()),
-                (int) number(merge, "confirmAnswers", usual.confirmAnswers()),
-                number(merge, "flapMs", usual.flapDelayMs()),
-                number(merge, "flapMostMs", usual.maxFlapDelayMs()),
-                number(merge, "flapForgetMs", usual.flapHalfLifeMs()),
-                number(merge, "keptMs", usual.retentionMs()),
-                (int) number(merge, "mostMembers", usual.maxEndpoints()));
+                (int) readNumber(merge, "floor", defaults.floor()),
+                readNumber(merge, "freezeMs", defaults.freezeMs()),
+                readNumber(merge, "suspectMs", defaults.suspectMs()),
+                readNumber(merge, "rollConfirmMs", defaults.discoveryConfirmMs()),
+                readNumber(merge, "confirmMs", defaults.confirmMs()),
+                (int) readNumber(merge, "confirmAnswers", defaults.confirmAnswers()),
+                readNumber(merge, "flapMs", defaults.flapDelayMs()),
+                readNumber(merge, "flapMostMs", defaults.maxFlapDelayMs()),
+                readNumber(merge, "flapForgetMs", defaults.flapHalfLifeMs()),
+                readNumber(merge, "keptMs", defaults.retentionMs()),
+                (int) readNumber(merge, "mostMembers", defaults.maxEndpoints()));
     }
 
-    private static double number(Map<?, ?> merge, String name, double usual) {
+    private static double readNumber(Map<?, ?> merge, String name, double otherwise) {
         Object value = merge.get(name);
         if (value == null) {
-            return usual;
+            return otherwise;
         }
         if (!(value instanceof Number number) || number.doubleValue() < 0) {
             throw new IllegalArgumentException(
@@ -111,8 +108,18 @@
         return number.doubleValue();
     }
 
-    /** Which endpoints may be connected to: IPv4 ranges such as 10.0.0.0/8; without them nothing that DNS names. */
+    /** The section of a kind of source, or null. */
+    Map<?, ?> section(String name) {
+        return tree.get(name) instanceof Map<?, ?> section ? section : null;
+    }
+
+    /** How sources are merged. */
+    MergeLimits limits() {
+        return limits;
+    }
+
+    /** Which addresses sources may name: IPv4 ranges such as 10.0.0.0/8; without them none that DNS names. */
     Predicate<String> allowed() {
-        return new AddressRanges(tree.get("allow") instanceof List<?> list ? list : List.of(), "/allow");
+        return allowed;
     }
 }
--- a/node/src/test/java/spartrail/shard/ShardPoolTest.java
+++ b/node/src/test/java/spartrail/shard/ShardPoolTest.java
@@ -29,7 +29,7 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
-import spartrail.endpoint.EndpointList;
+import spartrail.endpoint.EndpointAddress;
 import spartrail.model.Attempt;
 import spartrail.model.Attempt.Outcome;
 import spartrail.model.Invariants;
@@ -120,7 +120,7 @@
         ToyFleet fleet = new ToyFleet(1, 0, 0);
         opened.add(fleet);
         fleet.servers.get(0).manner = manner;
-        return EndpointList.address(fleet.servers.get(0).endpoint());
+        return EndpointAddress.parse(fleet.servers.get(0).endpoint());
     }
 
     /** Answers, and tells on which connection each part came. */
