--- a/node/src/main/java/spartrail/cli/CheckCommand.java
+++ b/node/src/main/java/spartrail/cli/CheckCommand.java
@@ -39,7 +39,7 @@
         }
         out.println("usable: node " + deployment.name() + " on " + deployment.listen() + ", op types "
                 + deployment.opTypes().stream().map(op -> op.name).toList() + ", "
-                + deployment.known().endpoints().size()
+                + deployment.knownEndpoints().endpoints().size()
                 + " servers known");
         if (start) {
             InetSocketAddress free = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
--- a/node/src/main/java/spartrail/cli/SubsetCommand.java
+++ b/node/src/main/java/spartrail/cli/SubsetCommand.java
@@ -83,9 +83,9 @@
                 deployment.name(),
                 used,
                 selector.liveServerCount(),
-                deployment.nodes() * used / (double) Math.max(1, selector.liveServerCount()),
-                deployment.nodes(),
-                selector.nodesPerServer(deployment.nodes()),
+                deployment.frontNodes() * used / (double) Math.max(1, selector.liveServerCount()),
+                deployment.frontNodes(),
+                selector.nodesPerServer(deployment.frontNodes()),
                 SharingBound.EXCEEDANCE_PROBABILITY);
     }
 }
--- a/node/src/main/java/spartrail/config/DeploymentFile.java
+++ b/node/src/main/java/spartrail/config/DeploymentFile.java
@@ -1,10 +1,7 @@
 package spartrail.config;
 
-import static spartrail.config.Provisioning.above0;
-import static spartrail.config.Provisioning.flag;
-import static spartrail.config.Provisioning.map;
-import static spartrail.config.Provisioning.needed;
-import static spartrail.config.Provisioning.number;
+import static spartrail.config.CoordinatorSettings.flag;
+import static spartrail.config.CoordinatorSettings.number;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -27,25 +24,25 @@
 import spartrail.subset.SubsetSelector;
 import spartrail.subset.SubsetSettings;
 
-/** The JSON file that tells a front node all it is told at its start; read once, asked by each part for its own. */
+/** The JSON deploy file of a front node, read and checked at start and on SIGHUP. */
 public final class DeploymentFile {
     private final Map<?, ?> tree;
-    private final Map<?, ?> info;
+    private final Map<?, ?> settings;
     private final InetSocketAddress listen;
     private final InetSocketAddress discovery;
-    private final EndpointList known;
+    private final EndpointList knownEndpoints;
 
     private DeploymentFile(Map<?, ?> tree) {
         this.tree = tree;
-        this.info = (Map<?, ?>) tree.get("settings");
+        this.settings = (Map<?, ?>) tree.get("settings");
         this.listen = EndpointAddress.parse(text("listen"));
         this.discovery = EndpointAddress.parse(text("discovery"));
-        this.known = tree.get("known") instanceof Map<?, ?> list
+        this.knownEndpoints = tree.get("known") instanceof Map<?, ?> list
                 ? EndpointListDecoder.decode(list)
                 : new EndpointList(0, true, List.of());
     }
 
-    /** Reads and checks the file; what is wrong is said in one line. */
+    /** Reads and checks the file; an IllegalArgumentException says in one line what is wrong. */
     public static DeploymentFile read(Path path) throws IOException {
         String text;
         try {
@@ -83,16 +80,16 @@
 
     private void check() {
         coordinator(opTypes());
-        if (reach() > cells()) {
-            throw new IllegalArgumentException("'width of family-info': found " + reach()
+        if (replicationFactor() > cells()) {
+            throw new IllegalArgumentException("'width of family-info': found " + replicationFactor()
                     + ", no more than the 'sets', " + cells() + ", is expected");
         }
-        openCap();
-        sockets();
+        maxInHand();
+        maxFileDescriptors();
         callsPerConnection();
         connectTimeoutMs();
         keepAliveMs();
-        graceMs();
+        drainGraceMs();
         subset();
     }
 
@@ -100,7 +97,7 @@
         return String.valueOf(tree.get("name"));
     }
 
-    /** What operators call this version of the settings; empty where they do not say. */
+    /** The operators' name of this version of the settings; empty without one. */
     public String version() {
         return tree.get("version") == null ? "" : String.valueOf(tree.get("version"));
     }
@@ -114,11 +111,11 @@
     }
 
     /** The list of servers as this node last had it; it may be old. */
-    public EndpointList known() {
-        return known;
+    public EndpointList knownEndpoints() {
+        return knownEndpoints;
     }
 
-    /** The chance of this start, from the seed in hex. */
+    /** The seed of this start's random draws, in hex. */
     private long seed() {
         String seed = String.valueOf(tree.get("seed"));
         try {
@@ -129,47 +126,47 @@
     }
 
     public List<OpType> opTypes() {
-        return Provisioning.opTypes(info);
+        return CoordinatorSettings.opTypes(settings);
     }
 
     public Coordinator coordinator(List<OpType> opTypes) {
-        return Provisioning.coordinator(seed(), info, opTypes);
+        return CoordinatorSettings.coordinator(seed(), settings, opTypes);
     }
 
     /**
-     * What of this file a node that serves by another one cannot take before its next start: what the shape of its
-     * queues, its door and its connections rests on; empty if it can take all.
+     * The differences from the running file that a node takes at its next start only, as its queues, listener and connections
+     * depend on them; empty if there are none.
      */
-    public String waitingForAStart(DeploymentFile running) {
-        Map<String, Object> found = shape();
-        Map<String, Object> served = running.shape();
-        return found.keySet().stream()
-                .filter(name -> !found.get(name).equals(served.get(name)))
-                .map(name -> name + ": found " + found.get(name) + ", served " + served.get(name))
+    public String changesThatNeedRestart(DeploymentFile running) {
+        Map<String, Object> changed = restartOnlySettings();
+        Map<String, Object> current = running.restartOnlySettings();
+        return changed.keySet().stream()
+                .filter(name -> !changed.get(name).equals(current.get(name)))
+                .map(name -> name + ": found " + changed.get(name) + ", served " + current.get(name))
                 .collect(Collectors.joining("; "));
     }
 
-    private Map<String, Object> shape() {
+    private Map<String, Object> restartOnlySettings() {
         Map<String, Object> shape = new LinkedHashMap<>();
         shape.put("classes", opTypes().stream().map(op -> op.name).toList());
         shape.put("slabs", shards());
         shape.put("sets", cells());
-        shape.put("width", reach());
-        shape.put("batch", (int) number(map(info, "family-info"), "batch", 1));
-        // Danger: the module's margins go by the turns of the loop, which stay as they are.
-        shape.put("tick in ms", turnMs());
-        shape.put("discovery asked for", listAsked());
+        shape.put("width", replicationFactor());
+        shape.put("batch", (int) number(section(settings, "family-info"), "batch", 1));
+        // The coordinator's margins go by the interval of the event loop, which stays as it is.
+        shape.put("tick in ms", loopIntervalMs());
+        shape.put("discovery asked for", isDiscoveryPolled());
         shape.put("subset", String.valueOf(subset()));
         return shape;
     }
 
     /** The settings as they were read. */
     Map<?, ?> settings() {
-        return info;
+        return settings;
     }
 
     /** The same with other settings, checked. */
-    DeploymentFile with(Map<String, Object> settings) {
+    DeploymentFile withSettings(Map<String, Object> settings) {
         Map<Object, Object> changed = new LinkedHashMap<>(tree);
         changed.put("settings", settings);
         DeploymentFile file = new DeploymentFile(changed);
@@ -177,77 +174,77 @@
         return file;
     }
 
-    /** Tells a coordinator in use, and the list of its op types, what this file states; what they have learned stays. */
-    public void renew(Coordinator coordinator, List<OpType> opTypes) {
-        Provisioning.renew(opTypes, opTypes());
-        Provisioning.state(coordinator, info);
+    /** Configures a coordinator in use and replaces its op types by those of this file; what was learned stays. */
+    public void applyTo(Coordinator coordinator, List<OpType> opTypes) {
+        CoordinatorSettings.replaceOpTypes(opTypes, opTypes());
+        CoordinatorSettings.configure(coordinator, settings);
     }
 
     /** How many front nodes there are. */
-    public int nodes() {
-        return (int) above0(info, "peers-total", "");
+    public int frontNodes() {
+        return (int) requiredCount(settings, "peers-total", "");
     }
 
     /** Most file descriptors that the process may hold. */
-    public int sockets() {
-        return (int) above0(map(tree, "limits"), "sockets", " of limits");
+    public int maxFileDescriptors() {
+        return (int) requiredCount(section(tree, "limits"), "sockets", " of limits");
     }
 
-    /** Most multigets and parts in hand. */
-    public int openCap() {
-        return (int) above0(map(info, "bounds"), "open-cap", " of bounds");
+    /** The most multigets and parts in hand. */
+    public int maxInHand() {
+        return (int) requiredCount(section(settings, "bounds"), "open-cap", " of bounds");
     }
 
-    public int mostSends() {
-        return (int) above0(map(info, "bounds"), "try-limit", " of bounds");
+    public int maxAttemptsPerPart() {
+        return (int) requiredCount(section(settings, "bounds"), "try-limit", " of bounds");
     }
 
     public int callsPerConnection() {
-        return (int) above0(map(info, "bounds"), "streams-per-conn", " of bounds");
+        return (int) requiredCount(section(settings, "bounds"), "streams-per-conn", " of bounds");
     }
 
     public double connectTimeoutMs() {
-        return 1000 * needed(map(info, "bounds"), "connect-timeout", " of bounds");
+        return 1000 * requiredNumber(section(settings, "bounds"), "connect-timeout", " of bounds");
     }
 
     /** After this long without use a server closes a connection. */
     public double keepAliveMs() {
-        return 1000 * needed(map(info, "bounds"), "keepalive", " of bounds");
+        return 1000 * requiredNumber(section(settings, "bounds"), "keepalive", " of bounds");
     }
 
-    /** So long after it was told nothing more may be sent to a server that drains. */
-    public double graceMs() {
-        return 1000 * needed(map(info, "rules"), "stop-sending-within", " of rules");
+    /** The time after which nothing more may be sent to a server that drains. */
+    public double drainGraceMs() {
+        return 1000 * requiredNumber(section(settings, "rules"), "stop-sending-within", " of rules");
     }
 
-    public boolean cancelling() {
-        return flag(map(info, "bounds"), "cancelling");
+    public boolean isCancellationAllowed() {
+        return flag(section(settings, "bounds"), "cancelling");
     }
 
-    /** The time that the longest client waits. */
-    public double longestMs() {
+    /** The longest time that a client of any op type waits. */
+    public double longestClientTimeoutMs() {
         return opTypes().stream().mapToDouble(op -> op.timeoutMs).max().orElse(0);
     }
 
     public int shards() {
-        return (int) number(map(info, "family-info"), "slabs", 0);
+        return (int) number(section(settings, "family-info"), "slabs", 0);
     }
 
     public int cells() {
-        return (int) number(map(info, "family-info"), "sets", 1);
+        return (int) number(section(settings, "family-info"), "sets", 1);
     }
 
     /** How large a subset of the index servers this node uses; null where it uses all of them. */
     public SubsetSettings subset() {
-        if (info.get("subset") == null) {
+        if (settings.get("subset") == null) {
             return null;
         }
-        Map<?, ?> stated = map(info, "subset");
+        Map<?, ?> stated = section(settings, "subset");
         return new SubsetSettings(wholeNumber(stated, "replicasPerShard"), wholeNumber(stated, "leastZones"));
     }
 
     private static int wholeNumber(Map<?, ?> subset, String name) {
-        double number = needed(subset, name, " of subset");
+        double number = requiredNumber(subset, name, " of subset");
         if (number != (int) number) {
             throw new IllegalArgumentException(
                     "'" + name + " of subset': found " + subset.get(name) + ", a whole number is expected");
@@ -257,27 +254,27 @@
 
     /** Chooses this node's servers from all live ones; only where a subset is stated. */
     public SubsetSelector subsetSelector() {
-        return new SubsetSelector(name(), subset(), shards(), cells(), reach());
+        return new SubsetSelector(name(), subset(), shards(), cells(), replicationFactor());
     }
 
-    /** What tells this node its own servers from a list of all; null where it uses all of them. */
+    /** Picks this node's own servers from a list of all; null where it uses all of them. */
     public SubsetFilter subsetFilter() {
-        return subset() == null ? null : new SubsetFilter(subsetSelector(), longestMs());
+        return subset() == null ? null : new SubsetFilter(subsetSelector(), longestClientTimeoutMs());
     }
 
     /** Consecutive cells that hold a shard. */
-    public int reach() {
-        return (int) number(map(info, "family-info"), "width", 1);
+    public int replicationFactor() {
+        return (int) number(section(settings, "family-info"), "width", 1);
     }
 
-    /** The shortest time between two turns. */
-    public double turnMs() {
-        return 1000 * number(info, "tick", 0);
+    /** The shortest time between two event loop iterations. */
+    public double loopIntervalMs() {
+        return 1000 * number(settings, "tick", 0);
     }
 
-    /** Whether the module says when the list's changes are asked for. */
-    public boolean listAsked() {
-        return "ask".equals(info.get("discovery"));
+    /** Whether the coordinator says when the endpoint list's changes are asked for. */
+    public boolean isDiscoveryPolled() {
+        return "ask".equals(settings.get("discovery"));
     }
 
     private String text(String name) {
--- a/node/src/main/java/spartrail/config/PolicyFields.java
+++ b/node/src/main/java/spartrail/config/PolicyFields.java
@@ -9,9 +9,9 @@
 import spartrail.policy.IdempotencyNames;
 import spartrail.policy.PolicySettings;
 
-/** Which setting of the file is which field of policy, both ways. Times are seconds there and milliseconds here. */
+/** Maps the settings of the deploy file to the fields of policy and back. Times are seconds there and milliseconds here. */
 public final class PolicyFields {
-    private record Field(String field, String part, String name, double factor, Object otherwise) {}
+    private record Field(String policyField, String section, String setting, double unitFactor, Object defaultValue) {}
 
     private static final List<Field> FIELDS = List.of(
             new Field("/sends/most", "bounds", "try-limit", 1, (double) Integer.MAX_VALUE),
@@ -26,7 +26,7 @@
             new Field("/comeback/told", "bounds", "retry-after", 0, false),
             new Field("/comeback/longestMs", "bounds", "max-retry-after", 1000, 0.0),
             new Field("/inHand/most", "bounds", "open-cap", 1, (double) Integer.MAX_VALUE));
-    private static final Map<String, String> OF_CLASSES = Map.of(
+    private static final Map<String, String> CLASS_SETTINGS = Map.of(
             "importance",
             "worth",
             "budgetMs",
@@ -37,15 +37,15 @@
             "late-share",
             "dedupMs",
             "key-ttl");
-    private static final Map<String, String> OF_LAYOUT =
+    private static final Map<String, String> LAYOUT_SETTINGS =
             Map.of("need", "class-need", "floor", "class-floor", "partialShare", "class-partial");
-    private static final Map<String, String> EFFECTS =
+    private static final Map<String, String> EFFECTS_BY_POLICY_NAME =
             Map.of("RETRIABLE", "free", "DEDUPED", "guarded", "NON_RETRIABLE", "single_shot");
 
     private PolicyFields() {}
 
-    /** What of a file's settings policy may change. */
-    public static PolicySettings of(DeploymentFile file) {
+    /** The settings of a file that policy may change. */
+    public static PolicySettings read(DeploymentFile file) {
         Map<String, Object> values = new TreeMap<>();
         for (OpType op : file.opTypes()) {
             String at = "/opTypes/" + op.name + "/";
@@ -70,28 +70,32 @@
                     op.partialShare));
         }
         for (Field field : FIELDS) {
-            Object value = Provisioning.map(file.settings(), field.part).get(field.name);
+            Object value =
+                    CoordinatorSettings.section(file.settings(), field.section).get(field.setting);
             values.put(
-                    field.field,
+                    field.policyField,
                     value == null
-                            ? field.otherwise
-                            : value instanceof Number number ? (Object) (number.doubleValue() * field.factor) : value);
+                            ? field.defaultValue
+                            : value instanceof Number number
+                                    ? (Object) (number.doubleValue() * field.unitFactor)
+                                    : value);
         }
         return PolicySettings.of(values);
     }
 
     /** The file with these terms in the places of its own; an IllegalArgumentException where it would be no usable file. */
-    public static DeploymentFile with(DeploymentFile file, PolicySettings terms) {
-        PolicySettings own = of(file);
+    public static DeploymentFile apply(DeploymentFile file, PolicySettings terms) {
+        PolicySettings own = read(file);
         Map<String, Object> settings = copy(file.settings());
         for (Field field : FIELDS) {
-            Object value =
-                    field.factor == 0 ? (Object) terms.flag(field.field) : terms.number(field.field) / field.factor;
-            boolean same = field.factor == 0
-                    ? terms.flag(field.field) == own.flag(field.field)
-                    : terms.number(field.field) == own.number(field.field);
+            Object value = field.unitFactor == 0
+                    ? (Object) terms.flag(field.policyField)
+                    : terms.number(field.policyField) / field.unitFactor;
+            boolean same = field.unitFactor == 0
+                    ? terms.flag(field.policyField) == own.flag(field.policyField)
+                    : terms.number(field.policyField) == own.number(field.policyField);
             if (!same) {
-                part(settings, field.part).put(field.name, value);
+                part(settings, field.section).put(field.setting, value);
             }
         }
         List<Object> classes = new ArrayList<>();
@@ -101,18 +105,18 @@
             String at = "/opTypes/" + opTypes.get(i).name + "/";
             Map<String, Object> line =
                     copy((Map<?, ?>) ((List<?>) file.settings().get("classes")).get(i));
-            OF_CLASSES.forEach(
+            CLASS_SETTINGS.forEach(
                     (field, name) -> line.put(name, terms.number(at + field) / (field.endsWith("Ms") ? 1000 : 1)));
-            line.put("effect", EFFECTS.get(terms.text(at + "repeat")));
+            line.put("effect", EFFECTS_BY_POLICY_NAME.get(terms.text(at + "repeat")));
             classes.add(line);
         }
         settings.put("classes", classes);
-        OF_LAYOUT.forEach((field, name) -> layout.put(
+        LAYOUT_SETTINGS.forEach((field, name) -> layout.put(
                 name,
                 opTypes.stream()
                         .map(op -> (Object) terms.number("/opTypes/" + op.name + "/" + field))
                         .toList()));
-        return file.with(settings);
+        return file.withSettings(settings);
     }
 
     private static Map<String, Object> copy(Map<?, ?> map) {
@@ -122,7 +126,7 @@
     }
 
     private static Map<String, Object> part(Map<String, Object> settings, String name) {
-        Map<String, Object> part = copy(Provisioning.map(settings, name));
+        Map<String, Object> part = copy(CoordinatorSettings.section(settings, name));
         settings.put(name, part);
         return part;
     }
--- a/node/src/main/java/spartrail/sim/SimHost.java
+++ b/node/src/main/java/spartrail/sim/SimHost.java
@@ -15,13 +15,13 @@
 import java.util.Map;
 import spartrail.json.JsonTree;
 
-/** Hosts instances on the simulator's wire: a line of events in, a line of actions out. */
+/** Hosts instances on the simulator's wire: for each line of events it writes a line of actions. */
 public final class SimHost {
     private final JsonFactory json = new JsonFactory();
     private final Writer out;
     private final PrintStream err;
     private final Map<Integer, SimNode> nodes = new HashMap<>();
-    /** Lists of servers by number, as the wire shares them among instances. */
+    /** Server lists by number, which the wire shares among instances. */
     private final Map<Integer, List<?>> rosters = new HashMap<>();
 
     public SimHost(Writer out, PrintStream err) {
@@ -29,7 +29,7 @@
         this.err = err;
     }
 
-    /** Serves until the end of input; the exit status. */
+    /** Serves until the end of input and returns the exit status. */
     public int run(Reader input) throws IOException {
         BufferedReader in = new BufferedReader(input, 1 << 16);
         int number = 0;
--- a/node/src/main/java/spartrail/sim/SimNode.java
+++ b/node/src/main/java/spartrail/sim/SimNode.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import spartrail.config.Provisioning;
+import spartrail.config.CoordinatorSettings;
 import spartrail.coordination.Coordinator;
 import spartrail.model.Attempt;
 import spartrail.model.Decisions;
@@ -14,7 +14,7 @@
 import spartrail.model.Part;
 import spartrail.model.Server;
 
-/** One instance on the wire: keeps its timer and the multigets in hand, converts words and units. */
+/** One instance on the simulator's wire: keeps its timer and the multigets in hand, and maps names and units. */
 final class SimNode {
     private static final Map<String, Attempt.Outcome> OUTCOMES = Map.of(
             "S",
@@ -43,11 +43,11 @@
     private Coordinator coordinator;
     private final Map<String, OpType> opTypes = new HashMap<>();
     private final Map<Long, Multiget> multigets = new HashMap<>();
-    /** By the number that a multiget's parts bear. */
+    /** By the number that a multiget's parts carry. */
     private final Map<Long, Multiget> multigetsByNumber = new HashMap<>();
 
     private final Map<Long, Part> parts = new HashMap<>();
-    /** The multiget whose parts are coming in. */
+    /** The multiget whose parts are being received; placed with the next other event. */
     private Multiget pending;
 
     private double timerAtMs = Double.MAX_VALUE;
@@ -57,7 +57,7 @@
         this.err = err;
     }
 
-    /** Takes an event; an exception in the decisions ends the day in the wire's own words. */
+    /** Handles an event; an exception in the decisions is reported as the wire's failure action. */
     void handleEvent(List<?> event, double nowMs) {
         try {
             if (!"INCOMING".equals(event.get(0))) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /** What this instance does about the events taken since the last call. */
+    /** Returns the actions that the events since the last call lead to. */
     List<List<Object>> actions(double nowMs) {
         try {
             placePending(nowMs);
@@ -95,9 +95,9 @@
         }
         if (name.equals("POWER_ON")) {
             Map<?, ?> info = (Map<?, ?>) event.get(2);
-            List<OpType> known = Provisioning.opTypes(info);
+            List<OpType> known = CoordinatorSettings.opTypes(info);
             known.forEach(opType -> opTypes.put(opType.name, opType));
-            coordinator = Provisioning.coordinator(((Number) event.get(1)).longValue(), info, known);
+            coordinator = CoordinatorSettings.coordinator(((Number) event.get(1)).longValue(), info, known);
         }
         if (coordinator == null) {
             return;
