--- /dev/null
+++ b/core/src/test/java/spartrail/coordination/CoordinatorScript.java
@@ -0,0 +1,229 @@
+package spartrail.coordination;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.UncheckedIOException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Random;
+import spartrail.model.Attempt;
+import spartrail.model.Decisions;
+import spartrail.model.Multiget;
+import spartrail.model.OpType;
+import spartrail.model.Part;
+import spartrail.model.Server;
+
+/** Plays a script of events to a coordinator and records its decisions, to be compared with a trace in the resources. */
+final class CoordinatorScript {
+    final OpType opType = new OpType();
+    final List<OpType> opTypes = new ArrayList<>(List.of(opType));
+    Coordinator coordinator;
+    double nowMs = 1000;
+    /** Whether multigets placed from here on are marked as retries by their clients. */
+    boolean clientRetry;
+
+    private final StringBuilder trace = new StringBuilder();
+    private final Map<Long, Multiget> multigets = new LinkedHashMap<>();
+    private final Map<String, Attempt> attempts = new LinkedHashMap<>();
+
+    CoordinatorScript() {
+        opType.name = "read";
+        opType.priorityWeight = 1;
+        opType.latencyObjectiveMs = 1000;
+        opType.timeoutMs = 2000;
+        opType.lateShare = 0.3;
+        opType.idempotency = OpType.Idempotency.IDEMPOTENT;
+        opType.completeWeight = 1;
+        opType.minimumWeight = 1;
+        opType.partialShare = 0.9;
+        opType.latency.meanLatencyMs = 100;
+        opType.latency.unloadedLatencyMs = 100;
+        opType.latency.latencyDeviationMs = 20;
+    }
+
+    /** Adds an op type of three times the priority weight. */
+    OpType addHighPriorityOpType() {
+        OpType vital = new CoordinatorScript().opType;
+        vital.name = "vital";
+        vital.priorityWeight = 3;
+        opTypes.add(vital);
+        return vital;
+    }
+
+    /** Starts the coordinator with one server a cell, and with hedging, cancellation and Retry-After allowed. */
+    CoordinatorScript withFleet(int shards, int cells, int replicationFactor, int maxPartsPerBatch) {
+        coordinator = new WindowCoordinator(new Random(7), opTypes)
+                .frontNodes(2, 5)
+                .layout(shards, cells, replicationFactor, maxPartsPerBatch)
+                .attempts(4, true, true)
+                .slowStart(0.2, 10_000, 2, 1000)
+                .retryAfter(true, 1000);
+        List<Server> servers = new ArrayList<>();
+        for (int cell = 0; cell < cells; cell++) {
+            servers.add(server("s" + cell, cell, Server.State.LIVE, -1));
+        }
+        return print("list", coordinator.onEndpointUpdate(servers, true, true, nowMs));
+    }
+
+    static Server server(String id, int cell, Server.State state, double bornMs) {
+        Server server = new Server(id);
+        server.cell = cell;
+        server.state = state;
+        server.startedAtMs = bornMs;
+        return server;
+    }
+
+    static Server serverInZone(String id, int cell, String zone) {
+        Server server = server(id, cell, Server.State.LIVE, -1);
+        server.zone = zone;
+        return server;
+    }
+
+    CoordinatorScript endpointUpdate(boolean complete, boolean fresh, Server... servers) {
+        return print("list", coordinator.onEndpointUpdate(List.of(servers), complete, fresh, nowMs));
+    }
+
+    CoordinatorScript place(long id, int... shards) {
+        return place(opType, id, 2000, shards);
+    }
+
+    /** Places multigets of these ids, each of one part of the same shard. */
+    CoordinatorScript placeEach(long firstId, long lastId, int shard) {
+        for (long id = firstId; id <= lastId; id++) {
+            place(id, shard);
+        }
+        return this;
+    }
+
+    CoordinatorScript place(OpType placedType, long id, double clientTimeLeftMs, int... shards) {
+        Multiget multiget = new Multiget();
+        multiget.id = id;
+        multiget.opType = placedType;
+        multiget.clientTimeLeftMs = clientTimeLeftMs;
+        multiget.clientRetry = clientRetry;
+        multiget.arrivedMs = nowMs;
+        multigets.put(id, multiget);
+        for (int shard : shards) {
+            Part part = new Part();
+            part.id = 100 + shard;
+            part.multiget = multiget;
+            part.shard = coordinator.shard(shard);
+            part.weight = 1.0 / shards.length;
+            multiget.parts.add(part);
+        }
+        return print("place " + id, coordinator.place(multiget, nowMs));
+    }
+
+    /** The outcome of an attempt, named as in the trace. */
+    CoordinatorScript outcome(String name, Attempt.Outcome outcome) {
+        Attempt attempt = attempts.get(name);
+        if (attempt == null) {
+            return this;
+        }
+        return print(
+                name + " " + traceName(outcome),
+                coordinator.onOutcome(attempt, outcome, nowMs - attempt.sentMs, nowMs));
+    }
+
+    /** The same outcome for all attempts in flight at a server. */
+    CoordinatorScript outcomeOfAllAt(String server, Attempt.Outcome outcome) {
+        List.copyOf(attempts.keySet()).stream()
+                .filter(name -> attempts.get(name).isInFlight()
+                        && attempts.get(name).server.id.equals(server))
+                .forEach(name -> outcome(name, outcome));
+        return this;
+    }
+
+    CoordinatorScript clientGone(long id) {
+        return print("gone " + id, coordinator.onClientGone(multigets.get(id), nowMs));
+    }
+
+    CoordinatorScript discoveryUnavailable() {
+        return print("unlisted", coordinator.onDiscoveryUnavailable(nowMs));
+    }
+
+    /** Advances the time, with the timer events that the coordinator asks for. */
+    CoordinatorScript advance(double ms) {
+        double until = nowMs + ms;
+        while (nowMs + coordinator.timeToNextTimerMs(nowMs) <= until) {
+            nowMs += coordinator.timeToNextTimerMs(nowMs);
+            Decisions decisions = coordinator.onTimer(nowMs);
+            if (!text(decisions).isEmpty()) {
+                print("wait", decisions);
+            }
+        }
+        nowMs = until;
+        return this;
+    }
+
+    /** Pauses the process; timers run first after it, events that arrived meanwhile later. */
+    CoordinatorScript pauseProcess(double ms) {
+        coordinator.timeToNextTimerMs(nowMs);
+        nowMs += ms;
+        return print("back", coordinator.onTimer(nowMs));
+    }
+
+    /** Records until when the frame of an attempt may begin. */
+    CoordinatorScript traceSendDeadline(String name) {
+        trace.append(String.format(
+                Locale.ROOT, "%5.0f %s leaves by %.0f%n", nowMs, name, attempts.get(name).sendDeadlineMs));
+        return this;
+    }
+
+    private CoordinatorScript print(String call, Decisions decisions) {
+        trace.append(String.format(Locale.ROOT, "%5.0f %s ->%s%n", nowMs, call, text(decisions)));
+        return this;
+    }
+
+    private String text(Decisions decisions) {
+        StringBuilder text = new StringBuilder();
+        for (Attempt attempt : decisions.attempts) {
+            text.append(' ').append(name(attempt)).append('@').append(attempt.server.id);
+            attempts.put(name(attempt), attempt);
+        }
+        for (Multiget multiget : decisions.answers) {
+            text.append(" [")
+                    .append(multiget.id)
+                    .append(' ')
+                    .append(traceName(multiget.answer))
+                    .append(']');
+        }
+        decisions.cancellations.forEach(attempt -> text.append(" x").append(name(attempt)));
+        return text.append(decisions.watchEndpoints ? " follow" : "").toString();
+    }
+
+    /** The recorded traces keep the names that outcomes and answers had when they were made. */
+    private static String traceName(Attempt.Outcome outcome) {
+        return outcome == Attempt.Outcome.MALFORMED ? "GARBLED" : outcome.name();
+    }
+
+    private static String traceName(Multiget.Answer answer) {
+        return switch (answer) {
+            case COMPLETE -> "WHOLE";
+            case REJECTED -> "PUSHED_BACK";
+            case PARTIAL, FAILED -> answer.name();
+        };
+    }
+
+    /** Multiget, shard, number of the attempt. */
+    private static String name(Attempt attempt) {
+        Part part = attempt.part;
+        return part.multiget.id + "." + part.shard.number + "#" + attempt.number;
+    }
+
+    /** Compares the record with the trace of this name. */
+    void assertTraceIs(String name) {
+        try (InputStream resource = CoordinatorScript.class.getResourceAsStream("/traces/" + name + ".txt")) {
+            String expected = resource == null ? "" : new String(resource.readAllBytes(), StandardCharsets.UTF_8);
+            assertThat(trace.toString()).isEqualToNormalizingNewlines(expected);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+}
--- /dev/null
+++ b/core/src/test/java/spartrail/coordination/WarmUpFleetTest.java
@@ -0,0 +1,128 @@
+package spartrail.coordination;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import org.junit.jupiter.api.Test;
+import spartrail.subset.SharingBound;
+
+/** A server that warms up collapses under the attempts of all front nodes together, so their sum is checked here. */
+class WarmUpFleetTest {
+    private static final double SERVICE_MS = 20;
+    private static final int REPLICAS = 8;
+
+    /** Nodes of which some have several times the queries of others; together they use this share of the warm servers. */
+    private static List<WarmUpFleet.Node> unevenNodes(
+            int count,
+            double utilization,
+            int cores,
+            int leastReplicas,
+            double minAssumedShare,
+            double maxAssumedShare,
+            long seed) {
+        Random random = new Random(seed);
+        double[] weights = random.doubles(count, 0.2, 3).toArray();
+        double sum = 0;
+        for (double weight : weights) {
+            sum += weight;
+        }
+        List<WarmUpFleet.Node> nodes = new ArrayList<>();
+        for (double weight : weights) {
+            double assumedNodes = count * (minAssumedShare + (maxAssumedShare - minAssumedShare) * random.nextDouble());
+            nodes.add(new WarmUpFleet.Node(
+                    (int) Math.max(1, Math.round(assumedNodes)),
+                    utilization * cores * REPLICAS / SERVICE_MS * weight / sum,
+                    leastReplicas + random.nextInt(REPLICAS - leastReplicas + 1)));
+        }
+        return nodes;
+    }
+
+    private static double worstOverload(
+            int count,
+            double utilization,
+            int cores,
+            int cells,
+            double minAssumedShare,
+            double maxAssumedShare,
+            long seed) {
+        return new WarmUpFleet(seed, SERVICE_MS, cores)
+                .worstOverload(
+                        unevenNodes(count, utilization, cores, REPLICAS, minAssumedShare, maxAssumedShare, seed),
+                        cells);
+    }
+
+    @Test
+    void nodesThatAssumeOtherCountsDoNotOverloadAServerThatWarmsUp() {
+        for (int count : new int[] {20, 30}) {
+            for (int cores : new int[] {1, 4}) {
+                for (double utilization : new double[] {0.3, 0.6, 0.8}) {
+                    assertThat(worstOverload(count, utilization, cores, REPLICAS, 0.5, 1.5, count))
+                            .as("%d nodes, %d cores, %.1f used", count, cores, utilization)
+                            .isLessThan(1);
+                }
+            }
+        }
+    }
+
+    /**
+     * Of 3,900 nodes, those that have the cold server in their subsets: as many as the figure counts, which one server in a million
+     * has, or as on average, where each node's count of all nodes is wrong by up to a half, or everyone's is.
+     */
+    @Test
+    void nodesThatShareAServerByTheirSubsetsDoNotOverloadItWhileItWarmsUp() {
+        double inclusion = REPLICAS / 248.0;
+        int mean = (int) Math.round(3900 * inclusion);
+        int most = SharingBound.nodesPerServer(3900, inclusion);
+        double half = SharingBound.nodesPerServer(3900 / 2, inclusion) / (double) mean;
+        double more = SharingBound.nodesPerServer(3900 * 3 / 2, inclusion) / (double) mean;
+        for (int cores : new int[] {1, 4}) {
+            for (double utilization : new double[] {0.3, 0.6, 0.8}) {
+                assertThat(worstOverload(most, utilization, cores, 1, 1, 1, 1))
+                        .as("%d sharing, %d cores, %.1f used", most, cores, utilization)
+                        .isLessThan(1);
+                assertThat(worstOverload(mean, utilization, cores, 1, half, more, 2))
+                        .as("counts differ, %d cores, %.1f used", cores, utilization)
+                        .isLessThan(1);
+                assertThat(worstOverload(mean, utilization, cores, 1, half, half, 3))
+                        .as("half counted, %d cores, %.1f used", cores, utilization)
+                        .isLessThan(1);
+            }
+        }
+    }
+
+    /** Lists that differ: each node's names from half to all of the replicas, the cold one among them. */
+    @Test
+    void nodesWhoseEndpointListsDifferDoNotOverloadIt() {
+        int mean = (int) Math.round(3900 * REPLICAS / 248.0);
+        for (int count : new int[] {20, 30, mean}) {
+            for (int cores : new int[] {1, 4}) {
+                for (double utilization : new double[] {0.3, 0.6, 0.8}) {
+                    List<WarmUpFleet.Node> nodes =
+                            unevenNodes(count, utilization, cores, REPLICAS / 2, 0.5, 1.5, count);
+                    assertThat(new WarmUpFleet(count, SERVICE_MS, cores).worstOverload(nodes, 1))
+                            .as("%d nodes, %d cores, %.1f used", count, cores, utilization)
+                            .isLessThan(1);
+                }
+            }
+        }
+    }
+
+    @Test
+    void nodesWithSeveralServersInACellDoNotOverloadOneThatWarmsUp() {
+        for (int count : new int[] {20, 30, 60}) {
+            for (double utilization : new double[] {0.3, 0.6, 0.8}) {
+                assertThat(worstOverload(count, utilization, 1, 1, 0.5, 1.5, count))
+                        .as("%d nodes, %.1f used", count, utilization)
+                        .isLessThan(1);
+            }
+        }
+    }
+
+    /** Shows that the check fails where it should: the same fleet, each of whose nodes assumes to be alone. */
+    @Test
+    void nodesThatEachAssumeToBeAloneOverloadIt() {
+        assertThat(worstOverload(30, 0.6, 1, REPLICAS, 0, 0, 30)).isGreaterThan(1);
+    }
+}
--- a/core/src/test/java/spartrail/coordination/WindowCoordinatorTest.java
+++ b/core/src/test/java/spartrail/coordination/WindowCoordinatorTest.java
@@ -1,8 +1,8 @@
 package spartrail.coordination;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static spartrail.coordination.Script.line;
-import static spartrail.coordination.Script.zoned;
+import static spartrail.coordination.CoordinatorScript.server;
+import static spartrail.coordination.CoordinatorScript.serverInZone;
 
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
@@ -15,698 +15,672 @@
     // ---- The ordinary path ----
 
     @Test
-    void heldPartsLeaveInTheSameKeyOrderAtEveryShard() {
-        Script script = new Script().fleet(2, 2, 1, 1);
+    void queuedPartsAreReleasedInTheSameOrderAtEveryShard() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(2, 2, 1, 1);
         script.place(1, 0, 1).place(2, 0, 1).place(3, 0, 1).place(4, 0, 1);
         script.place(5, 0, 1).place(6, 1, 0).place(7, 0, 1);
-        script.pass(60)
-                .after("1.0#0", Outcome.ANSWERED)
-                .after("2.0#0", Outcome.ANSWERED)
-                .after("1.1#0", Outcome.ANSWERED)
-                .after("2.1#0", Outcome.ANSWERED)
-                .matches("release-order");
+        script.advance(60)
+                .outcome("1.0#0", Outcome.ANSWERED)
+                .outcome("2.0#0", Outcome.ANSWERED)
+                .outcome("1.1#0", Outcome.ANSWERED)
+                .outcome("2.1#0", Outcome.ANSWERED)
+                .assertTraceIs("release-order");
     }
 
     @Test
     void anEarlierWindowGoesFirstWhateverTheRank() {
-        Script script = new Script().fleet(1, 1, 1, 1);
+        CoordinatorScript script = new CoordinatorScript().withFleet(1, 1, 1, 1);
         script.place(1, 0)
                 .place(2, 0)
                 .place(3, 0)
                 .place(4, 0)
                 .place(9, 0)
-                .pass(300)
+                .advance(300)
                 .place(8, 0);
-        script.after("1.0#0", Outcome.FULL)
-                .pass(10)
-                .after("2.0#0", Outcome.ANSWERED)
-                .after("3.0#0", Outcome.ANSWERED)
-                .after("4.0#0", Outcome.ANSWERED)
-                .matches("window-order");
+        script.outcome("1.0#0", Outcome.FULL)
+                .advance(10)
+                .outcome("2.0#0", Outcome.ANSWERED)
+                .outcome("3.0#0", Outcome.ANSWERED)
+                .outcome("4.0#0", Outcome.ANSWERED)
+                .assertTraceIs("window-order");
     }
 
     @Test
     void theLeastLoadedReplicaIsPickedAndTiesGoInTurn() {
-        Script script = new Script().fleet(1, 3, 3, 1);
-        script.place(1, 0)
-                .place(2, 0)
-                .place(3, 0)
-                .place(4, 0)
-                .pass(50)
-                .after("2.0#0", Outcome.ANSWERED)
+        CoordinatorScript script = new CoordinatorScript().withFleet(1, 3, 3, 1);
+        script.placeEach(1, 4, 0)
+                .advance(50)
+                .outcome("2.0#0", Outcome.ANSWERED)
                 .place(5, 0)
                 .place(6, 0)
-                .matches("least-loaded");
+                .assertTraceIs("least-loaded");
     }
 
     @Test
-    void partsThatCanShareACallDo() {
-        new Script()
-                .fleet(4, 4, 4, 3)
+    void partsThatCanShareABatchDo() {
+        new CoordinatorScript()
+                .withFleet(4, 4, 4, 3)
                 .place(1, 0, 1, 2, 3)
-                .pass(5)
+                .advance(5)
                 .place(2, 0, 1)
-                .matches("calls");
+                .assertTraceIs("calls");
     }
 
     @Test
     void aLimitGrowsWithQuickAnswersAndHalvesOnFullAndLate() {
-        Script script = new Script().fleet(1, 1, 1, 1);
-        script.place(1, 0)
-                .place(2, 0)
-                .place(3, 0)
-                .place(4, 0)
-                .place(5, 0)
-                .place(6, 0)
-                .place(7, 0)
-                .place(8, 0);
-        script.pass(50).after("1.0#0", Outcome.ANSWERED).after("2.0#0", Outcome.ANSWERED);
-        script.pass(5).after("3.0#0", Outcome.FULL).matches("limit");
+        CoordinatorScript script = new CoordinatorScript().withFleet(1, 1, 1, 1);
+        script.placeEach(1, 8, 0);
+        script.advance(50).outcome("1.0#0", Outcome.ANSWERED).outcome("2.0#0", Outcome.ANSWERED);
+        script.advance(5).outcome("3.0#0", Outcome.FULL).assertTraceIs("limit");
     }
 
     // ---- Rules ----
 
     @Test
     void everyMultigetGetsOneFinalAnswerInItsTime() {
-        Script script = new Script().fleet(2, 2, 1, 1);
-        script.listed(false, true, line("s1", 1, Server.State.GONE, -1))
+        CoordinatorScript script = new CoordinatorScript().withFleet(2, 2, 1, 1);
+        script.endpointUpdate(false, true, server("s1", 1, Server.State.GONE, -1))
                 .place(1, 0, 1)
                 .place(2, 0)
-                .pass(2500)
-                .after("1.0#0", Outcome.TIMED_OUT)
-                .matches("final-answer");
+                .advance(2500)
+                .outcome("1.0#0", Outcome.TIMED_OUT)
+                .assertTraceIs("final-answer");
     }
 
     @Test
-    void aNonRetriablePartIsRepeatedOnlyIfItNeverRan() {
-        Script script = new Script();
+    void aNonIdempotentPartIsRetriedOnlyIfItNeverRan() {
+        CoordinatorScript script = new CoordinatorScript();
         script.opType.idempotency = OpType.Idempotency.NON_IDEMPOTENT;
-        script.fleet(1, 3, 3, 1)
+        script.withFleet(1, 3, 3, 1)
                 .place(1, 0)
                 .place(2, 0)
-                .pass(500)
-                .after("1.0#0", Outcome.CONNECT_FAILED)
-                .after("2.0#0", Outcome.RESET)
-                .after("1.0#1", Outcome.FULL)
-                .after("1.0#2", Outcome.ERROR)
-                .matches("non-retriable");
+                .advance(500)
+                .outcome("1.0#0", Outcome.CONNECT_FAILED)
+                .outcome("2.0#0", Outcome.RESET)
+                .outcome("1.0#1", Outcome.FULL)
+                .outcome("1.0#2", Outcome.ERROR)
+                .assertTraceIs("non-retriable");
     }
 
     @Test
-    void aDedupedPartIsRepeatedOnlyWithinItsWindow() {
-        Script script = new Script();
+    void aPartWithAnIdempotencyKeyIsRetriedOnlyWithinItsWindow() {
+        CoordinatorScript script = new CoordinatorScript();
         script.opType.idempotency = OpType.Idempotency.IDEMPOTENCY_KEY;
         script.opType.deduplicationWindowMs = 400;
-        script.fleet(1, 3, 3, 1)
+        script.withFleet(1, 3, 3, 1)
                 .place(1, 0)
                 .place(2, 0)
-                .pass(100)
-                .after("1.0#0", Outcome.ERROR)
-                .pass(350)
-                .after("1.0#1", Outcome.ERROR)
-                .after("2.0#0", Outcome.RESET)
-                .matches("deduped");
+                .advance(100)
+                .outcome("1.0#0", Outcome.ERROR)
+                .advance(350)
+                .outcome("1.0#1", Outcome.ERROR)
+                .outcome("2.0#0", Outcome.RESET)
+                .assertTraceIs("deduped");
     }
 
-    /** Danger: a first attempt whose connection comes up late would run long after the second one. */
+    /** A first attempt whose connection comes up late would run long after the second one. */
     @Test
-    void everyAttemptOfADedupedPartLeavesWithinTheWindowOfTheFirst() {
-        Script script = new Script();
+    void everyAttemptOfAPartWithAnIdempotencyKeyIsSentWithinTheWindowOfTheFirst() {
+        CoordinatorScript script = new CoordinatorScript();
         script.opType.idempotency = OpType.Idempotency.IDEMPOTENCY_KEY;
         script.opType.deduplicationWindowMs = 400;
-        script.fleet(1, 3, 3, 1)
+        script.withFleet(1, 3, 3, 1)
                 .place(1, 0)
                 .place(2, 0)
-                .leaveBy("1.0#0")
-                .pass(100)
-                .after("1.0#0", Outcome.ERROR)
-                .leaveBy("1.0#1")
-                .after("2.0#0", Outcome.CONNECT_FAILED)
-                .leaveBy("2.0#1")
-                .matches("deduped-leave");
+                .traceSendDeadline("1.0#0")
+                .advance(100)
+                .outcome("1.0#0", Outcome.ERROR)
+                .traceSendDeadline("1.0#1")
+                .outcome("2.0#0", Outcome.CONNECT_FAILED)
+                .traceSendDeadline("2.0#1")
+                .assertTraceIs("deduped-leave");
     }
 
     @Test
-    void aRepeatIsJudgedAgainWhenItLeavesTheQueue() {
-        Script script = new Script();
+    void aRetryIsCheckedAgainWhenItLeavesTheQueue() {
+        CoordinatorScript script = new CoordinatorScript();
         script.opType.idempotency = OpType.Idempotency.IDEMPOTENCY_KEY;
         script.opType.deduplicationWindowMs = 100;
-        script.fleet(1, 1, 1, 1)
-                .place(1, 0)
-                .place(2, 0)
-                .place(3, 0)
-                .place(4, 0)
-                .place(5, 0)
-                .place(6, 0);
-        script.pass(50)
-                .after("1.0#0", Outcome.ERROR)
-                .after("2.0#0", Outcome.FULL)
-                .pass(100)
-                .after("3.0#0", Outcome.ANSWERED)
-                .after("4.0#0", Outcome.ANSWERED)
-                .after("5.0#0", Outcome.ANSWERED)
-                .after("6.0#0", Outcome.ANSWERED)
-                .matches("repeat-held");
+        script.withFleet(1, 1, 1, 1).placeEach(1, 6, 0);
+        script.advance(50)
+                .outcome("1.0#0", Outcome.ERROR)
+                .outcome("2.0#0", Outcome.FULL)
+                .advance(100)
+                .outcome("3.0#0", Outcome.ANSWERED)
+                .outcome("4.0#0", Outcome.ANSWERED)
+                .outcome("5.0#0", Outcome.ANSWERED)
+                .outcome("6.0#0", Outcome.ANSWERED)
+                .assertTraceIs("repeat-held");
     }
 
     @Test
     void aDrainingOrGoneServerGetsNothingNew() {
-        Script script = new Script().fleet(1, 2, 2, 1);
+        CoordinatorScript script = new CoordinatorScript().withFleet(1, 2, 2, 1);
         script.place(1, 0)
                 .place(2, 0)
-                .listed(false, true, line("s0", 0, Server.State.DRAINING, -1))
+                .endpointUpdate(false, true, server("s0", 0, Server.State.DRAINING, -1))
                 .place(3, 0)
-                .listed(true, true, line("s0", 0, Server.State.LIVE, -1))
+                .endpointUpdate(true, true, server("s0", 0, Server.State.LIVE, -1))
                 .place(4, 0)
                 .place(5, 0)
-                .matches("drain");
+                .assertTraceIs("drain");
     }
 
     @Test
-    void aColdServerGetsThisNodesShareOfWhatAWarmOneTakes() {
-        Script script = new Script().fleet(1, 2, 2, 1);
-        script.listed(false, true, line("s0", 0, Server.State.LIVE, 900))
-                .place(1, 0)
-                .place(2, 0)
-                .place(3, 0)
-                .pass(50)
-                .afterAt("s0", Outcome.ANSWERED)
-                .afterAt("s1", Outcome.ANSWERED)
+    void aServerThatWarmsUpGetsThisNodesShareOfItsCapacity() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(1, 2, 2, 1);
+        script.endpointUpdate(false, true, server("s0", 0, Server.State.LIVE, 900))
+                .placeEach(1, 3, 0)
+                .advance(50)
+                .outcomeOfAllAt("s0", Outcome.ANSWERED)
+                .outcomeOfAllAt("s1", Outcome.ANSWERED)
                 .place(4, 0)
                 .place(5, 0)
-                .pass(50)
-                .afterAt("s0", Outcome.ANSWERED)
-                .afterAt("s1", Outcome.ANSWERED)
-                .pass(5000)
-                .place(6, 0)
-                .place(7, 0)
-                .place(8, 0)
-                .matches("cold");
+                .advance(50)
+                .outcomeOfAllAt("s0", Outcome.ANSWERED)
+                .outcomeOfAllAt("s1", Outcome.ANSWERED)
+                .advance(5000)
+                .placeEach(6, 8, 0)
+                .assertTraceIs("cold");
     }
 
     @Test
-    void ofManyNodesEachSendsAColdServerMultigetsOfTheLowerRanksWhole() {
-        Script script = new Script().fleet(2, 2, 2, 1);
+    void ofManyNodesEachSendsAServerThatWarmsUpMultigetsOfTheLowerRanks() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(2, 2, 2, 1);
         script.coordinator.frontNodes(20, 5);
-        script.listed(true, true, line("s0", 0, Server.State.LIVE, 990), line("s1", 1, Server.State.LIVE, 990));
-        script.pass(3000);
+        script.endpointUpdate(
+                true, true, server("s0", 0, Server.State.LIVE, 990), server("s1", 1, Server.State.LIVE, 990));
+        script.advance(3000);
         for (int i = 1; i < 13; i++) {
-            script.place(i, 0, 1).pass(20);
+            script.place(i, 0, 1).advance(20);
         }
-        script.matches("cold-ranks");
+        script.assertTraceIs("cold-ranks");
     }
 
     @Test
-    void furtherSendsKeepTheStatedBudget() {
-        Script script = new Script().fleet(1, 3, 3, 1);
+    void retriesKeepTheStatedBudget() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(1, 3, 3, 1);
         script.coordinator.retryBudget(1000, 1, 0.25);
         script.place(1, 0)
                 .place(2, 0)
-                .pass(10)
-                .after("1.0#0", Outcome.ERROR)
-                .after("2.0#0", Outcome.ERROR)
-                .after("1.0#1", Outcome.ERROR)
-                .matches("budget");
+                .advance(10)
+                .outcome("1.0#0", Outcome.ERROR)
+                .outcome("2.0#0", Outcome.ERROR)
+                .outcome("1.0#1", Outcome.ERROR)
+                .assertTraceIs("budget");
     }
 
     @Test
-    void aHeldFirstSendIsNoFurtherSendInTheBudget() {
-        Script script = new Script().fleet(1, 1, 1, 1);
+    void aQueuedFirstAttemptIsNoRetryInTheBudget() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(1, 1, 1, 1);
         script.coordinator.retryBudget(1000, 1, 0);
-        script.place(1, 0).place(2, 0).place(3, 0).place(4, 0).place(5, 0).pass(50);
-        script.after("1.0#0", Outcome.ANSWERED)
-                .after("2.0#0", Outcome.ERROR)
-                .after("3.0#0", Outcome.ERROR)
-                .matches("budget-held");
+        script.placeEach(1, 5, 0).advance(50);
+        script.outcome("1.0#0", Outcome.ANSWERED)
+                .outcome("2.0#0", Outcome.ERROR)
+                .outcome("3.0#0", Outcome.ERROR)
+                .assertTraceIs("budget-held");
     }
 
     @Test
-    void aPartialAnswerIsGivenAtTheBudgetAndNotMarkedWhole() {
-        Script script = new Script();
+    void aPartialAnswerIsGivenAtTheLatencyObjectiveAndNotMarkedComplete() {
+        CoordinatorScript script = new CoordinatorScript();
         script.opType.minimumWeight = 0.6;
-        script.fleet(3, 3, 1, 1)
+        script.withFleet(3, 3, 1, 1)
                 .place(1, 0, 1, 2)
                 .place(2, 0, 1, 2)
-                .pass(50)
-                .after("1.0#0", Outcome.ANSWERED)
-                .after("1.1#0", Outcome.ANSWERED)
-                .after("2.0#0", Outcome.ANSWERED)
-                .pass(1200)
-                .after("2.1#0", Outcome.ANSWERED)
-                .matches("partial");
+                .advance(50)
+                .outcome("1.0#0", Outcome.ANSWERED)
+                .outcome("1.1#0", Outcome.ANSWERED)
+                .outcome("2.0#0", Outcome.ANSWERED)
+                .advance(1200)
+                .outcome("2.1#0", Outcome.ANSWERED)
+                .assertTraceIs("partial");
     }
 
-    // ---- Troubles ----
+    // ---- Faults ----
 
     @Test
-    void anOverdueSendGetsACopyElsewhereAndTheLoserIsCancelled() {
-        new Script()
-                .fleet(1, 2, 2, 1)
+    void anOverdueAttemptIsHedgedElsewhereAndTheLoserIsCancelled() {
+        new CoordinatorScript()
+                .withFleet(1, 2, 2, 1)
                 .place(1, 0)
-                .pass(200)
-                .after("1.0#1", Outcome.ANSWERED)
-                .after("1.0#0", Outcome.CANCELLED)
-                .matches("copy");
+                .advance(200)
+                .outcome("1.0#1", Outcome.ANSWERED)
+                .outcome("1.0#0", Outcome.CANCELLED)
+                .assertTraceIs("copy");
     }
 
     @Test
-    void aSendOvertakenByLaterAnswersGetsItsCopyEarly() {
-        new Script()
-                .fleet(1, 2, 2, 1)
+    void anAttemptOvertakenByLaterAnswersIsHedgedEarly() {
+        new CoordinatorScript()
+                .withFleet(1, 2, 2, 1)
                 .place(1, 0)
                 .place(2, 0)
-                .pass(1)
+                .advance(1)
                 .place(3, 0)
-                .pass(50)
-                .after("3.0#0", Outcome.ANSWERED)
-                .pass(100)
-                .after("2.0#0", Outcome.ANSWERED)
-                .matches("overtaken");
+                .advance(50)
+                .outcome("3.0#0", Outcome.ANSWERED)
+                .advance(100)
+                .outcome("2.0#0", Outcome.ANSWERED)
+                .assertTraceIs("overtaken");
     }
 
     @Test
-    void noCopyRacesWhereParallelSendsAreForbidden() {
-        Script script = new Script().fleet(1, 2, 2, 1);
+    void nothingIsHedgedWhereParallelAttemptsAreForbidden() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(1, 2, 2, 1);
         script.coordinator.attempts(2, false, false);
         script.place(1, 0)
-                .pass(320)
-                .after("1.0#0", Outcome.TIMED_OUT)
-                .pass(100)
-                .after("1.0#1", Outcome.ANSWERED)
-                .matches("no-parallel");
+                .advance(320)
+                .outcome("1.0#0", Outcome.TIMED_OUT)
+                .advance(100)
+                .outcome("1.0#1", Outcome.ANSWERED)
+                .assertTraceIs("no-parallel");
     }
 
     @Test
     void aServerThatFailsQuicklyAttractsNoWork() {
-        Script script = new Script().fleet(1, 3, 3, 1);
+        CoordinatorScript script = new CoordinatorScript().withFleet(1, 3, 3, 1);
         for (int i = 1; i < 10; i++) {
-            script.place(i, 0).pass(2);
+            script.place(i, 0).advance(2);
             for (int server = 0; server < 3; server++) {
-                script.afterAt("s" + server, server == 0 ? Outcome.ERROR : Outcome.ANSWERED);
+                script.outcomeOfAllAt("s" + server, server == 0 ? Outcome.ERROR : Outcome.ANSWERED);
             }
-            script.pass(100);
+            script.advance(100);
         }
-        script.matches("fast-errors");
+        script.assertTraceIs("fast-errors");
     }
 
     @Test
-    void underOverloadTheLeastImportantAreTurnedAwayFirst() {
-        Script script = new Script();
-        OpType vital = script.vital();
-        script.fleet(1, 1, 1, 1);
+    void underOverloadTheLowestPriorityIsRejectedFirst() {
+        CoordinatorScript script = new CoordinatorScript();
+        OpType highPriority = script.addHighPriorityOpType();
+        script.withFleet(1, 1, 1, 1);
         for (int i = 1; i < 7; i++) {
             script.place(i, 0);
         }
-        script.pass(500).place(7, 0).place(vital, 8, 2000, 0).matches("overload");
+        script.advance(500).place(7, 0).place(highPriority, 8, 2000, 0).assertTraceIs("overload");
     }
 
     @Test
-    void aTryWithTooLittleTimeIsTurnedAwayAndOneWithLittleIsNot() {
-        Script script = new Script();
+    void aMultigetWithTooLittleTimeIsRejectedAndOneWithLittleIsNot() {
+        CoordinatorScript script = new CoordinatorScript();
         script.opType.lateShare = 0;
-        script.fleet(1, 1, 1, 1)
+        script.withFleet(1, 1, 1, 1)
                 .place(script.opType, 1, 50, 0)
                 .place(script.opType, 2, 900, 0)
-                .matches("little-time");
+                .assertTraceIs("little-time");
     }
 
     @Test
-    void whateverBecomesOfAnAttemptOfAClientThatHasGoneNoFurtherOneBegins() {
-        new Script()
-                .fleet(1, 3, 3, 1)
+    void noAttemptIsStartedForAClientThatHasGone() {
+        new CoordinatorScript()
+                .withFleet(1, 3, 3, 1)
                 .place(1, 0)
-                .gone(1)
-                .afterAt("s0", Outcome.RESET)
-                .pass(3000)
+                .clientGone(1)
+                .outcomeOfAllAt("s0", Outcome.RESET)
+                .advance(3000)
                 .place(2, 0)
-                .pass(100)
-                .gone(2)
-                .pass(3000)
-                .afterAt("s1", Outcome.ERROR)
-                .pass(3000)
-                .matches("gone");
+                .advance(100)
+                .clientGone(2)
+                .advance(3000)
+                .outcomeOfAllAt("s1", Outcome.ERROR)
+                .advance(3000)
+                .assertTraceIs("gone");
     }
 
     @Test
-    void theListIsAskedForAgainWithoutFloodingIt() {
-        Script script = new Script().fleet(1, 2, 2, 1);
+    void theEndpointListIsPolledAgainWithBackoff() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(1, 2, 2, 1);
         script.coordinator.endpointPolling(true, 10_000);
-        script.listed(true, false, line("s0", 0, Server.State.LIVE, -1))
-                .pass(300)
-                .unlisted()
-                .pass(1000)
-                .unlisted()
-                .pass(2000)
-                .listed(false, true)
-                .pass(6000)
-                .matches("list");
-    }
-
-    @Test
-    void aRepeatThatCannotLeaveHoldsUpNothing() {
-        Script script = new Script().fleet(1, 2, 2, 1);
-        script.place(1, 0)
-                .place(2, 0)
-                .place(3, 0)
-                .place(4, 0)
-                .place(5, 0)
-                .place(6, 0)
-                .place(7, 0)
-                .place(8, 0);
-        script.pass(10)
-                .afterAt("s1", Outcome.FULL)
+        script.endpointUpdate(true, false, server("s0", 0, Server.State.LIVE, -1))
+                .advance(300)
+                .discoveryUnavailable()
+                .advance(1000)
+                .discoveryUnavailable()
+                .advance(2000)
+                .endpointUpdate(false, true)
+                .advance(6000)
+                .assertTraceIs("list");
+    }
+
+    @Test
+    void aRetryThatCannotBeSentBlocksNothing() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(1, 2, 2, 1);
+        script.placeEach(1, 8, 0);
+        script.advance(10)
+                .outcomeOfAllAt("s1", Outcome.FULL)
                 .place(9, 0)
                 .place(10, 0)
-                .pass(10)
-                .after("1.0#0", Outcome.ANSWERED)
-                .after("3.0#0", Outcome.ANSWERED)
-                .matches("repeat-blocked");
+                .advance(10)
+                .outcome("1.0#0", Outcome.ANSWERED)
+                .outcome("3.0#0", Outcome.ANSWERED)
+                .assertTraceIs("repeat-blocked");
     }
 
     @Test
-    void aNodeThatHoldsNothingTurnsAwayByWhatAnswersTakeAndForgetsItInTime() {
-        Script script = new Script();
-        OpType vital = script.vital();
-        script.fleet(4, 4, 1, 1);
-        script.place(1, 0).place(2, 1).place(3, 2).place(4, 3).pass(900);
+    void withEmptyQueuesAdmissionGoesByRecentLatencyWhichFades() {
+        CoordinatorScript script = new CoordinatorScript();
+        OpType highPriority = script.addHighPriorityOpType();
+        script.withFleet(4, 4, 1, 1);
+        script.place(1, 0).place(2, 1).place(3, 2).place(4, 3).advance(900);
         for (int i = 0; i < 4; i++) {
-            script.afterAt("s" + i, Outcome.ANSWERED);
+            script.outcomeOfAllAt("s" + i, Outcome.ANSWERED);
         }
-        script.place(5, 0).place(vital, 6, 2000, 1).pass(9000).place(7, 0).matches("crowded");
+        script.place(5, 0)
+                .place(highPriority, 6, 2000, 1)
+                .advance(9000)
+                .place(7, 0)
+                .assertTraceIs("crowded");
     }
 
     @Test
-    void whatOneIllServerTakesTurnsNothingAway() {
-        Script script = new Script().fleet(4, 4, 1, 1);
+    void theLatencyOfOneEjectedServerRejectsNothing() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(4, 4, 1, 1);
         script.coordinator.attempts(1, false, false);
         for (int i = 1; i < 5; i++) {
-            script.place(i, 0).pass(900).afterAt("s0", Outcome.ANSWERED);
+            script.place(i, 0).advance(900).outcomeOfAllAt("s0", Outcome.ANSWERED);
         }
-        script.place(5, 1).matches("one-ill");
+        script.place(5, 1).assertTraceIs("one-ill");
     }
 
     @Test
-    void aMultigetBrokenOffAtTwoServersSendsNothingFurtherUntilAPartIsAnswered() {
-        Script script = new Script().fleet(3, 6, 6, 1);
+    void aMultigetResetByTwoServersSendsNothingFurtherUntilAPartIsAnswered() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(3, 6, 6, 1);
         script.place(1, 0, 1, 2)
                 .place(2, 0, 1, 2)
-                .pass(10)
-                .after("1.0#0", Outcome.RESET)
-                .after("1.1#0", Outcome.RESET)
-                .after("1.0#1", Outcome.RESET)
-                .after("1.2#0", Outcome.RESET);
-        script.after("2.0#0", Outcome.RESET)
-                .after("2.1#0", Outcome.RESET)
-                .after("2.0#1", Outcome.RESET)
-                .pass(50)
-                .after("2.2#0", Outcome.ANSWERED)
-                .matches("broken-off");
-    }
-
-    private static int[] wide() {
+                .advance(10)
+                .outcome("1.0#0", Outcome.RESET)
+                .outcome("1.1#0", Outcome.RESET)
+                .outcome("1.0#1", Outcome.RESET)
+                .outcome("1.2#0", Outcome.RESET);
+        script.outcome("2.0#0", Outcome.RESET)
+                .outcome("2.1#0", Outcome.RESET)
+                .outcome("2.0#1", Outcome.RESET)
+                .advance(50)
+                .outcome("2.2#0", Outcome.ANSWERED)
+                .assertTraceIs("broken-off");
+    }
+
+    private static int[] wideShards() {
         return IntStream.range(0, 33).toArray();
     }
 
     @Test
-    void aWideMultigetThatKillsServersKillsOneAndIsGivenUp() {
-        new Script()
-                .fleet(33, 33, 3, 1)
-                .place(1, wide())
-                .pass(10)
-                .after("1.0#0", Outcome.RESET)
-                .matches("wide-killer");
+    void aWideMultigetThatCrashesServersCrashesOneAndIsGivenUp() {
+        new CoordinatorScript()
+                .withFleet(33, 33, 3, 1)
+                .place(1, wideShards())
+                .advance(10)
+                .outcome("1.0#0", Outcome.RESET)
+                .assertTraceIs("wide-killer");
     }
 
     @Test
-    void aWideMultigetGoesOnWithItsFirstAnswerOrWhereTheUsualTimeBreaksNothing() {
-        new Script()
-                .fleet(33, 33, 3, 1)
-                .place(1, wide())
-                .pass(60)
-                .after("1.0#0", Outcome.ANSWERED)
-                .place(2, wide())
-                .pass(125)
-                .matches("wide");
+    void aWideMultigetGoesOnWithItsFirstAnswerOrAfterTheExpectedLatency() {
+        new CoordinatorScript()
+                .withFleet(33, 33, 3, 1)
+                .place(1, wideShards())
+                .advance(60)
+                .outcome("1.0#0", Outcome.ANSWERED)
+                .place(2, wideShards())
+                .advance(125)
+                .assertTraceIs("wide");
     }
 
     @Test
-    void whileServersDieUnannouncedEveryMultigetSendsOnePartFirst() {
-        Script script = new Script().fleet(8, 8, 2, 1);
-        script.listed(
+    void whileServersCrashEveryMultigetSendsOnePartFirst() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(8, 8, 2, 1);
+        script.endpointUpdate(
                 false,
                 true,
-                line("s5", 5, Server.State.GONE, -1),
-                line("s6", 6, Server.State.LIVE, 990),
-                line("s7", 7, Server.State.GONE, -1));
+                server("s5", 5, Server.State.GONE, -1),
+                server("s6", 6, Server.State.LIVE, 990),
+                server("s7", 7, Server.State.GONE, -1));
         script.place(1, 0, 1, 2)
-                .pass(50)
-                .after("1.0#0", Outcome.ANSWERED)
-                .pass(20_000)
+                .advance(50)
+                .outcome("1.0#0", Outcome.ANSWERED)
+                .advance(20_000)
                 .place(2, 0, 1, 2)
-                .matches("deaths");
+                .assertTraceIs("deaths");
     }
 
     @Test
-    void aBadWayToHalfOfTheServersIsToldFromASlownessOfAll() {
-        Script script = new Script().fleet(1, 4, 4, 1);
+    void aBadPathToOneZoneIsDistinguishedFromASlowdownOfAll() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(1, 4, 4, 1);
         script.coordinator.attempts(1, false, false);
-        script.listed(true, true, zoned("s0", 0, "a"), zoned("s1", 1, "a"), zoned("s2", 2, "b"), zoned("s3", 3, "b"));
-        script.place(1, 0)
-                .place(2, 0)
-                .place(3, 0)
-                .place(4, 0)
-                .pass(60)
-                .afterAt("s0", Outcome.ANSWERED)
-                .afterAt("s1", Outcome.ANSWERED)
-                .pass(740)
-                .afterAt("s2", Outcome.ANSWERED)
-                .afterAt("s3", Outcome.ANSWERED);
-        script.pass(100).place(5, 0).place(6, 0).place(7, 0).matches("zones");
-    }
-
-    @Test
-    void aRetryWhoseLatencyBudgetIsOverIsTurnedAwayAndToldWhenToComeBack() {
-        Script script = new Script().fleet(1, 1, 1, 1);
+        script.endpointUpdate(
+                true,
+                true,
+                serverInZone("s0", 0, "a"),
+                serverInZone("s1", 1, "a"),
+                serverInZone("s2", 2, "b"),
+                serverInZone("s3", 3, "b"));
+        script.placeEach(1, 4, 0)
+                .advance(60)
+                .outcomeOfAllAt("s0", Outcome.ANSWERED)
+                .outcomeOfAllAt("s1", Outcome.ANSWERED)
+                .advance(740)
+                .outcomeOfAllAt("s2", Outcome.ANSWERED)
+                .outcomeOfAllAt("s3", Outcome.ANSWERED);
+        script.advance(100).placeEach(5, 7, 0).assertTraceIs("zones");
+    }
+
+    @Test
+    void aClientRetryPastItsLatencyObjectiveIsRejectedWithRetryAfter() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(1, 1, 1, 1);
         script.clientRetry = true;
-        script.place(script.opType, 1, 1100, 0).place(script.opType, 2, 1000, 0).matches("spent");
+        script.place(script.opType, 1, 1100, 0).place(script.opType, 2, 1000, 0).assertTraceIs("spent");
     }
 
     @Test
-    void aDedupedMultigetIsPushedBackOnlyWhereItsClientComesWithinTheTime() {
-        Script script = new Script();
+    void aMultigetWithAnIdempotencyKeyIsRejectedOnlyWhereItsClientReturnsWithinTheWindow() {
+        CoordinatorScript script = new CoordinatorScript();
         script.opType.idempotency = OpType.Idempotency.IDEMPOTENCY_KEY;
         script.opType.deduplicationWindowMs = 1000;
-        script.fleet(1, 1, 1, 1)
+        script.withFleet(1, 1, 1, 1)
                 .place(1, 0)
                 .place(2, 0)
-                .pass(100)
-                .after("1.0#0", Outcome.ERROR)
-                .pass(750)
-                .after("2.0#0", Outcome.ERROR)
-                .matches("deduped-back");
+                .advance(100)
+                .outcome("1.0#0", Outcome.ERROR)
+                .advance(750)
+                .outcome("2.0#0", Outcome.ERROR)
+                .assertTraceIs("deduped-back");
     }
 
     @Test
-    void theLastOfManyPartsIsCopiedEarly() {
-        Script script = new Script().fleet(10, 10, 2, 1);
+    void theLastOfManyPartsIsHedgedEarly() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(10, 10, 2, 1);
         script.place(1, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9)
                 .place(2, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9)
-                .pass(100);
+                .advance(100);
         for (int i = 0; i < 9; i++) {
-            script.after("1." + i + "#0", Outcome.ANSWERED);
+            script.outcome("1." + i + "#0", Outcome.ANSWERED);
         }
-        script.pass(22).matches("straggler");
+        script.advance(22).assertTraceIs("straggler");
     }
 
     @Test
     void aLateMultigetGoesOnWhereLittleIsLeftToSend() {
-        Script script = new Script();
-        script.fleet(5, 5, 1, 1).place(1, 0, 1, 2, 3, 4).place(2, 0, 1).pass(10);
-        script.listed(false, true, line("s0", 0, Server.State.DRAINING, -1))
-                .after("1.0#0", Outcome.CONNECT_FAILED)
-                .after("2.0#0", Outcome.CONNECT_FAILED)
-                .pass(1000)
-                .matches("late-rest");
+        CoordinatorScript script = new CoordinatorScript();
+        script.withFleet(5, 5, 1, 1).place(1, 0, 1, 2, 3, 4).place(2, 0, 1).advance(10);
+        script.endpointUpdate(false, true, server("s0", 0, Server.State.DRAINING, -1))
+                .outcome("1.0#0", Outcome.CONNECT_FAILED)
+                .outcome("2.0#0", Outcome.CONNECT_FAILED)
+                .advance(1000)
+                .assertTraceIs("late-rest");
     }
 
     @Test
-    void aNodeThatStoodStillTakesItsOwnGapForNoOnesFault() {
-        Script script = new Script().fleet(2, 4, 2, 1);
+    void aPauseOfTheProcessEjectsNoServer() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(2, 4, 2, 1);
         script.place(1, 0, 1)
-                .pass(10)
-                .standStill(1500)
-                .after("1.0#0", Outcome.ANSWERED)
-                .after("1.1#0", Outcome.ANSWERED)
-                .pass(100)
+                .advance(10)
+                .pauseProcess(1500)
+                .outcome("1.0#0", Outcome.ANSWERED)
+                .outcome("1.1#0", Outcome.ANSWERED)
+                .advance(100)
                 .place(2, 0, 1)
-                .matches("own-gap");
+                .assertTraceIs("own-gap");
     }
 
     @Test
-    void aSwitchOfSettingsKeepsWhatIsLearnedAndWaitsForALongerBudgetSpan() {
-        Script script = new Script().fleet(1, 3, 3, 1);
+    void aChangeOfSettingsKeepsWhatIsLearnedAndWaitsForALongerBudgetWindow() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(1, 3, 3, 1);
         script.coordinator.attempts(4, false, true).retryBudget(1000, 1, 0);
-        script.listed(false, true, line("s2", 2, Server.State.LIVE, 990));
-        // s0 cannot be reached, and the repeat at the cold s2 is its share there for the first second.
-        script.place(1, 0).after("1.0#0", Outcome.CONNECT_FAILED).pass(150);
+        script.endpointUpdate(false, true, server("s2", 2, Server.State.LIVE, 990));
+        // s0 cannot be reached, and the retry at s2, which warms up, is its share there for the first second.
+        script.place(1, 0).outcome("1.0#0", Outcome.CONNECT_FAILED).advance(150);
         script.opType.latencyObjectiveMs = 1500;
         script.coordinator.attempts(4, false, true).retryBudget(2000, 1, 0).slowStart(0.2, 10_000, 2, 1000);
-        script.place(2, 0)
-                .place(3, 0)
-                .place(4, 0)
-                .pass(900)
-                .after("2.0#0", Outcome.ERROR)
-                .pass(100)
-                .after("3.0#0", Outcome.ERROR)
-                .matches("switch");
+        script.placeEach(2, 4, 0)
+                .advance(900)
+                .outcome("2.0#0", Outcome.ERROR)
+                .advance(100)
+                .outcome("3.0#0", Outcome.ERROR)
+                .assertTraceIs("switch");
     }
 
-    // ---- Odd but legal ----
+    // ---- Unusual but legal ----
 
     @Test
-    void whatIsGivenUpOnTheWayLeavesNoMore() {
-        Script script = new Script();
+    void aPartGivenUpDuringTheReleaseIsNotSent() {
+        CoordinatorScript script = new CoordinatorScript();
         script.opType.idempotency = OpType.Idempotency.IDEMPOTENCY_KEY;
         script.opType.deduplicationWindowMs = 100;
-        script.fleet(2, 1, 1, 1)
+        script.withFleet(2, 1, 1, 1)
                 .place(1, 0, 1)
                 .place(2, 0, 1)
                 .place(3, 0, 1)
-                .pass(20)
-                .after("2.0#0", Outcome.FULL)
-                .after("1.0#0", Outcome.ERROR)
-                .after("1.1#0", Outcome.ERROR)
-                .pass(100)
-                .after("2.1#0", Outcome.ANSWERED)
-                .matches("given-up");
+                .advance(20)
+                .outcome("2.0#0", Outcome.FULL)
+                .outcome("1.0#0", Outcome.ERROR)
+                .outcome("1.1#0", Outcome.ERROR)
+                .advance(100)
+                .outcome("2.1#0", Outcome.ANSWERED)
+                .assertTraceIs("given-up");
     }
 
     @Test
-    void hundredsOfChangesAmongThousandsOfServersAreFollowed() {
-        Script script = new Script().fleet(4000, 2000, 4, 4);
+    void hundredsOfChangesAmongThousandsOfServersAreApplied() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(4000, 2000, 4, 4);
         Server[] draining = new Server[500];
         for (int i = 0; i < draining.length; i++) {
-            draining[i] = line("s" + i, i, Server.State.DRAINING, -1);
+            draining[i] = server("s" + i, i, Server.State.DRAINING, -1);
         }
-        script.listed(false, true, draining)
+        script.endpointUpdate(false, true, draining)
                 .place(1, 0, 498, 499, 500, 2000)
                 .place(2, 100)
-                .matches("many-changes");
+                .assertTraceIs("many-changes");
     }
 
     @Test
-    void theLongestMultigetsFindTheirPlaces() {
-        Script script = new Script().fleet(200, 100, 3, 4);
+    void theLongestMultigetsArePlaced() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(200, 100, 3, 4);
         int[] all = new int[200];
         for (int i = 0; i < all.length; i++) {
             all[i] = i;
         }
-        script.place(1, all).pass(50).after("1.0#0", Outcome.ANSWERED).matches("longest");
+        script.place(1, all).advance(50).outcome("1.0#0", Outcome.ANSWERED).assertTraceIs("longest");
     }
 
     @Test
-    void whatFirstAnswersTookDoesNotTurnAnOpTypeAwayForGood() {
-        Script script = new Script();
+    void slowFirstAnswersDoNotRejectAnOpTypeForGood() {
+        CoordinatorScript script = new CoordinatorScript();
         script.opType.latency.meanLatencyMs = 1990;
         script.opType.latency.unloadedLatencyMs = 1100;
-        script.fleet(1, 2, 2, 1)
+        script.withFleet(1, 2, 2, 1)
                 .place(1, 0)
-                .pass(1500)
+                .advance(1500)
                 .place(2, 0)
-                .pass(100)
-                .after("2.0#0", Outcome.ANSWERED)
+                .advance(100)
+                .outcome("2.0#0", Outcome.ANSWERED)
                 .place(3, 0)
-                .pass(100)
-                .after("3.0#0", Outcome.ANSWERED)
-                .pass(800)
+                .advance(100)
+                .outcome("3.0#0", Outcome.ANSWERED)
+                .advance(800)
                 .place(4, 0)
-                .pass(100)
-                .after("4.0#0", Outcome.ANSWERED)
+                .advance(100)
+                .outcome("4.0#0", Outcome.ANSWERED)
                 .place(5, 0)
-                .matches("barred");
+                .assertTraceIs("barred");
     }
 
     @Test
-    void theLightTimeFallsWithTheUsualTimeWhereNoServerIsIdle() {
-        Script script = new Script();
+    void theUnloadedLatencyFallsWithTheMeanWhereNoServerIsIdle() {
+        CoordinatorScript script = new CoordinatorScript();
         script.opType.latency.unloadedLatencyMs = 1100;
-        script.fleet(1, 1, 1, 1)
+        script.withFleet(1, 1, 1, 1)
                 .place(1, 0)
-                .pass(500)
+                .advance(500)
                 .place(2, 0)
                 .place(3, 0)
-                .pass(100)
-                .after("3.0#0", Outcome.ANSWERED)
+                .advance(100)
+                .outcome("3.0#0", Outcome.ANSWERED)
                 .place(4, 0)
-                .matches("light");
+                .assertTraceIs("light");
     }
 
     @Test
-    void aSpoiltAnswerIsOneFailureOfItsServerHoweverManyPartsItTakesAlong() {
-        Script script = new Script().fleet(1, 2, 2, 1);
-        script.place(1, 0)
-                .place(2, 0)
-                .place(3, 0)
-                .place(4, 0)
-                .place(5, 0)
-                .place(6, 0)
-                .pass(20)
-                .afterAt("s0", Outcome.MALFORMED)
-                .afterAt("s1", Outcome.ANSWERED)
-                .pass(100)
+    void aMalformedAnswerIsOneFailureOfItsServerHoweverManyPartsItEnds() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(1, 2, 2, 1);
+        script.placeEach(1, 6, 0)
+                .advance(20)
+                .outcomeOfAllAt("s0", Outcome.MALFORMED)
+                .outcomeOfAllAt("s1", Outcome.ANSWERED)
+                .advance(100)
                 .place(7, 0)
                 .place(8, 0)
-                .matches("spoilt");
+                .assertTraceIs("spoilt");
     }
 
     @Test
-    void aMultigetWhoseAnswersAreSpoiltAtTwoServersGoesOn() {
-        new Script()
-                .fleet(3, 6, 2, 1)
+    void aMultigetWithMalformedAnswersFromTwoServersGoesOn() {
+        new CoordinatorScript()
+                .withFleet(3, 6, 2, 1)
                 .place(1, 0, 1, 2)
-                .pass(10)
-                .after("1.0#0", Outcome.MALFORMED)
-                .after("1.1#0", Outcome.MALFORMED)
-                .after("1.2#0", Outcome.MALFORMED)
-                .matches("spoilt-twice");
+                .advance(10)
+                .outcome("1.0#0", Outcome.MALFORMED)
+                .outcome("1.1#0", Outcome.MALFORMED)
+                .outcome("1.2#0", Outcome.MALFORMED)
+                .assertTraceIs("spoilt-twice");
     }
 
     @Test
-    void nothingIsHeldOfServersThatAreGoneAndMultigetsThatAreOver() {
-        Script script = new Script().fleet(1, 2, 2, 1);
+    void nothingIsRememberedOfRemovedServersAndFinishedMultigets() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(1, 2, 2, 1);
         WindowCoordinator coordinator = (WindowCoordinator) script.coordinator;
         for (int age = 1; age <= 100; age++) {
             String before = "s" + (age < 3 ? age - 1 : "0." + (age - 2));
-            script.listed(
+            script.endpointUpdate(
                     false,
                     true,
-                    line("s0." + age, 0, Server.State.LIVE, script.now),
-                    line(before, 0, Server.State.GONE, -1));
+                    server("s0." + age, 0, Server.State.LIVE, script.nowMs),
+                    server(before, 0, Server.State.GONE, -1));
             script.place(age, 0)
-                    .pass(20)
-                    .after(age + ".0#0", age % 3 == 0 ? Outcome.ERROR : Outcome.ANSWERED)
-                    .after(age + ".0#1", Outcome.ANSWERED)
-                    .pass(1000);
+                    .advance(20)
+                    .outcome(age + ".0#0", age % 3 == 0 ? Outcome.ERROR : Outcome.ANSWERED)
+                    .outcome(age + ".0#1", Outcome.ANSWERED)
+                    .advance(1000);
         }
-        script.pass(5000);
+        script.advance(5000);
         assertThat(coordinator.knownServerIds()).containsExactly("s0.99", "s0.100");
         assertThat(coordinator.pendingTimers()).isZero();
     }
 
     @Test
-    void oddOrdersEndInOneAnswer() {
-        Script script = new Script().fleet(2, 2, 1, 1);
+    void unusualOrdersOfEventsEndInOneAnswer() {
+        CoordinatorScript script = new CoordinatorScript().withFleet(2, 2, 1, 1);
         script.place(1, 0)
-                .listed(true, true, line("s1", 1, Server.State.LIVE, -1))
-                .pass(50)
-                .after("1.0#0", Outcome.ANSWERED)
-                .after("1.0#0", Outcome.ANSWERED)
-                .gone(1);
-        script.place(2, 1).gone(2).gone(2).after("2.1#0", Outcome.CANCELLED);
+                .endpointUpdate(true, true, server("s1", 1, Server.State.LIVE, -1))
+                .advance(50)
+                .outcome("1.0#0", Outcome.ANSWERED)
+                .outcome("1.0#0", Outcome.ANSWERED)
+                .clientGone(1);
+        script.place(2, 1).clientGone(2).clientGone(2).outcome("2.1#0", Outcome.CANCELLED);
         script.place(script.opType, 3, 0, 1);
-        script.listed(false, true, line("s0", 0, Server.State.LIVE, 1040))
+        script.endpointUpdate(false, true, server("s0", 0, Server.State.LIVE, 1040))
                 .place(4, 0)
-                .pass(2100)
-                .matches("odd");
+                .advance(2100)
+                .assertTraceIs("odd");
     }
 }
