--- a/lab/src/main/java/spartrail/lab/cli/LoadPlanned.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadPlanned.java
@@ -35,7 +35,7 @@
         LoadPlan plan = LoadPlan.read(file);
         Iterator<Arrival> arrivals = plan.arrivals();
         int bins = 60;
-        double lastsMs = plan.lastsMs();
+        double lastsMs = plan.durationMs();
         long[] counts = new long[bins];
         long all = 0;
         for (; all < most && arrivals.hasNext(); all++) {
--- a/lab/src/main/java/spartrail/lab/cli/LoadRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadRun.java
@@ -28,9 +28,9 @@
     int run(PrintStream out, PrintStream err) throws Exception {
         Document document = Document.read(file, "load");
         LoadPlan plan = LoadPlan.of(document);
-        plan = plan.varied(seed == null ? plan.seed() : seed, times);
+        plan = plan.withSeedAndRateFactor(seed == null ? plan.seed() : seed, times);
         List<LoadPlan.Target> named = targets(document);
-        plan = plan.against(named.isEmpty() ? plan.targets() : named);
-        return LoadRunner.run(plan, plan.arrivals(), plan.lastsMs(), json, report, out, err);
+        plan = plan.withTargets(named.isEmpty() ? plan.targets() : named);
+        return LoadRunner.run(plan, plan.arrivals(), plan.durationMs(), json, report, out, err);
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/LoadSpeed.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadSpeed.java
@@ -68,7 +68,7 @@
             try (LoadSession warm = new LoadSession(
                     DrillPlans.at(warming, responder.address()),
                     warming.arrivals(),
-                    warming.lastsMs(),
+                    warming.durationMs(),
                     LoadListener.NONE)) {
                 warm.await(60_000);
             }
@@ -81,7 +81,10 @@
         long[] heapMb = new long[4];
         int mostConnections = 0;
         try (LoadSession session = new LoadSession(
-                        DrillPlans.at(plan, responder.address()), plan.arrivals(), plan.lastsMs(), LoadListener.NONE);
+                        DrillPlans.at(plan, responder.address()),
+                        plan.arrivals(),
+                        plan.durationMs(),
+                        LoadListener.NONE);
                 LiveView live = new LiveView(err, List::of)) {
             while (!session.await(250)) {
                 LoadSession.Glance glance = session.glance();
--- a/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
@@ -234,12 +234,12 @@
     public Outcome play() throws IOException, InterruptedException {
         List<Pending> pending = new ArrayList<>();
         plan.steps().forEach(step -> pending.add(new Pending(step)));
-        LoadPlan load = plan.load() == null ? null : plan.load().against(targets);
+        LoadPlan load = plan.load() == null ? null : plan.load().withTargets(targets);
         history.done("begins", Document.JSON.createObjectNode());
         startMs = now();
         fleet.play();
         try (LoadSession session =
-                load == null ? null : new LoadSession(load, load.arrivals(), load.lastsMs(), checker)) {
+                load == null ? null : new LoadSession(load, load.arrivals(), load.durationMs(), checker)) {
             double toldMs = 0;
             while (sinceMs() < plan.lastsMs()
                     && !taken.containsKey(String.valueOf(plan.ends()))
--- a/lab/src/main/java/spartrail/lab/cluster/ClusterPlan.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterPlan.java
@@ -77,13 +77,13 @@
             JsonNode seen = when.path("seen");
             String after = when.path("step").asText(null);
             if (after != null && steps.stream().noneMatch(each -> each.name().equals(after))) {
-                throw document.wrong(
+                throw document.invalid(
                         place + "/when/step", "found '" + after + "', the name of an earlier step is expected");
             }
             if (step.has("as")
                     && numbers(document, step.get("as"), count, place + "/as").size()
                             != step.path("nodes").size()) {
-                throw document.wrong(
+                throw document.invalid(
                         place + "/as", "found " + step.get("as").size() + " names, one for each of /nodes is expected");
             }
             steps.add(new Step(
@@ -130,7 +130,7 @@
             }
             if (!name.asText().matches("n[0-9]{1,4}")
                     || Integer.parseInt(name.asText().substring(1)) >= count) {
-                throw document.wrong(
+                throw document.invalid(
                         place + "/" + numbers.size(),
                         "found '" + name.asText() + "', one of n0 to n" + (count - 1) + ", or one of " + WORDS
                                 + " is expected");
--- a/lab/src/main/java/spartrail/lab/drill/DnsNodeDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/DnsNodeDrill.java
@@ -88,7 +88,7 @@
                     Thread.sleep(5);
                 }
                 try (LoadSession session = new LoadSession(
-                        DrillPlans.at(load, node.address()), load.arrivals(), load.lastsMs(), checker)) {
+                        DrillPlans.at(load, node.address()), load.arrivals(), load.durationMs(), checker)) {
                     if (contradict) {
                         fleet.play();
                     }
--- a/lab/src/main/java/spartrail/lab/drill/DrillPlans.java
+++ b/lab/src/main/java/spartrail/lab/drill/DrillPlans.java
@@ -23,7 +23,7 @@
 
     public static LoadPlan at(LoadPlan plan, String address) {
         int colon = address.lastIndexOf(':');
-        return plan.against(List.of(
+        return plan.withTargets(List.of(
                 new LoadPlan.Target(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)), "")));
     }
 }
--- a/lab/src/main/java/spartrail/lab/drill/LoadDelayDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/LoadDelayDrill.java
@@ -59,14 +59,14 @@
                 try (LoadSession session = new LoadSession(
                         DrillPlans.at(loopback(seed), responder.address()),
                         loopback(seed).arrivals(),
-                        loopback(seed).lastsMs(),
+                        loopback(seed).durationMs(),
                         LoadListener.NONE,
                         true)) {
                     session.await(WARM_MS);
-                    responder.loop().standstillMs();
+                    responder.loop().takeLongestPauseMs();
                     session.standstillMs();
                     session.await(60_000);
-                    stoodMs = Math.max(session.standstillMs(), responder.loop().standstillMs());
+                    stoodMs = Math.max(session.standstillMs(), responder.loop().takeLongestPauseMs());
                     measured = session.recorder();
                     measured.groups.keySet().removeIf(group -> group.phase() == 0);
                 }
--- a/lab/src/main/java/spartrail/lab/drill/LoadStallDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/LoadStallDrill.java
@@ -68,7 +68,10 @@
                     return answeredMs(atMs, fromMs[0]);
                 });
                 LoadSession session = new LoadSession(
-                        DrillPlans.at(plan, responder.address()), plan.arrivals(), plan.lastsMs(), LoadListener.NONE)) {
+                        DrillPlans.at(plan, responder.address()),
+                        plan.arrivals(),
+                        plan.durationMs(),
+                        LoadListener.NONE)) {
             session.await(60_000);
             judge(findings, "loopback, open loop", session.recorder(), 10);
             findings.most(
--- a/lab/src/main/java/spartrail/lab/drill/RuleMutationDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/RuleMutationDrill.java
@@ -102,7 +102,7 @@
             try (LoadSession session = new LoadSession(
                     DrillPlans.at(load, front.address()),
                     load.arrivals(),
-                    load.lastsMs(),
+                    load.durationMs(),
                     LoadListener.class.cast(checker))) {
                 if (drains) {
                     fleet.order("drain s-0");
--- a/lab/src/main/java/spartrail/lab/experiment/ExperimentPlan.java
+++ b/lab/src/main/java/spartrail/lab/experiment/ExperimentPlan.java
@@ -44,7 +44,7 @@
                     ? NodeProcess.ownJar()
                     : file.toAbsolutePath().resolveSibling(jar).normalize();
             if (!Files.isReadable(path)) {
-                throw document.wrong(
+                throw document.invalid(
                         "/matrix/versions/" + version.getKey(),
                         "found '" + jar + "', a readable jar or" + " \"this\" is expected");
             }
--- a/lab/src/main/java/spartrail/lab/experiment/Runner.java
+++ b/lab/src/main/java/spartrail/lab/experiment/Runner.java
@@ -55,10 +55,10 @@
                 targets.add(new LoadPlan.Target("127.0.0.1", port, zones.get(node % zones.size())));
             }
             LoadPlan load = plan.load()
-                    .varied(plan.load().seed() * 31 + cell.seed(), cell.times())
-                    .against(targets);
+                    .withSeedAndRateFactor(plan.load().seed() * 31 + cell.seed(), cell.times())
+                    .withTargets(targets);
             double[] cpuMs = nodes.stream().mapToDouble(NodeProcess::cpuMs).toArray();
-            try (LoadSession session = new LoadSession(load, load.arrivals(), load.lastsMs(), checker)) {
+            try (LoadSession session = new LoadSession(load, load.arrivals(), load.durationMs(), checker)) {
                 double startMs = fleet.loop().nowMs();
                 fleet.play();
                 while (!session.await(500)) {
--- a/lab/src/main/java/spartrail/lab/file/Document.java
+++ b/lab/src/main/java/spartrail/lab/file/Document.java
@@ -92,7 +92,7 @@
     }
 
     /** What a schema cannot say is wrong with the value at this place. */
-    public InvalidInputException wrong(String pointer, String what) {
+    public InvalidInputException invalid(String pointer, String what) {
         return new InvalidInputException(name + ": " + pointer + ": " + what);
     }
 
--- a/lab/src/main/java/spartrail/lab/fleet/DiscoveryEmulator.java
+++ b/lab/src/main/java/spartrail/lab/fleet/DiscoveryEmulator.java
@@ -101,7 +101,7 @@
         long since = query.getOrDefault("since", -1L);
         double untilMs = loop.nowMs() + Math.min(60_000, query.getOrDefault("timeout_ms", 0L));
         Watch[] watch = new Watch[1];
-        watch[0] = new Watch(request, since, loop.at(untilMs, () -> {
+        watch[0] = new Watch(request, since, loop.schedule(untilMs, () -> {
             if (!silent && watches.remove(watch[0])) {
                 answer(watch[0]);
             }
--- a/lab/src/main/java/spartrail/lab/fleet/FaultyFrontNode.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FaultyFrontNode.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import spartrail.lab.file.Document;
-import spartrail.lab.net.Link;
 import spartrail.lab.net.SocketLoop;
+import spartrail.lab.net.TcpConnection;
 
 /**
  * A stand-in for a front node that breaks one rule on purpose, so that a checker can be seen to catch it. It sends each
@@ -53,7 +53,7 @@
         private final Map<Integer, String> values = new TreeMap<>();
     }
 
-    private final class Server extends Link {
+    private final class Server extends TcpConnection {
         private byte[] bytes = new byte[0];
 
         Server() {
@@ -61,7 +61,7 @@
         }
 
         @Override
-        protected void bytes(ByteBuffer in) {
+        protected void onBytes(ByteBuffer in) {
             byte[] more = new byte[bytes.length + in.remaining()];
             System.arraycopy(bytes, 0, more, 0, bytes.length);
             in.get(more, bytes.length, in.remaining());
@@ -78,7 +78,7 @@
         }
 
         @Override
-        protected void ended(String why) {
+        protected void onClosed(String why) {
             servers.values().remove(this);
         }
     }
@@ -89,14 +89,14 @@
         this.loop = new SocketLoop("spartrail-crooked");
         this.stand = new HttpStub(loop, new InetSocketAddress("127.0.0.1", 0), this::asked);
         // It reads the roll, as all do; what it makes of it is another matter.
-        Link roll = new Link(loop) {
+        TcpConnection roll = new TcpConnection(loop) {
             @Override
-            protected void bytes(ByteBuffer in) {
+            protected void onBytes(ByteBuffer in) {
                 in.position(in.limit());
             }
 
             @Override
-            protected void ended(String why) {
+            protected void onClosed(String why) {
                 // Nothing hangs on it.
             }
         };
--- a/lab/src/main/java/spartrail/lab/fleet/Fleet.java
+++ b/lab/src/main/java/spartrail/lab/fleet/Fleet.java
@@ -81,7 +81,7 @@
     /** The script's time begins now. */
     public void play() {
         double fromMs = loop.nowMs();
-        loop.execute(() -> plan.script().forEach(deed -> loop.at(fromMs + deed.atMs(), () -> carryOut(deed))));
+        loop.execute(() -> plan.script().forEach(deed -> loop.schedule(fromMs + deed.atMs(), () -> carryOut(deed))));
     }
 
     /** Does one thing by hand: {@code WHAT SERVER[,SERVER] [BY] [LASTS_MS]}. */
@@ -216,12 +216,12 @@
 
     private void tell(String id, String state, double bornMs, double afterMs) {
         double changedMs = loop.nowMs();
-        loop.at(changedMs + afterMs, () -> rolls.forEach(roll -> roll.change(id, state, bornMs, changedMs)));
+        loop.schedule(changedMs + afterMs, () -> rolls.forEach(roll -> roll.change(id, state, bornMs, changedMs)));
     }
 
     private void after(double ms, Runnable what) {
         if (ms > 0) {
-            loop.at(loop.nowMs() + ms, what);
+            loop.schedule(loop.nowMs() + ms, what);
         }
     }
 
--- a/lab/src/main/java/spartrail/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FleetPlan.java
@@ -53,7 +53,7 @@
         for (JsonNode group : tree.get("servers")) {
             ServerProfile traits = kinds.get(group.get("kind").asText());
             if (traits == null) {
-                throw document.wrong(
+                throw document.invalid(
                         "/servers/" + at + "/kind",
                         "found '" + group.get("kind").asText() + "', one of " + kinds.keySet() + " is expected");
             }
@@ -76,7 +76,7 @@
             List<String> whom = new ArrayList<>();
             for (JsonNode id : deed.path("servers")) {
                 if (!ids.contains(id.asText())) {
-                    throw document.wrong(
+                    throw document.invalid(
                             "/script/" + script.size() + "/servers/" + whom.size(),
                             "found '" + id.asText() + "', one of s-0 to s-" + (ids.size() - 1) + " is expected");
                 }
--- a/lab/src/main/java/spartrail/lab/fleet/FrontLayer.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FrontLayer.java
@@ -7,8 +7,8 @@
 import java.nio.channels.SocketChannel;
 import java.util.ArrayList;
 import java.util.List;
-import spartrail.lab.net.Link;
 import spartrail.lab.net.SocketLoop;
+import spartrail.lab.net.TcpConnection;
 
 /**
  * The layer before the front nodes: it spreads clients' connections over those nodes whose {@code /up} says 200, in turn,
@@ -30,7 +30,7 @@
     }
 
     /** One side of a client's way; what it hears goes to the other. */
-    private static final class Side extends Link {
+    private static final class Side extends TcpConnection {
         private Side other;
         private long passed;
 
@@ -39,17 +39,17 @@
         }
 
         @Override
-        protected void bytes(ByteBuffer in) {
+        protected void onBytes(ByteBuffer in) {
             passed += in.remaining();
             ByteBuffer copy = ByteBuffer.allocate(in.remaining()).put(in).flip();
             other.write(copy);
         }
 
         @Override
-        protected void ended(String why) {
+        protected void onClosed(String why) {
             // A reset is passed on as one: a client has to know that its answer is not whole.
             if (why.equals("closed")) {
-                loop.at(loop.nowMs() + 1, other::close);
+                loop.schedule(loop.nowMs() + 1, other::close);
             } else {
                 other.reset();
             }
@@ -83,7 +83,7 @@
         client.other = server;
         server.other = client;
         try {
-            client.accepted(channel);
+            client.adopt(channel);
             Node node = next();
             if (node == null) {
                 client.reset();
@@ -106,9 +106,9 @@
             return;
         }
         boolean[] told = new boolean[1];
-        Link link = new Link(loop) {
+        TcpConnection link = new TcpConnection(loop) {
             @Override
-            protected void bytes(ByteBuffer in) {
+            protected void onBytes(ByteBuffer in) {
                 byte[] bytes = new byte[Math.min(12, in.remaining())];
                 in.get(bytes);
                 in.position(in.limit());
@@ -117,7 +117,7 @@
             }
 
             @Override
-            protected void ended(String why) {
+            protected void onClosed(String why) {
                 tell(false);
             }
 
@@ -135,7 +135,7 @@
         } catch (IOException e) {
             believe(node, false);
         }
-        loop.at(loop.nowMs() + ASKED_EVERY_MS, () -> {
+        loop.schedule(loop.nowMs() + ASKED_EVERY_MS, () -> {
             if (!told[0]) {
                 told[0] = true;
                 link.close();
--- a/lab/src/main/java/spartrail/lab/fleet/HttpStub.java
+++ b/lab/src/main/java/spartrail/lab/fleet/HttpStub.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import spartrail.lab.net.Link;
 import spartrail.lab.net.SocketLoop;
+import spartrail.lab.net.TcpConnection;
 
 /** A small HTTP/1.1 server whose every byte can be chosen, so that it can misbehave. */
 final class HttpStub implements AutoCloseable {
@@ -52,7 +52,7 @@
     }
 
     /** A client's connection. */
-    final class Client extends Link {
+    final class Client extends TcpConnection {
         private byte[] bytes = new byte[1024];
         private int size;
         private Request open;
@@ -63,7 +63,7 @@
         }
 
         @Override
-        protected void bytes(ByteBuffer in) {
+        protected void onBytes(ByteBuffer in) {
             int more = in.remaining();
             if (size + more > bytes.length) {
                 bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, size + more));
@@ -119,7 +119,7 @@
         }
 
         @Override
-        protected void ended(String why) {
+        protected void onClosed(String why) {
             clients.remove(this);
         }
     }
@@ -135,7 +135,7 @@
         this.listening = loop.listen(address, 4096, channel -> {
             Client client = new Client();
             try {
-                client.accepted(channel);
+                client.adopt(channel);
                 clients.add(client);
             } catch (IOException e) {
                 client.close();
@@ -159,7 +159,7 @@
             } catch (IOException e) {
                 // It is closed all the same.
             }
-            clients.forEach(Link::close);
+            clients.forEach(TcpConnection::close);
             clients.clear();
         });
     }
--- a/lab/src/main/java/spartrail/lab/fleet/IndexServerEmulator.java
+++ b/lab/src/main/java/spartrail/lab/fleet/IndexServerEmulator.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.random.RandomGenerator;
-import spartrail.lab.net.Link;
 import spartrail.lab.net.SocketLoop;
+import spartrail.lab.net.TcpConnection;
 import spartrail.lab.plan.Arrival;
 import spartrail.model.TimerQueue;
 
@@ -26,7 +26,7 @@
     private record Sent(ServerFrameCodec.Sent part, Wire wire) {}
 
     /** A connection from a front node. */
-    private final class Wire extends Link {
+    private final class Wire extends TcpConnection {
         private final int node;
         private final ServerFrameCodec frames = new ServerFrameCodec();
         /** Its handshake is paid; until then nothing of it is read. */
@@ -38,7 +38,7 @@
         }
 
         @Override
-        protected void bytes(ByteBuffer in) {
+        protected void onBytes(ByteBuffer in) {
             frames.take(in);
             if (!silent) {
                 read();
@@ -63,7 +63,7 @@
         }
 
         @Override
-        protected void ended(String why) {
+        protected void onClosed(String why) {
             gone(this);
         }
     }
@@ -110,7 +110,7 @@
                     new InetSocketAddress("127.0.0.1", firstPort == 0 ? 0 : firstPort + node), 1024, accepted -> {
                         Wire wire = new Wire(from);
                         try {
-                            wire.accepted(accepted);
+                            wire.adopt(accepted);
                         } catch (IOException e) {
                             wire.close();
                             return;
@@ -138,7 +138,7 @@
             model.advance(loop.nowMs(), new ArrayList<>());
             settle();
             model.burden(handshakeMs, loop.nowMs());
-            loop.at(loop.nowMs() + handshakeMs / Math.max(0.01, model.warmth()), () -> {
+            loop.schedule(loop.nowMs() + handshakeMs / Math.max(0.01, model.warmth()), () -> {
                 wire.open = true;
                 if (!silent) {
                     wire.read();
@@ -209,7 +209,7 @@
         due = null;
         double nextMs = model.nextMs();
         if (!down && nextMs < Double.MAX_VALUE) {
-            due = loop.at(nextMs, this::turn);
+            due = loop.schedule(nextMs, this::turn);
         }
     }
 
@@ -293,7 +293,7 @@
     /** Its process is no more: connections are reset, new ones too. */
     void kill() {
         down = true;
-        wires.forEach(Link::reset);
+        wires.forEach(TcpConnection::reset);
         wires.clear();
         loop.cancel(due);
         due = null;
--- a/lab/src/main/java/spartrail/lab/fleet/NullResponder.java
+++ b/lab/src/main/java/spartrail/lab/fleet/NullResponder.java
@@ -71,7 +71,7 @@
         if (atMs <= nowMs) {
             answer(request);
         } else {
-            loop.at(atMs, () -> answer(request));
+            loop.schedule(atMs, () -> answer(request));
         }
     }
 
--- a/lab/src/main/java/spartrail/lab/load/HttpClientTransport.java
+++ b/lab/src/main/java/spartrail/lab/load/HttpClientTransport.java
@@ -4,8 +4,8 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import spartrail.lab.net.Link;
 import spartrail.lab.net.SocketLoop;
+import spartrail.lab.net.TcpConnection;
 import spartrail.lab.plan.LoadPlan;
 import spartrail.model.TimerQueue;
 
@@ -44,7 +44,7 @@
             return;
         }
         loop.cancel(due);
-        due = nextMs == Double.MAX_VALUE || closed ? null : loop.at(nextMs, this::turn);
+        due = nextMs == Double.MAX_VALUE || closed ? null : loop.schedule(nextMs, this::turn);
     }
 
     /** Asks a front node again and again whether it is ready. */
@@ -53,7 +53,7 @@
             return;
         }
         HttpResponseReader reader = new HttpResponseReader();
-        Link link = new Link(loop) {
+        TcpConnection link = new TcpConnection(loop) {
             private boolean told;
 
             private void tell(boolean up) {
@@ -65,7 +65,7 @@
             }
 
             @Override
-            protected void bytes(ByteBuffer in) {
+            protected void onBytes(ByteBuffer in) {
                 try {
                     reader.take(in);
                     HttpResponse answer = reader.next();
@@ -78,7 +78,7 @@
             }
 
             @Override
-            protected void ended(String why) {
+            protected void onClosed(String why) {
                 tell(false);
             }
         };
@@ -86,7 +86,7 @@
             link.connect(new InetSocketAddress(target.host(), target.port()));
             link.write(ByteBuffer.wrap(("GET /up HTTP/1.1\r\nHost: " + target + "\r\nConnection: close\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII)));
-            loop.at(loop.nowMs() + LOOKED_MS, () -> {
+            loop.schedule(loop.nowMs() + LOOKED_MS, () -> {
                 if (link.isOpen()) {
                     link.close();
                 }
@@ -94,7 +94,7 @@
         } catch (IOException e) {
             // No socket: the generator finds out by itself.
         }
-        loop.at(loop.nowMs() + LOOKED_MS, () -> look(target));
+        loop.schedule(loop.nowMs() + LOOKED_MS, () -> look(target));
     }
 
     public void close() {
@@ -166,7 +166,7 @@
     }
 
     /** One client's connection. */
-    private final class Client extends Link {
+    private final class Client extends TcpConnection {
         private final ClientConnection conn;
         private final HttpResponseReader reader = new HttpResponseReader();
 
@@ -176,18 +176,18 @@
         }
 
         @Override
-        protected void connected() {
+        protected void onConnected() {
             generator.connected(conn, loop.nowMs());
             plan();
         }
 
         @Override
-        protected void written() {
+        protected void onFlushed() {
             generator.written(conn, loop.nowMs());
         }
 
         @Override
-        protected void bytes(ByteBuffer in) {
+        protected void onBytes(ByteBuffer in) {
             try {
                 reader.take(in);
                 for (HttpResponse answer = reader.next(); answer != null && isOpen(); answer = reader.next()) {
@@ -203,7 +203,7 @@
         }
 
         @Override
-        protected void ended(String why) {
+        protected void onClosed(String why) {
             HttpResponse answer = reader.atEnd();
             if (answer != null) {
                 generator.answered(conn, answer, loop.nowMs());
--- a/lab/src/main/java/spartrail/lab/load/LoadGenerator.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadGenerator.java
@@ -143,7 +143,7 @@
         open.add(ask);
         ask.lagMs = nowMs - ask.intendedMs;
         recorder.intended(ask);
-        double leavesMs = ask.story.tries(ask.arrival.clientMs());
+        double leavesMs = ask.story.beginAttempt(ask.arrival.clientMs());
         if (Double.isFinite(leavesMs)) {
             ask.leave = timetable.add(ask.intendedMs + leavesMs, () -> end(ask, AttemptResult.LEFT, null, true));
         }
@@ -413,7 +413,7 @@
     }
 
     private void again(ClientAttempt ask, double comebackMs) {
-        double waitMs = stopping ? -1 : ask.story.unserved(comebackMs);
+        double waitMs = stopping ? -1 : ask.story.pauseAfterFailureMs(comebackMs);
         if (waitMs < 0) {
             recorder.story(ask, false, nowMs);
             return;
--- a/lab/src/main/java/spartrail/lab/load/LoadSession.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadSession.java
@@ -131,7 +131,7 @@
 
     /** The longest standstill of a session that is awake, since it was last asked. */
     public double standstillMs() {
-        return loop.standstillMs();
+        return loop.takeLongestPauseMs();
     }
 
     public Recorder recorder() {
--- a/lab/src/main/java/spartrail/lab/net/SocketLoop.java
+++ b/lab/src/main/java/spartrail/lab/net/SocketLoop.java
@@ -77,7 +77,7 @@
      * The longest time for which an awake loop did not look round since it was last asked: the collector's, the scheduler's
      * or its own work's. What is measured by it cannot be truer than that.
      */
-    public double standstillMs() {
+    public double takeLongestPauseMs() {
         double[] longest = new double[1];
         call(() -> {
             longest[0] = standstillMs;
@@ -124,7 +124,7 @@
         }
     }
 
-    public TimerQueue.Due at(double ms, Runnable what) {
+    public TimerQueue.Due schedule(double ms, Runnable what) {
         return timetable.add(ms, what);
     }
 
@@ -175,9 +175,9 @@
         while (!ended) {
             try {
                 for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
-                    guarded(task);
+                    runGuarded(task);
                 }
-                guarded(due);
+                runGuarded(due);
                 select();
                 if (selector.selectedKeys().isEmpty()) {
                     continue;
@@ -186,7 +186,7 @@
                 while (keys.hasNext()) {
                     SelectionKey key = keys.next();
                     keys.remove();
-                    ready(key);
+                    serve(key);
                 }
             } catch (IOException e) {
                 LOG.log(System.Logger.Level.ERROR, "selecting failed: " + e.getMessage());
@@ -227,7 +227,7 @@
         }
     }
 
-    private void ready(SelectionKey key) {
+    private void serve(SelectionKey key) {
         try {
             if (key.isValid()) {
                 ((Ready) key.attachment()).ready(key);
@@ -243,7 +243,7 @@
         }
     }
 
-    private void guarded(Runnable task) {
+    private void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
--- a/lab/src/main/java/spartrail/lab/net/Link.java
+++ b/lab/src/main/java/spartrail/lab/net/TcpConnection.java
@@ -10,7 +10,7 @@
 import java.util.Deque;
 
 /** A TCP connection on a {@link SocketLoop}. What it hears it tells by the methods that its user overrides. */
-public abstract class Link {
+public abstract class TcpConnection {
     /** Most that waits to be written; a peer that never reads is closed. */
     private static final long MOST_UNWRITTEN = 8L * 1024 * 1024;
 
@@ -23,21 +23,21 @@
     private boolean reading = true;
     private boolean over;
 
-    protected Link(SocketLoop loop) {
+    protected TcpConnection(SocketLoop loop) {
         this.loop = loop;
     }
 
     /** The connection is up. */
-    protected void connected() {}
+    protected void onConnected() {}
 
     /** Bytes have come; all of them are to be taken. */
-    protected abstract void bytes(ByteBuffer in);
+    protected abstract void onBytes(ByteBuffer in);
 
     /** The other side ended it, or it never came up; not called after {@link #close} or {@link #reset}. */
-    protected abstract void ended(String why);
+    protected abstract void onClosed(String why);
 
     /** All that was given to be written has been handed to the system. */
-    protected void written() {}
+    protected void onFlushed() {}
 
     /** Begins to connect. An IOException tells that no socket is to be had at all. */
     public final void connect(InetSocketAddress address) throws IOException {
@@ -53,13 +53,13 @@
                 atOnce = false;
                 over = true;
                 channel.close();
-                loop.execute(() -> ended("connect: " + e.getMessage()));
+                loop.execute(() -> onClosed("connect: " + e.getMessage()));
                 return;
             }
             key = loop.register(channel, atOnce ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this::ready);
             if (atOnce) {
                 up = true;
-                loop.execute(this::connected);
+                loop.execute(this::onConnected);
             }
         } catch (IOException e) {
             channel.close();
@@ -68,7 +68,7 @@
     }
 
     /** Takes over a connection that was accepted. */
-    public final void accepted(SocketChannel accepted) throws IOException {
+    public final void adopt(SocketChannel accepted) throws IOException {
         channel = accepted;
         up = true;
         key = loop.register(channel, SelectionKey.OP_READ, this::ready);
@@ -91,8 +91,8 @@
             if (ready.isConnectable()) {
                 channel.finishConnect();
                 up = true;
-                interest();
-                connected();
+                updateInterest();
+                onConnected();
                 flush();
                 return;
             }
@@ -103,7 +103,7 @@
                 read();
             }
         } catch (IOException e) {
-            end(e.getMessage() == null ? "broken" : e.getMessage());
+            closeAndNotify(e.getMessage() == null ? "broken" : e.getMessage());
         }
     }
 
@@ -113,14 +113,14 @@
             buffer.clear();
             int count = channel.read(buffer);
             if (count < 0) {
-                end("closed");
+                closeAndNotify("closed");
                 return;
             }
             if (count == 0) {
                 return;
             }
             buffer.flip();
-            bytes(buffer);
+            onBytes(buffer);
             if (count < buffer.capacity()) {
                 return;
             }
@@ -134,7 +134,7 @@
         out.add(bytes);
         unwritten += bytes.remaining();
         if (unwritten > MOST_UNWRITTEN) {
-            end("its peer does not read");
+            closeAndNotify("its peer does not read");
             return;
         }
         if (up) {
@@ -143,7 +143,7 @@
             } catch (IOException e) {
                 // Danger: told at once, its user would be called from within its own call.
                 String why = e.getMessage();
-                loop.execute(() -> end(why == null ? "broken" : why));
+                loop.execute(() -> closeAndNotify(why == null ? "broken" : why));
             }
         }
     }
@@ -154,14 +154,14 @@
             ByteBuffer first = out.peek();
             unwritten -= channel.write(first);
             if (first.hasRemaining()) {
-                interest();
+                updateInterest();
                 return;
             }
             out.poll();
         }
-        interest();
+        updateInterest();
         if (any) {
-            written();
+            onFlushed();
         }
     }
 
@@ -169,20 +169,20 @@
     public final void pause(boolean paused) {
         reading = !paused;
         if (!over && up) {
-            interest();
+            updateInterest();
         }
     }
 
-    private void interest() {
+    private void updateInterest() {
         if (key.isValid()) {
             key.interestOps((reading ? SelectionKey.OP_READ : 0) | (out.isEmpty() ? 0 : SelectionKey.OP_WRITE));
         }
     }
 
-    private void end(String why) {
+    private void closeAndNotify(String why) {
         if (!over) {
             close();
-            ended(why);
+            onClosed(why);
         }
     }
 
--- a/lab/src/main/java/spartrail/lab/plan/Arrivals.java
+++ b/lab/src/main/java/spartrail/lab/plan/Arrivals.java
@@ -36,7 +36,7 @@
         this.streams = plan.streams();
         RandomGeneratorFactory<RandomGenerator> factory = RandomGeneratorFactory.of("L64X128MixRandom");
         this.chance = factory.create(plan.seed());
-        this.gaps = plan.gaps().from(factory.create(Arrival.mix(plan.seed() + 1)), plan.variation());
+        this.gaps = plan.gaps().sampler(factory.create(Arrival.mix(plan.seed() + 1)), plan.variation());
         for (int i = 0; i < streams.size(); i++) {
             drawings.add(streams.get(i).drawing(factory.create(Arrival.mix(plan.seed() + 2 + i))));
         }
@@ -62,7 +62,7 @@
         while (phase < plan.phases().size()) {
             LoadPlan.Phase now = plan.phases().get(phase);
             double lastsMs = now.lastsMs();
-            double all = now.rate().until(lastsMs, lastsMs);
+            double all = now.rate().expectedUntil(lastsMs, lastsMs);
             if (toCome < all) {
                 ms = invert(now.rate(), lastsMs, toCome, ms);
                 nextMs = phaseFromMs + ms;
@@ -84,14 +84,14 @@
         double low = fromMs;
         double step = 1;
         double high = Math.min(lastsMs, low + step);
-        while (high < lastsMs && rate.until(high, lastsMs) <= sum) {
+        while (high < lastsMs && rate.expectedUntil(high, lastsMs) <= sum) {
             low = high;
             step *= 2;
             high = Math.min(lastsMs, low + step);
         }
         for (int i = 0; i < 60 && high - low > 1e-7; i++) {
             double middle = (low + high) / 2;
-            if (rate.until(middle, lastsMs) <= sum) {
+            if (rate.expectedUntil(middle, lastsMs) <= sum) {
                 low = middle;
             } else {
                 high = middle;
@@ -125,12 +125,12 @@
         String name = plan.phases().get(inPhase).name();
         double sum = 0;
         for (TrafficStream stream : streams) {
-            sum += stream.in(name) ? stream.share : 0;
+            sum += stream.isActiveIn(name) ? stream.share : 0;
         }
         double at = chance.nextDouble() * sum;
         int last = 0;
         for (int i = 0; i < streams.size(); i++) {
-            if (streams.get(i).in(name)) {
+            if (streams.get(i).isActiveIn(name)) {
                 last = i;
                 at -= streams.get(i).share;
                 if (at < 0) {
--- a/lab/src/main/java/spartrail/lab/plan/ClientSession.java
+++ b/lab/src/main/java/spartrail/lab/plan/ClientSession.java
@@ -23,12 +23,12 @@
         this.chance = chance;
     }
 
-    public int tries() {
+    public int attempts() {
         return tries;
     }
 
     /** A try begins; after how much of the client's time it leaves, infinite if it stays. */
-    public double tries(double clientMs) {
+    public double beginAttempt(double clientMs) {
         tries++;
         return habit.leavesShare() > 0 && chance.nextDouble() < habit.leavesShare()
                 ? habit.leavesAt() * clientMs
@@ -36,7 +36,7 @@
     }
 
     /** A try was not served: how long it waits for the next one, negative if there is none. */
-    public double unserved(double comebackMs) {
+    public double pauseAfterFailureMs(double comebackMs) {
         if (tries >= habit.tries()) {
             return -1;
         }
--- a/lab/src/main/java/spartrail/lab/plan/GapDistribution.java
+++ b/lab/src/main/java/spartrail/lab/plan/GapDistribution.java
@@ -16,7 +16,7 @@
     /** In bunches: gamma, by its coefficient of variation. */
     GAMMA;
 
-    DoubleSupplier from(RandomGenerator chance, double variation) {
+    DoubleSupplier sampler(RandomGenerator chance, double variation) {
         UniformRandomProvider source = chance::nextLong;
         return switch (this) {
             case EVEN -> () -> 1;
--- a/lab/src/main/java/spartrail/lab/plan/LoadPlan.java
+++ b/lab/src/main/java/spartrail/lab/plan/LoadPlan.java
@@ -62,8 +62,8 @@
         }
         for (int i = 0; i < phases.size(); i++) {
             String name = phases.get(i).name();
-            if (streams.stream().noneMatch(stream -> stream.in(name))) {
-                throw document.wrong("/phases/" + i, "no stream plays in phase '" + name + "'");
+            if (streams.stream().noneMatch(stream -> stream.isActiveIn(name))) {
+                throw document.invalid("/phases/" + i, "no stream plays in phase '" + name + "'");
             }
         }
         List<Crowd> crowds = new ArrayList<>();
@@ -71,7 +71,7 @@
             String name = crowd.path("stream").asText(streams.get(0).name);
             int at = streams.stream().map(stream -> stream.name).toList().indexOf(name);
             if (at < 0) {
-                throw document.wrong("/crowds/" + crowds.size() + "/stream", "no stream is named '" + name + "'");
+                throw document.invalid("/crowds/" + crowds.size() + "/stream", "no stream is named '" + name + "'");
             }
             crowds.add(new Crowd(
                     crowd.get("atMs").asDouble(),
@@ -110,7 +110,7 @@
             // Said below.
         }
         if (!host.matches("127(\\.[0-9]{1,3}){3}") || port < 1 || port > 65_535) {
-            throw document.wrong(
+            throw document.invalid(
                     place, "found '" + text + "', an address of the loopback such as 127.0.0.1:3000" + " is expected");
         }
         return new Target(host, port, node.path("zone").asText(""));
@@ -146,7 +146,7 @@
                         node.get("swingPerS").asDouble(),
                         node.get("periodMs").asDouble());
                 if (wave.swingPerS() > wave.meanPerS()) {
-                    throw document.wrong(
+                    throw document.invalid(
                             place + "/swingPerS",
                             "found " + wave.swingPerS() + ", at most the mean of " + wave.meanPerS()
                                     + " is expected, as no rate is below 0");
@@ -164,7 +164,7 @@
         List<String> phases = new ArrayList<>();
         for (JsonNode name : node.path("phases")) {
             if (known.stream().noneMatch(phase -> phase.name().equals(name.asText()))) {
-                throw document.wrong(place + "/phases/" + phases.size(), "no phase is named '" + name.asText() + "'");
+                throw document.invalid(place + "/phases/" + phases.size(), "no phase is named '" + name.asText() + "'");
             }
             phases.add(name.asText());
         }
@@ -177,7 +177,7 @@
         int least = shards.path("least").asInt(1);
         int most = shards.path("most").asInt(least);
         if (least > most || most > of) {
-            throw document.wrong(
+            throw document.invalid(
                     place + "/shards",
                     "least " + least + ", most " + most + ", of " + of + "; least <= most <= of is expected");
         }
@@ -232,7 +232,7 @@
                 node.path("ownConnection").asBoolean(false));
     }
 
-    public double lastsMs() {
+    public double durationMs() {
         return phases.stream().mapToDouble(Phase::lastsMs).sum();
     }
 
@@ -253,7 +253,7 @@
     }
 
     /** The same plan against these front nodes. */
-    public LoadPlan against(List<Target> nodes) {
+    public LoadPlan withTargets(List<Target> nodes) {
         if (nodes.isEmpty()) {
             throw new InvalidInputException("no front node to send to: give 'targets' in the plan");
         }
@@ -262,9 +262,9 @@
     }
 
     /** The same plan from another seed and with all rates times so much. */
-    public LoadPlan varied(long newSeed, double times) {
+    public LoadPlan withSeedAndRateFactor(long newSeed, double times) {
         List<Phase> scaled = phases.stream()
-                .map(phase -> times == 1 ? phase : new Phase(phase.name(), phase.lastsMs(), times(phase.rate(), times)))
+                .map(phase -> times == 1 ? phase : new Phase(phase.name(), phase.lastsMs(), scale(phase.rate(), times)))
                 .toList();
         return new LoadPlan(
                 newSeed,
@@ -280,7 +280,7 @@
                 lingerMs);
     }
 
-    private static Rate times(Rate rate, double times) {
+    private static Rate scale(Rate rate, double times) {
         if (rate instanceof Rate.Steady steady) {
             return new Rate.Steady(steady.perS() * times);
         }
@@ -291,8 +291,8 @@
             }
 
             @Override
-            public double until(double ms, double lastsMs) {
-                return times * rate.until(ms, lastsMs);
+            public double expectedUntil(double ms, double lastsMs) {
+                return times * rate.expectedUntil(ms, lastsMs);
             }
         };
     }
--- a/lab/src/main/java/spartrail/lab/plan/Rate.java
+++ b/lab/src/main/java/spartrail/lab/plan/Rate.java
@@ -11,7 +11,7 @@
     double perS(double ms, double lastsMs);
 
     /** Expected from the phase's beginning until then. */
-    double until(double ms, double lastsMs);
+    double expectedUntil(double ms, double lastsMs);
 
     /** The same rate all along. */
     record Steady(double perS) implements Rate {
@@ -21,7 +21,7 @@
         }
 
         @Override
-        public double until(double ms, double lastsMs) {
+        public double expectedUntil(double ms, double lastsMs) {
             return perS * ms / 1000;
         }
     }
@@ -34,7 +34,7 @@
         }
 
         @Override
-        public double until(double ms, double lastsMs) {
+        public double expectedUntil(double ms, double lastsMs) {
             return (fromPerS * ms + (toPerS - fromPerS) * ms * ms / (2 * lastsMs)) / 1000;
         }
     }
@@ -47,7 +47,7 @@
         }
 
         @Override
-        public double until(double ms, double lastsMs) {
+        public double expectedUntil(double ms, double lastsMs) {
             double eachMs = lastsMs / levelsPerS.size();
             double sum = 0;
             for (int i = 0; i < levelsPerS.size() && ms > i * eachMs; i++) {
@@ -65,7 +65,7 @@
         }
 
         @Override
-        public double until(double ms, double lastsMs) {
+        public double expectedUntil(double ms, double lastsMs) {
             double rounds = Math.floor(ms / (onMs + offMs));
             double rest = ms - rounds * (onMs + offMs);
             return (rounds * (onPerS * onMs + offPerS * offMs)
@@ -83,7 +83,7 @@
         }
 
         @Override
-        public double until(double ms, double lastsMs) {
+        public double expectedUntil(double ms, double lastsMs) {
             double turn = 2 * Math.PI / periodMs;
             return (meanPerS * ms + swingPerS / turn * (1 - Math.cos(turn * ms))) / 1000;
         }
@@ -97,7 +97,7 @@
         }
 
         @Override
-        public double until(double ms, double lastsMs) {
+        public double expectedUntil(double ms, double lastsMs) {
             return ms < atMs
                     ? 0
                     : peakPerS * halfLifeMs / Math.log(2) * (1 - Math.pow(0.5, (ms - atMs) / halfLifeMs)) / 1000;
@@ -112,10 +112,10 @@
         }
 
         @Override
-        public double until(double ms, double lastsMs) {
+        public double expectedUntil(double ms, double lastsMs) {
             double sum = 0;
             for (Rate rate : of) {
-                sum += rate.until(ms, lastsMs);
+                sum += rate.expectedUntil(ms, lastsMs);
             }
             return sum;
         }
--- a/lab/src/main/java/spartrail/lab/plan/TrafficStream.java
+++ b/lab/src/main/java/spartrail/lab/plan/TrafficStream.java
@@ -62,7 +62,7 @@
         this.habit = habit;
     }
 
-    boolean in(String phase) {
+    boolean isActiveIn(String phase) {
         return phases.isEmpty() || phases.contains(phase);
     }
 
--- a/lab/src/test/java/spartrail/lab/fleet/FrontLayerTest.java
+++ b/lab/src/test/java/spartrail/lab/fleet/FrontLayerTest.java
@@ -20,7 +20,7 @@
 
     private static long[] play(LoadPlan plan, int port) throws InterruptedException {
         try (LoadSession session = new LoadSession(
-                DrillPlans.at(plan, "127.0.0.1:" + port), plan.arrivals(), plan.lastsMs(), LoadListener.NONE)) {
+                DrillPlans.at(plan, "127.0.0.1:" + port), plan.arrivals(), plan.durationMs(), LoadListener.NONE)) {
             assertThat(session.await(60_000)).isTrue();
             return new long[] {
                 session.recorder().count(AttemptResult.WHOLE),
--- a/lab/src/test/java/spartrail/lab/plan/ClientSessionTest.java
+++ b/lab/src/test/java/spartrail/lab/plan/ClientSessionTest.java
@@ -23,8 +23,8 @@
                 StringBuilder line = new StringBuilder();
                 double waitMs = 0;
                 while (waitMs >= 0) {
-                    double leavesMs = story.tries(1000);
-                    waitMs = story.unserved(comebackMs);
+                    double leavesMs = story.beginAttempt(1000);
+                    waitMs = story.pauseAfterFailureMs(comebackMs);
                     line.append(
                                     Double.isFinite(leavesMs)
                                             ? String.format(Locale.ROOT, " leaves after %.0f,", leavesMs)
