--- a/lab/src/main/java/spartrail/lab/cli/LoadPlanned.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadPlanned.java
@@ -49,9 +49,9 @@
                         .put("opType", arrival.opType())
                         .put("key", arrival.key())
                         .put("workMs", arrival.workMs())
-                        .put("hintMs", arrival.hintMs())
+                        .put("hintMs", arrival.costHintMs())
                         .put("textBytes", arrival.textBytes())
-                        .put("clientMs", arrival.clientMs());
+                        .put("clientMs", arrival.timeoutMs());
                 line.set("shards", Document.JSON.valueToTree(arrival.shards()));
                 out.println(Document.JSON.writeValueAsString(line));
             } else if (list) {
--- a/lab/src/main/java/spartrail/lab/file/Document.java
+++ b/lab/src/main/java/spartrail/lab/file/Document.java
@@ -20,15 +20,18 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A JSON file checked by one of our schemas (JSON Schema 2020-12); its places are named by JSON pointers (RFC 6901). */
+/** A JSON document that is valid by one of our schemas (JSON Schema 2020-12). Errors name places by JSON pointers (RFC 6901). */
 public final class Document {
+    /** Reads JSON strictly, but for comments. */
     public static final ObjectMapper JSON = JsonMapper.builder()
             .enable(JsonParser.Feature.ALLOW_COMMENTS)
             .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
 
+    /** Names the document in messages, as a rule its path. */
     public final String name;
+
     public final JsonNode tree;
 
     private Document(String name, JsonNode tree) {
@@ -36,7 +39,7 @@
         this.tree = tree;
     }
 
-    /** Reads a file and checks it by {@code schema/NAME.json}. */
+    /** Reads a file and validates it by {@code schema/NAME.json}. */
     public static Document read(Path file, String schema) {
         byte[] bytes;
         try {
@@ -47,6 +50,7 @@
         return parse(file.toString(), bytes, schema);
     }
 
+    /** Parses bytes and validates them by {@code schema/NAME.json}. */
     public static Document parse(String name, byte[] bytes, String schema) {
         JsonNode tree;
         try {
@@ -65,45 +69,46 @@
         return of(name, tree, schema);
     }
 
+    /** Validates a tree by {@code schema/NAME.json}; the first violation is thrown with its place and what was found. */
     public static Document of(String name, JsonNode tree, String schema) {
         if (tree == null || tree.isMissingNode()) {
             throw new InvalidInputException(name + ": is empty, a JSON object is expected");
         }
-        List<ValidationMessage> faults = schema(schema).validate(tree).stream()
-                .sorted(Comparator.comparing((ValidationMessage fault) ->
-                                fault.getInstanceLocation().toString())
+        List<ValidationMessage> violations = schema(schema).validate(tree).stream()
+                .sorted(Comparator.comparing((ValidationMessage violation) ->
+                                violation.getInstanceLocation().toString())
                         .thenComparing(ValidationMessage::getMessage))
                 .toList();
-        if (!faults.isEmpty()) {
-            ValidationMessage first = faults.get(0);
+        if (!violations.isEmpty()) {
+            ValidationMessage first = violations.get(0);
             String place = first.getInstanceLocation().toString();
             JsonNode found = first.getInstanceNode();
             String what = found == null || found.isContainerNode() ? "" : ", found " + found;
-            String more = faults.size() == 1 ? "" : " (and " + (faults.size() - 1) + " more)";
+            String more = violations.size() == 1 ? "" : " (and " + (violations.size() - 1) + " more)";
             throw new InvalidInputException(
-                    name + ": " + (place.isEmpty() ? "/" : place) + ": " + text(first, place) + what + more);
+                    name + ": " + (place.isEmpty() ? "/" : place) + ": " + messageOf(first, place) + what + more);
         }
         return new Document(name, tree);
     }
 
-    private static String text(ValidationMessage fault, String place) {
-        String text = fault.getMessage();
+    private static String messageOf(ValidationMessage violation, String place) {
+        String text = violation.getMessage();
         return text.startsWith(place + ": ") ? text.substring(place.length() + 2) : text;
     }
 
-    /** What a schema cannot say is wrong with the value at this place. */
-    public InvalidInputException invalid(String pointer, String what) {
-        return new InvalidInputException(name + ": " + pointer + ": " + what);
+    /** An error that the schema cannot express, for the value at this place. */
+    public InvalidInputException invalid(String pointer, String message) {
+        return new InvalidInputException(name + ": " + pointer + ": " + message);
     }
 
     private static JsonSchema schema(String name) {
         try (InputStream in = Document.class.getResourceAsStream("/schema/" + name + ".json")) {
-            SchemaValidatorsConfig how = SchemaValidatorsConfig.builder()
+            SchemaValidatorsConfig config = SchemaValidatorsConfig.builder()
                     .pathType(PathType.JSON_POINTER)
                     .locale(Locale.ENGLISH)
                     .build();
             return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
-                    .getSchema(in, how);
+                    .getSchema(in, config);
         } catch (IOException e) {
             throw new IllegalStateException("schema " + name, e);
         }
--- a/lab/src/main/java/spartrail/lab/file/package-info.java
+++ b/lab/src/main/java/spartrail/lab/file/package-info.java
@@ -1,2 +1,2 @@
-/** Files that people write: JSON with a schema. In comes a path, out comes a checked tree, or one line of what is wrong. */
+/** JSON files that people write, validated by a schema: a path comes in, a valid tree or an error of one line goes out. */
 package spartrail.lab.file;
--- a/lab/src/main/java/spartrail/lab/load/ClientAttempt.java
+++ b/lab/src/main/java/spartrail/lab/load/ClientAttempt.java
@@ -66,6 +66,6 @@
 
     /** How long its client still waits. */
     public double leftMs(double nowMs) {
-        return intendedMs + arrival.clientMs() - nowMs;
+        return intendedMs + arrival.timeoutMs() - nowMs;
     }
 }
--- a/lab/src/main/java/spartrail/lab/load/HttpClientTransport.java
+++ b/lab/src/main/java/spartrail/lab/load/HttpClientTransport.java
@@ -139,8 +139,8 @@
                     .append(arrival.shards()[i])
                     .append(",\"boost\":")
                     .append(Math.round(weight * 1e6) / 1e6);
-            if (arrival.hintMs() > 0) {
-                body.append(",\"work\":").append(Math.round(1000 * arrival.hintMs()));
+            if (arrival.costHintMs() > 0) {
+                body.append(",\"work\":").append(Math.round(1000 * arrival.costHintMs()));
             }
             body.append('}');
         }
--- a/lab/src/main/java/spartrail/lab/load/LoadGenerator.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadGenerator.java
@@ -124,7 +124,8 @@
             Arrival arrival = next;
             advance();
             double intendedMs = startMs + arrival.atMs();
-            ClientSession story = new ClientSession(arrival.stream().habit, TrafficStream.chance(arrival.chance() + 1));
+            ClientSession story =
+                    new ClientSession(arrival.stream().behavior, TrafficStream.random(arrival.seed() + 1));
             begin(new ClientAttempt(arrival, story, 1, intendedMs, intendedMs));
         }
         timetable.run(nowMs);
@@ -143,12 +144,12 @@
         open.add(ask);
         ask.lagMs = nowMs - ask.intendedMs;
         recorder.intended(ask);
-        double leavesMs = ask.story.beginAttempt(ask.arrival.clientMs());
+        double leavesMs = ask.story.beginAttempt(ask.arrival.timeoutMs());
         if (Double.isFinite(leavesMs)) {
             ask.leave = timetable.add(ask.intendedMs + leavesMs, () -> end(ask, AttemptResult.LEFT, null, true));
         }
-        ask.end = timetable.add(ask.intendedMs + ask.arrival.clientMs(), () -> lapse(ask));
-        place(ask, ask.arrival.fresh() || ask.arrival.stream().habit.ownConnection());
+        ask.end = timetable.add(ask.intendedMs + ask.arrival.timeoutMs(), () -> lapse(ask));
+        place(ask, ask.arrival.newConnection() || ask.arrival.stream().behavior.ownConnection());
     }
 
     private void place(ClientAttempt ask, boolean own) {
@@ -351,7 +352,10 @@
             for (Deque<ClientAttempt> queue : waiting.values()) {
                 ClientAttempt ask = queue.poll();
                 if (ask != null) {
-                    open(ask, ask.arrival.fresh() || ask.arrival.stream().habit.ownConnection());
+                    open(
+                            ask,
+                            ask.arrival.newConnection()
+                                    || ask.arrival.stream().behavior.ownConnection());
                     return;
                 }
             }
--- a/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
+++ b/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
@@ -4,9 +4,13 @@
 import spartrail.policy.replication.AdminClient;
 import spartrail.policy.replication.PolicyMessageCodec;
 
-/** Orders and questions about policy in the frames of talk. */
+/**
+ * Encodes administrators' requests about policy as frames of the gossip protocol.
+ *
+ * @param fleet name of the fleet that the frames are for
+ */
 public record AdminFrameCodec(String fleet) implements AdminClient.FrameCodec {
-    private static final int LONGEST = 65_536;
+    private static final int MAX_DATAGRAM_BYTES = 65_536;
 
     @Override
     public byte[] encode(byte[] piece) {
@@ -16,7 +20,7 @@
     @Override
     public byte[] decode(byte[] datagram, int length) {
         try {
-            PeerMessageCodec.Frame frame = PeerMessageCodec.read(datagram, length, fleet, LONGEST);
+            PeerMessageCodec.Frame frame = PeerMessageCodec.read(datagram, length, fleet, MAX_DATAGRAM_BYTES);
             return frame.lane() == PolicyMessageCodec.LANE ? frame.bytes() : null;
         } catch (PeerMessageCodec.Unusable e) {
             return null;
--- a/lab/src/main/java/spartrail/lab/net/SocketLoop.java
+++ b/lab/src/main/java/spartrail/lab/net/SocketLoop.java
@@ -18,46 +18,55 @@
 import spartrail.model.NodeClock;
 import spartrail.model.TimerQueue;
 
-/** A thread that runs sockets, timers and tasks. All but {@link #execute}, {@link #call} and {@link #close} is its own. */
+/**
+ * An event loop for sockets, timers and tasks on a thread of its own. Only {@link #execute}, {@link #call} and {@link #close} may be
+ * called by other threads.
+ */
 public final class SocketLoop implements Runnable, AutoCloseable {
     private static final System.Logger LOG = System.getLogger("spartrail.lab.net");
-    /** Below this the selector's whole milliseconds are too coarse, and the thread naps in between. */
-    private static final double FINE_MS = 1.5;
+    /** Below this the selector's whole milliseconds are too coarse, and the thread parks in between. */
+    private static final double SELECTOR_RESOLUTION_MS = 1.5;
 
-    private static final long NAP_NS = 40_000;
-    /** A loop that is awake waits only where nothing is due for so long. */
-    private static final double AWAKE_MS = 1000;
+    private static final int MAX_ACCEPTS_PER_EVENT = 256;
+    private static final long MAX_SELECT_MS = 1000;
+    private static final long CLOSE_TIMEOUT_MS = 5000;
+    private static final long ACCEPT_FAILURE_PAUSE_NS = 1_000_000;
+    private static final long PARK_NS = 40_000;
+    /** A busy-selecting loop blocks only if no timer is due within this time. */
+    private static final double MAX_BUSY_WAIT_MS = 1000;
 
-    /** What is ready on one channel. */
-    interface Ready {
-        void ready(SelectionKey key) throws IOException;
+    /** Handles the events of one channel. */
+    interface ChannelHandler {
+        void handle(SelectionKey key) throws IOException;
     }
 
     final ByteBuffer buffer = ByteBuffer.allocateDirect(64 * 1024);
     private final NodeClock clock = new NodeClock();
     private final Selector selector;
-    private final TimerQueue timetable = new TimerQueue();
+    private final TimerQueue timers = new TimerQueue();
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final Thread thread;
     private volatile boolean ended;
-    /** Whether the selector may be waiting, so that a task has to wake it. */
-    private volatile boolean waiting;
-    /** It never naps before what is due: a nap of 40 microseconds now and then lasts 2 to 6 ms. Costs a core. */
-    private final boolean awake;
-    /** When an awake loop last looked round without waiting, and the longest it did not. */
-    private double lookedMs = Double.NaN;
+    /** Whether the selector may be blocked, so that a task has to wake it. */
+    private volatile boolean selecting;
+    /** Whether it spins instead of parking before a timer: a short park can last some milliseconds. Costs a core. */
+    private final boolean busyWaiting;
+    /** When a busy-waiting loop last polled its sockets; NaN after it has blocked. */
+    private double lastPollMs = Double.NaN;
 
-    private double standstillMs;
-    /** Made once: a loop that makes garbage at each round stands still for the collector. */
-    private final Runnable due = () -> timetable.run(nowMs());
+    /** The longest time between two polls of a busy-waiting loop. */
+    private double longestPauseMs;
+    /** Allocated once: garbage made in each iteration would cause collector pauses. */
+    private final Runnable runTimers = () -> timers.run(nowMs());
 
+    /** Starts a loop that parks between events; {@code name} is its thread's. */
     public SocketLoop(String name) {
         this(name, false);
     }
 
-    /** One that is awake is on time to a tenth of a millisecond where a core is free for it. */
-    public SocketLoop(String name, boolean awake) {
-        this.awake = awake;
+    /** Starts a loop; a busy-waiting one runs timers on time to a tenth of a millisecond where a core is free for it. */
+    public SocketLoop(String name, boolean busyWaiting) {
+        this.busyWaiting = busyWaiting;
         try {
             selector = Selector.open();
         } catch (IOException e) {
@@ -74,26 +83,27 @@
     }
 
     /**
-     * The longest time for which an awake loop did not look round since it was last asked: the collector's, the scheduler's
-     * or its own work's. What is measured by it cannot be truer than that.
+     * The longest time for which a busy-waiting loop did not poll since the last call, because of the collector, the scheduler or
+     * its own work. Times measured on this loop are no more accurate than that.
      */
     public double takeLongestPauseMs() {
         double[] longest = new double[1];
         call(() -> {
-            longest[0] = standstillMs;
-            standstillMs = 0;
+            longest[0] = longestPauseMs;
+            longestPauseMs = 0;
         });
         return longest[0];
     }
 
+    /** Runs a task on the loop's thread. */
     public void execute(Runnable task) {
         tasks.add(task);
-        if (waiting) {
+        if (selecting) {
             selector.wakeup();
         }
     }
 
-    /** Runs a task on the thread and waits until it is done. */
+    /** Runs a task on the loop's thread and waits until it is done; rethrows what it throws. */
     public void call(Runnable task) {
         if (Thread.currentThread() == thread) {
             task.run();
@@ -124,17 +134,19 @@
         }
     }
 
-    public TimerQueue.Due schedule(double ms, Runnable what) {
-        return timetable.add(ms, what);
+    /** Runs a task at a time of {@link #nowMs}. */
+    public TimerQueue.Due schedule(double atMs, Runnable task) {
+        return timers.add(atMs, task);
     }
 
+    /** Cancels a timer; null is ignored. */
     public void cancel(TimerQueue.Due due) {
         if (due != null) {
-            timetable.remove(due);
+            timers.remove(due);
         }
     }
 
-    /** Accepts connections until the channel is closed; what is accepted is handed over on this thread. */
+    /** Accepts connections until the channel is closed; each is handed over on the loop's thread. */
     public ServerSocketChannel listen(InetSocketAddress address, int backlog, Consumer<SocketChannel> accepted)
             throws IOException {
         ServerSocketChannel listening = ServerSocketChannel.open();
@@ -148,8 +160,8 @@
         }
         execute(() -> {
             try {
-                listening.register(selector, SelectionKey.OP_ACCEPT, (Ready) key -> {
-                    for (int i = 0; i < 256; i++) {
+                listening.register(selector, SelectionKey.OP_ACCEPT, (ChannelHandler) key -> {
+                    for (int i = 0; i < MAX_ACCEPTS_PER_EVENT; i++) {
                         SocketChannel channel = listening.accept();
                         if (channel == null) {
                             return;
@@ -166,8 +178,8 @@
         return listening;
     }
 
-    SelectionKey register(SocketChannel channel, int interest, Ready ready) throws IOException {
-        return channel.register(selector, interest, ready);
+    SelectionKey register(SocketChannel channel, int interest, ChannelHandler handler) throws IOException {
+        return channel.register(selector, interest, handler);
     }
 
     @Override
@@ -177,7 +189,7 @@
                 for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
                     runGuarded(task);
                 }
-                runGuarded(due);
+                runGuarded(runTimers);
                 select();
                 if (selector.selectedKeys().isEmpty()) {
                     continue;
@@ -204,40 +216,41 @@
     }
 
     private void select() throws IOException {
-        double waitMs = timetable.nextMs() - nowMs();
-        waiting = true;
+        double waitMs = timers.nextMs() - nowMs();
+        selecting = true;
         try {
             if (waitMs <= 0 || !tasks.isEmpty()) {
                 selector.selectNow();
-            } else if (awake && waitMs < AWAKE_MS) {
+            } else if (busyWaiting && waitMs < MAX_BUSY_WAIT_MS) {
                 selector.selectNow();
                 double nowMs = nowMs();
-                standstillMs = Math.max(standstillMs, Double.isNaN(lookedMs) ? 0 : nowMs - lookedMs);
-                lookedMs = nowMs;
-            } else if (waitMs < FINE_MS) {
+                longestPauseMs = Math.max(longestPauseMs, Double.isNaN(lastPollMs) ? 0 : nowMs - lastPollMs);
+                lastPollMs = nowMs;
+            } else if (waitMs < SELECTOR_RESOLUTION_MS) {
                 if (selector.selectNow() == 0 && tasks.isEmpty()) {
-                    LockSupport.parkNanos(Math.min(NAP_NS, (long) (1e6 * waitMs)));
+                    LockSupport.parkNanos(Math.min(PARK_NS, (long) (1e6 * waitMs)));
                 }
             } else {
-                lookedMs = Double.NaN;
-                selector.select(Math.max(1, (long) Math.min(1000, waitMs - 1)));
+                lastPollMs = Double.NaN;
+                selector.select(Math.max(1, (long) Math.min(MAX_SELECT_MS, waitMs - 1)));
             }
         } finally {
-            waiting = false;
+            selecting = false;
         }
     }
 
     private void serve(SelectionKey key) {
         try {
             if (key.isValid()) {
-                ((Ready) key.attachment()).ready(key);
+                ((ChannelHandler) key.attachment()).handle(key);
             }
         } catch (CancelledKeyException e) {
-            // It was closed while others were served.
+            // Closed while another channel was served.
         } catch (IOException e) {
-            // Accepting: out of descriptors, say. Danger: the selector would report it at once again, without end.
+            // Accepting failed, for want of descriptors for instance: without a pause the selector would report it in a
+            // busy loop.
             LOG.log(System.Logger.Level.WARNING, "cannot accept a connection: " + e.getMessage());
-            LockSupport.parkNanos(1_000_000);
+            LockSupport.parkNanos(ACCEPT_FAILURE_PAUSE_NS);
         } catch (RuntimeException e) {
             LOG.log(System.Logger.Level.ERROR, "exception while a socket was served", e);
         }
@@ -251,14 +264,14 @@
         }
     }
 
-    /** Ends the thread and closes all that it has. */
+    /** Ends the thread and closes its channels. */
     @Override
     public void close() {
         ended = true;
         selector.wakeup();
         try {
             if (Thread.currentThread() != thread) {
-                thread.join(5000);
+                thread.join(CLOSE_TIMEOUT_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/lab/src/main/java/spartrail/lab/net/TcpConnection.java
+++ b/lab/src/main/java/spartrail/lab/net/TcpConnection.java
@@ -9,56 +9,72 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** A TCP connection on a {@link SocketLoop}. What it hears it tells by the methods that its user overrides. */
+/**
+ * A TCP connection on a {@link SocketLoop}. Subclasses override the {@code on...} callbacks, all of which run on the loop's thread.
+ *
+ * <pre>
+ * state        connect, adopt       readable        write              peer closes, error   close, reset
+ * NEW          CONNECTING or OPEN   -               queued             -                    CLOSED
+ * CONNECTING   -                    -               queued             CLOSED, onClosed     CLOSED
+ * OPEN         -                    onBytes         written, onFlushed CLOSED, onClosed     CLOSED
+ * CLOSED       -                    -               dropped            -                    -
+ * </pre>
+ */
 public abstract class TcpConnection {
-    /** Most that waits to be written; a peer that never reads is closed. */
-    private static final long MOST_UNWRITTEN = 8L * 1024 * 1024;
+    /** A connection whose peer does not read is closed when more than this is queued. */
+    private static final long MAX_UNWRITTEN_BYTES = 8L * 1024 * 1024;
 
+    /** So that one busy connection does not hold up the others. */
+    private static final int MAX_READS_PER_EVENT = 8;
+
+    /** Owns this connection; its thread calls all callbacks. */
     protected final SocketLoop loop;
+
     private final Deque<ByteBuffer> out = new ArrayDeque<>();
     private SocketChannel channel;
     private SelectionKey key;
-    private long unwritten;
-    private boolean up;
+    private long unwrittenBytes;
+    private boolean connected;
     private boolean reading = true;
-    private boolean over;
+    private boolean closed;
 
+    /** A connection that is not open yet. */
     protected TcpConnection(SocketLoop loop) {
         this.loop = loop;
     }
 
-    /** The connection is up. */
+    /** The connection is established. */
     protected void onConnected() {}
 
-    /** Bytes have come; all of them are to be taken. */
+    /** Bytes were read; the callee consumes all of them. */
     protected abstract void onBytes(ByteBuffer in);
 
-    /** The other side ended it, or it never came up; not called after {@link #close} or {@link #reset}. */
+    /** The peer closed it, or it was never established; not called after {@link #close} or {@link #reset}. */
     protected abstract void onClosed(String why);
 
-    /** All that was given to be written has been handed to the system. */
+    /** Everything that was queued has been written to the socket. */
     protected void onFlushed() {}
 
-    /** Begins to connect. An IOException tells that no socket is to be had at all. */
+    /** Begins to connect; throws an IOException where no socket can be opened at all. */
     public final void connect(InetSocketAddress address) throws IOException {
         channel = SocketChannel.open();
         try {
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            boolean atOnce;
+            boolean immediate;
             try {
-                atOnce = channel.connect(address);
+                immediate = channel.connect(address);
             } catch (IOException e) {
-                // Refused at once: told like one that is refused a little later.
-                atOnce = false;
-                over = true;
+                // Refused at once: reported like a connection that is refused later.
+                immediate = false;
+                closed = true;
                 channel.close();
                 loop.execute(() -> onClosed("connect: " + e.getMessage()));
                 return;
             }
-            key = loop.register(channel, atOnce ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this::ready);
-            if (atOnce) {
-                up = true;
+            key = loop.register(channel, immediate ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this::ready);
+            if (immediate) {
+                connected = true;
                 loop.execute(this::onConnected);
             }
         } catch (IOException e) {
@@ -67,17 +83,19 @@
         }
     }
 
-    /** Takes over a connection that was accepted. */
+    /** Takes over an accepted connection. */
     public final void adopt(SocketChannel accepted) throws IOException {
         channel = accepted;
-        up = true;
+        connected = true;
         key = loop.register(channel, SelectionKey.OP_READ, this::ready);
     }
 
+    /** Whether neither side has closed it. */
     public final boolean isOpen() {
-        return !over;
+        return !closed;
     }
 
+    /** The address of the other side, or null where the system does not know it any more. */
     public final InetSocketAddress peer() {
         try {
             return (InetSocketAddress) channel.getRemoteAddress();
@@ -90,7 +108,7 @@
         try {
             if (ready.isConnectable()) {
                 channel.finishConnect();
-                up = true;
+                connected = true;
                 updateInterest();
                 onConnected();
                 flush();
@@ -99,7 +117,7 @@
             if (ready.isWritable()) {
                 flush();
             }
-            if (!over && ready.isReadable()) {
+            if (!closed && ready.isReadable()) {
                 read();
             }
         } catch (IOException e) {
@@ -109,7 +127,7 @@
 
     private void read() throws IOException {
         ByteBuffer buffer = loop.buffer;
-        for (int i = 0; i < 8 && !over && reading; i++) {
+        for (int i = 0; i < MAX_READS_PER_EVENT && !closed && reading; i++) {
             buffer.clear();
             int count = channel.read(buffer);
             if (count < 0) {
@@ -127,21 +145,22 @@
         }
     }
 
+    /** Queues these bytes and writes what the socket takes now. */
     public final void write(ByteBuffer bytes) {
-        if (over) {
+        if (closed) {
             return;
         }
         out.add(bytes);
-        unwritten += bytes.remaining();
-        if (unwritten > MOST_UNWRITTEN) {
+        unwrittenBytes += bytes.remaining();
+        if (unwrittenBytes > MAX_UNWRITTEN_BYTES) {
             closeAndNotify("its peer does not read");
             return;
         }
-        if (up) {
+        if (connected) {
             try {
                 flush();
             } catch (IOException e) {
-                // Danger: told at once, its user would be called from within its own call.
+                // Later, as the callback would otherwise run inside the caller's own call of this method.
                 String why = e.getMessage();
                 loop.execute(() -> closeAndNotify(why == null ? "broken" : why));
             }
@@ -152,7 +171,7 @@
         boolean any = !out.isEmpty();
         while (!out.isEmpty()) {
             ByteBuffer first = out.peek();
-            unwritten -= channel.write(first);
+            unwrittenBytes -= channel.write(first);
             if (first.hasRemaining()) {
                 updateInterest();
                 return;
@@ -165,10 +184,10 @@
         }
     }
 
-    /** Reads no more until it is told to. */
+    /** Stops or resumes reading. */
     public final void pause(boolean paused) {
         reading = !paused;
-        if (!over && up) {
+        if (!closed && connected) {
             updateInterest();
         }
     }
@@ -180,14 +199,15 @@
     }
 
     private void closeAndNotify(String why) {
-        if (!over) {
+        if (!closed) {
             close();
             onClosed(why);
         }
     }
 
+    /** Closes it without a callback. */
     public final void close() {
-        over = true;
+        closed = true;
         out.clear();
         try {
             if (channel != null) {
@@ -198,14 +218,14 @@
         }
     }
 
-    /** Ends it so that the other side sees a reset. */
+    /** Closes it so that the peer sees a reset. */
     public final void reset() {
         try {
-            if (!over && channel != null) {
+            if (!closed && channel != null) {
                 channel.setOption(StandardSocketOptions.SO_LINGER, 0);
             }
         } catch (IOException e) {
-            // Closed without one.
+            // Closed without a reset.
         }
         close();
     }
--- a/lab/src/main/java/spartrail/lab/net/package-info.java
+++ b/lab/src/main/java/spartrail/lab/net/package-info.java
@@ -1,6 +1,6 @@
 /**
- * One thread with one selector for all sockets of a lab party, and timers that are met to a fraction of a millisecond.
- * In come callbacks on that thread, out go bytes; it decides nothing and never blocks. XNIO waits in whole
- * milliseconds, which is too coarse where the generator's own lag is to be measured in microseconds.
+ * One event loop with one selector for all sockets of a lab component, and timers that run on time to a fraction of a millisecond.
+ * Socket events come in as callbacks on the loop's thread, bytes go out; nothing here decides or blocks. XNIO waits in whole
+ * milliseconds, which is too coarse where the load generator's own lag is measured in microseconds.
  */
 package spartrail.lab.net;
--- a/lab/src/main/java/spartrail/lab/plan/Arrival.java
+++ b/lab/src/main/java/spartrail/lab/plan/Arrival.java
@@ -4,13 +4,14 @@
 import java.util.SplittableRandom;
 
 /**
- * One multiget that a client will ask: when, what, how. Its text is made from {@code chance} when it is sent.
+ * One multiget that a client will send, with the time at which it does. Its text is made from {@code seed} when it is sent.
  *
- * @param atMs from the plan's beginning
- * @param workMs what a part is to cost at a server, on average
- * @param hintMs what the client says it costs; 0 says nothing
- * @param clientMs how long the client waits for an answer
- * @param chance seed of all that is still to be drawn for it
+ * @param atMs time since the start of the plan
+ * @param workMs mean work of a part at a server
+ * @param costHintMs the cost that the client states; 0 for none
+ * @param timeoutMs how long the client waits for an answer
+ * @param newConnection whether it opens a connection of its own
+ * @param seed of everything that is drawn for it later
  */
 public record Arrival(
         long number,
@@ -22,31 +23,31 @@
         int[] shards,
         double[] weights,
         double workMs,
-        double hintMs,
+        double costHintMs,
         int textBytes,
-        double clientMs,
-        boolean fresh,
-        long chance) {
+        double timeoutMs,
+        boolean newConnection,
+        long seed) {
     private static final char[] HEX = "0123456789abcdef".toCharArray();
 
-    /** A fresh id for each try, made so that no two plans with other seeds share ids. */
-    public String id(int tryNumber) {
-        long high = mix(chance ^ number);
-        return hex(high) + Integer.toHexString(tryNumber);
+    /** An id for each attempt; plans with different seeds share none. */
+    public String id(int attempt) {
+        long prefix = mix(seed ^ number);
+        return hex(prefix) + Integer.toHexString(attempt);
     }
 
-    /** The text: our stand-in servers read from its head what a part is to cost, in microseconds. */
+    /** The query's text; emulated servers read the work of a part in microseconds from its head. */
     public String text() {
         StringBuilder text = new StringBuilder(textBytes + 16);
         text.append('w').append(Math.round(1000 * workMs)).append('.');
-        SplittableRandom random = new SplittableRandom(chance);
+        SplittableRandom random = new SplittableRandom(seed);
         while (text.length() < textBytes) {
             text.append(HEX[random.nextInt(16)]);
         }
         return text.toString();
     }
 
-    /** What the servers make of a part: a value that depends on all they are sent, so that a mix-up shows. */
+    /** The value that emulated servers answer for a part: it depends on everything they are sent, so that a mix-up is seen. */
     public static String value(String partId, int shard, byte[] text) {
         long hash = 0xCBF29CE484222325L;
         for (byte b : partId.getBytes(StandardCharsets.US_ASCII)) {
@@ -58,10 +59,10 @@
         return hex(mix(hash ^ shard));
     }
 
-    static long mix(long z) {
-        z = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
-        z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
-        return z ^ z >>> 31;
+    static long mix(long bits) {
+        bits = (bits ^ bits >>> 30) * 0xBF58476D1CE4E5B9L;
+        bits = (bits ^ bits >>> 27) * 0x94D049BB133111EBL;
+        return bits ^ bits >>> 31;
     }
 
     private static String hex(long value) {
--- a/lab/src/main/java/spartrail/lab/plan/Arrivals.java
+++ b/lab/src/main/java/spartrail/lab/plan/Arrivals.java
@@ -9,25 +9,28 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * The arrivals of a plan in order of time. Gaps are drawn for a mean rate of one and carried over to the plan's time by
- * inverting the sum of its rate, which is right for any shape and keeps even gaps even.
+ * The arrivals of a plan in order of time. Gaps are drawn for a mean rate of one and mapped to the plan's time by inverting the
+ * integral of its rate, which is exact for any shape and keeps even gaps even.
  */
 final class Arrivals implements Iterator<Arrival> {
+    private static final int MAX_BISECTIONS = 60;
+    private static final double RESOLUTION_MS = 1e-7;
+
     private final LoadPlan plan;
     private final DoubleSupplier gaps;
-    private final RandomGenerator chance;
-    private final List<TrafficStream.Drawing> drawings = new ArrayList<>();
+    private final RandomGenerator random;
+    private final List<TrafficStream.ArrivalGenerator> generators = new ArrayList<>();
     private final List<TrafficStream> streams;
-    /** Times of crowds, in order, with the stream of each. */
+    /** Arrivals of crowds in order: time and index of the stream. */
     private final List<double[]> crowd;
 
-    private int crowdAt;
+    private int nextCrowd;
     private int phase;
     private double phaseFromMs;
-    /** In the present phase: how far it is, and how many arrivals of its sum lie behind. */
-    private double ms;
+    /** Position in the current phase, as time and as the number of expected arrivals still to pass. */
+    private double phaseMs;
 
-    private double toCome;
+    private double remainingArrivals;
     private long number;
     private double nextMs;
 
@@ -35,18 +38,18 @@
         this.plan = plan;
         this.streams = plan.streams();
         RandomGeneratorFactory<RandomGenerator> factory = RandomGeneratorFactory.of("L64X128MixRandom");
-        this.chance = factory.create(plan.seed());
+        this.random = factory.create(plan.seed());
         this.gaps = plan.gaps().sampler(factory.create(Arrival.mix(plan.seed() + 1)), plan.variation());
         for (int i = 0; i < streams.size(); i++) {
-            drawings.add(streams.get(i).drawing(factory.create(Arrival.mix(plan.seed() + 2 + i))));
+            generators.add(streams.get(i).generator(factory.create(Arrival.mix(plan.seed() + 2 + i))));
         }
-        this.crowd = crowd(factory.create(Arrival.mix(plan.seed() + 1_000_003)));
+        this.crowd = drawCrowds(factory.create(Arrival.mix(plan.seed() + 1_000_003)));
         // Evenly spaced arrivals begin with the plan; others after their first gap.
-        this.toCome = plan.gaps() == GapDistribution.EVEN ? 0 : gaps.getAsDouble();
-        place();
+        this.remainingArrivals = plan.gaps() == GapDistribution.EVEN ? 0 : gaps.getAsDouble();
+        advance();
     }
 
-    private List<double[]> crowd(RandomGenerator random) {
+    private List<double[]> drawCrowds(RandomGenerator random) {
         List<double[]> times = new ArrayList<>();
         for (LoadPlan.Crowd one : plan.crowds()) {
             for (int i = 0; i < one.clients(); i++) {
@@ -57,26 +60,26 @@
         return times;
     }
 
-    /** Finds the time of the next arrival that belongs to the rate. */
-    private void place() {
+    /** Finds the time of the next arrival of the rate. */
+    private void advance() {
         while (phase < plan.phases().size()) {
             LoadPlan.Phase now = plan.phases().get(phase);
             double lastsMs = now.lastsMs();
             double all = now.rate().expectedUntil(lastsMs, lastsMs);
-            if (toCome < all) {
-                ms = invert(now.rate(), lastsMs, toCome, ms);
-                nextMs = phaseFromMs + ms;
+            if (remainingArrivals < all) {
+                phaseMs = invert(now.rate(), lastsMs, remainingArrivals, phaseMs);
+                nextMs = phaseFromMs + phaseMs;
                 return;
             }
-            toCome -= all;
+            remainingArrivals -= all;
             phaseFromMs += lastsMs;
-            ms = 0;
+            phaseMs = 0;
             phase++;
         }
         nextMs = Double.POSITIVE_INFINITY;
     }
 
-    /** The time at which the sum passes this much: where the rate is 0 for a while, the end of that. */
+    /** The time at which the integral of the rate passes {@code sum}; where the rate is 0 for a while, the end of that. */
     private static double invert(Rate rate, double lastsMs, double sum, double fromMs) {
         if (rate instanceof Rate.Steady steady) {
             return 1000 * sum / steady.perS();
@@ -89,7 +92,7 @@
             step *= 2;
             high = Math.min(lastsMs, low + step);
         }
-        for (int i = 0; i < 60 && high - low > 1e-7; i++) {
+        for (int i = 0; i < MAX_BISECTIONS && high - low > RESOLUTION_MS; i++) {
             double middle = (low + high) / 2;
             if (rate.expectedUntil(middle, lastsMs) <= sum) {
                 low = middle;
@@ -102,7 +105,7 @@
 
     @Override
     public boolean hasNext() {
-        return nextMs < Double.POSITIVE_INFINITY || crowdAt < crowd.size();
+        return nextMs < Double.POSITIVE_INFINITY || nextCrowd < crowd.size();
     }
 
     @Override
@@ -110,24 +113,24 @@
         if (!hasNext()) {
             throw new NoSuchElementException();
         }
-        if (crowdAt < crowd.size() && crowd.get(crowdAt)[0] <= nextMs) {
-            double[] one = crowd.get(crowdAt++);
-            return drawings.get((int) one[1]).next(number++, one[0], plan.phaseAt(one[0]), true);
+        if (nextCrowd < crowd.size() && crowd.get(nextCrowd)[0] <= nextMs) {
+            double[] one = crowd.get(nextCrowd++);
+            return generators.get((int) one[1]).next(number++, one[0], plan.phaseAt(one[0]), true);
         }
         double atMs = nextMs;
-        int inPhase = phase;
-        toCome += gaps.getAsDouble();
-        place();
-        return drawings.get(stream(inPhase)).next(number++, atMs, inPhase, false);
+        int arrivalPhase = phase;
+        remainingArrivals += gaps.getAsDouble();
+        advance();
+        return generators.get(drawStream(arrivalPhase)).next(number++, atMs, arrivalPhase, false);
     }
 
-    private int stream(int inPhase) {
-        String name = plan.phases().get(inPhase).name();
+    private int drawStream(int arrivalPhase) {
+        String name = plan.phases().get(arrivalPhase).name();
         double sum = 0;
         for (TrafficStream stream : streams) {
             sum += stream.isActiveIn(name) ? stream.share : 0;
         }
-        double at = chance.nextDouble() * sum;
+        double at = random.nextDouble() * sum;
         int last = 0;
         for (int i = 0; i < streams.size(); i++) {
             if (streams.get(i).isActiveIn(name)) {
--- a/lab/src/main/java/spartrail/lab/plan/ClientBehavior.java
+++ b/lab/src/main/java/spartrail/lab/plan/ClientBehavior.java
@@ -1,35 +1,37 @@
 package spartrail.lab.plan;
 
 /**
- * What a client does when it is not served, and when it loses patience. Shares are of the client's time for one try.
+ * What a client does when it is not served, and when it abandons an attempt. Shares are of 1.
  *
- * @param tries most tries in all
- * @param pause how long it waits before the next
- * @param waitMs the first wait; the later ones grow by {@code factor} where the wait is exponential
- * @param mostWaitMs no wait is longer
- * @param jitter each wait is drawn between (1 - jitter) and (1 + jitter) of it
- * @param heeds the share of its refusals for which it keeps to a given Retry-After
- * @param leavesShare how often it leaves midway
- * @param leavesAt after which share of its time it then does
- * @param ownConnection each try comes on a connection of its own, closed after it
+ * @param maxAttempts attempts in all
+ * @param backoff how the pause before the next attempt grows
+ * @param initialBackoffMs the first pause
+ * @param backoffFactor factor from one pause to the next where it is exponential
+ * @param maxBackoffMs no pause is longer
+ * @param jitter each pause is drawn between (1 - jitter) and (1 + jitter) of itself
+ * @param honorsRetryAfterShare share of the rejections whose Retry-After is honored
+ * @param abandonShare share of the attempts that are abandoned
+ * @param abandonAfterShare share of the timeout after which they are
+ * @param ownConnection each attempt opens a connection of its own and closes it
  */
 public record ClientBehavior(
-        int tries,
-        Wait pause,
-        double waitMs,
-        double factor,
-        double mostWaitMs,
+        int maxAttempts,
+        Backoff backoff,
+        double initialBackoffMs,
+        double backoffFactor,
+        double maxBackoffMs,
         double jitter,
-        double heeds,
-        double leavesShare,
-        double leavesAt,
+        double honorsRetryAfterShare,
+        double abandonShare,
+        double abandonAfterShare,
         boolean ownConnection) {
-    /** Kinds of wait before a further try. */
-    public enum Wait {
+    /** How the pause between attempts grows; named by the load plan's file. */
+    public enum Backoff {
         NONE,
         FIXED,
         EXPONENTIAL
     }
 
-    public static final ClientBehavior ONCE = new ClientBehavior(1, Wait.NONE, 0, 1, 0, 0, 0, 0, 1, false);
+    /** A client that asks once and waits. */
+    public static final ClientBehavior ONCE = new ClientBehavior(1, Backoff.NONE, 0, 1, 0, 0, 0, 0, 1, false);
 }
--- a/lab/src/main/java/spartrail/lab/plan/ClientSession.java
+++ b/lab/src/main/java/spartrail/lab/plan/ClientSession.java
@@ -3,52 +3,53 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One client's course from its first try to its last: a state machine without clock or sockets.
+ * A client's session for one multiget, from its first attempt to its last: a state machine without clock or sockets.
  *
  * <pre>
- * state      what happens                        next
- * trying     it is served                        over
- * trying     it leaves midway                    over
- * trying     it is refused, fails, hears nothing waiting, or over after its last try
- * waiting    its wait is over                    trying
+ * state       event                                   next state
+ * ATTEMPTING  served                                  FINISHED
+ * ATTEMPTING  abandons the attempt                    FINISHED
+ * ATTEMPTING  rejected, failed, timed out             PAUSED, or FINISHED after the last attempt
+ * PAUSED      the pause is over                       ATTEMPTING
  * </pre>
  */
 public final class ClientSession {
-    private final ClientBehavior habit;
-    private final RandomGenerator chance;
-    private int tries;
+    private final ClientBehavior behavior;
+    private final RandomGenerator random;
+    private int attempts;
 
-    public ClientSession(ClientBehavior habit, RandomGenerator chance) {
-        this.habit = habit;
-        this.chance = chance;
+    /** A session before its first attempt; {@code random} decides on abandoning, jitter and Retry-After. */
+    public ClientSession(ClientBehavior behavior, RandomGenerator random) {
+        this.behavior = behavior;
+        this.random = random;
     }
 
+    /** Attempts begun so far. */
     public int attempts() {
-        return tries;
+        return attempts;
     }
 
-    /** A try begins; after how much of the client's time it leaves, infinite if it stays. */
-    public double beginAttempt(double clientMs) {
-        tries++;
-        return habit.leavesShare() > 0 && chance.nextDouble() < habit.leavesShare()
-                ? habit.leavesAt() * clientMs
-                : Double.POSITIVE_INFINITY;
+    /** Begins an attempt; returns after how many of the {@code timeoutMs} the client abandons it, infinity if it waits. */
+    public double beginAttempt(double timeoutMs) {
+        attempts++;
+        boolean abandons = behavior.abandonShare() > 0 && random.nextDouble() < behavior.abandonShare();
+        return abandons ? behavior.abandonAfterShare() * timeoutMs : Double.POSITIVE_INFINITY;
     }
 
-    /** A try was not served: how long it waits for the next one, negative if there is none. */
-    public double pauseAfterFailureMs(double comebackMs) {
-        if (tries >= habit.tries()) {
+    /** After an attempt that was not served: the pause before the next one, negative if there is none. */
+    public double pauseAfterFailureMs(double retryAfterMs) {
+        if (attempts >= behavior.maxAttempts()) {
             return -1;
         }
-        double wait =
-                switch (habit.pause()) {
+        double pauseMs =
+                switch (behavior.backoff()) {
                     case NONE -> 0;
-                    case FIXED -> habit.waitMs();
-                    case EXPONENTIAL -> habit.waitMs() * Math.pow(habit.factor(), tries - 1);
+                    case FIXED -> behavior.initialBackoffMs();
+                    case EXPONENTIAL -> behavior.initialBackoffMs() * Math.pow(behavior.backoffFactor(), attempts - 1);
                 };
-        wait = Math.min(wait, habit.mostWaitMs());
-        wait *= 1 + habit.jitter() * (2 * chance.nextDouble() - 1);
-        boolean heeds = comebackMs > 0 && chance.nextDouble() < habit.heeds();
-        return heeds ? Math.max(wait, comebackMs) : wait;
+        pauseMs = Math.min(pauseMs, behavior.maxBackoffMs());
+        pauseMs *= 1 + behavior.jitter() * (2 * random.nextDouble() - 1);
+        boolean honorsRetryAfter = retryAfterMs > 0 && random.nextDouble() < behavior.honorsRetryAfterShare();
+        return honorsRetryAfter ? Math.max(pauseMs, retryAfterMs) : pauseMs;
     }
 }
--- a/lab/src/main/java/spartrail/lab/plan/GapDistribution.java
+++ b/lab/src/main/java/spartrail/lab/plan/GapDistribution.java
@@ -7,17 +7,17 @@
 import org.apache.commons.rng.sampling.distribution.SharedStateContinuousSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
-/** The gaps between arrivals as multiples of the mean gap. */
+/** Distribution of the gaps between arrivals, as multiples of the mean gap; the constants are named by the load plan's file. */
 public enum GapDistribution {
-    /** All the same. */
+    /** All gaps are equal. */
     EVEN,
-    /** As independent clients make them: exponential. */
+    /** Exponential, as of independent clients. */
     POISSON,
-    /** In bunches: gamma, by its coefficient of variation. */
+    /** Gamma with a coefficient of variation: arrivals in bursts. */
     GAMMA;
 
-    DoubleSupplier sampler(RandomGenerator chance, double variation) {
-        UniformRandomProvider source = chance::nextLong;
+    DoubleSupplier sampler(RandomGenerator random, double variation) {
+        UniformRandomProvider source = random::nextLong;
         return switch (this) {
             case EVEN -> () -> 1;
             case POISSON -> ZigguratSampler.Exponential.of(source)::sample;
--- a/lab/src/main/java/spartrail/lab/plan/LoadPlan.java
+++ b/lab/src/main/java/spartrail/lab/plan/LoadPlan.java
@@ -9,13 +9,13 @@
 import spartrail.lab.file.InvalidInputException;
 
 /**
- * A plan of load as its file tells it; its arrivals follow from it alone.
+ * A load plan as its file states it; its arrivals are a pure function of it.
  *
  * @param variation coefficient of variation of gamma gaps
  * @param targets front nodes as host:port, loopback only
- * @param connections most connections that are open at once
- * @param lagBoundMs a run whose own lag at the 99th percentile is longer is unfit
- * @param lingerMs how long an answer is still looked for after its client's time
+ * @param connections maximum of open connections
+ * @param lagBoundMs a run is unfit if the generator's own lag at the 99th percentile is longer
+ * @param lingerMs how long late answers are still awaited after the client's timeout
  */
 public record LoadPlan(
         long seed,
@@ -32,7 +32,7 @@
     /** A part of the plan with a rate of its own. */
     public record Phase(String name, double lastsMs, Rate rate) {}
 
-    /** Clients who all come within a time, each on a connection of its own. */
+    /** Clients that all arrive within a time, each on a connection of its own. */
     public record Crowd(double atMs, double withinMs, int clients, int stream) {}
 
     /** A front node under load. */
@@ -43,10 +43,12 @@
         }
     }
 
+    /** Reads and checks the file. */
     public static LoadPlan read(Path file) {
         return of(Document.read(file, "load"));
     }
 
+    /** The plan of a document that is valid by the schema {@code load}. */
     public static LoadPlan of(Document document) {
         JsonNode tree = document.tree;
         List<Phase> phases = new ArrayList<>();
@@ -98,7 +100,7 @@
                 tree.path("lingerMs").asDouble(1000));
     }
 
-    /** Loopback only: a load generator that can be aimed elsewhere is a weapon. */
+    /** A front node to send load to; on loopback only, so that nobody else can be flooded. */
     public static Target target(Document document, JsonNode node, String place) {
         String text = node.isTextual() ? node.asText() : node.path("address").asText();
         int colon = text.lastIndexOf(':');
@@ -107,7 +109,7 @@
         try {
             port = Integer.parseInt(text.substring(colon + 1));
         } catch (NumberFormatException e) {
-            // Said below.
+            // Reported below.
         }
         if (!host.matches("127(\\.[0-9]{1,3}){3}") || port < 1 || port > 65_535) {
             throw document.invalid(
@@ -160,45 +162,45 @@
         }
     }
 
-    private static TrafficStream stream(Document document, JsonNode node, String place, List<Phase> known) {
+    private static TrafficStream stream(Document document, JsonNode node, String place, List<Phase> phasesOfPlan) {
         List<String> phases = new ArrayList<>();
         for (JsonNode name : node.path("phases")) {
-            if (known.stream().noneMatch(phase -> phase.name().equals(name.asText()))) {
+            if (phasesOfPlan.stream().noneMatch(phase -> phase.name().equals(name.asText()))) {
                 throw document.invalid(place + "/phases/" + phases.size(), "no phase is named '" + name.asText() + "'");
             }
             phases.add(name.asText());
         }
         List<TrafficStream.Share<String>> opTypes = new ArrayList<>();
         node.get("opTypes")
-                .forEach(one -> opTypes.add(new TrafficStream.Share<>(
-                        one.get("name").asText(), one.path("share").asDouble(1))));
+                .forEach(entry -> opTypes.add(new TrafficStream.Share<>(
+                        entry.get("name").asText(), entry.path("share").asDouble(1))));
         JsonNode shards = node.get("shards");
         int of = shards.get("of").asInt();
-        int least = shards.path("least").asInt(1);
-        int most = shards.path("most").asInt(least);
-        if (least > most || most > of) {
+        int min = shards.path("least").asInt(1);
+        int max = shards.path("most").asInt(min);
+        if (min > max || max > of) {
             throw document.invalid(
                     place + "/shards",
-                    "least " + least + ", most " + most + ", of " + of + "; least <= most <= of is expected");
+                    "least " + min + ", most " + max + ", of " + of + "; least <= most <= of is expected");
         }
         JsonNode work = node.path("work");
         JsonNode keys = node.path("keys");
-        List<TrafficStream.Share<Integer>> texts = new ArrayList<>();
+        List<TrafficStream.Share<Integer>> textSizes = new ArrayList<>();
         node.path("texts")
-                .forEach(one -> texts.add(new TrafficStream.Share<>(
-                        one.get("bytes").asInt(), one.path("share").asDouble(1))));
-        if (texts.isEmpty()) {
-            texts.add(new TrafficStream.Share<>(16, 1));
+                .forEach(entry -> textSizes.add(new TrafficStream.Share<>(
+                        entry.get("bytes").asInt(), entry.path("share").asDouble(1))));
+        if (textSizes.isEmpty()) {
+            textSizes.add(new TrafficStream.Share<>(16, 1));
         }
         return new TrafficStream(
                 node.path("name").asText("stream"),
                 node.path("share").asDouble(1),
                 phases,
                 opTypes,
-                new TrafficStream.Touches(
+                new TrafficStream.ShardSelection(
                         of,
-                        least,
-                        most,
+                        min,
+                        max,
                         shards.path("exponent").asDouble(1.5),
                         !"scattered".equals(shards.path("spread").asText("run"))),
                 !"drawn".equals(node.path("weights").asText("even")),
@@ -211,17 +213,17 @@
                         keys.path("count").asInt(1000),
                         keys.path("zipf").asDouble(0.9),
                         keys.path("hotMovesEveryMs").asDouble(0)),
-                texts,
+                textSizes,
                 node.path("zone").asText(""),
                 node.get("clientMs").asDouble(),
-                habit(node.path("habit")));
+                behavior(node.path("habit")));
     }
 
-    private static ClientBehavior habit(JsonNode node) {
+    private static ClientBehavior behavior(JsonNode node) {
         JsonNode leaves = node.path("leaves");
         return new ClientBehavior(
                 node.path("tries").asInt(1),
-                ClientBehavior.Wait.valueOf(node.path("wait").asText("none").toUpperCase()),
+                ClientBehavior.Backoff.valueOf(node.path("wait").asText("none").toUpperCase()),
                 node.path("waitMs").asDouble(0),
                 node.path("factor").asDouble(2),
                 node.path("mostWaitMs").asDouble(60_000),
@@ -232,10 +234,12 @@
                 node.path("ownConnection").asBoolean(false));
     }
 
+    /** Sum of the phases. */
     public double durationMs() {
         return phases.stream().mapToDouble(Phase::lastsMs).sum();
     }
 
+    /** Index of the phase at this time. */
     public int phaseAt(double ms) {
         double fromMs = 0;
         for (int i = 0; i < phases.size(); i++) {
@@ -247,12 +251,12 @@
         return phases.size() - 1;
     }
 
-    /** All arrivals in order of time; each call begins anew and gives the same ones. */
+    /** All arrivals in order of time; each call returns the same ones. */
     public Iterator<Arrival> arrivals() {
         return new Arrivals(this);
     }
 
-    /** The same plan against these front nodes. */
+    /** The same plan for these front nodes. */
     public LoadPlan withTargets(List<Target> nodes) {
         if (nodes.isEmpty()) {
             throw new InvalidInputException("no front node to send to: give 'targets' in the plan");
@@ -261,10 +265,11 @@
                 seed, phases, gaps, variation, streams, crowds, nodes, connections, connectMs, lagBoundMs, lingerMs);
     }
 
-    /** The same plan from another seed and with all rates times so much. */
-    public LoadPlan withSeedAndRateFactor(long newSeed, double times) {
+    /** The same plan with another seed and all rates multiplied by a factor. */
+    public LoadPlan withSeedAndRateFactor(long newSeed, double factor) {
         List<Phase> scaled = phases.stream()
-                .map(phase -> times == 1 ? phase : new Phase(phase.name(), phase.lastsMs(), scale(phase.rate(), times)))
+                .map(phase ->
+                        factor == 1 ? phase : new Phase(phase.name(), phase.lastsMs(), scale(phase.rate(), factor)))
                 .toList();
         return new LoadPlan(
                 newSeed,
@@ -280,19 +285,19 @@
                 lingerMs);
     }
 
-    private static Rate scale(Rate rate, double times) {
+    private static Rate scale(Rate rate, double factor) {
         if (rate instanceof Rate.Steady steady) {
-            return new Rate.Steady(steady.perS() * times);
+            return new Rate.Steady(steady.perS() * factor);
         }
         return new Rate() {
             @Override
             public double perS(double ms, double lastsMs) {
-                return times * rate.perS(ms, lastsMs);
+                return factor * rate.perS(ms, lastsMs);
             }
 
             @Override
             public double expectedUntil(double ms, double lastsMs) {
-                return times * rate.expectedUntil(ms, lastsMs);
+                return factor * rate.expectedUntil(ms, lastsMs);
             }
         };
     }
--- a/lab/src/main/java/spartrail/lab/plan/Rate.java
+++ b/lab/src/main/java/spartrail/lab/plan/Rate.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * How many multigets a second are meant to come, over the time of a phase. Each shape knows its own sum up to a time in
- * closed form: arrivals are placed by inverting that sum, so that no shape is cut into steps.
+ * The intended rate of arrivals over the time of a phase. Each shape has its integral in closed form: arrivals are placed by inverting
+ * it, so that no shape is approximated by steps.
  */
 public interface Rate {
-    /** In a second, {@code ms} after the phase began. */
+    /** Arrivals a second, {@code ms} after the start of the phase. */
     double perS(double ms, double lastsMs);
 
-    /** Expected from the phase's beginning until then. */
+    /** Expected number of arrivals from the start of the phase until then. */
     double expectedUntil(double ms, double lastsMs);
 
-    /** The same rate all along. */
+    /** A constant rate. */
     record Steady(double perS) implements Rate {
         @Override
         public double perS(double ms, double lastsMs) {
@@ -26,7 +26,7 @@
         }
     }
 
-    /** A rate that changes evenly over the phase. */
+    /** A rate that changes linearly over the phase. */
     record Ramp(double fromPerS, double toPerS) implements Rate {
         @Override
         public double perS(double ms, double lastsMs) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Levels of equal length, one after the other. */
+    /** Constant levels of equal length, one after the other. */
     record Step(List<Double> levelsPerS) implements Rate {
         @Override
         public double perS(double ms, double lastsMs) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /** On for a time, then off, again and again; begins with on. */
+    /** Alternately on and off, beginning with on. */
     record Burst(double onPerS, double onMs, double offPerS, double offMs) implements Rate {
         @Override
         public double perS(double ms, double lastsMs) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /** A rate that swings around its mean. */
+    /** A sine around a mean. */
     record Wave(double meanPerS, double swingPerS, double periodMs) implements Rate {
         @Override
         public double perS(double ms, double lastsMs) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Nothing before, its peak at once, then half as much after each half-life. */
+    /** Zero before {@code atMs}, then a peak that halves with each half-life. */
     record Spike(double peakPerS, double atMs, double halfLifeMs) implements Rate {
         @Override
         public double perS(double ms, double lastsMs) {
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Rates that add up. */
+    /** The sum of several rates. */
     record Sum(List<Rate> of) implements Rate {
         @Override
         public double perS(double ms, double lastsMs) {
--- a/lab/src/main/java/spartrail/lab/plan/TrafficStream.java
+++ b/lab/src/main/java/spartrail/lab/plan/TrafficStream.java
@@ -8,93 +8,96 @@
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
 import org.apache.commons.rng.sampling.distribution.SharedStateDiscreteSampler;
 
-/** One kind of traffic within a plan: what its clients ask and how they behave. Draws are in a fixed order. */
+/** One kind of traffic within a plan: what its clients ask and how they behave. Random draws are made in a fixed order. */
 public final class TrafficStream {
-    /** A value and how often it is drawn, as a part of the sum of all shares. */
+    /** A value and how often it is drawn, relative to the sum of all shares. */
     public record Share<T>(T value, double share) {}
 
-    /** How many shards a multiget touches: from least to most, fixed where they are equal, else with a Pareto tail. */
-    public record Touches(int of, int least, int most, double exponent, boolean run) {}
+    /** How many of the shards a multiget spans: from min to max, with a Pareto tail where they differ; contiguous or scattered. */
+    public record ShardSelection(int shards, int min, int max, double exponent, boolean contiguous) {}
 
-    /** Keys by Zipf; the hot ones become others each time so long has passed (0: never). */
+    /** Zipf-distributed keys; the hot set is replaced each {@code hotMovesEveryMs} (0: never). */
     public record Keys(int count, double exponent, double hotMovesEveryMs) {}
 
-    /** Work of a part: lognormal by mean and coefficient of variation; hinted in this share of multigets. */
+    /** Work of a part: lognormal by mean and coefficient of variation; stated as a hint by a share of the multigets. */
     public record Work(double meanMs, double variation, double hintShare, double hintNoise) {}
 
+    private static final int HOT_SET_STEP = 7_919;
+
     public final String name;
     public final double share;
     final List<String> phases;
     public final List<Share<String>> opTypes;
-    public final Touches touches;
+    public final ShardSelection shardSelection;
     final boolean evenWeights;
     final Work work;
     public final Keys keys;
-    final List<Share<Integer>> texts;
+    final List<Share<Integer>> textSizes;
     public final String zone;
-    public final double clientMs;
-    public final ClientBehavior habit;
+    public final double timeoutMs;
+    public final ClientBehavior behavior;
 
+    /** A stream as a plan states it. */
     public TrafficStream(
             String name,
             double share,
             List<String> phases,
             List<Share<String>> opTypes,
-            Touches touches,
+            ShardSelection shardSelection,
             boolean evenWeights,
             Work work,
             Keys keys,
-            List<Share<Integer>> texts,
+            List<Share<Integer>> textSizes,
             String zone,
-            double clientMs,
-            ClientBehavior habit) {
+            double timeoutMs,
+            ClientBehavior behavior) {
         this.name = name;
         this.share = share;
         this.phases = phases;
         this.opTypes = opTypes;
-        this.touches = touches;
+        this.shardSelection = shardSelection;
         this.evenWeights = evenWeights;
         this.work = work;
         this.keys = keys;
-        this.texts = texts;
+        this.textSizes = textSizes;
         this.zone = zone;
-        this.clientMs = clientMs;
-        this.habit = habit;
+        this.timeoutMs = timeoutMs;
+        this.behavior = behavior;
     }
 
+    /** Whether this stream plays in the phase of that name. */
     boolean isActiveIn(String phase) {
         return phases.isEmpty() || phases.contains(phase);
     }
 
-    /** A fresh drawing of what this stream asks. */
-    Drawing drawing(RandomGenerator chance) {
-        return new Drawing(chance);
+    /** A generator of this stream's arrivals, from its start. */
+    ArrivalGenerator generator(RandomGenerator random) {
+        return new ArrivalGenerator(random);
     }
 
-    /** Draws one multiget after the other. */
-    final class Drawing {
-        private final RandomGenerator chance;
+    /** Generates one arrival after the other. */
+    final class ArrivalGenerator {
+        private final RandomGenerator random;
         private final SharedStateDiscreteSampler zipf;
 
-        private Drawing(RandomGenerator chance) {
-            this.chance = chance;
-            UniformRandomProvider source = chance::nextLong;
+        private ArrivalGenerator(RandomGenerator random) {
+            this.random = random;
+            UniformRandomProvider source = random::nextLong;
             this.zipf = RejectionInversionZipfSampler.of(source, keys.count(), keys.exponent());
         }
 
-        Arrival next(long number, double atMs, int phase, boolean fresh) {
-            String opType = pick(opTypes, chance);
+        Arrival next(long number, double atMs, int phase, boolean newConnection) {
+            String opType = pick(opTypes, random);
             int rank = zipf.sample() - 1;
-            // Danger: a hot set that moves by one would be nearly the same set; it moves by a step prime to most
-            // counts.
+            // Moved by one, the hot set would be nearly the same; the step is prime to most counts.
             long moves = keys.hotMovesEveryMs() > 0 ? (long) (atMs / keys.hotMovesEveryMs()) : 0;
-            long key = Math.floorMod(rank + moves * 7_919, (long) keys.count());
-            int[] shards = shards();
-            double[] weights = weights(shards.length);
+            long key = Math.floorMod(rank + moves * HOT_SET_STEP, (long) keys.count());
+            int[] shards = drawShards();
+            double[] weights = drawWeights(shards.length);
             double workMs = work.meanMs() * lognormal(work.variation());
-            boolean hinted = work.hintShare() > 0 && chance.nextDouble() < work.hintShare();
-            double hintMs = hinted ? workMs * lognormal(work.hintNoise()) : 0;
-            int textBytes = pick(texts, chance);
+            boolean hinted = work.hintShare() > 0 && random.nextDouble() < work.hintShare();
+            double costHintMs = hinted ? workMs * lognormal(work.hintNoise()) : 0;
+            int textBytes = pick(textSizes, random);
             return new Arrival(
                     number,
                     atMs,
@@ -105,36 +108,36 @@
                     shards,
                     weights,
                     workMs,
-                    hintMs,
+                    costHintMs,
                     textBytes,
-                    clientMs,
-                    fresh,
-                    chance.nextLong());
+                    timeoutMs,
+                    newConnection,
+                    random.nextLong());
         }
 
         private double lognormal(double variation) {
             double sigma2 = Math.log(1 + variation * variation);
-            return Math.exp(chance.nextGaussian() * Math.sqrt(sigma2) - sigma2 / 2);
+            return Math.exp(random.nextGaussian() * Math.sqrt(sigma2) - sigma2 / 2);
         }
 
-        private int[] shards() {
-            int count = touches.least();
-            if (touches.most() > touches.least()) {
-                // Pareto from the least on, cut at the most.
-                double drawn = touches.least() / Math.pow(1 - chance.nextDouble(), 1 / touches.exponent());
-                count = (int) Math.min(touches.most(), Math.floor(drawn));
+        private int[] drawShards() {
+            int count = shardSelection.min();
+            if (shardSelection.max() > shardSelection.min()) {
+                // Pareto from min on, cut at max.
+                double drawn = shardSelection.min() / Math.pow(1 - random.nextDouble(), 1 / shardSelection.exponent());
+                count = (int) Math.min(shardSelection.max(), Math.floor(drawn));
             }
             int[] shards = new int[count];
-            if (touches.run()) {
-                int first = chance.nextInt(touches.of());
+            if (shardSelection.contiguous()) {
+                int first = random.nextInt(shardSelection.shards());
                 for (int i = 0; i < count; i++) {
-                    shards[i] = (first + i) % touches.of();
+                    shards[i] = (first + i) % shardSelection.shards();
                 }
             } else {
-                // Floyd's way to draw distinct numbers.
+                // Floyd's algorithm draws distinct numbers.
                 List<Integer> drawn = new ArrayList<>();
-                for (int top = touches.of() - count; top < touches.of(); top++) {
-                    int at = chance.nextInt(top + 1);
+                for (int top = shardSelection.shards() - count; top < shardSelection.shards(); top++) {
+                    int at = random.nextInt(top + 1);
                     drawn.add(drawn.contains(at) ? top : at);
                 }
                 for (int i = 0; i < count; i++) {
@@ -144,11 +147,11 @@
             return shards;
         }
 
-        private double[] weights(int count) {
+        private double[] drawWeights(int count) {
             double[] weights = new double[count];
             double sum = 0;
             for (int i = 0; i < count; i++) {
-                weights[i] = evenWeights ? 1 : 0.1 - Math.log(1 - chance.nextDouble());
+                weights[i] = evenWeights ? 1 : 0.1 - Math.log(1 - random.nextDouble());
                 sum += weights[i];
             }
             for (int i = 0; i < count; i++) {
@@ -158,12 +161,12 @@
         }
     }
 
-    static <T> T pick(List<Share<T>> shares, RandomGenerator chance) {
+    static <T> T pick(List<Share<T>> shares, RandomGenerator random) {
         double sum = 0;
         for (Share<T> share : shares) {
             sum += share.share();
         }
-        double at = chance.nextDouble() * sum;
+        double at = random.nextDouble() * sum;
         for (Share<T> share : shares) {
             at -= share.share();
             if (at < 0) {
@@ -173,8 +176,8 @@
         return shares.get(shares.size() - 1).value();
     }
 
-    /** The generator for one client's chances. */
-    public static RandomGenerator chance(long seed) {
+    /** The random generator of one client. */
+    public static RandomGenerator random(long seed) {
         return new SplittableRandom(seed);
     }
 }
--- a/lab/src/main/java/spartrail/lab/trace/TraceReplay.java
+++ b/lab/src/main/java/spartrail/lab/trace/TraceReplay.java
@@ -38,7 +38,7 @@
     private long number;
     private boolean ended;
 
-    public TraceReplay(Path file, double speed, int loops, double share, int copies, long seed, ClientBehavior habit)
+    public TraceReplay(Path file, double speed, int loops, double share, int copies, long seed, ClientBehavior behavior)
             throws IOException {
         this.file = file;
         this.speed = speed;
@@ -51,14 +51,14 @@
                 1,
                 List.of(),
                 List.of(new TrafficStream.Share<>("any", 1)),
-                new TrafficStream.Touches(1, 1, 1, 1, true),
+                new TrafficStream.ShardSelection(1, 1, 1, 1, true),
                 true,
                 new TrafficStream.Work(0, 0, 0, 0),
                 new TrafficStream.Keys(1, 1, 0),
                 List.of(new TrafficStream.Share<>(16, 1)),
                 "",
                 0,
-                habit);
+                behavior);
         this.reader = new TraceFile.Reader(file);
         fill();
     }
--- a/lab/src/test/java/spartrail/lab/load/LoadGeneratorTest.java
+++ b/lab/src/test/java/spartrail/lab/load/LoadGeneratorTest.java
@@ -62,7 +62,7 @@
     @Test
     void habitsPlayOut() throws Exception {
         StringBuilder seen = new StringBuilder();
-        for (String habit : new String[] {
+        for (String behavior : new String[] {
             "{}",
             "{'tries':3}",
             "{'tries':3,'wait':'fixed','waitMs':100}",
@@ -71,13 +71,13 @@
         }) {
             LoadPlan plan = DrillPlans.parse("{'gaps':{'kind':'even'},'lingerMs':100,'phases':[{'lastsMs':1000,'rate':"
                     + "{'shape':'steady','perS':10}}],'streams':[{'opTypes':[{'name':'orders'}],'shards':{'of':8},"
-                    + "'clientMs':200,'habit':" + habit + "}]}");
+                    + "'clientMs':200,'habit':" + behavior + "}]}");
             // Each request that is a multiple of three is answered at once, others never.
             Recorder recorder = virtual(plan, (number, atMs) -> number % 3 == 0 ? atMs + 60 : Double.POSITIVE_INFINITY);
             seen.append(String.format(
                     Locale.ROOT,
                     "%s:%s, opened %d, most tries %d%n",
-                    habit,
+                    behavior,
                     kinds(recorder),
                     recorder.opened,
                     recorder.tries.getMaxValue()));
--- a/lab/src/test/java/spartrail/lab/plan/ClientSessionTest.java
+++ b/lab/src/test/java/spartrail/lab/plan/ClientSessionTest.java
@@ -5,35 +5,35 @@
 import spartrail.lab.Table;
 
 class ClientSessionTest {
-    /** Each habit's waits after refusals that say nothing, then that ask it to come back after 700 ms. */
+    /** Each behavior's pauses after rejections without Retry-After, then with one of 700 ms. */
     @Test
-    void habitsWaitAsTheySay() throws Exception {
-        ClientBehavior[] habits = {
+    void pausesAndAbandonsAsItsBehaviorStates() throws Exception {
+        ClientBehavior[] behaviors = {
             ClientBehavior.ONCE,
-            new ClientBehavior(4, ClientBehavior.Wait.NONE, 0, 1, 1000, 0, 0, 0, 1, false),
-            new ClientBehavior(4, ClientBehavior.Wait.FIXED, 100, 1, 1000, 0, 1, 0, 1, false),
-            new ClientBehavior(5, ClientBehavior.Wait.EXPONENTIAL, 100, 3, 500, 0, 1, 0, 1, false),
-            new ClientBehavior(4, ClientBehavior.Wait.FIXED, 100, 1, 1000, 0.5, 0, 0, 1, false),
-            new ClientBehavior(3, ClientBehavior.Wait.FIXED, 100, 1, 1000, 0, 0, 1, 0.25, false)
+            new ClientBehavior(4, ClientBehavior.Backoff.NONE, 0, 1, 1000, 0, 0, 0, 1, false),
+            new ClientBehavior(4, ClientBehavior.Backoff.FIXED, 100, 1, 1000, 0, 1, 0, 1, false),
+            new ClientBehavior(5, ClientBehavior.Backoff.EXPONENTIAL, 100, 3, 500, 0, 1, 0, 1, false),
+            new ClientBehavior(4, ClientBehavior.Backoff.FIXED, 100, 1, 1000, 0.5, 0, 0, 1, false),
+            new ClientBehavior(3, ClientBehavior.Backoff.FIXED, 100, 1, 1000, 0, 0, 1, 0.25, false)
         };
         StringBuilder seen = new StringBuilder();
-        for (ClientBehavior habit : habits) {
-            for (double comebackMs : new double[] {0, 700}) {
-                ClientSession story = new ClientSession(habit, TrafficStream.chance(1));
+        for (ClientBehavior behavior : behaviors) {
+            for (double retryAfterMs : new double[] {0, 700}) {
+                ClientSession session = new ClientSession(behavior, TrafficStream.random(1));
                 StringBuilder line = new StringBuilder();
                 double waitMs = 0;
                 while (waitMs >= 0) {
-                    double leavesMs = story.beginAttempt(1000);
-                    waitMs = story.pauseAfterFailureMs(comebackMs);
+                    double leavesMs = session.beginAttempt(1000);
+                    waitMs = session.pauseAfterFailureMs(retryAfterMs);
                     line.append(
                                     Double.isFinite(leavesMs)
                                             ? String.format(Locale.ROOT, " leaves after %.0f,", leavesMs)
                                             : "")
                             .append(waitMs < 0 ? " over" : String.format(Locale.ROOT, " waits %.0f,", waitMs));
                 }
-                seen.append(habit.pause())
+                seen.append(behavior.backoff())
                         .append(" told ")
-                        .append(Math.round(comebackMs))
+                        .append(Math.round(retryAfterMs))
                         .append(':')
                         .append(line)
                         .append('\n');
--- a/lab/src/test/java/spartrail/lab/plan/LoadPlanTest.java
+++ b/lab/src/test/java/spartrail/lab/plan/LoadPlanTest.java
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Danger: arrays within an arrival would compare by identity. */
+    /** An arrival as text, since arrays within the record compare by identity. */
     private static String all(LoadPlan plan) {
         StringBuilder text = new StringBuilder();
         Iterator<Arrival> arrivals = plan.arrivals();
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void whatStreamsDrawIsAsTheySay() {
+    void streamsDrawTheStatedDistributions() {
         LoadPlan plan = DrillPlans.parse("{'phases':[{'name':'a','lastsMs':2000,'rate':{'shape':'steady','perS':1000}},"
                 + "{'name':'b','lastsMs':2000,'rate':{'shape':'steady','perS':1000}}],'crowds':[{'atMs':500,'withinMs':100,"
                 + "'clients':50}],'streams':[{'name':'run','share':3,'opTypes':[{'name':'x','share':1},{'name':'y','share':3}],"
@@ -117,7 +117,7 @@
         java.util.Map<String, Integer> hotB = new java.util.HashMap<>();
         plan.arrivals().forEachRemaining(one -> {
             boolean run = one.stream().name.equals("run");
-            count[0] += one.fresh() ? 1 : 0;
+            count[0] += one.newConnection() ? 1 : 0;
             count[1] += run ? 0 : 1;
             count[2] += !run && one.phase() == 0 ? 1 : 0;
             count[3] += one.opType().equals("y") ? 1 : 0;
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void aMistakeIsOneLineWithItsPlace() throws Exception {
+    void aMistakeGivesOneLineWithItsPlace() throws Exception {
         String good = "{'phases':[{'lastsMs':1000,'rate':{'shape':'steady','perS':2}}]," + STREAM + "}";
         StringBuilder seen = new StringBuilder();
         for (String[] change : new String[][] {
