--- a/lab/src/main/java/spartrail/lab/plan/ClientSession.java
+++ b/lab/src/main/java/spartrail/lab/plan/ClientSession.java
@@ -41,15 +41,17 @@
         if (attempts >= behavior.maxAttempts()) {
             return -1;
         }
-        double pauseMs =
-                switch (behavior.backoff()) {
-                    case NONE -> 0;
-                    case FIXED -> behavior.initialBackoffMs();
-                    case EXPONENTIAL -> behavior.initialBackoffMs() * Math.pow(behavior.backoffFactor(), attempts - 1);
-                };
-        pauseMs = Math.min(pauseMs, behavior.maxBackoffMs());
+        double pauseMs = Math.min(backoffMs(), behavior.maxBackoffMs());
         pauseMs *= 1 + behavior.jitter() * (2 * random.nextDouble() - 1);
         boolean honorsRetryAfter = retryAfterMs > 0 && random.nextDouble() < behavior.honorsRetryAfterShare();
         return honorsRetryAfter ? Math.max(pauseMs, retryAfterMs) : pauseMs;
     }
+
+    private double backoffMs() {
+        return switch (behavior.backoff()) {
+            case NONE -> 0;
+            case FIXED -> behavior.initialBackoffMs();
+            case EXPONENTIAL -> behavior.initialBackoffMs() * Math.pow(behavior.backoffFactor(), attempts - 1);
+        };
+    }
 }
