--- a/core/src/main/java/spartrail/endpoint/EndpointList.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointList.java
@@ -37,8 +37,8 @@
             server.kind = kind;
             server.cell = cell;
             server.state = state;
-            server.rating = weight;
-            server.bornMs = bootMs > 0 ? clock.at(bootMs) : -1;
+            server.weight = weight;
+            server.startedAtMs = bootMs > 0 ? clock.toNodeTimeMs(bootMs) : -1;
             return server;
         }
     }
--- a/core/src/main/java/spartrail/peers/MembershipContext.java
+++ b/core/src/main/java/spartrail/peers/MembershipContext.java
@@ -38,20 +38,20 @@
         nowMs = Math.max(nowMs, atMs);
     }
 
-    TimerQueue.Due schedule(double atMs, Runnable task) {
-        return timers.add(atMs, task);
+    TimerQueue.Timer schedule(double atMs, Runnable task) {
+        return timers.schedule(atMs, task);
     }
 
-    void cancel(TimerQueue.Due timer) {
-        timers.remove(timer);
+    void cancel(TimerQueue.Timer timer) {
+        timers.cancel(timer);
     }
 
     double nextTimerMs() {
-        return timers.nextMs();
+        return timers.nextDueMs();
     }
 
     void runTimers(double atMs) {
-        timers.run(atMs);
+        timers.runDue(atMs);
     }
 
     void increment(MembershipCounter counter) {
--- a/lab/src/main/java/spartrail/lab/fleet/DiscoveryEmulator.java
+++ b/lab/src/main/java/spartrail/lab/fleet/DiscoveryEmulator.java
@@ -29,7 +29,7 @@
         }
     }
 
-    private record Watch(HttpStub.Request request, long since, TimerQueue.Due end) {}
+    private record Watch(HttpStub.Request request, long since, TimerQueue.Timer end) {}
 
     private final SocketLoop loop;
     private final int node;
--- a/lab/src/main/java/spartrail/lab/load/LoadGenerator.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadGenerator.java
@@ -88,7 +88,7 @@
 
     /** When the host is to call {@link #run} at the latest. */
     public double nextMs() {
-        return Math.min(timetable.nextMs(), next == null ? Double.MAX_VALUE : startMs + next.atMs());
+        return Math.min(timetable.nextDueMs(), next == null ? Double.MAX_VALUE : startMs + next.atMs());
     }
 
     /** Nothing is to come and nothing is out. */
@@ -128,7 +128,7 @@
                     new ClientSession(arrival.stream().behavior, TrafficStream.random(arrival.seed() + 1));
             begin(new ClientAttempt(arrival, story, 1, intendedMs, intendedMs));
         }
-        timetable.run(nowMs);
+        timetable.runDue(nowMs);
     }
 
     /** A front node says that it is ready, or is not. */
@@ -146,9 +146,9 @@
         recorder.intended(ask);
         double leavesMs = ask.story.beginAttempt(ask.arrival.timeoutMs());
         if (Double.isFinite(leavesMs)) {
-            ask.leave = timetable.add(ask.intendedMs + leavesMs, () -> end(ask, AttemptResult.LEFT, null, true));
+            ask.leave = timetable.schedule(ask.intendedMs + leavesMs, () -> end(ask, AttemptResult.LEFT, null, true));
         }
-        ask.end = timetable.add(ask.intendedMs + ask.arrival.timeoutMs(), () -> lapse(ask));
+        ask.end = timetable.schedule(ask.intendedMs + ask.arrival.timeoutMs(), () -> lapse(ask));
         place(ask, ask.arrival.newConnection() || ask.arrival.stream().behavior.ownConnection());
     }
 
@@ -184,7 +184,7 @@
         recorder.opened++;
         try {
             sockets.open(conn);
-            timetable.add(nowMs + plan.connectMs(), () -> {
+            timetable.schedule(nowMs + plan.connectMs(), () -> {
                 if (!conn.up && !conn.gone) {
                     drop(conn);
                     if (conn.ask != null) {
@@ -366,7 +366,7 @@
     private void lapse(ClientAttempt ask) {
         ask.end = null;
         if (ask.leave != null) {
-            timetable.remove(ask.leave);
+            timetable.cancel(ask.leave);
         }
         if (Double.isNaN(ask.sentMs)) {
             ClientConnection conn = ask.conn;
@@ -381,7 +381,7 @@
         }
         ask.lapsed = true;
         again(ask, 0);
-        ask.end = timetable.add(nowMs + plan.lingerMs(), () -> end(ask, AttemptResult.NONE, null, true));
+        ask.end = timetable.schedule(nowMs + plan.lingerMs(), () -> end(ask, AttemptResult.NONE, null, true));
     }
 
     private void end(ClientAttempt ask, AttemptResult kind, HttpResponse answer, boolean leaves) {
@@ -391,10 +391,10 @@
         ask.over = true;
         open.remove(ask);
         if (ask.end != null) {
-            timetable.remove(ask.end);
+            timetable.cancel(ask.end);
         }
         if (ask.leave != null) {
-            timetable.remove(ask.leave);
+            timetable.cancel(ask.leave);
         }
         ClientConnection conn = ask.conn;
         if (conn == null) {
@@ -424,7 +424,7 @@
         }
         storiesWaiting++;
         double dueMs = nowMs + waitMs;
-        timetable.add(dueMs, () -> {
+        timetable.schedule(dueMs, () -> {
             storiesWaiting--;
             if (stopping) {
                 recorder.story(ask, false, nowMs);
--- a/lab/src/main/java/spartrail/lab/net/SocketLoop.java
+++ b/lab/src/main/java/spartrail/lab/net/SocketLoop.java
@@ -57,7 +57,7 @@
     /** The longest time between two polls of a busy-waiting loop. */
     private double longestPauseMs;
     /** Allocated once: garbage made in each iteration would cause collector pauses. */
-    private final Runnable runTimers = () -> timers.run(nowMs());
+    private final Runnable runTimers = () -> timers.runDue(nowMs());
 
     /** Starts a loop that parks between events; {@code name} is its thread's. */
     public SocketLoop(String name) {
@@ -135,14 +135,14 @@
     }
 
     /** Runs a task at a time of {@link #nowMs}. */
-    public TimerQueue.Due schedule(double atMs, Runnable task) {
-        return timers.add(atMs, task);
+    public TimerQueue.Timer schedule(double atMs, Runnable task) {
+        return timers.schedule(atMs, task);
     }
 
     /** Cancels a timer; null is ignored. */
-    public void cancel(TimerQueue.Due due) {
-        if (due != null) {
-            timers.remove(due);
+    public void cancel(TimerQueue.Timer timer) {
+        if (timer != null) {
+            timers.cancel(timer);
         }
     }
 
