--- a/lab/src/main/java/spartrail/lab/net/SocketLoop.java
+++ b/lab/src/main/java/spartrail/lab/net/SocketLoop.java
@@ -216,7 +216,7 @@
     }
 
     private void select() throws IOException {
-        double waitMs = timers.nextMs() - nowMs();
+        double waitMs = timers.nextDueMs() - nowMs();
         selecting = true;
         try {
             if (waitMs <= 0 || !tasks.isEmpty()) {
