--- a/node/src/main/java/spartrail/cli/ServeCommand.java
+++ b/node/src/main/java/spartrail/cli/ServeCommand.java
@@ -76,22 +76,22 @@
             }
             FrontNode node = new FrontNode(DeploymentFile.read(path));
             if (members != null) {
-                node.members(EndpointSourcesFile.read(members));
+                node.setEndpointSources(EndpointSourcesFile.read(members));
             }
             if (peers != null) {
-                node.peers(peers, history, recordMb * 1024L * 1024);
+                node.enablePeers(peers, history, recordMb * 1024L * 1024);
             }
             if (state != null) {
-                node.policy(state);
+                node.enablePolicy(state);
             }
             MultigetRecord kept = record == null ? null : record();
-            node.record(kept);
+            node.setRecord(kept);
             // Danger: the log opens with its first line, and of a process that ends by then nothing would ever be read.
             LOG.log(System.Logger.Level.INFO, "starts by " + path);
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
                             () -> {
-                                node.ending();
+                                node.beginTermination();
                                 end(served, kept);
                                 over.countDown();
                             },
--- a/node/src/main/java/spartrail/client/ClientListener.java
+++ b/node/src/main/java/spartrail/client/ClientListener.java
@@ -58,10 +58,10 @@
  */
 public final class ClientListener {
     /** Who takes what clients ask. */
-    public interface Taker {
-        void asked(ClientQuery ask, ClientRequest request);
+    public interface QueryListener {
+        void onQuery(ClientQuery ask, ClientRequest request);
 
-        void gone(ClientRequest request);
+        void onClientGone(ClientRequest request);
     }
 
     private static final System.Logger LOG = System.getLogger("spartrail.client");
@@ -85,7 +85,7 @@
     private final XnioIoThread io;
     private final NodeClock clock;
     private final ClientQueryDecoder reader;
-    private Taker taker;
+    private QueryListener taker;
     private final int mostConnections;
     /** Most bytes of bodies that are still coming in, and how many these may become. */
     private final long mostUnread = Runtime.getRuntime().maxMemory() / 4;
@@ -168,7 +168,7 @@
             Set<String> opTypes,
             int shards,
             int mostConnections,
-            Taker taker)
+            QueryListener taker)
             throws IOException {
         this.io = worker.getIoThread();
         this.clock = clock;
@@ -231,14 +231,14 @@
     /** Nobody takes anything any more: whoever still asks is told at once to come back. */
     public void refuse() {
         shut();
-        taker = new Taker() {
+        taker = new QueryListener() {
             @Override
-            public void asked(ClientQuery ask, ClientRequest request) {
+            public void onQuery(ClientQuery ask, ClientRequest request) {
                 request.answer(ClientResponse.pushedBack(0));
             }
 
             @Override
-            public void gone(ClientRequest request) {
+            public void onClientGone(ClientRequest request) {
                 // Nothing is in hand for it.
             }
         };
@@ -483,7 +483,7 @@
             peer.known = true;
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
                 request.watchClient();
-                taker.asked(ask, request);
+                taker.onQuery(ask, request);
             });
         } catch (ClientQueryDecoder.BadRequest e) {
             unusable(exchange, 400, e.getMessage());
@@ -513,8 +513,8 @@
         return kept;
     }
 
-    void gone(ClientRequest request) {
-        taker.gone(request);
+    void onClientGone(ClientRequest request) {
+        taker.onClientGone(request);
     }
 
     /** An answer, the last one of its connection where this is asked for, or the node ends. */
--- a/node/src/main/java/spartrail/client/ClientRequest.java
+++ b/node/src/main/java/spartrail/client/ClientRequest.java
@@ -95,7 +95,7 @@
     private void left() {
         over = true;
         IoUtils.safeClose(connection);
-        door.gone(this);
+        door.onClientGone(this);
     }
 
     /** The final answer; the first one counts. */
--- a/node/src/main/java/spartrail/front/ClientMultiget.java
+++ b/node/src/main/java/spartrail/front/ClientMultiget.java
@@ -14,17 +14,17 @@
 /** A multiget in hand, with the client that waits for it and what servers have answered. */
 final class ClientMultiget extends Multiget {
     /** A send that has had no outcome yet, and when this node stops waiting for it. */
-    record Underway(PartRequest part, TimerQueue.Due timeOut) {}
+    record InFlightAttempt(PartRequest part, TimerQueue.Due timeout) {}
 
-    final ClientQuery ask;
+    final ClientQuery query;
     final ClientRequest request;
     final Map<Part, byte[]> values = new HashMap<>();
-    final Map<Attempt, Underway> underway = new IdentityHashMap<>();
+    final Map<Attempt, InFlightAttempt> inFlightAttempts = new IdentityHashMap<>();
     /** What answers it when its time is over and nothing else has. */
-    TimerQueue.Due lastResort;
+    TimerQueue.Due expiry;
 
-    ClientMultiget(ClientQuery ask, ClientRequest request) {
-        this.ask = ask;
+    ClientMultiget(ClientQuery query, ClientRequest request) {
+        this.query = query;
         this.request = request;
     }
 
--- a/node/src/main/java/spartrail/front/NodeCounters.java
+++ b/node/src/main/java/spartrail/front/NodeCounters.java
@@ -8,12 +8,12 @@
 
 /** What a node has done since its start, for its log; kept by the node's thread. */
 final class NodeCounters {
-    long taken;
-    long overCap;
-    long gone;
-    volatile long lists;
+    long queries;
+    long rejectedOverCap;
+    long clientsGone;
+    volatile long endpointUpdates;
     /** Times that it went on by other settings. */
-    volatile long switches;
+    volatile long configurationSwitches;
 
     final LongAdder exceptions = new LongAdder();
     final Map<Multiget.Answer, Long> answers = new EnumMap<>(Multiget.Answer.class);
@@ -21,8 +21,10 @@
 
     @Override
     public String toString() {
-        return "taken " + taken + ", over cap " + overCap + ", clients gone " + gone + ", answers " + answers
-                + ", outcomes " + outcomes + ", lists " + lists + ", switches " + switches + ", exceptions "
+        return "taken " + queries + ", over cap " + rejectedOverCap + ", clients gone " + clientsGone + ", answers "
+                + answers
+                + ", outcomes " + outcomes + ", lists " + endpointUpdates + ", switches " + configurationSwitches
+                + ", exceptions "
                 + exceptions;
     }
 }
--- a/node/src/main/java/spartrail/front/PauseDetector.java
+++ b/node/src/main/java/spartrail/front/PauseDetector.java
@@ -7,45 +7,45 @@
  */
 final class PauseDetector {
     /** A pass that was asked for before the gap, one that takes what waited, one for connections just accepted. */
-    private static final int PASSES = 3;
+    private static final int POLLS_AFTER_PAUSE = 3;
 
-    private final double turnMs;
-    private double plannedMs;
-    private double gapMs;
-    private int passesLeft;
+    private final double iterationMs;
+    private double plannedWakeMs;
+    private double pauseMs;
+    private int pollsLeft;
 
-    PauseDetector(double turnMs) {
-        this.turnMs = turnMs;
+    PauseDetector(double iterationMs) {
+        this.iterationMs = iterationMs;
     }
 
     /** When the node is to wake at the latest. */
-    void plan(double wakeMs) {
-        plannedMs = wakeMs;
+    void planWake(double wakeMs) {
+        plannedWakeMs = wakeMs;
     }
 
     /** It wakes, by an event or because something is due; what is within two turns of the plan is no gap. */
-    void woke(double nowMs) {
-        double lateMs = nowMs - plannedMs;
-        if (lateMs > 2 * turnMs && lateMs > gapMs) {
-            gapMs = lateMs;
-            passesLeft = PASSES;
+    void onWake(double nowMs) {
+        double lateMs = nowMs - plannedWakeMs;
+        if (lateMs > 2 * iterationMs && lateMs > pauseMs) {
+            pauseMs = lateMs;
+            pollsLeft = POLLS_AFTER_PAUSE;
         }
     }
 
     /** All sockets have been gone through. */
-    void passed() {
-        if (passesLeft > 0 && --passesLeft == 0) {
-            gapMs = 0;
+    void onPollCompleted() {
+        if (pollsLeft > 0 && --pollsLeft == 0) {
+            pauseMs = 0;
         }
     }
 
     /** A further pass is wanted at once. */
-    boolean passWanted() {
-        return passesLeft > 0;
+    boolean needsPoll() {
+        return pollsLeft > 0;
     }
 
     /** How much older than its reading a request may be. */
-    double gapMs() {
-        return gapMs;
+    double pauseMs() {
+        return pauseMs;
     }
 }
--- a/node/src/main/java/spartrail/shard/PartBatch.java
+++ b/node/src/main/java/spartrail/shard/PartBatch.java
@@ -13,6 +13,6 @@
         this.parts = new ArrayList<>(parts);
         parts.forEach(part -> part.call = this);
         this.decidedMs =
-                parts.stream().mapToDouble(part -> part.send.sentMs).min().orElse(0);
+                parts.stream().mapToDouble(part -> part.attempt.sentMs).min().orElse(0);
     }
 }
--- a/node/src/main/java/spartrail/shard/PartRequest.java
+++ b/node/src/main/java/spartrail/shard/PartRequest.java
@@ -13,7 +13,7 @@
         ENDED
     }
 
-    final Attempt send;
+    final Attempt attempt;
     final String id;
     final int shard;
     final byte[] text;
@@ -29,13 +29,13 @@
     ShardConnection connection;
     PartBatch call;
 
-    public PartRequest(Attempt send, String id, int shard, byte[] text, double untilMs, BooleanSupplier wanted) {
-        this.send = send;
+    public PartRequest(Attempt attempt, String id, int shard, byte[] text, double untilMs, BooleanSupplier wanted) {
+        this.attempt = attempt;
         this.id = id;
         this.shard = shard;
         this.text = text;
         this.untilMs = untilMs;
-        this.leaveByMs = Math.min(untilMs, send.leaveByMs);
+        this.leaveByMs = Math.min(untilMs, attempt.leaveByMs);
         this.wanted = wanted;
     }
 
@@ -47,7 +47,7 @@
         return nowMs <= leaveByMs && wanted.getAsBoolean();
     }
 
-    public Attempt send() {
-        return send;
+    public Attempt attempt() {
+        return attempt;
     }
 }
--- a/node/src/main/java/spartrail/shard/ShardPool.java
+++ b/node/src/main/java/spartrail/shard/ShardPool.java
@@ -19,8 +19,8 @@
  */
 public final class ShardPool {
     /** Where the ends of parts are told, with the time at which it was seen and the value of an answer. */
-    public interface Ends {
-        void ended(PartRequest part, Outcome outcome, byte[] value, double atMs);
+    public interface AttemptListener {
+        void onAttemptEnded(PartRequest part, Outcome outcome, byte[] value, double atMs);
     }
 
     private static final System.Logger LOG = System.getLogger("spartrail.shard");
@@ -35,7 +35,7 @@
     final NodeClock clock;
     final ByteBuffer readBuffer = ByteBuffer.allocateDirect(16 * 1024);
     Bounds bounds;
-    private final Ends ends;
+    private final AttemptListener listener;
     private final Invariants invariants;
     private final Map<InetSocketAddress, List<ShardConnection>> connections = new HashMap<>();
     private XnioExecutor.Key idleTimer;
@@ -52,10 +52,10 @@
     public record Bounds(
             int partsPerConnection, double connectTimeoutMs, double keepAliveMs, boolean cancelling, double graceMs) {}
 
-    public ShardPool(XnioIoThread io, NodeClock clock, Bounds bounds, Ends ends, Invariants invariants) {
+    public ShardPool(XnioIoThread io, NodeClock clock, Bounds bounds, AttemptListener listener, Invariants invariants) {
         this.io = io;
         this.clock = clock;
-        this.ends = ends;
+        this.listener = listener;
         this.invariants = invariants;
         renew(bounds);
     }
@@ -193,7 +193,7 @@
             return;
         }
         part.stage = PartRequest.Stage.ENDED;
-        ends.ended(part, outcome, value, clock.nowMs());
+        listener.onAttemptEnded(part, outcome, value, clock.nowMs());
     }
 
     void forget(InetSocketAddress address, ShardConnection connection) {
--- a/node/src/test/java/spartrail/client/ClientListenerTest.java
+++ b/node/src/test/java/spartrail/client/ClientListenerTest.java
@@ -52,14 +52,14 @@
                 Set.of("orders"),
                 4,
                 mostConnections,
-                new ClientListener.Taker() {
+                new ClientListener.QueryListener() {
                     @Override
-                    public void asked(ClientQuery ask, ClientRequest request) {
+                    public void onQuery(ClientQuery ask, ClientRequest request) {
                         asked.add(request);
                     }
 
                     @Override
-                    public void gone(ClientRequest request) {}
+                    public void onClientGone(ClientRequest request) {}
                 });
     }
 
--- a/node/src/test/java/spartrail/front/FrontNodeTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeTest.java
@@ -39,7 +39,7 @@
     private final ToyFleet fleet = new ToyFleet(4, 0, 0);
     private final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
     private final List<Client> clients = new ArrayList<>();
-    private UnaryOperator<Coordinator> wrapping = UnaryOperator.identity();
+    private UnaryOperator<Coordinator> coordinatorDecorator = UnaryOperator.identity();
     private Map<String, Long> broken = Map.of();
     private volatile FrontNode node;
 
@@ -48,7 +48,7 @@
     /** The example's configuration on the ports of this fleet; each change is a text and what replaces it. */
     private void start(String... changes) throws IOException {
         DeploymentFile deployment = deployment(changes);
-        node = new FrontNode(deployment, deployment.listen(), wrapping);
+        node = new FrontNode(deployment, deployment.listen(), coordinatorDecorator);
         node.start();
     }
 
@@ -138,7 +138,7 @@
     }
 
     /** Servers that take parts and tell of them, and answer those whose id begins with one of these. */
-    private void tell(String... answered) {
+    private void answerOnly(String... answered) {
         fleet.servers.forEach(toy -> toy.manner = new ToyFleet.Manner() {
             @Override
             public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
@@ -197,10 +197,10 @@
     @Test
     void goesOnByOtherSettingsWithAllThatItHasInHandAndHasLearned() throws Exception {
         start();
-        tell("b");
+        answerOnly("b");
         Client inHand = new Client().ask("a", 0);
         assertThat(next()).isEqualTo("part a.0");
-        tell("a", "b", "c");
+        answerOnly("a", "b", "c");
         assertThat(node.reload(deployment(
                         "\"open-cap\": 187",
                         "\"open-cap\": 3",
@@ -214,7 +214,7 @@
         assertThat(node.reload(deployment("\"slabs\": 4", "\"slabs\": 5", "\"open-cap\": 187", "\"open-cap\": 1")))
                 .isEqualTo("slabs: found 5, served 4");
         assertThat(new Client().ask("c", 1).answer()).startsWith("200 {\"all_in\":true");
-        assertThat(node.switchesTaken()).isEqualTo(1);
+        assertThat(node.configurationSwitchCount()).isEqualTo(1);
     }
 
     @Test
@@ -245,7 +245,7 @@
     @Test
     void whatIsNoRequestGetsOnePlainRefusalAndIsTheLastOfItsConnection() throws Exception {
         // Before the start, so that a rehearsal that reached servers would be seen.
-        tell("a");
+        answerOnly("a");
         start();
         String good = request("a", "1", body(0));
         StringBuilder told = new StringBuilder();
@@ -313,7 +313,7 @@
     @Test
     void whereTheEndOfABodyIsInDoubtNothingBehindItIsReadAsARequest() throws Exception {
         start();
-        tell("hidden", "b");
+        answerOnly("hidden", "b");
         String hidden = request("hidden", "1", body(0));
         String good = request("a", "1", body(0));
         String chunked = good.replaceAll("(?s)Content-Length.*", "Transfer-Encoding: chunked\r\n\r\n");
@@ -344,7 +344,7 @@
     @Test
     void thoseThatSayNothingOrHalfAreClosedWhileARequestInHandIsWaitedFor() throws Exception {
         start();
-        tell("b");
+        answerOnly("b");
         Client inHand = new Client().ask("a", 0);
         assertThat(next()).isEqualTo("part a.0");
         String half = request("c", "4", body(0));
@@ -360,8 +360,8 @@
 
     @Test
     void thoseThatSayNothingTurnOutNoClientThatAsks() throws Exception {
-        start("\"sockets\": 1024", "\"sockets\": " + (FileDescriptorLimit.held() + 60));
-        tell("b");
+        start("\"sockets\": 1024", "\"sockets\": " + (FileDescriptorLimit.openCount() + 60));
+        answerOnly("b");
         Client kept = new Client();
         List<Client> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -375,7 +375,7 @@
     @Test
     void aClientThatLeavesEndsTheWorkForIt() throws Exception {
         start();
-        tell("b");
+        answerOnly("b");
         Client client = new Client().ask("a", 0);
         assertThat(next()).isEqualTo("part a.0");
         client.socket.close();
@@ -386,7 +386,7 @@
     @Test
     void aClientThatLeavesBehindWhatItSentAheadIsSeenToLeave() throws Exception {
         start();
-        tell("b");
+        answerOnly("b");
         for (String ahead : List.of("P", request("z", "4", body(1)), "x".repeat(300_000))) {
             Client client = new Client().ask("a", 0);
             assertThat(next()).isEqualTo("part a.0");
@@ -434,7 +434,7 @@
     @Test
     void ofACrowdThatLeavesInOneInstantNothingIsSentThatWaited() throws Exception {
         start("\"open-cap\": 187", "\"open-cap\": 1000");
-        tell("b");
+        answerOnly("b");
         List<Client> crowd = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             crowd.add(new Client().ask("c" + i, i % 4));
@@ -488,7 +488,7 @@
     private void drainsWhatIsChosen(boolean ioPaused) throws Exception {
         CompletableFuture<String> drained = new CompletableFuture<>();
         AtomicBoolean armed = new AtomicBoolean();
-        wrapping = module -> (Coordinator) Proxy.newProxyInstance(
+        coordinatorDecorator = module -> (Coordinator) Proxy.newProxyInstance(
                 Coordinator.class.getClassLoader(), new Class<?>[] {Coordinator.class}, (proxy, method, args) -> {
                     Object decided = method.invoke(module, args);
                     if (method.getName().equals("place") && armed.getAndSet(false)) {
@@ -559,7 +559,7 @@
     /** One of the two replicas of shard 0 drains, as discovery tells once the request is under way. */
     private void asksBeforeDiscoveryWasHeard(int draining) throws Exception {
         fleet.silent = true;
-        tell("a");
+        answerOnly("a");
         ToyFleet.Toy old = fleet.servers.get(draining);
         old.manner = new ToyFleet.Manner() {
             @Override
@@ -593,7 +593,7 @@
     void whatIsInTheQueueWhenTheNodeIsClosedIsAnsweredAllTheSame() throws Exception {
         CountDownLatch placing = new CountDownLatch(1);
         CountDownLatch queued = new CountDownLatch(1);
-        wrapping = module -> (Coordinator) Proxy.newProxyInstance(
+        coordinatorDecorator = module -> (Coordinator) Proxy.newProxyInstance(
                 Coordinator.class.getClassLoader(), new Class<?>[] {Coordinator.class}, (proxy, method, args) -> {
                     if (method.getName().equals("place")) {
                         placing.countDown();
@@ -602,7 +602,7 @@
                     return method.invoke(module, args);
                 });
         start();
-        tell();
+        answerOnly();
         Client first = new Client().ask("a", 0);
         placing.await();
         Client second = new Client().ask("b", 0);
@@ -624,7 +624,7 @@
     @Test
     void aRequestSentAheadIsServedAfterTheOneInHand() throws Exception {
         start();
-        tell("a", "b");
+        answerOnly("a", "b");
         Client client = new Client().send(request("a", "4", body(0)) + request("b", "4", body(1)));
         assertThat(client.answer()).contains("\"segment\":0");
         assertThat(client.answer()).contains("\"segment\":1");
@@ -648,13 +648,13 @@
     @Test
     void whatNobodyAnswersIsGivenUpInTheClientsTimeWithATimeToComeBack() throws Exception {
         start("\"aim\": 2.0, \"deadline\": 4.0", "\"aim\": 0.3, \"deadline\": 0.6");
-        tell();
+        answerOnly();
         assertThat(new Client().send(request("a", "0.5", body(0, 1))).answer()).isEqualTo("503 pushed back");
     }
 
     @Test
     void aFaultInTheDecisionsCostsNoOtherMultigetAndNoClientItsAnswer() throws Exception {
-        wrapping = module -> (Coordinator) Proxy.newProxyInstance(
+        coordinatorDecorator = module -> (Coordinator) Proxy.newProxyInstance(
                 Coordinator.class.getClassLoader(), new Class<?>[] {Coordinator.class}, (proxy, method, args) -> {
                     if (method.getName().equals("place") && ((Multiget) args[0]).clientLeftMs < 1000) {
                         throw new IllegalStateException("a fault made by the test");
@@ -666,7 +666,7 @@
                     }
                 });
         start();
-        tell("b");
+        answerOnly("b");
         Client hurt = new Client().send(request("a", "0.3", body(0)));
         assertThat(new Client().ask("b", 0).answer()).startsWith("200 ");
         assertThat(hurt.answer()).isEqualTo("500 failed");
@@ -676,7 +676,7 @@
     @Test
     void moreThanMayBeInHandIsPushedBackAtOnce() throws Exception {
         start("\"open-cap\": 187", "\"open-cap\": 3");
-        tell("c");
+        answerOnly("c");
         Client first = new Client().ask("a", 0, 1);
         assertThat(next()).startsWith("part a.");
         assertThat(new Client().ask("b", 2).answer()).isEqualTo("503 pushed back");
@@ -733,7 +733,7 @@
         CountDownLatch started = new CountDownLatch(1);
         CompletableFuture<Boolean> early = new CompletableFuture<>();
         // The I/O thread is kept busy, as on a machine that has too few cores, until the start is over or long overdue.
-        wrapping = module -> {
+        coordinatorDecorator = module -> {
             node.io.execute(() -> {
                 try {
                     early.complete(started.await(3, TimeUnit.SECONDS));
@@ -754,8 +754,8 @@
     @Test
     void aNodeThatIsToldToEndWhileItStartsNeverSaysThatItIsReadyAndEndsAtOnce() throws Exception {
         DeploymentFile deployment = deployment();
-        node = new FrontNode(deployment, deployment.listen(), wrapping);
-        node.ending();
+        node = new FrontNode(deployment, deployment.listen(), coordinatorDecorator);
+        node.beginTermination();
         node.start();
         assertThat(new Client().send(UP).answer()).startsWith("503 ");
         long fromNs = System.nanoTime();
@@ -777,9 +777,9 @@
 
     @Test
     void whenDescriptorsAreShortTheLongestUnusedClientGoesFirst() throws Exception {
-        start("\"sockets\": 1024", "\"sockets\": " + (FileDescriptorLimit.held() + 60));
+        start("\"sockets\": 1024", "\"sockets\": " + (FileDescriptorLimit.openCount() + 60));
         List<Client> idle = new ArrayList<>();
-        tell("b");
+        answerOnly("b");
         Client inHand = new Client().ask("a", 0);
         assertThat(next()).isEqualTo("part a.0");
         for (int i = 0; i < 60; i++) {
@@ -797,10 +797,10 @@
     void halfSentRequestsHoldNothingAndGoFirst() throws Exception {
         start(
                 "\"sockets\": 1024",
-                "\"sockets\": " + (FileDescriptorLimit.held() + 60),
+                "\"sockets\": " + (FileDescriptorLimit.openCount() + 60),
                 "\"open-cap\": 187",
                 "\"open-cap\": 3");
-        tell("b");
+        answerOnly("b");
         String half = request("a", "4", body(0));
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -823,7 +823,7 @@
     void theListIsFollowedAndItsSilenceEndsNothing() throws Exception {
         fleet.silent = true;
         start();
-        tell("a", "b", "c", "d");
+        answerOnly("a", "b", "c", "d");
         assertThat(new Client().ask("a", 0).answer()).startsWith("200 ");
         assertThat(next()).isEqualTo("part a.0");
         fleet.tell(fleet.servers.get(0), "DRAINING");
@@ -837,7 +837,7 @@
             }
         };
         // Once the change is told, all of a burst goes round the draining server.
-        for (int tries = 0; node.listsTaken() < 2 && tries < 2000; tries++) {
+        for (int tries = 0; node.endpointUpdateCount() < 2 && tries < 2000; tries++) {
             TimeUnit.MILLISECONDS.sleep(10);
         }
         Client client = new Client();
--- a/node/src/test/java/spartrail/front/JvmWarmUpTest.java
+++ b/node/src/test/java/spartrail/front/JvmWarmUpTest.java
@@ -29,7 +29,7 @@
         });
         door.start();
         DeploymentFile deployment = DeploymentFile.read(Path.of("example/config.json"));
-        new JvmWarmUp(new NodeClock(), deployment.known()).play(deployment, door.getAddress());
+        new JvmWarmUp(new NodeClock(), deployment.known()).run(deployment, door.getAddress());
         door.stop(0);
         assertThat(asked)
                 .isNotEmpty()
@@ -43,6 +43,6 @@
         NodeClock clock = new NodeClock();
         InetSocketAddress nobody = new InetSocketAddress("127.0.0.1", 1);
         DeploymentFile deployment = DeploymentFile.parse(text);
-        new JvmWarmUp(clock, deployment.known()).play(deployment, nobody);
+        new JvmWarmUp(clock, deployment.known()).run(deployment, nobody);
     }
 }
--- a/node/src/test/java/spartrail/front/PauseDetectorTest.java
+++ b/node/src/test/java/spartrail/front/PauseDetectorTest.java
@@ -11,22 +11,22 @@
         StringBuilder trace = new StringBuilder();
         double now = 1000;
         for (double late : new double[] {-3, 9, 700, 4, 6}) {
-            node.plan(now);
-            node.woke(now + late);
+            node.planWake(now);
+            node.onWake(now + late);
             trace.append("late ")
                     .append(late)
                     .append(": ")
-                    .append(node.gapMs())
-                    .append(node.passWanted() ? " pass\n" : "\n");
+                    .append(node.pauseMs())
+                    .append(node.needsPoll() ? " pass\n" : "\n");
             // It woke because something was due: first the sockets are gone through, and that is planned for now.
             now += late;
-            node.plan(now);
-            node.woke(now + 2);
+            node.planWake(now);
+            node.onWake(now + 2);
             if (late > 0) {
-                node.passed();
+                node.onPollCompleted();
             }
         }
-        trace.append("after the passes: ").append(node.gapMs());
+        trace.append("after the passes: ").append(node.pauseMs());
         assertThat(trace.toString())
                 .isEqualTo(
                         """
