--- a/node/src/main/java/spartrail/client/ClientListener.java
+++ b/node/src/main/java/spartrail/client/ClientListener.java
@@ -35,6 +35,7 @@
 import org.xnio.conduits.AbstractStreamSourceConduit;
 import org.xnio.conduits.StreamSinkConduit;
 import org.xnio.conduits.StreamSourceConduit;
+import spartrail.model.MalformedMessageException;
 import spartrail.model.NodeClock;
 
 /**
@@ -485,7 +486,7 @@
                 request.watchClient();
                 taker.onQuery(ask, request);
             });
-        } catch (ClientQueryDecoder.BadRequest e) {
+        } catch (MalformedMessageException e) {
             unusable(exchange, 400, e.getMessage());
         }
     }
--- a/node/src/main/java/spartrail/client/ClientQueryDecoder.java
+++ b/node/src/main/java/spartrail/client/ClientQueryDecoder.java
@@ -13,18 +13,10 @@
 import java.util.List;
 import java.util.Set;
 import java.util.regex.Pattern;
+import spartrail.model.MalformedMessageException;
 
 /** Decodes requests; what the protocol does not know is turned away with one plain sentence. */
 final class ClientQueryDecoder {
-    /** A request that is none; its message goes to the client. */
-    static final class BadRequest extends Exception {
-        private static final long serialVersionUID = 1;
-
-        BadRequest(String what) {
-            super(what);
-        }
-    }
-
     private static final Pattern USABLE_ID = Pattern.compile("[0-9A-Za-z_-]{1,64}");
     private static final Pattern SECONDS = Pattern.compile("[0-9]{1,6}([.][0-9]{1,18})?");
     private static final Pattern AFFINITY = Pattern.compile("[0-9a-fA-F]{16}");
@@ -48,15 +40,15 @@
         this.shards = shards;
     }
 
-    ClientQuery read(String path, HeaderMap headers, byte[] body) throws BadRequest {
+    ClientQuery read(String path, HeaderMap headers, byte[] body) throws MalformedMessageException {
         String id = only(headers, ID);
         if (id == null || !USABLE_ID.matcher(id).matches()) {
-            throw new BadRequest("Req-Id is missing or unusable");
+            throw new MalformedMessageException("Req-Id is missing or unusable");
         }
         String[] steps = path.split("/", 3);
         String kind = only(headers, KIND);
         if (kind == null || !opTypes.contains(kind) || steps.length < 2 || !steps[1].equals(kind)) {
-            throw new BadRequest("Req-Kind is unknown or not the path's");
+            throw new MalformedMessageException("Req-Kind is unknown or not the path's");
         }
         double clientLeftMs = 1000 * deadline(only(headers, DEADLINE));
         try (JsonParser parser = json.createParser(body)) {
@@ -68,7 +60,7 @@
                     clientLeftMs,
                     "1".equals(headers.getFirst(RETRY)));
         } catch (IOException e) {
-            throw new BadRequest("the body is no JSON of the expected form");
+            throw new MalformedMessageException("the body is no JSON of the expected form", e);
         }
     }
 
@@ -77,20 +69,20 @@
         return headers.count(name) == 1 ? headers.getFirst(name) : null;
     }
 
-    private static double deadline(String text) throws BadRequest {
+    private static double deadline(String text) throws MalformedMessageException {
         double seconds = text != null && SECONDS.matcher(text).matches() ? Double.parseDouble(text) : 0;
         if (seconds > 0) {
             return seconds;
         }
-        throw new BadRequest("Req-Deadline is missing or no time");
+        throw new MalformedMessageException("Req-Deadline is missing or no time");
     }
 
     private ClientQuery body(JsonParser parser, String id, String kind, String key, double clientLeftMs, boolean retry)
-            throws IOException, BadRequest {
+            throws IOException, MalformedMessageException {
         List<ClientQuery.AskedPart> parts = null;
         String text = null;
         if (parser.nextToken() != JsonToken.START_OBJECT) {
-            throw new BadRequest("the body is no JSON object");
+            throw new MalformedMessageException("the body is no JSON object");
         }
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
@@ -104,33 +96,33 @@
             }
         }
         if (parser.nextToken() != null) {
-            throw new BadRequest("there is more behind the body's JSON object");
+            throw new MalformedMessageException("there is more behind the body's JSON object");
         }
         if (parts == null || parts.isEmpty() || text == null) {
-            throw new BadRequest("segments or text are missing");
+            throw new MalformedMessageException("segments or text are missing");
         }
         if (Math.abs(parts.stream().mapToDouble(ClientQuery.AskedPart::weight).sum() - 1) > ROUNDING) {
-            throw new BadRequest("the boosts of the segments do not sum up to 1");
+            throw new MalformedMessageException("the boosts of the segments do not sum up to 1");
         }
         return new ClientQuery(id, kind, key, clientLeftMs, retry, parts, text.getBytes(StandardCharsets.UTF_8));
     }
 
     /** A text that is the same in UTF-8: half of a surrogate pair has no form there. */
-    private static String text(JsonParser parser) throws IOException, BadRequest {
+    private static String text(JsonParser parser) throws IOException, MalformedMessageException {
         String text = parser.currentToken() == JsonToken.VALUE_STRING ? parser.getText() : null;
         if (text == null || !StandardCharsets.UTF_8.newEncoder().canEncode(text)) {
-            throw new BadRequest("text is no text");
+            throw new MalformedMessageException("text is no text");
         }
         return text;
     }
 
-    private static void need(boolean holds) throws BadRequest {
+    private static void need(boolean holds) throws MalformedMessageException {
         if (!holds) {
-            throw new BadRequest("a segment is not of the expected form");
+            throw new MalformedMessageException("a segment is not of the expected form");
         }
     }
 
-    private List<ClientQuery.AskedPart> parts(JsonParser parser) throws IOException, BadRequest {
+    private List<ClientQuery.AskedPart> parts(JsonParser parser) throws IOException, MalformedMessageException {
         List<ClientQuery.AskedPart> parts = new ArrayList<>();
         BitSet seen = new BitSet(shards);
         while (parser.nextToken() != JsonToken.END_ARRAY) {
@@ -138,7 +130,7 @@
             double weight = Double.NaN;
             double costMs = 0;
             if (parser.currentToken() != JsonToken.START_OBJECT) {
-                throw new BadRequest("a segment is no JSON object");
+                throw new MalformedMessageException("a segment is no JSON object");
             }
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
@@ -157,10 +149,10 @@
                 }
             }
             if (shard < 0 || shard >= shards || seen.get(shard)) {
-                throw new BadRequest("a segment does not exist or is there twice");
+                throw new MalformedMessageException("a segment does not exist or is there twice");
             }
             if (!(weight >= 0 && weight <= 1 + ROUNDING) || !(costMs >= 0 && Double.isFinite(costMs))) {
-                throw new BadRequest("a segment's boost or work is out of range");
+                throw new MalformedMessageException("a segment's boost or work is out of range");
             }
             seen.set(shard);
             parts.add(new ClientQuery.AskedPart(shard, weight, costMs));
--- a/node/src/main/java/spartrail/shard/ShardConnection.java
+++ b/node/src/main/java/spartrail/shard/ShardConnection.java
@@ -21,6 +21,7 @@
 import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 import spartrail.model.Attempt.Outcome;
+import spartrail.model.MalformedMessageException;
 
 /**
  * One connection to a server: calls that wait to be written, and parts that wait for answers. By event and state:
@@ -296,7 +297,7 @@
                 }
             }
             awaitRest(source, whole);
-        } catch (ShardFrameCodec.Garbled e) {
+        } catch (MalformedMessageException e) {
             garbled(e.getMessage());
         } catch (IOException e) {
             end("broken");
@@ -311,10 +312,10 @@
      * frame that announces more than comes swallows all answers behind it; what is behind a good answer becomes
      * the head of the next one.
      */
-    private void awaitRest(ConduitStreamSourceChannel source, boolean whole) throws ShardFrameCodec.Garbled {
+    private void awaitRest(ConduitStreamSourceChannel source, boolean whole) throws MalformedMessageException {
         boolean partial = !closed && frames.partial();
         if (partial && load() == 0) {
-            throw new ShardFrameCodec.Garbled("more than was asked for");
+            throw new MalformedMessageException("more than was asked for");
         }
         if (lateFrame != null && (whole || !partial)) {
             lateFrame.remove();
@@ -335,14 +336,14 @@
         }
     }
 
-    private void answered(ShardFrameCodec.Answer answer) throws ShardFrameCodec.Garbled {
+    private void answered(ShardFrameCodec.Answer answer) throws MalformedMessageException {
         usedMs = pool.clock.nowMs();
         readMs = usedMs;
         PartRequest part = out.remove(answer.id());
         if (part == null) {
             // Late or doubled answers concern nobody any more; another is the spoilt one of a part that is out.
             if (!settled.contains(answer.id())) {
-                throw new ShardFrameCodec.Garbled("an answer for a part that was not asked for");
+                throw new MalformedMessageException("an answer for a part that was not asked for");
             }
             return;
         }
--- a/node/src/main/java/spartrail/shard/ShardFrameCodec.java
+++ b/node/src/main/java/spartrail/shard/ShardFrameCodec.java
@@ -7,6 +7,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.regex.Pattern;
+import spartrail.model.MalformedMessageException;
 
 /** The frames between front nodes and index servers: a length, a letter, the rest. */
 final class ShardFrameCodec {
@@ -20,15 +21,6 @@
         REJECTED
     }
 
-    /** A frame that the protocol does not know. */
-    static final class Garbled extends Exception {
-        private static final long serialVersionUID = 1;
-
-        Garbled(String what) {
-            super(what);
-        }
-    }
-
     /** A value goes into a client's answer, and no answer is longer than this. */
     static final int LONGEST = 64 * 1024;
 
@@ -89,17 +81,17 @@
          * The next answer that is there whole, or null. A probe's answer is as unusable as any other that nobody
          * here asks for. Danger: memory for a frame is taken as its bytes come, never as it announces.
          */
-        Answer next() throws Garbled {
+        Answer next() throws MalformedMessageException {
             if (to - from < HEAD) {
                 return null;
             }
             int length = ByteBuffer.wrap(bytes, from, 4).getInt();
             char letter = (char) (bytes[from + 4] & 0xff);
             if (length < 1 || length > LONGEST) {
-                throw new Garbled("a frame of length " + length);
+                throw new MalformedMessageException("a frame of length " + length);
             }
             if (letter != 'Y' && letter != 'N') {
-                throw new Garbled("a frame of letter " + (int) letter);
+                throw new MalformedMessageException("a frame of letter " + (int) letter);
             }
             if (to - from < 4 + length) {
                 return null;
@@ -108,14 +100,14 @@
             int end = from + 4 + length;
             from = end;
             if (letter == 'N') {
-                throw new Garbled("N: "
+                throw new MalformedMessageException("N: "
                         + new String(bytes, start, Math.min(100, end - start), StandardCharsets.US_ASCII)
                                 .replaceAll("[^ -~]", "?"));
             }
             return answer(start, end);
         }
 
-        private Answer answer(int start, int end) throws Garbled {
+        private Answer answer(int start, int end) throws MalformedMessageException {
             int lf = start;
             while (lf < end && bytes[lf] != '\n') {
                 lf++;
@@ -123,20 +115,20 @@
             // What is wrong with a load report alone spoils no answer: nothing here goes by it.
             String[] words = new String(bytes, start, lf - start, StandardCharsets.US_ASCII).split(" ", 4);
             if (lf == end || words.length < 4 || !SCORE.matcher(words[2]).matches()) {
-                throw new Garbled("an answer without its line");
+                throw new MalformedMessageException("an answer without its line");
             }
             End how =
                     switch (words[1]) {
                         case "OK" -> End.OK;
                         case "ERROR" -> End.ERROR;
                         case "REJECTED" -> End.REJECTED;
-                        default -> throw new Garbled("an answer of an unknown end");
+                        default -> throw new MalformedMessageException("an answer of an unknown end");
                     };
             try {
                 // Danger: what is no text would reach the client as another value than the server made.
                 StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes, lf + 1, end - lf - 1));
             } catch (CharacterCodingException e) {
-                throw new Garbled("a value that is no text");
+                throw new MalformedMessageException("a value that is no text", e);
             }
             return new Answer(words[0], how, Arrays.copyOfRange(bytes, lf + 1, end));
         }
--- a/node/src/test/java/spartrail/shard/ShardFrameCodecTest.java
+++ b/node/src/test/java/spartrail/shard/ShardFrameCodecTest.java
@@ -12,6 +12,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import spartrail.model.Attempt;
+import spartrail.model.MalformedMessageException;
 
 class ShardFrameCodecTest {
     private static byte[] frame(char letter, String rest) {
@@ -79,7 +80,7 @@
             ShardFrameCodec.Reader reader = new ShardFrameCodec.Reader();
             reader.take(ByteBuffer.wrap(frame));
             assertThatThrownBy(reader::next)
-                    .isInstanceOf(ShardFrameCodec.Garbled.class)
+                    .isInstanceOf(MalformedMessageException.class)
                     .satisfies(e -> told.append(e.getMessage()).append('\n'));
         }
         assertThat(told.toString())
@@ -119,7 +120,7 @@
                 if (answer != null && answer.id().equals("1.0") && answer.end() == ShardFrameCodec.End.OK) {
                     taken.add(new String(answer.value(), StandardCharsets.US_ASCII));
                 }
-            } catch (ShardFrameCodec.Garbled e) {
+            } catch (MalformedMessageException e) {
                 // As it should be.
             }
         }
