--- a/node/src/main/java/spartrail/client/ClientListener.java
+++ b/node/src/main/java/spartrail/client/ClientListener.java
@@ -60,106 +60,107 @@
 public final class ClientListener {
     /** Who takes what clients ask. */
     public interface QueryListener {
-        void onQuery(ClientQuery ask, ClientRequest request);
+        void onQuery(ClientQuery query, ClientRequest request);
 
         void onClientGone(ClientRequest request);
     }
 
     private static final System.Logger LOG = System.getLogger("spartrail.client");
     /** The longest body that the protocol knows. */
-    private static final long LONGEST = 64 * 1024;
+    private static final long MAX_BODY_BYTES = 64 * 1024;
     /**
      * A client that sends no whole request is owed its end within 3 s of connecting; whichever way it dawdles, these
      * come before.
      */
-    private static final int SILENT_MS = 2000;
+    private static final int FIRST_REQUEST_TIMEOUT_MS = 2000;
 
-    private static final int HEAD_MS = 1500;
-    private static final int BODY_MS = 1000;
+    private static final int HEAD_TIMEOUT_MS = 1500;
+    private static final int BODY_TIMEOUT_MS = 1000;
     /** Connections of those that ask are kept; how long they are unused tells only of those that left unseen. */
-    private static final int UNUSED_MS = 60_000;
+    private static final int IDLE_TIMEOUT_MS = 60_000;
     /** An answer that its client has not read by then is no more waited for by anybody. */
-    private static final int UNREAD_ANSWER_MS = 5000;
+    private static final int UNREAD_RESPONSE_TIMEOUT_MS = 5000;
     /** Between two timers so far apart what is ready is read. */
-    private static final int LOOK_MS = 2;
+    private static final int POLL_DELAY_MS = 2;
 
     private final XnioIoThread io;
     private final NodeClock clock;
-    private final ClientQueryDecoder reader;
-    private QueryListener taker;
-    private final int mostConnections;
+    private final ClientQueryDecoder decoder;
+    private QueryListener queryListener;
+    private final int maxConnections;
     /** Most bytes of bodies that are still coming in, and how many these may become. */
-    private final long mostUnread = Runtime.getRuntime().maxMemory() / 4;
+    private final long maxBufferedBytes = Runtime.getRuntime().maxMemory() / 4;
 
-    private long unread;
-    private final AcceptingChannel<StreamConnection> listening;
+    private long bufferedBytes;
+    private final AcceptingChannel<StreamConnection> serverChannel;
 
     private enum State {
-        FRESH,
+        NEW,
         HEAD,
         BODY,
-        BUSY,
-        RESTING,
+        AWAITING_RESPONSE,
+        IDLE,
         CLOSING
     }
 
     /** A client's connection. */
-    private static final class Peer {
-        State state = State.FRESH;
+    private static final class ClientConnection {
+        State state = State.NEW;
         StreamSourceConduit source;
         StreamSinkConduit sink;
         /** A whole request of it has been read, now or earlier. */
-        boolean known;
+        boolean hasSentRequest;
         /** What its body, still coming in, may take. */
-        long unread;
+        long bodyBytes;
         /** Bytes kept for its next request. */
-        long ahead;
+        long pipelinedBytes;
         /** When a head or a body that is coming in, or an answer that is going out, has taken too long. */
-        XnioExecutor.Key due;
+        XnioExecutor.Key timeout;
     }
 
     /** Sees that a request begins, which Undertow tells only once its head is whole. */
-    private final class Watched extends AbstractStreamSourceConduit<StreamSourceConduit> {
+    private final class RequestStartConduit extends AbstractStreamSourceConduit<StreamSourceConduit> {
         private final StreamConnection connection;
-        private final Peer peer;
+        private final ClientConnection client;
 
-        Watched(StreamSourceConduit next, StreamConnection connection, Peer peer) {
+        RequestStartConduit(StreamSourceConduit next, StreamConnection connection, ClientConnection client) {
             super(next);
             this.connection = connection;
-            this.peer = peer;
+            this.client = client;
         }
 
         @Override
         public int read(ByteBuffer into) throws IOException {
             int got = super.read(into);
-            if (got > 0 && (peer.state == State.FRESH || peer.state == State.RESTING)) {
-                begins(connection, peer);
+            if (got > 0 && (client.state == State.NEW || client.state == State.IDLE)) {
+                onRequestStart(connection, client);
             }
             return got;
         }
     }
 
-    private void begins(StreamConnection connection, Peer peer) {
-        peer.state = State.HEAD;
-        due(connection, peer, HEAD_MS);
+    private void onRequestStart(StreamConnection connection, ClientConnection client) {
+        client.state = State.HEAD;
+        startTimeout(connection, client, HEAD_TIMEOUT_MS);
     }
 
     /** With no request in hand, whether one is half sent or none. */
-    private static final Predicate<Peer> UNUSED = peer -> peer.state != State.BUSY;
+    private static final Predicate<ClientConnection> EVICTABLE = client -> client.state != State.AWAITING_RESPONSE;
     /** It has not asked anything yet. */
-    private static final Predicate<Peer> UNKNOWN = UNUSED.and(peer -> !peer.known);
+    private static final Predicate<ClientConnection> EVICTABLE_WITHOUT_REQUEST =
+            EVICTABLE.and(client -> !client.hasSentRequest);
 
-    private static final Predicate<Peer> HALF_SENT = peer -> peer.unread > 0;
-    private static final Predicate<Peer> RESTING = peer -> peer.state == State.RESTING;
+    private static final Predicate<ClientConnection> SENDING_BODY = client -> client.bodyBytes > 0;
+    private static final Predicate<ClientConnection> IDLE = client -> client.state == State.IDLE;
 
     /** Open connections, the longest unused first. */
-    private final Map<StreamConnection, Peer> connections = new LinkedHashMap<>();
+    private final Map<StreamConnection, ClientConnection> connections = new LinkedHashMap<>();
 
     private final ByteBuffer scratch = ByteBuffer.allocate(8 * 1024);
-    private final HttpOpenListener http;
-    private long notAccepted;
-    private boolean up;
-    private boolean leaving;
+    private final HttpOpenListener httpListener;
+    private long acceptFailures;
+    private boolean ready;
+    private boolean shuttingDown;
 
     public ClientListener(
             XnioWorker worker,
@@ -168,25 +169,25 @@
             NodeClock clock,
             Set<String> opTypes,
             int shards,
-            int mostConnections,
-            QueryListener taker)
+            int maxConnections,
+            QueryListener queryListener)
             throws IOException {
         this.io = worker.getIoThread();
         this.clock = clock;
-        this.reader = new ClientQueryDecoder(opTypes, shards);
-        this.taker = taker;
-        this.mostConnections = mostConnections;
-        http = new HttpOpenListener(
+        this.decoder = new ClientQueryDecoder(opTypes, shards);
+        this.queryListener = queryListener;
+        this.maxConnections = maxConnections;
+        httpListener = new HttpOpenListener(
                 buffers,
                 OptionMap.builder()
-                        .set(UndertowOptions.MAX_HEADER_SIZE, (int) LONGEST / 4)
-                        .set(UndertowOptions.NO_REQUEST_TIMEOUT, UNUSED_MS)
+                        .set(UndertowOptions.MAX_HEADER_SIZE, (int) MAX_BODY_BYTES / 4)
+                        .set(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MS)
                         .set(UndertowOptions.ALWAYS_SET_DATE, false)
                         .set(UndertowOptions.ENABLE_CONNECTOR_STATISTICS, false)
                         .getMap());
-        http.setRootHandler(new HttpContinueReadHandler(this::handle));
+        httpListener.setRootHandler(new HttpContinueReadHandler(this::handleRequest));
         ChannelListener<AcceptingChannel<StreamConnection>> accepting = this::accept;
-        listening = worker.createStreamConnectionServer(
+        serverChannel = worker.createStreamConnectionServer(
                 address,
                 accepting,
                 OptionMap.builder()
@@ -195,28 +196,28 @@
                         .set(Options.BACKLOG, 1024)
                         // Danger: they are accepted elsewhere than turned out, and a crowd takes the last descriptor
                         // meanwhile.
-                        .set(Options.CONNECTION_HIGH_WATER, mostConnections + mostConnections / 8 + 1)
-                        .set(Options.CONNECTION_LOW_WATER, mostConnections + mostConnections / 8)
+                        .set(Options.CONNECTION_HIGH_WATER, maxConnections + maxConnections / 8 + 1)
+                        .set(Options.CONNECTION_LOW_WATER, maxConnections + maxConnections / 8)
                         .getMap());
     }
 
     public InetSocketAddress address() {
-        return (InetSocketAddress) listening.getLocalAddress();
+        return (InetSocketAddress) serverChannel.getLocalAddress();
     }
 
     /** From now on connections are accepted. */
-    public void open() {
-        listening.resumeAccepts();
+    public void startAccepting() {
+        serverChannel.resumeAccepts();
     }
 
     /** From now on the node says that it is ready. */
-    public void up() {
-        up = true;
+    public void setReady() {
+        ready = true;
     }
 
     /** The node says no longer that it is ready; whoever comes all the same is served. */
-    public void drain() {
-        up = false;
+    public void setNotReady() {
+        ready = false;
     }
 
     /**
@@ -224,18 +225,21 @@
      * is reset with all that was sent on it if the listening socket goes before it was taken; so it goes last. What has
      * come on a resting one and is not read yet is read before, and answered.
      */
-    public void shut() {
-        leaving = true;
-        io.executeAfter(() -> all(RESTING).toList().forEach(this::farewell), LOOK_MS, TimeUnit.MILLISECONDS);
+    public void beginShutdown() {
+        shuttingDown = true;
+        io.executeAfter(
+                () -> connectionsMatching(IDLE).toList().forEach(this::closeGracefully),
+                POLL_DELAY_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Nobody takes anything any more: whoever still asks is told at once to come back. */
-    public void refuse() {
-        shut();
-        taker = new QueryListener() {
+    public void rejectQueries() {
+        beginShutdown();
+        queryListener = new QueryListener() {
             @Override
-            public void onQuery(ClientQuery ask, ClientRequest request) {
-                request.answer(ClientResponse.pushedBack(0));
+            public void onQuery(ClientQuery query, ClientRequest request) {
+                request.respond(ClientResponse.rejected(0));
             }
 
             @Override
@@ -246,30 +250,30 @@
     }
 
     /** With nobody connected, whoever came in this moment included: listens no longer. */
-    public boolean ended() {
-        accept(listening);
+    public boolean stopIfDisconnected() {
+        accept(serverChannel);
         if (connections.isEmpty()) {
-            IoUtils.safeClose(listening);
+            IoUtils.safeClose(serverChannel);
         }
         return connections.isEmpty();
     }
 
     /** Nothing is written any more, and what its client still sends is thrown away. */
-    private void farewell(StreamConnection connection) {
-        Peer peer = connections.get(connection);
-        if (peer != null && peer.state != State.CLOSING) {
-            read(peer);
-            peer.state = State.CLOSING;
-            LingeringClose.begin(connection, peer.sink, peer.source, scratch);
+    private void closeGracefully(StreamConnection connection) {
+        ClientConnection client = connections.get(connection);
+        if (client != null && client.state != State.CLOSING) {
+            releaseBuffer(client);
+            client.state = State.CLOSING;
+            LingeringClose.begin(connection, client.sink, client.source, scratch);
         }
     }
 
     public void close() {
-        IoUtils.safeClose(listening);
+        IoUtils.safeClose(serverChannel);
         connections.keySet().stream().toList().forEach(IoUtils::safeClose);
     }
 
-    public int size() {
+    public int connectionCount() {
         return connections.size();
     }
 
@@ -278,9 +282,9 @@
             for (StreamConnection next = channel.accept(); next != null; next = channel.accept()) {
                 StreamConnection connection = next;
                 if (Thread.currentThread() == connection.getIoThread()) {
-                    accepted(connection);
+                    onAccepted(connection);
                 } else {
-                    connection.getIoThread().execute(() -> accepted(connection));
+                    connection.getIoThread().execute(() -> onAccepted(connection));
                 }
             }
         } catch (ClosedChannelException e) {
@@ -288,177 +292,177 @@
         } catch (IOException e) {
             // Danger: with no descriptor left this would be tried on and on; the longest unused makes room.
             io.execute(() -> {
-                if (notAccepted++ == 0) {
+                if (acceptFailures++ == 0) {
                     LOG.log(System.Logger.Level.WARNING, "cannot accept a connection: " + e.getMessage());
                 }
-                StreamConnection unused = leastNeeded();
-                if (unused != null) {
-                    drop(unused);
+                StreamConnection candidate = evictionCandidate();
+                if (candidate != null) {
+                    closeNow(candidate);
                 }
             });
         }
     }
 
-    private void accepted(StreamConnection connection) {
-        if (connections.size() >= mostConnections) {
+    private void onAccepted(StreamConnection connection) {
+        if (connections.size() >= maxConnections) {
             // Danger: clients' connections use up the descriptors that servers and discovery need.
-            StreamConnection unused = leastNeeded();
-            drop(unused == null ? connection : unused);
-            if (unused == null) {
+            StreamConnection candidate = evictionCandidate();
+            closeNow(candidate == null ? connection : candidate);
+            if (candidate == null) {
                 return;
             }
         }
-        Peer peer = new Peer();
-        connections.put(connection, peer);
-        peer.source = connection.getSourceChannel().getConduit();
-        peer.sink = connection.getSinkChannel().getConduit();
-        connection.getSourceChannel().setConduit(new Watched(peer.source, connection, peer));
-        http.handleEvent(connection);
+        ClientConnection client = new ClientConnection();
+        connections.put(connection, client);
+        client.source = connection.getSourceChannel().getConduit();
+        client.sink = connection.getSinkChannel().getConduit();
+        connection.getSourceChannel().setConduit(new RequestStartConduit(client.source, connection, client));
+        httpListener.handleEvent(connection);
         ChannelListener<? super StreamConnection> theirs = connection.getCloseListener();
         connection.setCloseListener(closed -> {
-            forget(connection);
+            remove(connection);
             ChannelListeners.invokeChannelListener(closed, theirs);
         });
         if (!connection.isOpen()) {
-            forget(connection);
-        } else if (!peer.known) {
+            remove(connection);
+        } else if (!client.hasSentRequest) {
             io.executeAfter(
                     () -> io.executeAfter(
                             () -> {
-                                if (!peer.known && connections.get(connection) == peer) {
-                                    drop(connection);
+                                if (!client.hasSentRequest && connections.get(connection) == client) {
+                                    closeNow(connection);
                                 }
                             },
-                            LOOK_MS,
+                            POLL_DELAY_MS,
                             TimeUnit.MILLISECONDS),
-                    SILENT_MS,
+                    FIRST_REQUEST_TIMEOUT_MS,
                     TimeUnit.MILLISECONDS);
         }
     }
 
     /** The connection of this kind that has been so the longest, or null. */
-    private StreamConnection longest(Predicate<Peer> kind) {
-        return all(kind).findFirst().orElse(null);
+    private StreamConnection longestIn(Predicate<ClientConnection> condition) {
+        return connectionsMatching(condition).findFirst().orElse(null);
     }
 
     /** Danger: those that connect and say nothing would turn out the kept connections of those that ask. */
-    private StreamConnection leastNeeded() {
-        StreamConnection unknown = longest(UNKNOWN);
-        return unknown != null ? unknown : longest(UNUSED);
+    private StreamConnection evictionCandidate() {
+        StreamConnection withoutRequest = longestIn(EVICTABLE_WITHOUT_REQUEST);
+        return withoutRequest != null ? withoutRequest : longestIn(EVICTABLE);
     }
 
-    private Stream<StreamConnection> all(Predicate<Peer> kind) {
+    private Stream<StreamConnection> connectionsMatching(Predicate<ClientConnection> condition) {
         return connections.entrySet().stream()
-                .filter(entry -> kind.test(entry.getValue()))
+                .filter(entry -> condition.test(entry.getValue()))
                 .map(Map.Entry::getKey);
     }
 
-    private void drop(StreamConnection connection) {
-        forget(connection);
+    private void closeNow(StreamConnection connection) {
+        remove(connection);
         IoUtils.safeClose(connection);
     }
 
-    private void forget(StreamConnection connection) {
-        read(connections.remove(connection));
+    private void remove(StreamConnection connection) {
+        releaseBuffer(connections.remove(connection));
     }
 
-    private void handle(HttpServerExchange exchange) {
-        StreamConnection connection = ClientRequest.channel(exchange);
-        Peer peer = connections.get(connection);
-        if (peer == null) {
+    private void handleRequest(HttpServerExchange exchange) {
+        StreamConnection connection = ClientRequest.channelOf(exchange);
+        ClientConnection client = connections.get(connection);
+        if (client == null) {
             // Turned out while its request was on the way up.
             IoUtils.safeClose(connection);
             return;
         }
         exchange.addExchangeCompleteListener((ended, next) -> {
-            read(peer);
-            if (peer.state == State.CLOSING) {
+            releaseBuffer(client);
+            if (client.state == State.CLOSING) {
                 return;
             }
             if (((HttpServerConnection) ended.getConnection()).getExtraBytes() == null) {
-                peer.state = State.RESTING;
+                client.state = State.IDLE;
             } else {
-                begins(connection, peer);
+                onRequestStart(connection, client);
             }
-            if (connections.remove(connection, peer)) {
-                connections.put(connection, peer);
+            if (connections.remove(connection, client)) {
+                connections.put(connection, client);
             }
-            if (leaving && peer.state == State.RESTING) {
+            if (shuttingDown && client.state == State.IDLE) {
                 // Danger: its answer was on its way, as one of many, when the node began to end; nobody would end it.
-                farewell(connection);
+                closeGracefully(connection);
                 return;
             }
             next.proceed();
         });
-        if (peer.state == State.CLOSING) {
+        if (client.state == State.CLOSING) {
             // Danger: read on a connection that can no longer carry its answer, it must not be sent on.
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {});
             return;
         }
-        inTime(peer);
-        peer.state = State.BODY;
+        cancelTimeout(client);
+        client.state = State.BODY;
         if (exchange.getRequestMethod().equals(Methods.GET)
                 && exchange.getRequestPath().equals("/up")) {
-            peer.known = true;
-            peer.state = State.BUSY;
-            if (leaving) {
+            client.hasSentRequest = true;
+            client.state = State.AWAITING_RESPONSE;
+            if (shuttingDown) {
                 exchange.dispatch(
-                        SameThreadExecutor.INSTANCE, () -> send(exchange, ClientResponse.pushedBack(0), true));
+                        SameThreadExecutor.INSTANCE, () -> sendResponse(exchange, ClientResponse.rejected(0), true));
             } else {
-                exchange.setStatusCode(up ? 200 : 503);
+                exchange.setStatusCode(ready ? 200 : 503);
                 exchange.endExchange();
             }
         } else if (exchange.getRequestMethod().equals(Methods.POST)) {
             long length = exchange.getRequestContentLength();
-            if (length > LONGEST) {
-                unusable(exchange, 413, "the body is too long");
+            if (length > MAX_BODY_BYTES) {
+                rejectMalformed(exchange, 413, "the body is too long");
                 return;
             }
             // Danger: where the body ends is anybody's guess, and what one side takes for its rest the other takes
             // for a request. (Two lengths, and a length beside a coding, Undertow turns away by itself.)
             HeaderValues codings = exchange.getRequestHeaders().get(Headers.TRANSFER_ENCODING);
             if (codings != null && !(codings.size() == 1 && codings.getFirst().equalsIgnoreCase("chunked"))) {
-                unusable(exchange, 400, "a body comes with its length or in chunks");
+                rejectMalformed(exchange, 400, "a body comes with its length or in chunks");
                 return;
             }
-            exchange.setMaxEntitySize(LONGEST);
-            long claim = length < 0 ? LONGEST : Math.min(length, LONGEST);
+            exchange.setMaxEntitySize(MAX_BODY_BYTES);
+            long reservedBytes = length < 0 ? MAX_BODY_BYTES : Math.min(length, MAX_BODY_BYTES);
             // Danger: half-sent bodies fill the memory, and the node dies with all that it has in hand.
-            for (StreamConnection half = longest(HALF_SENT);
-                    unread + claim > mostUnread && half != null;
-                    half = longest(HALF_SENT)) {
-                drop(half);
+            for (StreamConnection sendingBody = longestIn(SENDING_BODY);
+                    bufferedBytes + reservedBytes > maxBufferedBytes && sendingBody != null;
+                    sendingBody = longestIn(SENDING_BODY)) {
+                closeNow(sendingBody);
             }
-            peer.unread = claim;
-            unread += claim;
+            client.bodyBytes = reservedBytes;
+            bufferedBytes += reservedBytes;
             exchange.getRequestReceiver()
-                    .receiveFullBytes((whole, body) -> received(whole, peer, body), (failed, e) -> {
-                        read(peer);
+                    .receiveFullBytes((whole, body) -> onBody(whole, client, body), (failed, e) -> {
+                        releaseBuffer(client);
                         IoUtils.safeClose(failed.getConnection());
                     });
-            if (peer.unread > 0) {
-                due(connection, peer, BODY_MS);
+            if (client.bodyBytes > 0) {
+                startTimeout(connection, client, BODY_TIMEOUT_MS);
             }
         } else {
-            unusable(exchange, 405, "POST a multiget, or GET /up");
+            rejectMalformed(exchange, 405, "POST a multiget, or GET /up");
         }
     }
 
     /** Its body is read, or never will be. */
-    private void read(Peer peer) {
-        if (peer != null) {
-            unread -= peer.unread + peer.ahead;
-            peer.unread = 0;
-            peer.ahead = 0;
-            inTime(peer);
+    private void releaseBuffer(ClientConnection client) {
+        if (client != null) {
+            bufferedBytes -= client.bodyBytes + client.pipelinedBytes;
+            client.bodyBytes = 0;
+            client.pipelinedBytes = 0;
+            cancelTimeout(client);
         }
     }
 
     /** What is awaited of a client has come, or never will. */
-    private static void inTime(Peer peer) {
-        if (peer.due != null) {
-            peer.due.remove();
-            peer.due = null;
+    private static void cancelTimeout(ClientConnection client) {
+        if (client.timeout != null) {
+            client.timeout.remove();
+            client.timeout = null;
         }
     }
 
@@ -466,89 +470,90 @@
      * What is awaited of it next is to come within this time. Danger: of a process that stood still it may wait in the
      * socket, whole, and a close would lose a request that counts as taken; so the sockets are looked at once more.
      */
-    private void due(StreamConnection connection, Peer peer, int withinMs) {
-        inTime(peer);
-        peer.due = io.executeAfter(
-                () -> peer.due = io.executeAfter(() -> drop(connection), LOOK_MS, TimeUnit.MILLISECONDS),
+    private void startTimeout(StreamConnection connection, ClientConnection client, int withinMs) {
+        cancelTimeout(client);
+        client.timeout = io.executeAfter(
+                () -> client.timeout =
+                        io.executeAfter(() -> closeNow(connection), POLL_DELAY_MS, TimeUnit.MILLISECONDS),
                 withinMs,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void received(HttpServerExchange exchange, Peer peer, byte[] body) {
-        read(peer);
-        peer.state = State.BUSY;
+    private void onBody(HttpServerExchange exchange, ClientConnection client, byte[] body) {
+        releaseBuffer(client);
+        client.state = State.AWAITING_RESPONSE;
         double atMs = clock.nowMs();
         try {
-            ClientQuery ask = reader.read(exchange.getRequestPath(), exchange.getRequestHeaders(), body);
-            ClientRequest request = new ClientRequest(this, exchange, ask.id(), atMs);
-            peer.known = true;
+            ClientQuery query = decoder.decode(exchange.getRequestPath(), exchange.getRequestHeaders(), body);
+            ClientRequest request = new ClientRequest(this, exchange, query.id(), atMs);
+            client.hasSentRequest = true;
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
                 request.watchClient();
-                taker.onQuery(ask, request);
+                queryListener.onQuery(query, request);
             });
         } catch (MalformedMessageException e) {
-            unusable(exchange, 400, e.getMessage());
+            rejectMalformed(exchange, 400, e.getMessage());
         }
     }
 
     /** Danger: behind a request that is none, what follows need not begin where a request does. */
-    private void unusable(HttpServerExchange exchange, int status, String why) {
+    private void rejectMalformed(HttpServerExchange exchange, int status, String why) {
         // Danger: what the door ends itself, before its handler returns, Undertow ends once more, by a plain close.
         exchange.dispatch(
-                SameThreadExecutor.INSTANCE, () -> send(exchange, ClientResponse.unusable(status, why), true));
+                SameThreadExecutor.INSTANCE, () -> sendResponse(exchange, ClientResponse.malformed(status, why), true));
     }
 
     /** For what has just been read; its content is whoever reads next's. */
-    ByteBuffer buffer() {
+    ByteBuffer scratchBuffer() {
         return scratch.clear();
     }
 
     /** Whether so many bytes may be kept for this client's next request. */
-    boolean keeps(HttpServerExchange exchange, int bytes) {
-        Peer peer = connections.get(ClientRequest.channel(exchange));
-        boolean kept = peer != null && unread + bytes <= mostUnread;
+    boolean reservePipelined(HttpServerExchange exchange, int bytes) {
+        ClientConnection client = connections.get(ClientRequest.channelOf(exchange));
+        boolean kept = client != null && bufferedBytes + bytes <= maxBufferedBytes;
         if (kept) {
-            peer.ahead += bytes;
-            unread += bytes;
+            client.pipelinedBytes += bytes;
+            bufferedBytes += bytes;
         }
         return kept;
     }
 
     void onClientGone(ClientRequest request) {
-        taker.onClientGone(request);
+        queryListener.onClientGone(request);
     }
 
     /** An answer, the last one of its connection where this is asked for, or the node ends. */
-    void send(HttpServerExchange exchange, ClientResponse reply, boolean last) {
-        StreamConnection connection = ClientRequest.channel(exchange);
-        Peer peer = connections.get(connection);
-        if (peer == null) {
+    void sendResponse(HttpServerExchange exchange, ClientResponse response, boolean last) {
+        StreamConnection connection = ClientRequest.channelOf(exchange);
+        ClientConnection client = connections.get(connection);
+        if (client == null) {
             return;
         }
-        peer.state = State.BUSY;
+        client.state = State.AWAITING_RESPONSE;
         // Danger: clients that never read hold a descriptor each, and a node that ends waits for them.
-        due(connection, peer, UNREAD_ANSWER_MS);
-        exchange.setStatusCode(reply.status());
+        startTimeout(connection, client, UNREAD_RESPONSE_TIMEOUT_MS);
+        exchange.setStatusCode(response.status());
         exchange.getResponseHeaders()
-                .put(Headers.CONTENT_TYPE, reply.status() == 200 ? "application/json" : "text/plain");
-        if (reply.retryAfter() != null) {
-            exchange.getResponseHeaders().put(Headers.RETRY_AFTER, reply.retryAfter());
+                .put(Headers.CONTENT_TYPE, response.status() == 200 ? "application/json" : "text/plain");
+        if (response.retryAfter() != null) {
+            exchange.getResponseHeaders().put(Headers.RETRY_AFTER, response.retryAfter());
         }
-        if (!leaving && !last && exchange.isPersistent()) {
-            exchange.getResponseSender().send(ByteBuffer.wrap(reply.body()), IoCallback.END_EXCHANGE);
+        if (!shuttingDown && !last && exchange.isPersistent()) {
+            exchange.getResponseSender().send(ByteBuffer.wrap(response.body()), IoCallback.END_EXCHANGE);
             return;
         }
         exchange.setPersistent(false);
-        exchange.setResponseContentLength(reply.body().length);
-        exchange.getResponseSender().send(ByteBuffer.wrap(reply.body()), new IoCallback() {
+        exchange.setResponseContentLength(response.body().length);
+        exchange.getResponseSender().send(ByteBuffer.wrap(response.body()), new IoCallback() {
             @Override
             public void onComplete(HttpServerExchange written, Sender sender) {
-                farewell(connection);
+                closeGracefully(connection);
             }
 
             @Override
             public void onException(HttpServerExchange broken, Sender sender, IOException e) {
-                drop(connection);
+                closeNow(connection);
             }
         });
     }
--- a/node/src/main/java/spartrail/client/ClientQuery.java
+++ b/node/src/main/java/spartrail/client/ClientQuery.java
@@ -4,7 +4,13 @@
 
 /** What a client asks for: a multiget, decoded. */
 public record ClientQuery(
-        String id, String opType, String key, double clientLeftMs, boolean retry, List<AskedPart> parts, byte[] text) {
+        String id,
+        String opType,
+        String key,
+        double clientLeftMs,
+        boolean retry,
+        List<QueriedPart> parts,
+        byte[] text) {
     /** What one shard is to answer; the cost is 0 where the client names none. */
-    public record AskedPart(int shard, double weight, double costMs) {}
+    public record QueriedPart(int shard, double weight, double costMs) {}
 }
--- a/node/src/main/java/spartrail/client/ClientQueryDecoder.java
+++ b/node/src/main/java/spartrail/client/ClientQueryDecoder.java
@@ -17,18 +17,18 @@
 
 /** Decodes requests; what the protocol does not know is turned away with one plain sentence. */
 final class ClientQueryDecoder {
-    private static final Pattern USABLE_ID = Pattern.compile("[0-9A-Za-z_-]{1,64}");
-    private static final Pattern SECONDS = Pattern.compile("[0-9]{1,6}([.][0-9]{1,18})?");
-    private static final Pattern AFFINITY = Pattern.compile("[0-9a-fA-F]{16}");
-    private static final HttpString ID = new HttpString("Req-Id");
-    private static final HttpString KIND = new HttpString("Req-Kind");
-    private static final HttpString DEADLINE = new HttpString("Req-Deadline");
-    private static final HttpString RETRY = new HttpString("Req-Retry");
+    private static final Pattern ID_FORMAT = Pattern.compile("[0-9A-Za-z_-]{1,64}");
+    private static final Pattern SECONDS_FORMAT = Pattern.compile("[0-9]{1,6}([.][0-9]{1,18})?");
+    private static final Pattern AFFINITY_FORMAT = Pattern.compile("[0-9a-fA-F]{16}");
+    private static final HttpString ID_HEADER = new HttpString("Req-Id");
+    private static final HttpString KIND_HEADER = new HttpString("Req-Kind");
+    private static final HttpString DEADLINE_HEADER = new HttpString("Req-Deadline");
+    private static final HttpString RETRY_HEADER = new HttpString("Req-Retry");
     /** Weights sum up to the whole, but for rounding. */
-    private static final double ROUNDING = 1e-3;
+    private static final double WEIGHT_TOLERANCE = 1e-3;
 
     /** Danger: of two values under one name each reader of the body may take another one. */
-    private final JsonFactory json = JsonFactory.builder()
+    private final JsonFactory jsonFactory = JsonFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
 
@@ -40,46 +40,47 @@
         this.shards = shards;
     }
 
-    ClientQuery read(String path, HeaderMap headers, byte[] body) throws MalformedMessageException {
-        String id = only(headers, ID);
-        if (id == null || !USABLE_ID.matcher(id).matches()) {
+    ClientQuery decode(String path, HeaderMap headers, byte[] body) throws MalformedMessageException {
+        String id = singleValue(headers, ID_HEADER);
+        if (id == null || !ID_FORMAT.matcher(id).matches()) {
             throw new MalformedMessageException("Req-Id is missing or unusable");
         }
-        String[] steps = path.split("/", 3);
-        String kind = only(headers, KIND);
-        if (kind == null || !opTypes.contains(kind) || steps.length < 2 || !steps[1].equals(kind)) {
+        String[] pathSegments = path.split("/", 3);
+        String opType = singleValue(headers, KIND_HEADER);
+        if (opType == null || !opTypes.contains(opType) || pathSegments.length < 2 || !pathSegments[1].equals(opType)) {
             throw new MalformedMessageException("Req-Kind is unknown or not the path's");
         }
-        double clientLeftMs = 1000 * deadline(only(headers, DEADLINE));
-        try (JsonParser parser = json.createParser(body)) {
-            return body(
+        double clientLeftMs = 1000 * parseDeadlineSeconds(singleValue(headers, DEADLINE_HEADER));
+        try (JsonParser parser = jsonFactory.createParser(body)) {
+            return decodeBody(
                     parser,
                     id,
-                    kind,
-                    steps.length > 2 ? steps[2] : null,
+                    opType,
+                    pathSegments.length > 2 ? pathSegments[2] : null,
                     clientLeftMs,
-                    "1".equals(headers.getFirst(RETRY)));
+                    "1".equals(headers.getFirst(RETRY_HEADER)));
         } catch (IOException e) {
             throw new MalformedMessageException("the body is no JSON of the expected form", e);
         }
     }
 
     /** The one value of this header; none where it is missing or there are several. */
-    private static String only(HeaderMap headers, HttpString name) {
+    private static String singleValue(HeaderMap headers, HttpString name) {
         return headers.count(name) == 1 ? headers.getFirst(name) : null;
     }
 
-    private static double deadline(String text) throws MalformedMessageException {
-        double seconds = text != null && SECONDS.matcher(text).matches() ? Double.parseDouble(text) : 0;
+    private static double parseDeadlineSeconds(String text) throws MalformedMessageException {
+        double seconds = text != null && SECONDS_FORMAT.matcher(text).matches() ? Double.parseDouble(text) : 0;
         if (seconds > 0) {
             return seconds;
         }
         throw new MalformedMessageException("Req-Deadline is missing or no time");
     }
 
-    private ClientQuery body(JsonParser parser, String id, String kind, String key, double clientLeftMs, boolean retry)
+    private ClientQuery decodeBody(
+            JsonParser parser, String id, String opType, String key, double clientLeftMs, boolean retry)
             throws IOException, MalformedMessageException {
-        List<ClientQuery.AskedPart> parts = null;
+        List<ClientQuery.QueriedPart> parts = null;
         String text = null;
         if (parser.nextToken() != JsonToken.START_OBJECT) {
             throw new MalformedMessageException("the body is no JSON object");
@@ -88,9 +89,9 @@
             String name = parser.currentName();
             JsonToken value = parser.nextToken();
             if (name.equals("segments") && value == JsonToken.START_ARRAY) {
-                parts = parts(parser);
+                parts = decodeParts(parser);
             } else if (name.equals("text")) {
-                text = text(parser);
+                text = decodeText(parser);
             } else {
                 parser.skipChildren();
             }
@@ -101,14 +102,14 @@
         if (parts == null || parts.isEmpty() || text == null) {
             throw new MalformedMessageException("segments or text are missing");
         }
-        if (Math.abs(parts.stream().mapToDouble(ClientQuery.AskedPart::weight).sum() - 1) > ROUNDING) {
+        if (Math.abs(parts.stream().mapToDouble(ClientQuery.QueriedPart::weight).sum() - 1) > WEIGHT_TOLERANCE) {
             throw new MalformedMessageException("the boosts of the segments do not sum up to 1");
         }
-        return new ClientQuery(id, kind, key, clientLeftMs, retry, parts, text.getBytes(StandardCharsets.UTF_8));
+        return new ClientQuery(id, opType, key, clientLeftMs, retry, parts, text.getBytes(StandardCharsets.UTF_8));
     }
 
     /** A text that is the same in UTF-8: half of a surrogate pair has no form there. */
-    private static String text(JsonParser parser) throws IOException, MalformedMessageException {
+    private static String decodeText(JsonParser parser) throws IOException, MalformedMessageException {
         String text = parser.currentToken() == JsonToken.VALUE_STRING ? parser.getText() : null;
         if (text == null || !StandardCharsets.UTF_8.newEncoder().canEncode(text)) {
             throw new MalformedMessageException("text is no text");
@@ -116,14 +117,14 @@
         return text;
     }
 
-    private static void need(boolean holds) throws MalformedMessageException {
+    private static void requireSegmentForm(boolean holds) throws MalformedMessageException {
         if (!holds) {
             throw new MalformedMessageException("a segment is not of the expected form");
         }
     }
 
-    private List<ClientQuery.AskedPart> parts(JsonParser parser) throws IOException, MalformedMessageException {
-        List<ClientQuery.AskedPart> parts = new ArrayList<>();
+    private List<ClientQuery.QueriedPart> decodeParts(JsonParser parser) throws IOException, MalformedMessageException {
+        List<ClientQuery.QueriedPart> parts = new ArrayList<>();
         BitSet seen = new BitSet(shards);
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             int shard = -1;
@@ -138,24 +139,24 @@
                 switch (name) {
                     case "segment" -> {
                         // Danger: a number with a fraction would be cut to that of another shard.
-                        need(value == JsonToken.VALUE_NUMBER_INT);
+                        requireSegmentForm(value == JsonToken.VALUE_NUMBER_INT);
                         shard = parser.getIntValue();
                     }
                     case "boost" -> weight = parser.getDoubleValue();
                     case "work" -> costMs = parser.getDoubleValue() / 1000;
-                    case "affinity" -> need(value == JsonToken.VALUE_STRING
-                            && AFFINITY.matcher(parser.getText()).matches());
+                    case "affinity" -> requireSegmentForm(value == JsonToken.VALUE_STRING
+                            && AFFINITY_FORMAT.matcher(parser.getText()).matches());
                     default -> parser.skipChildren();
                 }
             }
             if (shard < 0 || shard >= shards || seen.get(shard)) {
                 throw new MalformedMessageException("a segment does not exist or is there twice");
             }
-            if (!(weight >= 0 && weight <= 1 + ROUNDING) || !(costMs >= 0 && Double.isFinite(costMs))) {
+            if (!(weight >= 0 && weight <= 1 + WEIGHT_TOLERANCE) || !(costMs >= 0 && Double.isFinite(costMs))) {
                 throw new MalformedMessageException("a segment's boost or work is out of range");
             }
             seen.set(shard);
-            parts.add(new ClientQuery.AskedPart(shard, weight, costMs));
+            parts.add(new ClientQuery.QueriedPart(shard, weight, costMs));
         }
         return parts;
     }
--- a/node/src/main/java/spartrail/client/ClientRequest.java
+++ b/node/src/main/java/spartrail/client/ClientRequest.java
@@ -22,30 +22,30 @@
  */
 public final class ClientRequest {
     public final String id;
-    private final ClientListener door;
+    private final ClientListener listener;
     private final HttpServerExchange exchange;
     private final HttpServerConnection connection;
     /** When its last byte was read. */
     public final double arrivedMs;
 
-    private boolean over;
-    private boolean spilt;
+    private boolean finished;
+    private boolean discarding;
 
-    ClientRequest(ClientListener door, HttpServerExchange exchange, String id, double arrivedMs) {
-        this.door = door;
+    ClientRequest(ClientListener listener, HttpServerExchange exchange, String id, double arrivedMs) {
+        this.listener = listener;
         this.exchange = exchange;
         this.connection = (HttpServerConnection) exchange.getConnection();
         this.id = id;
         this.arrivedMs = arrivedMs;
     }
 
-    static StreamConnection channel(HttpServerExchange exchange) {
+    static StreamConnection channelOf(HttpServerExchange exchange) {
         return ((HttpServerConnection) exchange.getConnection()).getChannel();
     }
 
     /** Whether its client still waits for it; on the I/O thread. */
-    public boolean waited() {
-        return !over;
+    public boolean isClientWaiting() {
+        return !finished;
     }
 
     /**
@@ -54,57 +54,57 @@
      */
     void watchClient() {
         StreamSourceConduit source = connection.getOriginalSourceConduit();
-        connection.getChannel().getSourceChannel().setReadListener(channel -> readable(source));
+        connection.getChannel().getSourceChannel().setReadListener(channel -> onReadable(source));
         source.resumeReads();
     }
 
-    private void readable(StreamSourceConduit source) {
-        if (over) {
+    private void onReadable(StreamSourceConduit source) {
+        if (finished) {
             source.suspendReads();
             return;
         }
         try {
-            ByteBuffer buffer = door.buffer();
-            int got = source.read(buffer);
-            if (got < 0) {
-                left();
-            } else if (got > 0) {
-                keep(buffer.flip());
+            ByteBuffer buffer = listener.scratchBuffer();
+            int count = source.read(buffer);
+            if (count < 0) {
+                onDisconnect();
+            } else if (count > 0) {
+                bufferPipelined(buffer.flip());
             }
         } catch (IOException e) {
-            left();
+            onDisconnect();
         }
     }
 
-    private void keep(ByteBuffer ahead) {
+    private void bufferPipelined(ByteBuffer pipelined) {
         PooledByteBuffer before = connection.getExtraBytes();
-        if (spilt || !door.keeps(exchange, ahead.remaining())) {
-            spilt = true;
-        } else if (before instanceof PipelinedRequests kept) {
-            spilt = !kept.add(ahead);
+        if (discarding || !listener.reservePipelined(exchange, pipelined.remaining())) {
+            discarding = true;
+        } else if (before instanceof PipelinedRequests buffered) {
+            discarding = !buffered.append(pipelined);
         } else if (before == null) {
-            connection.setExtraBytes(new PipelinedRequests(ahead));
+            connection.setExtraBytes(new PipelinedRequests(pipelined));
         } else {
-            PipelinedRequests kept = new PipelinedRequests(before.getBuffer());
+            PipelinedRequests buffered = new PipelinedRequests(before.getBuffer());
             before.close();
-            spilt = !kept.add(ahead);
-            connection.setExtraBytes(kept);
+            discarding = !buffered.append(pipelined);
+            connection.setExtraBytes(buffered);
         }
     }
 
-    private void left() {
-        over = true;
+    private void onDisconnect() {
+        finished = true;
         IoUtils.safeClose(connection);
-        door.onClientGone(this);
+        listener.onClientGone(this);
     }
 
     /** The final answer; the first one counts. */
-    public void answer(ClientResponse reply) {
-        if (over) {
+    public void respond(ClientResponse response) {
+        if (finished) {
             return;
         }
-        over = true;
+        finished = true;
         connection.getOriginalSourceConduit().suspendReads();
-        door.send(exchange, reply, spilt);
+        listener.sendResponse(exchange, response, discarding);
     }
 }
--- a/node/src/main/java/spartrail/client/ClientResponse.java
+++ b/node/src/main/java/spartrail/client/ClientResponse.java
@@ -15,11 +15,11 @@
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    public static ClientResponse returned(boolean whole, List<Value> values) {
+    public static ClientResponse success(boolean complete, List<Value> values) {
         ByteArrayOutputStream body = new ByteArrayOutputStream(64 + 48 * values.size());
         try (JsonGenerator json = JSON.createGenerator(body)) {
             json.writeStartObject();
-            json.writeBooleanField("all_in", whole);
+            json.writeBooleanField("all_in", complete);
             json.writeArrayFieldStart("matches");
             for (Value value : values) {
                 json.writeStartObject();
@@ -36,22 +36,22 @@
     }
 
     /** Trying again is harmless; a comeback time of 0 is none. */
-    public static ClientResponse pushedBack(double comebackMs) {
+    public static ClientResponse rejected(double retryAfterMs) {
         return new ClientResponse(
                 503,
-                comebackMs > 0 ? String.format(Locale.ROOT, "%.3f", comebackMs / 1000) : null,
-                text("pushed back"));
+                retryAfterMs > 0 ? String.format(Locale.ROOT, "%.3f", retryAfterMs / 1000) : null,
+                textBody("pushed back"));
     }
 
-    public static ClientResponse failed() {
-        return new ClientResponse(500, null, text("failed"));
+    public static ClientResponse failure() {
+        return new ClientResponse(500, null, textBody("failed"));
     }
 
-    static ClientResponse unusable(int status, String why) {
-        return new ClientResponse(status, null, text(why));
+    static ClientResponse malformed(int status, String problem) {
+        return new ClientResponse(status, null, textBody(problem));
     }
 
-    private static byte[] text(String text) {
+    private static byte[] textBody(String text) {
         return (text + '\n').getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/node/src/main/java/spartrail/client/LingeringClose.java
+++ b/node/src/main/java/spartrail/client/LingeringClose.java
@@ -23,28 +23,28 @@
  */
 final class LingeringClose {
     /** A client that reads what it was sent needs no longer, and none may hold a descriptor for longer. */
-    private static final long LONGEST_MS = 1000;
+    private static final long TIMEOUT_MS = 1000;
     /** More than any request; who sends on is not read any more. */
-    private static final long MOST_BYTES = 256 * 1024;
+    private static final long MAX_DISCARDED_BYTES = 256 * 1024;
 
     private final StreamConnection connection;
     private final StreamSourceConduit source;
-    private final ByteBuffer thrownAway;
-    private final XnioExecutor.Key timer;
-    private long bytes;
+    private final ByteBuffer discardBuffer;
+    private final XnioExecutor.Key timeout;
+    private long discardedBytes;
 
-    private LingeringClose(StreamConnection connection, StreamSourceConduit source, ByteBuffer thrownAway) {
+    private LingeringClose(StreamConnection connection, StreamSourceConduit source, ByteBuffer discardBuffer) {
         this.connection = connection;
         this.source = source;
-        this.thrownAway = thrownAway;
-        timer = connection
+        this.discardBuffer = discardBuffer;
+        timeout = connection
                 .getIoThread()
-                .executeAfter(() -> IoUtils.safeClose(connection), LONGEST_MS, TimeUnit.MILLISECONDS);
+                .executeAfter(() -> IoUtils.safeClose(connection), TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Ends a connection by its own conduits, of which nothing else makes use any more. */
     static void begin(
-            StreamConnection connection, StreamSinkConduit sink, StreamSourceConduit source, ByteBuffer thrownAway) {
+            StreamConnection connection, StreamSinkConduit sink, StreamSourceConduit source, ByteBuffer discardBuffer) {
         try {
             sink.suspendWrites();
             sink.terminateWrites();
@@ -53,21 +53,21 @@
             IoUtils.safeClose(connection);
             return;
         }
-        LingeringClose end = new LingeringClose(connection, source, thrownAway);
-        connection.getSourceChannel().setReadListener(channel -> end.readable());
+        LingeringClose lingering = new LingeringClose(connection, source, discardBuffer);
+        connection.getSourceChannel().setReadListener(channel -> lingering.onReadable());
         source.resumeReads();
-        end.readable();
+        lingering.onReadable();
     }
 
-    private void readable() {
+    private void onReadable() {
         try {
-            int got = 0;
-            while (bytes < MOST_BYTES && (got = source.read(thrownAway.clear())) > 0) {
-                bytes += got;
+            int count = 0;
+            while (discardedBytes < MAX_DISCARDED_BYTES && (count = source.read(discardBuffer.clear())) > 0) {
+                discardedBytes += count;
             }
-            if (got < 0) {
+            if (count < 0) {
                 close();
-            } else if (bytes >= MOST_BYTES) {
+            } else if (discardedBytes >= MAX_DISCARDED_BYTES) {
                 source.suspendReads();
             }
         } catch (IOException e) {
@@ -76,7 +76,7 @@
     }
 
     private void close() {
-        timer.remove();
+        timeout.remove();
         IoUtils.safeClose(connection);
     }
 }
--- a/node/src/main/java/spartrail/client/PipelinedRequests.java
+++ b/node/src/main/java/spartrail/client/PipelinedRequests.java
@@ -5,24 +5,24 @@
 
 /** What a client has sent behind a request that is still in hand, for its next one; as much as a request may have. */
 final class PipelinedRequests implements PooledByteBuffer {
-    static final int MOST_BYTES = 80 * 1024;
+    static final int MAX_BYTES = 80 * 1024;
 
     private ByteBuffer bytes;
 
-    PipelinedRequests(ByteBuffer before) {
-        bytes = ByteBuffer.allocate(Math.max(1024, before.remaining()))
-                .put(before)
+    PipelinedRequests(ByteBuffer first) {
+        bytes = ByteBuffer.allocate(Math.max(1024, first.remaining()))
+                .put(first)
                 .flip();
     }
 
     /** Keeps these too; false if they are more than it may keep. */
-    boolean add(ByteBuffer more) {
+    boolean append(ByteBuffer more) {
         int needed = bytes.remaining() + more.remaining();
-        if (needed > MOST_BYTES) {
+        if (needed > MAX_BYTES) {
             return false;
         }
         if (needed > bytes.capacity()) {
-            bytes = ByteBuffer.allocate(Math.min(MOST_BYTES, Math.max(needed, 2 * bytes.capacity())))
+            bytes = ByteBuffer.allocate(Math.min(MAX_BYTES, Math.max(needed, 2 * bytes.capacity())))
                     .put(bytes)
                     .flip();
         }
--- a/node/src/main/java/spartrail/record/MultigetRecord.java
+++ b/node/src/main/java/spartrail/record/MultigetRecord.java
@@ -113,19 +113,19 @@
             generator.writeStringField("opType", ask.opType());
             generator.writeStringField("key", ask.key() == null ? "" : ask.key());
             generator.writeArrayFieldStart("shards");
-            for (ClientQuery.AskedPart part : ask.parts()) {
+            for (ClientQuery.QueriedPart part : ask.parts()) {
                 generator.writeNumber(part.shard());
             }
             generator.writeEndArray();
             generator.writeArrayFieldStart("weights");
-            for (ClientQuery.AskedPart part : ask.parts()) {
+            for (ClientQuery.QueriedPart part : ask.parts()) {
                 generator.writeNumber(part.weight());
             }
             generator.writeEndArray();
             generator.writeNumberField(
                     "workMs",
                     ask.parts().stream()
-                            .mapToDouble(ClientQuery.AskedPart::costMs)
+                            .mapToDouble(ClientQuery.QueriedPart::costMs)
                             .average()
                             .orElse(0));
             generator.writeNumberField("textBytes", ask.text().length);
--- a/node/src/test/java/spartrail/client/ClientListenerTest.java
+++ b/node/src/test/java/spartrail/client/ClientListenerTest.java
@@ -28,7 +28,7 @@
 import spartrail.model.NodeClock;
 
 class ClientListenerTest {
-    private static int descriptors() {
+    private static int openDescriptors() {
         String[] open = new File("/proc/self/fd").list();
         return open == null ? 0 : open.length;
     }
@@ -43,7 +43,7 @@
         worker.shutdown();
     }
 
-    private ClientListener door(int mostConnections) throws IOException {
+    private ClientListener listen(int mostConnections) throws IOException {
         return new ClientListener(
                 worker,
                 new DefaultByteBufferPool(true, 1024),
@@ -81,7 +81,7 @@
     }
 
     /** The next request that the door has taken; none is a failure, not a wait without end. */
-    private ClientRequest taken() throws InterruptedException {
+    private ClientRequest nextRequest() throws InterruptedException {
         ClientRequest next = asked.poll(20, TimeUnit.SECONDS);
         assertThat(next).as("a request taken").isNotNull();
         return next;
@@ -98,7 +98,7 @@
                     + "Content-Length: " + BODY.length() + "\r\n\r\n" + BODY;
 
     /** All that comes on this connection up to its end; a reset is an exception. */
-    private static String rest(Socket socket) throws IOException {
+    private static String readToEnd(Socket socket) throws IOException {
         socket.setSoTimeout(20_000);
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII)
                 .replaceAll("(?s)\r\n.*\r\n\r\n", " ");
@@ -110,11 +110,12 @@
      */
     @Test
     void whatCrossesTheShuttingIsAnsweredOrEndedWithoutAReset() throws Exception {
-        ClientListener door = door(16);
-        io(door::open);
+        ClientListener listener = listen(16);
+        io(listener::startAccepting);
         Socket[] clients = new Socket[4];
         for (int i = 0; i < clients.length; i++) {
-            clients[i] = new Socket(door.address().getAddress(), door.address().getPort());
+            clients[i] = new Socket(
+                    listener.address().getAddress(), listener.address().getPort());
             send(clients[i], UP);
             assertThat(clients[i].getInputStream().readNBytes(12)).endsWith("503".getBytes(StandardCharsets.US_ASCII));
             while (clients[i].getInputStream().available() > 0) {
@@ -123,28 +124,29 @@
         }
         send(clients[1], ASK.substring(0, 40));
         send(clients[2], ASK);
-        Map<String, ClientRequest> taken = new TreeMap<>(Map.of("in hand", taken()));
+        Map<String, ClientRequest> taken = new TreeMap<>(Map.of("in hand", nextRequest()));
         io(() -> {});
         Socket[] late = new Socket[1];
         io(() -> {
             send(clients[0], ASK.replace("Req-Id: a", "Req-Id: crossing"));
-            late[0] = new Socket(door.address().getAddress(), door.address().getPort());
+            late[0] = new Socket(
+                    listener.address().getAddress(), listener.address().getPort());
             send(late[0], ASK.replace("Req-Id: a", "Req-Id: new"));
-            door.shut();
+            listener.beginShutdown();
         });
-        assertThat(rest(clients[3])).as("resting").isEmpty();
+        assertThat(readToEnd(clients[3])).as("resting").isEmpty();
         send(clients[1], ASK.substring(40));
         for (int i = 0; i < 3; i++) {
-            ClientRequest next = taken();
+            ClientRequest next = nextRequest();
             taken.put(next.id, next);
         }
         assertThat(taken.keySet()).containsExactly("a", "crossing", "in hand", "new");
         io(() -> {
             send(clients[2], ASK.replace("Req-Id: a", "Req-Id: behind"));
-            taken.values().forEach(request -> request.answer(ClientResponse.failed()));
+            taken.values().forEach(request -> request.respond(ClientResponse.failure()));
         });
         for (Socket client : List.of(clients[0], clients[1], clients[2], late[0])) {
-            assertThat(rest(client)).isEqualTo("HTTP/1.1 500 Internal Server Error failed\n");
+            assertThat(readToEnd(client)).isEqualTo("HTTP/1.1 500 Internal Server Error failed\n");
             client.close();
         }
         assertThat(asked)
@@ -153,42 +155,43 @@
         clients[3].close();
         for (boolean ended = false; !ended; ) {
             CompletableFuture<Boolean> seen = new CompletableFuture<>();
-            io(() -> seen.complete(door.ended()));
+            io(() -> seen.complete(listener.stopIfDisconnected()));
             ended = seen.get();
         }
     }
 
     @Test
     void anAnswerThatWasOnItsWayWhenTheDoorShutIsTheLastOfItsConnection() throws Exception {
-        ClientListener door = door(16);
-        io(door::open);
+        ClientListener listener = listen(16);
+        io(listener::startAccepting);
         Socket client = new Socket();
         client.setReceiveBufferSize(2048);
-        client.connect(door.address());
+        client.connect(listener.address());
         send(client, ASK);
-        ClientRequest inHand = taken();
+        ClientRequest inHand = nextRequest();
         byte[] value = new byte[16_000_000];
         Arrays.fill(value, (byte) 'v');
         io(() -> {
-            inHand.answer(ClientResponse.returned(true, List.of(new ClientResponse.Value(0, value))));
-            door.shut();
+            inHand.respond(ClientResponse.success(true, List.of(new ClientResponse.Value(0, value))));
+            listener.beginShutdown();
         });
-        assertThat(rest(client)).hasSizeGreaterThan(value.length);
+        assertThat(readToEnd(client)).hasSizeGreaterThan(value.length);
         client.close();
     }
 
     /** A paused process finds the rest of a request in the socket, and its own time for it over. */
     @Test
     void whatCameDuringAPauseIsReadBeforeItsConnectionIsClosedForSlowness() throws Exception {
-        ClientListener door = door(16);
-        io(door::open);
+        ClientListener listener = listen(16);
+        io(listener::startAccepting);
         int[] cuts = {0, 60, ASK.length() - 5};
         Socket[] clients = new Socket[cuts.length];
         for (int i = 0; i < cuts.length; i++) {
-            clients[i] = new Socket(door.address().getAddress(), door.address().getPort());
+            clients[i] = new Socket(
+                    listener.address().getAddress(), listener.address().getPort());
             send(clients[i], ASK.substring(0, cuts[i]));
         }
-        while (door.size() < cuts.length) {
+        while (listener.connectionCount() < cuts.length) {
             io(() -> {});
         }
         io(() -> {
@@ -200,7 +203,7 @@
             }
         });
         for (int i = 0; i < cuts.length; i++) {
-            taken();
+            nextRequest();
             clients[i].close();
         }
     }
@@ -208,11 +211,11 @@
     /** Danger: with part of a core the I/O thread is long in coming, and nobody turns out whom the others accept. */
     @Test
     void aCrowdTakesNoMoreDescriptorsThanItsShareWhileTheNodeIsBusy() throws Exception {
-        ClientListener door = door(16);
+        ClientListener listener = listen(16);
         CountDownLatch open = new CountDownLatch(1);
         CountDownLatch free = new CountDownLatch(1);
         worker.getIoThread().execute(() -> {
-            door.open();
+            listener.startAccepting();
             open.countDown();
             try {
                 free.await();
@@ -221,13 +224,14 @@
             }
         });
         open.await();
-        int before = descriptors();
+        int before = openDescriptors();
         List<Socket> crowd = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            crowd.add(new Socket(door.address().getAddress(), door.address().getPort()));
+            crowd.add(new Socket(
+                    listener.address().getAddress(), listener.address().getPort()));
         }
         for (int looks = 0; looks < 50; looks++) {
-            assertThat(descriptors() - before - crowd.size())
+            assertThat(openDescriptors() - before - crowd.size())
                     .as("connections accepted")
                     .isLessThanOrEqualTo(24);
             TimeUnit.MILLISECONDS.sleep(10);
@@ -239,6 +243,6 @@
         for (Socket socket : crowd) {
             socket.close();
         }
-        worker.getIoThread().execute(door::close);
+        worker.getIoThread().execute(listener::close);
     }
 }
--- a/node/src/test/java/spartrail/record/MultigetRecordTest.java
+++ b/node/src/test/java/spartrail/record/MultigetRecordTest.java
@@ -21,7 +21,7 @@
                 key,
                 1500,
                 false,
-                List.of(new ClientQuery.AskedPart(3, 0.25, 2), new ClientQuery.AskedPart(0, 0.75, 4)),
+                List.of(new ClientQuery.QueriedPart(3, 0.25, 2), new ClientQuery.QueriedPart(0, 0.75, 4)),
                 "text".getBytes(StandardCharsets.UTF_8));
     }
 
