--- a/node/src/main/java/spartrail/shard/PartBatch.java
+++ b/node/src/main/java/spartrail/shard/PartBatch.java
@@ -11,7 +11,7 @@
 
     PartBatch(List<PartRequest> parts) {
         this.parts = new ArrayList<>(parts);
-        parts.forEach(part -> part.call = this);
+        parts.forEach(part -> part.batch = this);
         this.decidedMs =
                 parts.stream().mapToDouble(part -> part.attempt.sentMs).min().orElse(0);
     }
--- a/node/src/main/java/spartrail/shard/PartRequest.java
+++ b/node/src/main/java/spartrail/shard/PartRequest.java
@@ -7,8 +7,8 @@
 public final class PartRequest {
     /** How far it has come. */
     enum Stage {
-        WAITING,
-        BEGUN,
+        QUEUED,
+        WRITING,
         WRITTEN,
         ENDED
     }
@@ -18,33 +18,34 @@
     final int shard;
     final byte[] text;
     /** Until when this node waits for the answer. */
-    final double untilMs;
+    final double answerByMs;
     /** Until when its frame may begin. */
-    final double leaveByMs;
+    final double beginByMs;
     /** Whether its client is still there; asked on the I/O thread. */
-    final BooleanSupplier wanted;
+    final BooleanSupplier clientWaiting;
 
-    Stage stage = Stage.WAITING;
-    double givenMs;
+    Stage stage = Stage.QUEUED;
+    double queuedMs;
     ShardConnection connection;
-    PartBatch call;
+    PartBatch batch;
 
-    public PartRequest(Attempt attempt, String id, int shard, byte[] text, double untilMs, BooleanSupplier wanted) {
+    public PartRequest(
+            Attempt attempt, String id, int shard, byte[] text, double answerByMs, BooleanSupplier clientWaiting) {
         this.attempt = attempt;
         this.id = id;
         this.shard = shard;
         this.text = text;
-        this.untilMs = untilMs;
-        this.leaveByMs = Math.min(untilMs, attempt.leaveByMs);
-        this.wanted = wanted;
+        this.answerByMs = answerByMs;
+        this.beginByMs = Math.min(answerByMs, attempt.leaveByMs);
+        this.clientWaiting = clientWaiting;
     }
 
     /**
      * Danger: between decision and frame a connection may come up late, a write may be blocked, the process may stand
      * still; what was right when it was decided need not be so now.
      */
-    boolean mayLeave(double nowMs) {
-        return nowMs <= leaveByMs && wanted.getAsBoolean();
+    boolean mayBegin(double nowMs) {
+        return nowMs <= beginByMs && clientWaiting.getAsBoolean();
     }
 
     public Attempt attempt() {
--- a/node/src/main/java/spartrail/shard/ShardConnection.java
+++ b/node/src/main/java/spartrail/shard/ShardConnection.java
@@ -44,50 +44,50 @@
 final class ShardConnection {
     private final ShardPool pool;
     private final InetSocketAddress address;
-    private final Deque<PartBatch> waiting = new ArrayDeque<>();
-    private final Deque<ByteBuffer> giveUps = new ArrayDeque<>();
+    private final Deque<PartBatch> queuedBatches = new ArrayDeque<>();
+    private final Deque<ByteBuffer> cancellationFrames = new ArrayDeque<>();
     /** The call whose frame is being written, and what is left of the frame; no call for a frame that gives up. */
-    private PartBatch writing;
+    private PartBatch currentBatch;
 
-    private ByteBuffer left;
-    private final Map<String, PartRequest> out = new HashMap<>();
+    private ByteBuffer currentFrame;
+    private final Map<String, PartRequest> awaitingResponse = new HashMap<>();
     /** The parts that were last out and are no longer, at most as many as may be out. */
-    private final Set<String> settled = new LinkedHashSet<>();
+    private final Set<String> recentlyEnded = new LinkedHashSet<>();
     /** When a frame that has begun should long be there whole. */
-    private XnioExecutor.Key lateFrame;
+    private XnioExecutor.Key partialFrameTimeout;
 
-    private final ShardFrameCodec.Reader frames = new ShardFrameCodec.Reader();
+    private final ShardFrameCodec.Decoder decoder = new ShardFrameCodec.Decoder();
 
-    private final IoFuture<StreamConnection> opening;
-    private final XnioExecutor.Key openTimer;
+    private final IoFuture<StreamConnection> connecting;
+    private final XnioExecutor.Key connectTimeout;
     private StreamConnection connection;
     private boolean closed;
-    private double usedMs;
-    private double readMs;
+    private double lastUsedMs;
+    private double lastReadMs;
     /** It gets no further calls, and goes once nothing is out on it. */
-    private boolean retired;
+    private boolean draining;
 
     ShardConnection(ShardPool pool, InetSocketAddress address) {
         this.pool = pool;
         this.address = address;
-        this.usedMs = pool.clock.nowMs();
+        this.lastUsedMs = pool.clock.nowMs();
         // Danger: a machine that vanished says nothing, and what waits for its connection would wait on.
-        openTimer = pool.io.executeAfter(
+        connectTimeout = pool.io.executeAfter(
                 () -> {
                     if (connection == null) {
-                        end("no connection in time");
+                        close("no connection in time");
                     }
                 },
-                Math.round(pool.bounds.connectTimeoutMs()),
+                Math.round(pool.settings.connectTimeoutMs()),
                 TimeUnit.MILLISECONDS);
-        opening = pool.io.openStreamConnection(address, null, OptionMap.create(Options.TCP_NODELAY, true));
-        opening.addNotifier((future, attachment) -> pool.io.execute(() -> opened(future)), null);
+        connecting = pool.io.openStreamConnection(address, null, OptionMap.create(Options.TCP_NODELAY, true));
+        connecting.addNotifier((future, attachment) -> pool.io.execute(() -> onConnected(future)), null);
     }
 
-    private void opened(IoFuture<? extends StreamConnection> future) {
-        openTimer.remove();
+    private void onConnected(IoFuture<? extends StreamConnection> future) {
+        connectTimeout.remove();
         if (future.getStatus() != IoFuture.Status.DONE) {
-            end("cannot connect");
+            close("cannot connect");
             return;
         }
         try {
@@ -97,12 +97,12 @@
                 return;
             }
             connection = opened;
-            connection.getSourceChannel().setReadListener(this::readable);
+            connection.getSourceChannel().setReadListener(this::onReadable);
             connection.getSinkChannel().setWriteListener(channel -> write());
             connection.getSourceChannel().resumeReads();
             write();
         } catch (IOException e) {
-            end("cannot connect");
+            close("cannot connect");
         }
     }
 
@@ -110,60 +110,60 @@
      * Whether it still leads to the server, as far as the system has heard. Danger: a server's own close waits in the
      * socket, and a frame written behind it is reset and may have run.
      */
-    boolean alive() {
+    boolean isAlive() {
         if (connection != null && !closed && load() == 0) {
-            readable(connection.getSourceChannel());
+            onReadable(connection.getSourceChannel());
         }
         return !closed;
     }
 
     /** Parts that it has in hand, of the number that it may carry. */
     int load() {
-        int load = out.size();
-        for (PartBatch call : waiting) {
-            load += call.parts.size();
+        int load = awaitingResponse.size();
+        for (PartBatch batch : queuedBatches) {
+            load += batch.parts.size();
         }
-        if (writing != null) {
-            for (PartRequest part : writing.parts) {
-                load += part.stage == PartRequest.Stage.BEGUN ? 1 : 0;
+        if (currentBatch != null) {
+            for (PartRequest part : currentBatch.parts) {
+                load += part.stage == PartRequest.Stage.WRITING ? 1 : 0;
             }
         }
         return load;
     }
 
-    boolean idleSince(double ms) {
-        return load() == 0 && left == null && giveUps.isEmpty() && usedMs < ms;
+    boolean isIdleSince(double ms) {
+        return load() == 0 && currentFrame == null && cancellationFrames.isEmpty() && lastUsedMs < ms;
     }
 
-    void send(PartBatch call) {
-        usedMs = pool.clock.nowMs();
-        for (PartRequest part : call.parts) {
+    void enqueue(PartBatch batch) {
+        lastUsedMs = pool.clock.nowMs();
+        for (PartRequest part : batch.parts) {
             part.connection = this;
-            part.givenMs = usedMs;
+            part.queuedMs = lastUsedMs;
         }
-        waiting.add(call);
+        queuedBatches.add(batch);
         write();
     }
 
-    boolean takes(int parts, int most) {
-        return !retired && load() + parts <= most;
+    boolean hasCapacityFor(int parts, int limit) {
+        return !draining && load() + parts <= limit;
     }
 
-    void retire() {
-        retired = true;
-        goIfDone();
+    void drain() {
+        draining = true;
+        closeIfDrained();
     }
 
     /** Not at once: the part that is being taken back has its end first. */
-    private void goWhenDone() {
-        if (retired) {
-            pool.io.execute(this::goIfDone);
+    private void closeLaterIfDrained() {
+        if (draining) {
+            pool.io.execute(this::closeIfDrained);
         }
     }
 
-    private void goIfDone() {
-        if (retired && load() == 0) {
-            end(null);
+    private void closeIfDrained() {
+        if (draining && load() == 0) {
+            close(null);
         }
     }
 
@@ -171,30 +171,30 @@
     boolean withdraw(PartRequest part, boolean timedOut) {
         // Danger: a connection that no longer leads anywhere says nothing, and would swallow all that comes
         // after. One that was silent for the whole wait for a part gets no more.
-        retired |= timedOut && connection != null && readMs < part.givenMs;
-        if (part.stage == PartRequest.Stage.WAITING) {
-            part.call.parts.remove(part);
-            if (part.call.parts.isEmpty()) {
-                waiting.remove(part.call);
+        draining |= timedOut && connection != null && lastReadMs < part.queuedMs;
+        if (part.stage == PartRequest.Stage.QUEUED) {
+            part.batch.parts.remove(part);
+            if (part.batch.parts.isEmpty()) {
+                queuedBatches.remove(part.batch);
             }
-            goWhenDone();
+            closeLaterIfDrained();
             return true;
         }
-        out.remove(part.id, part);
-        settle(part.id);
-        if (pool.bounds.cancelling() && !closed) {
-            giveUps.add(ShardFrameCodec.giveUp(part.id));
+        awaitingResponse.remove(part.id, part);
+        rememberEnded(part.id);
+        if (pool.settings.cancelling() && !closed) {
+            cancellationFrames.add(ShardFrameCodec.encodeCancellation(part.id));
             write();
         }
-        goWhenDone();
+        closeLaterIfDrained();
         return false;
     }
 
     /** Whatever has not begun to leave goes back unsent. */
-    void dropWaiting() {
-        List<PartBatch> calls = new ArrayList<>(waiting);
-        waiting.clear();
-        calls.forEach(call -> List.copyOf(call.parts).forEach(part -> pool.ended(part, Outcome.NOT_SENT, null)));
+    void dropQueued() {
+        List<PartBatch> batches = new ArrayList<>(queuedBatches);
+        queuedBatches.clear();
+        batches.forEach(batch -> List.copyOf(batch.parts).forEach(part -> pool.endPart(part, Outcome.NOT_SENT, null)));
     }
 
     /** Writes on where it may. */
@@ -204,28 +204,28 @@
         }
         ConduitStreamSinkChannel sink = connection.getSinkChannel();
         try {
-            while (nextFrame()) {
-                if (writing != null && left.position() > 0 && late(writing)) {
+            while (prepareNextFrame()) {
+                if (currentBatch != null && currentFrame.position() > 0 && isAnyPartLate(currentBatch)) {
                     // Danger: the rest of a frame leaves when a server reads again, long after what it was decided for.
-                    end("a frame stopped half-way until it could no longer leave");
+                    close("a frame stopped half-way until it could no longer leave");
                     return;
                 }
-                sink.write(left);
-                if (left.hasRemaining()) {
-                    unbegin();
+                sink.write(currentFrame);
+                if (currentFrame.hasRemaining()) {
+                    requeueUnbegun();
                     sink.resumeWrites();
                     return;
                 }
-                left = null;
-                usedMs = pool.clock.nowMs();
-                if (writing != null) {
-                    for (PartRequest part : writing.parts) {
-                        if (part.stage == PartRequest.Stage.BEGUN) {
+                currentFrame = null;
+                lastUsedMs = pool.clock.nowMs();
+                if (currentBatch != null) {
+                    for (PartRequest part : currentBatch.parts) {
+                        if (part.stage == PartRequest.Stage.WRITING) {
                             part.stage = PartRequest.Stage.WRITTEN;
-                            out.put(part.id, part);
+                            awaitingResponse.put(part.id, part);
                         }
                     }
-                    writing = null;
+                    currentBatch = null;
                 }
             }
             if (!sink.flush()) {
@@ -234,76 +234,78 @@
                 sink.suspendWrites();
             }
         } catch (IOException e) {
-            end("broken while writing");
+            close("broken while writing");
         }
     }
 
-    private boolean late(PartBatch call) {
-        return call.parts.stream().anyMatch(part -> pool.clock.nowMs() > part.leaveByMs);
+    private boolean isAnyPartLate(PartBatch batch) {
+        return batch.parts.stream().anyMatch(part -> pool.clock.nowMs() > part.beginByMs);
     }
 
     /** A call of which no byte has left has not begun. */
-    private void unbegin() {
-        if (writing != null && left.position() == 0) {
-            writing.parts.removeIf(part -> part.stage != PartRequest.Stage.BEGUN);
-            writing.parts.forEach(part -> part.stage = PartRequest.Stage.WAITING);
-            if (!writing.parts.isEmpty()) {
-                waiting.addFirst(writing);
+    private void requeueUnbegun() {
+        if (currentBatch != null && currentFrame.position() == 0) {
+            currentBatch.parts.removeIf(part -> part.stage != PartRequest.Stage.WRITING);
+            currentBatch.parts.forEach(part -> part.stage = PartRequest.Stage.QUEUED);
+            if (!currentBatch.parts.isEmpty()) {
+                queuedBatches.addFirst(currentBatch);
             }
-            writing = null;
-            left = null;
+            currentBatch = null;
+            currentFrame = null;
         }
     }
 
     /** Begins the next frame if none is being written. */
-    private boolean nextFrame() {
-        if (left != null) {
+    private boolean prepareNextFrame() {
+        if (currentFrame != null) {
             return true;
         }
-        left = giveUps.poll();
-        while (left == null && !waiting.isEmpty() && pool.mayBegin(waiting.peek())) {
-            PartBatch call = waiting.poll();
+        currentFrame = cancellationFrames.poll();
+        while (currentFrame == null && !queuedBatches.isEmpty() && pool.mayBeginFrame(queuedBatches.peek())) {
+            PartBatch batch = queuedBatches.poll();
             double nowMs = pool.clock.nowMs();
-            List<PartRequest> stay =
-                    call.parts.stream().filter(part -> !part.mayLeave(nowMs)).toList();
-            call.parts.removeAll(stay);
-            stay.forEach(part -> pool.ended(part, Outcome.NOT_SENT, null));
-            if (!call.parts.isEmpty()) {
-                writing = call;
-                call.parts.forEach(part -> part.stage = PartRequest.Stage.BEGUN);
-                left = ShardFrameCodec.call(call.parts, nowMs);
+            List<PartRequest> expired =
+                    batch.parts.stream().filter(part -> !part.mayBegin(nowMs)).toList();
+            batch.parts.removeAll(expired);
+            expired.forEach(part -> pool.endPart(part, Outcome.NOT_SENT, null));
+            if (!batch.parts.isEmpty()) {
+                currentBatch = batch;
+                batch.parts.forEach(part -> part.stage = PartRequest.Stage.WRITING);
+                currentFrame = ShardFrameCodec.encodeBatch(batch.parts, nowMs);
             }
         }
-        return left != null;
+        return currentFrame != null;
     }
 
-    private void readable(ConduitStreamSourceChannel source) {
+    private void onReadable(ConduitStreamSourceChannel source) {
         try {
-            boolean whole = false;
+            boolean completed = false;
             while (!closed) {
                 ByteBuffer buffer = pool.readBuffer.clear();
-                int got = source.read(buffer);
-                if (got < 0) {
-                    end("closed by the server");
-                } else if (got == 0) {
+                int count = source.read(buffer);
+                if (count < 0) {
+                    close("closed by the server");
+                } else if (count == 0) {
                     break;
                 } else {
-                    frames.take(buffer.flip());
-                    for (ShardFrameCodec.Answer answer = frames.next(); answer != null; answer = frames.next()) {
-                        answered(answer);
-                        whole = true;
+                    decoder.append(buffer.flip());
+                    for (ShardFrameCodec.PartResponse response = decoder.nextResponse();
+                            response != null;
+                            response = decoder.nextResponse()) {
+                        onResponse(response);
+                        completed = true;
                     }
-                    goIfDone();
+                    closeIfDrained();
                 }
             }
-            awaitRest(source, whole);
+            checkPartialFrame(source, completed);
         } catch (MalformedMessageException e) {
-            garbled(e.getMessage());
+            closeMalformed(e.getMessage());
         } catch (IOException e) {
-            end("broken");
+            close("broken");
         } catch (RuntimeException e) {
             pool.log(System.Logger.Level.ERROR, "server " + address + ": connection closed after exception " + e);
-            end(null);
+            close(null);
         }
     }
 
@@ -312,54 +314,55 @@
      * frame that announces more than comes swallows all answers behind it; what is behind a good answer becomes
      * the head of the next one.
      */
-    private void awaitRest(ConduitStreamSourceChannel source, boolean whole) throws MalformedMessageException {
-        boolean partial = !closed && frames.partial();
+    private void checkPartialFrame(ConduitStreamSourceChannel source, boolean completed)
+            throws MalformedMessageException {
+        boolean partial = !closed && decoder.hasPartialFrame();
         if (partial && load() == 0) {
             throw new MalformedMessageException("more than was asked for");
         }
-        if (lateFrame != null && (whole || !partial)) {
-            lateFrame.remove();
-            lateFrame = null;
+        if (partialFrameTimeout != null && (completed || !partial)) {
+            partialFrameTimeout.remove();
+            partialFrameTimeout = null;
         }
-        if (partial && lateFrame == null) {
-            lateFrame = pool.io.executeAfter(
+        if (partial && partialFrameTimeout == null) {
+            partialFrameTimeout = pool.io.executeAfter(
                     () -> {
                         // Danger: of a node that stood still the rest may wait in the socket.
-                        XnioExecutor.Key due = lateFrame;
-                        readable(source);
-                        if (!closed && lateFrame == due) {
-                            garbled("a frame that does not end");
+                        XnioExecutor.Key timeout = partialFrameTimeout;
+                        onReadable(source);
+                        if (!closed && partialFrameTimeout == timeout) {
+                            closeMalformed("a frame that does not end");
                         }
                     },
-                    Math.round(pool.bounds.connectTimeoutMs()),
+                    Math.round(pool.settings.connectTimeoutMs()),
                     TimeUnit.MILLISECONDS);
         }
     }
 
-    private void answered(ShardFrameCodec.Answer answer) throws MalformedMessageException {
-        usedMs = pool.clock.nowMs();
-        readMs = usedMs;
-        PartRequest part = out.remove(answer.id());
+    private void onResponse(ShardFrameCodec.PartResponse response) throws MalformedMessageException {
+        lastUsedMs = pool.clock.nowMs();
+        lastReadMs = lastUsedMs;
+        PartRequest part = awaitingResponse.remove(response.id());
         if (part == null) {
             // Late or doubled answers concern nobody any more; another is the spoilt one of a part that is out.
-            if (!settled.contains(answer.id())) {
+            if (!recentlyEnded.contains(response.id())) {
                 throw new MalformedMessageException("an answer for a part that was not asked for");
             }
             return;
         }
-        settle(part.id);
-        switch (answer.end()) {
-            case OK -> pool.ended(part, Outcome.ANSWERED, answer.value());
-            case ERROR -> pool.ended(part, Outcome.ERROR, null);
-            default -> pool.ended(part, Outcome.FULL, null);
+        rememberEnded(part.id);
+        switch (response.status()) {
+            case OK -> pool.endPart(part, Outcome.ANSWERED, response.value());
+            case ERROR -> pool.endPart(part, Outcome.ERROR, null);
+            default -> pool.endPart(part, Outcome.FULL, null);
         }
     }
 
-    private void settle(String id) {
-        settled.remove(id);
-        settled.add(id);
-        if (settled.size() > pool.bounds.partsPerConnection()) {
-            settled.remove(settled.iterator().next());
+    private void rememberEnded(String id) {
+        recentlyEnded.remove(id);
+        recentlyEnded.add(id);
+        if (recentlyEnded.size() > pool.settings.partsPerConnection()) {
+            recentlyEnded.remove(recentlyEnded.iterator().next());
         }
     }
 
@@ -367,50 +370,50 @@
      * Where frames begin is no longer known, so nothing that is out here can be answered any more. All of it may
      * have run; that it ends now and not at its time-out leaves time for another server.
      */
-    private void garbled(String why) {
-        pool.garbled("server " + address + ": unusable frame, connection closed: " + why);
-        end(null, Outcome.NOT_SENT, Outcome.GARBLED);
+    private void closeMalformed(String reason) {
+        pool.logMalformedFrame("server " + address + ": unusable frame, connection closed: " + reason);
+        close(null, Outcome.NOT_SENT, Outcome.GARBLED);
     }
 
-    void end(String why) {
-        end(why, Outcome.CONNECT_FAILED, Outcome.RESET);
+    void close(String reason) {
+        close(reason, Outcome.CONNECT_FAILED, Outcome.RESET);
     }
 
     /**
      * The connection is over: what was written whole may have run, the rest never did. Danger: a frame that
      * was written in part is no call to the server, so none of its parts ran.
      */
-    private void end(String why, Outcome neverRan, Outcome mayHaveRun) {
+    private void close(String reason, Outcome outcomeIfUnsent, Outcome outcomeIfSent) {
         if (closed) {
             return;
         }
         closed = true;
-        openTimer.remove();
-        if (lateFrame != null) {
-            lateFrame.remove();
+        connectTimeout.remove();
+        if (partialFrameTimeout != null) {
+            partialFrameTimeout.remove();
         }
         if (connection == null) {
-            opening.cancel();
+            connecting.cancel();
         } else {
             IoUtils.safeClose(connection);
         }
-        pool.forget(address, this);
-        List<PartRequest> never = new ArrayList<>();
-        if (writing != null) {
-            never.addAll(writing.parts);
+        pool.remove(address, this);
+        List<PartRequest> unsent = new ArrayList<>();
+        if (currentBatch != null) {
+            unsent.addAll(currentBatch.parts);
         }
-        waiting.forEach(call -> never.addAll(call.parts));
-        List<PartRequest> maybe = new ArrayList<>(out.values());
-        waiting.clear();
-        out.clear();
-        writing = null;
-        if (why != null && never.size() + maybe.size() > 0) {
+        queuedBatches.forEach(batch -> unsent.addAll(batch.parts));
+        List<PartRequest> sent = new ArrayList<>(awaitingResponse.values());
+        queuedBatches.clear();
+        awaitingResponse.clear();
+        currentBatch = null;
+        if (reason != null && unsent.size() + sent.size() > 0) {
             pool.log(
                     System.Logger.Level.DEBUG,
-                    "server " + address + ": " + why + "; " + never.size() + " parts never ran, " + maybe.size()
+                    "server " + address + ": " + reason + "; " + unsent.size() + " parts never ran, " + sent.size()
                             + " may have");
         }
-        never.forEach(part -> pool.ended(part, neverRan, null));
-        maybe.forEach(part -> pool.ended(part, mayHaveRun, null));
+        unsent.forEach(part -> pool.endPart(part, outcomeIfUnsent, null));
+        sent.forEach(part -> pool.endPart(part, outcomeIfSent, null));
     }
 }
--- a/node/src/main/java/spartrail/shard/ShardFrameCodec.java
+++ b/node/src/main/java/spartrail/shard/ShardFrameCodec.java
@@ -12,53 +12,53 @@
 /** The frames between front nodes and index servers: a length, a letter, the rest. */
 final class ShardFrameCodec {
     /** A server's answer for one part. */
-    record Answer(String id, End end, byte[] value) {}
+    record PartResponse(String id, Status status, byte[] value) {}
 
     /** How a server says that a part ended. */
-    enum End {
+    enum Status {
         OK,
         ERROR,
         REJECTED
     }
 
     /** A value goes into a client's answer, and no answer is longer than this. */
-    static final int LONGEST = 64 * 1024;
+    static final int MAX_FRAME_BYTES = 64 * 1024;
 
-    private static final int HEAD = 5;
-    private static final Pattern SCORE = Pattern.compile("[0-9]{1,20}");
+    private static final int HEADER_BYTES = 5;
+    private static final Pattern SCORE_FORMAT = Pattern.compile("[0-9]{1,20}");
 
     private ShardFrameCodec() {}
 
     /** One call: each part a line and its text. */
-    static ByteBuffer call(List<PartRequest> parts, double nowMs) {
-        ByteArrayOutputStream rest = new ByteArrayOutputStream();
+    static ByteBuffer encodeBatch(List<PartRequest> parts, double nowMs) {
+        ByteArrayOutputStream payload = new ByteArrayOutputStream();
         for (PartRequest part : parts) {
-            long waitMs = Math.max(1, (long) (part.untilMs - nowMs));
-            byte[] line = (part.id + ' ' + part.shard + " d=" + waitMs + ' ' + part.text.length + '\n')
+            long remainingMs = Math.max(1, (long) (part.answerByMs - nowMs));
+            byte[] line = (part.id + ' ' + part.shard + " d=" + remainingMs + ' ' + part.text.length + '\n')
                     .getBytes(StandardCharsets.US_ASCII);
-            rest.writeBytes(line);
-            rest.writeBytes(part.text);
+            payload.writeBytes(line);
+            payload.writeBytes(part.text);
         }
-        return frame('R', rest.toByteArray());
+        return encodeFrame('R', payload.toByteArray());
     }
 
     /** A part is given up. */
-    static ByteBuffer giveUp(String id) {
-        return frame('A', id.getBytes(StandardCharsets.US_ASCII));
+    static ByteBuffer encodeCancellation(String id) {
+        return encodeFrame('A', id.getBytes(StandardCharsets.US_ASCII));
     }
 
-    static ByteBuffer frame(char letter, byte[] rest) {
-        ByteBuffer frame = ByteBuffer.allocate(HEAD + rest.length);
-        return frame.putInt(1 + rest.length).put((byte) letter).put(rest).flip();
+    static ByteBuffer encodeFrame(char type, byte[] payload) {
+        ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + payload.length);
+        return frame.putInt(1 + payload.length).put((byte) type).put(payload).flip();
     }
 
     /** Takes bytes as they come and tells where frames end. */
-    static final class Reader {
+    static final class Decoder {
         private byte[] bytes = new byte[512];
         private int from;
         private int to;
 
-        void take(ByteBuffer in) {
+        void append(ByteBuffer in) {
             int more = in.remaining();
             if (from > 0) {
                 System.arraycopy(bytes, from, bytes, 0, to - from);
@@ -73,7 +73,7 @@
         }
 
         /** A frame has begun and is not there whole. */
-        boolean partial() {
+        boolean hasPartialFrame() {
             return to > from;
         }
 
@@ -81,56 +81,58 @@
          * The next answer that is there whole, or null. A probe's answer is as unusable as any other that nobody
          * here asks for. Danger: memory for a frame is taken as its bytes come, never as it announces.
          */
-        Answer next() throws MalformedMessageException {
-            if (to - from < HEAD) {
+        PartResponse nextResponse() throws MalformedMessageException {
+            if (to - from < HEADER_BYTES) {
                 return null;
             }
             int length = ByteBuffer.wrap(bytes, from, 4).getInt();
-            char letter = (char) (bytes[from + 4] & 0xff);
-            if (length < 1 || length > LONGEST) {
+            char type = (char) (bytes[from + 4] & 0xff);
+            if (length < 1 || length > MAX_FRAME_BYTES) {
                 throw new MalformedMessageException("a frame of length " + length);
             }
-            if (letter != 'Y' && letter != 'N') {
-                throw new MalformedMessageException("a frame of letter " + (int) letter);
+            if (type != 'Y' && type != 'N') {
+                throw new MalformedMessageException("a frame of letter " + (int) type);
             }
             if (to - from < 4 + length) {
                 return null;
             }
-            int start = from + HEAD;
+            int start = from + HEADER_BYTES;
             int end = from + 4 + length;
             from = end;
-            if (letter == 'N') {
+            if (type == 'N') {
                 throw new MalformedMessageException("N: "
                         + new String(bytes, start, Math.min(100, end - start), StandardCharsets.US_ASCII)
                                 .replaceAll("[^ -~]", "?"));
             }
-            return answer(start, end);
+            return decodeResponse(start, end);
         }
 
-        private Answer answer(int start, int end) throws MalformedMessageException {
-            int lf = start;
-            while (lf < end && bytes[lf] != '\n') {
-                lf++;
+        private PartResponse decodeResponse(int start, int end) throws MalformedMessageException {
+            int lineEnd = start;
+            while (lineEnd < end && bytes[lineEnd] != '\n') {
+                lineEnd++;
             }
             // What is wrong with a load report alone spoils no answer: nothing here goes by it.
-            String[] words = new String(bytes, start, lf - start, StandardCharsets.US_ASCII).split(" ", 4);
-            if (lf == end || words.length < 4 || !SCORE.matcher(words[2]).matches()) {
+            String[] words = new String(bytes, start, lineEnd - start, StandardCharsets.US_ASCII).split(" ", 4);
+            if (lineEnd == end
+                    || words.length < 4
+                    || !SCORE_FORMAT.matcher(words[2]).matches()) {
                 throw new MalformedMessageException("an answer without its line");
             }
-            End how =
+            Status status =
                     switch (words[1]) {
-                        case "OK" -> End.OK;
-                        case "ERROR" -> End.ERROR;
-                        case "REJECTED" -> End.REJECTED;
+                        case "OK" -> Status.OK;
+                        case "ERROR" -> Status.ERROR;
+                        case "REJECTED" -> Status.REJECTED;
                         default -> throw new MalformedMessageException("an answer of an unknown end");
                     };
             try {
                 // Danger: what is no text would reach the client as another value than the server made.
-                StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes, lf + 1, end - lf - 1));
+                StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes, lineEnd + 1, end - lineEnd - 1));
             } catch (CharacterCodingException e) {
                 throw new MalformedMessageException("a value that is no text", e);
             }
-            return new Answer(words[0], how, Arrays.copyOfRange(bytes, lf + 1, end));
+            return new PartResponse(words[0], status, Arrays.copyOfRange(bytes, lineEnd + 1, end));
         }
     }
 }
--- a/node/src/main/java/spartrail/shard/ShardPool.java
+++ b/node/src/main/java/spartrail/shard/ShardPool.java
@@ -25,170 +25,172 @@
 
     private static final System.Logger LOG = System.getLogger("spartrail.shard");
 
-    private static final double LOG_EVERY_MS = 1000;
+    private static final double MALFORMED_LOG_INTERVAL_MS = 1000;
     /** Every time limit of the rules is longer by 50 ms on sockets; a frame goes by nothing older than this. */
-    private static final double LEAST_BLIND_MS = 40;
+    private static final double MIN_POLL_AGE_LIMIT_MS = 40;
     /** A process so slow that each look takes longer than that sends all the same after so many. */
-    private static final int MOST_LOOKS = 5;
+    private static final int MAX_POLLS = 5;
 
     final XnioIoThread io;
     final NodeClock clock;
     final ByteBuffer readBuffer = ByteBuffer.allocateDirect(16 * 1024);
-    Bounds bounds;
+    Settings settings;
     private final AttemptListener listener;
     private final Invariants invariants;
     private final Map<InetSocketAddress, List<ShardConnection>> connections = new HashMap<>();
     private XnioExecutor.Key idleTimer;
     /** Lists that were read and not yet taken by those who decide. */
-    private int held;
+    private int pendingEndpointUpdates;
     /** When what waited in the sockets was last read. */
-    private double lookedMs = Double.NEGATIVE_INFINITY;
+    private double lastPollMs = Double.NEGATIVE_INFINITY;
 
-    private boolean looking;
-    private long garbled;
-    private double garbledLoggedMs = Double.NEGATIVE_INFINITY;
+    private boolean polling;
+    private long malformedFrames;
+    private double malformedLoggedMs = Double.NEGATIVE_INFINITY;
 
     /** What it goes by of the settings; times in milliseconds. */
-    public record Bounds(
+    public record Settings(
             int partsPerConnection, double connectTimeoutMs, double keepAliveMs, boolean cancelling, double graceMs) {}
 
-    public ShardPool(XnioIoThread io, NodeClock clock, Bounds bounds, AttemptListener listener, Invariants invariants) {
+    public ShardPool(
+            XnioIoThread io, NodeClock clock, Settings settings, AttemptListener listener, Invariants invariants) {
         this.io = io;
         this.clock = clock;
         this.listener = listener;
         this.invariants = invariants;
-        renew(bounds);
+        applySettings(settings);
     }
 
     /**
      * It goes by these from now on. A server closes a connection unused for the keep-alive time; ours go at half of it.
      * Danger: a request that crosses the server's own close is reset and may have run.
      */
-    public void renew(Bounds stated) {
-        bounds = stated;
+    public void applySettings(Settings changed) {
+        settings = changed;
         if (idleTimer != null) {
             idleTimer.remove();
         }
         idleTimer = io.executeAtInterval(
-                () -> closeIdle(clock.nowMs() - bounds.keepAliveMs() / 2),
-                Math.max(1, Math.round(bounds.keepAliveMs() / 8)),
+                () -> closeIdleBefore(clock.nowMs() - settings.keepAliveMs() / 2),
+                Math.max(1, Math.round(settings.keepAliveMs() / 8)),
                 TimeUnit.MILLISECONDS);
     }
 
     /** How old what is known of the sockets may be where a frame begins: nothing is sent to a server that drains after the grace. */
-    private double mostBlindMs() {
-        return Math.max(LEAST_BLIND_MS, bounds.graceMs() / 2);
+    private double pollAgeLimitMs() {
+        return Math.max(MIN_POLL_AGE_LIMIT_MS, settings.graceMs() / 2);
     }
 
     /** Sends parts as one call, on a connection that has room for them, opened only if none has. */
     public void send(InetSocketAddress address, List<PartRequest> parts) {
-        ShardConnection best = null;
-        for (ShardConnection connection : to(address)) {
-            if (connection.idleSince(clock.nowMs() - bounds.keepAliveMs() / 2)) {
+        ShardConnection chosen = null;
+        for (ShardConnection connection : connectionsTo(address)) {
+            if (connection.isIdleSince(clock.nowMs() - settings.keepAliveMs() / 2)) {
                 // Danger: a process that stood still has not closed it in time, and the server does so now.
-                connection.end(null);
-            } else if (connection.takes(parts.size(), bounds.partsPerConnection()) && connection.alive()) {
-                best = connection;
+                connection.close(null);
+            } else if (connection.hasCapacityFor(parts.size(), settings.partsPerConnection()) && connection.isAlive()) {
+                chosen = connection;
                 break;
             }
         }
-        if (best == null) {
-            best = new ShardConnection(this, address);
-            connections.computeIfAbsent(address, at -> new ArrayList<>()).add(best);
+        if (chosen == null) {
+            chosen = new ShardConnection(this, address);
+            connections.computeIfAbsent(address, at -> new ArrayList<>()).add(chosen);
         }
-        best.send(new PartBatch(parts));
+        chosen.enqueue(new PartBatch(parts));
     }
 
     /** A list was read: no frame begins until those who decide have taken it. */
-    public void hold() {
-        held++;
+    public void holdFrames() {
+        pendingEndpointUpdates++;
     }
 
     /** So many lists have been taken, and what they end has been barred. */
-    public void go(int lists) {
-        held -= lists;
-        invariants.holds(held >= 0, "no list is taken that was not read");
-        writeAll();
+    public void releaseFrames(int updates) {
+        pendingEndpointUpdates -= updates;
+        invariants.holds(pendingEndpointUpdates >= 0, "no list is taken that was not read");
+        writeAllConnections();
     }
 
     /** Whether a frame of this call may begin now. */
-    boolean mayBegin(PartBatch call) {
-        return held == 0 && !blind(call.decidedMs);
+    boolean mayBeginFrame(PartBatch call) {
+        return pendingEndpointUpdates == 0 && !isPollStale(call.decidedMs);
     }
 
     /**
      * Danger: a process that stood still goes on where it was, with a decision that is old, before it reads that the
      * server drains. Such a frame waits until all sockets have been looked at.
      */
-    private boolean blind(double decidedMs) {
-        if (clock.nowMs() - Math.max(decidedMs, lookedMs) <= mostBlindMs()) {
+    private boolean isPollStale(double decidedMs) {
+        if (clock.nowMs() - Math.max(decidedMs, lastPollMs) <= pollAgeLimitMs()) {
             return false;
         }
-        if (!looking) {
-            looking = true;
-            look(1);
+        if (!polling) {
+            polling = true;
+            pollSockets(1);
         }
         return true;
     }
 
     /** The I/O thread reads what is ready between its timers; the first may still come before that, or a pause after it. */
-    private void look(int number) {
+    private void pollSockets(int attempt) {
         double fromMs = clock.nowMs();
         io.executeAfter(
                 () -> {
-                    boolean paused = clock.nowMs() - fromMs > mostBlindMs();
-                    if (number == 1 || paused && number < MOST_LOOKS) {
-                        look(number + 1);
+                    boolean paused = clock.nowMs() - fromMs > pollAgeLimitMs();
+                    if (attempt == 1 || paused && attempt < MAX_POLLS) {
+                        pollSockets(attempt + 1);
                     } else {
-                        looking = false;
-                        lookedMs = paused ? clock.nowMs() : fromMs;
-                        writeAll();
+                        polling = false;
+                        lastPollMs = paused ? clock.nowMs() : fromMs;
+                        writeAllConnections();
                     }
                 },
                 1,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void writeAll() {
+    private void writeAllConnections() {
         connections.values().stream().flatMap(List::stream).toList().forEach(ShardConnection::write);
     }
 
     /** Nothing more of this part is waited for; the outcome holds if its frame has begun to leave. */
-    public void withdraw(PartRequest part, Outcome ifBegun) {
+    public void withdraw(PartRequest part, Outcome outcomeIfBegun) {
         if (part.stage != PartRequest.Stage.ENDED) {
-            boolean neverLeft = part.connection == null || part.connection.withdraw(part, ifBegun == Outcome.TIMED_OUT);
-            ended(part, neverLeft ? Outcome.NOT_SENT : ifBegun, null);
+            boolean neverLeft =
+                    part.connection == null || part.connection.withdraw(part, outcomeIfBegun == Outcome.TIMED_OUT);
+            endPart(part, neverLeft ? Outcome.NOT_SENT : outcomeIfBegun, null);
         }
     }
 
     /** This part is not sent if its frame has not begun to leave; otherwise its answer is still waited for. */
     public void withdrawUnsent(PartRequest part) {
-        if (part.stage == PartRequest.Stage.WAITING) {
+        if (part.stage == PartRequest.Stage.QUEUED) {
             withdraw(part, Outcome.NOT_SENT);
         }
     }
 
     /** The server drains, is gone, or is another process: what has not begun to leave for it does not leave any more. */
-    public void bar(InetSocketAddress address) {
-        to(address).forEach(ShardConnection::dropWaiting);
-        to(address).forEach(ShardConnection::retire);
+    public void retire(InetSocketAddress address) {
+        connectionsTo(address).forEach(ShardConnection::dropQueued);
+        connectionsTo(address).forEach(ShardConnection::drain);
     }
 
     /** A copy, as connections that end leave their list. */
-    private List<ShardConnection> to(InetSocketAddress address) {
+    private List<ShardConnection> connectionsTo(InetSocketAddress address) {
         return List.copyOf(connections.getOrDefault(address, List.of()));
     }
 
-    public int size() {
+    public int connectionCount() {
         return connections.values().stream().mapToInt(List::size).sum();
     }
 
     public void close() {
         idleTimer.remove();
-        connections.values().stream().flatMap(List::stream).toList().forEach(connection -> connection.end(null));
+        connections.values().stream().flatMap(List::stream).toList().forEach(connection -> connection.close(null));
     }
 
-    void ended(PartRequest part, Outcome outcome, byte[] value) {
+    void endPart(PartRequest part, Outcome outcome, byte[] value) {
         if (part.stage == PartRequest.Stage.ENDED) {
             return;
         }
@@ -196,7 +198,7 @@
         listener.onAttemptEnded(part, outcome, value, clock.nowMs());
     }
 
-    void forget(InetSocketAddress address, ShardConnection connection) {
+    void remove(InetSocketAddress address, ShardConnection connection) {
         List<ShardConnection> open = connections.get(address);
         if (invariants.holds(open != null && open.remove(connection), "a connection is in its pool")
                 && open.isEmpty()) {
@@ -204,12 +206,12 @@
         }
     }
 
-    private void closeIdle(double beforeMs) {
+    private void closeIdleBefore(double beforeMs) {
         connections.values().stream()
                 .flatMap(List::stream)
-                .filter(connection -> connection.idleSince(beforeMs))
+                .filter(connection -> connection.isIdleSince(beforeMs))
                 .toList()
-                .forEach(connection -> connection.end(null));
+                .forEach(connection -> connection.close(null));
     }
 
     void log(System.Logger.Level level, String text) {
@@ -217,12 +219,12 @@
     }
 
     /** Danger: a log that grows with what bad servers send; one line a second says enough. */
-    void garbled(String text) {
-        garbled++;
+    void logMalformedFrame(String text) {
+        malformedFrames++;
         double nowMs = clock.nowMs();
-        if (nowMs - garbledLoggedMs >= LOG_EVERY_MS) {
-            garbledLoggedMs = nowMs;
-            log(System.Logger.Level.WARNING, text + " (" + garbled + " in all)");
+        if (nowMs - malformedLoggedMs >= MALFORMED_LOG_INTERVAL_MS) {
+            malformedLoggedMs = nowMs;
+            log(System.Logger.Level.WARNING, text + " (" + malformedFrames + " in all)");
         }
     }
 }
--- a/node/src/test/java/spartrail/shard/ShardFrameCodecTest.java
+++ b/node/src/test/java/spartrail/shard/ShardFrameCodecTest.java
@@ -16,12 +16,12 @@
 
 class ShardFrameCodecTest {
     private static byte[] frame(char letter, String rest) {
-        return ShardFrameCodec.frame(letter, rest.getBytes(StandardCharsets.UTF_8))
+        return ShardFrameCodec.encodeFrame(letter, rest.getBytes(StandardCharsets.UTF_8))
                 .array();
     }
 
-    private static String text(ShardFrameCodec.Answer answer) {
-        return answer.id() + " " + answer.end() + " " + new String(answer.value(), StandardCharsets.UTF_8);
+    private static String text(ShardFrameCodec.PartResponse answer) {
+        return answer.id() + " " + answer.status() + " " + new String(answer.value(), StandardCharsets.UTF_8);
     }
 
     @Test
@@ -30,7 +30,7 @@
         Attempt send = new Attempt(null, null, 0, 0, 240);
         PartRequest first = new PartRequest(send, "9b.3", 3, text, 240.9, () -> true);
         PartRequest second = new PartRequest(send, "9b.4", 4, text, -7, () -> true);
-        ByteBuffer call = ShardFrameCodec.call(List.of(first, second), 0);
+        ByteBuffer call = ShardFrameCodec.encodeBatch(List.of(first, second), 0);
         byte[] rest = "9b.3 3 d=240 5\nc41é9b.4 4 d=1 5\nc41é".getBytes(StandardCharsets.UTF_8);
         assertThat(call.getInt()).isEqualTo(1 + rest.length);
         assertThat(call.get()).isEqualTo((byte) 'R');
@@ -48,11 +48,13 @@
                 .put(two)
                 .array();
         for (int cut = 0; cut <= all.length; cut++) {
-            ShardFrameCodec.Reader reader = new ShardFrameCodec.Reader();
+            ShardFrameCodec.Decoder decoder = new ShardFrameCodec.Decoder();
             List<String> read = new ArrayList<>();
             for (ByteBuffer half : List.of(ByteBuffer.wrap(all, 0, cut), ByteBuffer.wrap(all, cut, all.length - cut))) {
-                reader.take(half);
-                for (ShardFrameCodec.Answer answer = reader.next(); answer != null; answer = reader.next()) {
+                decoder.append(half);
+                for (ShardFrameCodec.PartResponse answer = decoder.nextResponse();
+                        answer != null;
+                        answer = decoder.nextResponse()) {
                     read.add(text(answer));
                 }
             }
@@ -69,7 +71,7 @@
                 frame('Y', "9b.3 PERHAPS 0 -\nx"),
                 frame('Y', "9b.3 OK none -\nx"),
                 frame('G', "OK"),
-                ShardFrameCodec.frame('Y', new byte[] {'1', ' ', 'O', 'K', ' ', '0', ' ', '-', '\n', (byte) 0xc3})
+                ShardFrameCodec.encodeFrame('Y', new byte[] {'1', ' ', 'O', 'K', ' ', '0', ' ', '-', '\n', (byte) 0xc3})
                         .array(),
                 new byte[] {0, 0, 0, 9, 'y'},
                 new byte[] {0, 0, 0, 0, 'Y'},
@@ -77,9 +79,9 @@
                 new byte[] {-1, 0, 0, 0, 0});
         StringBuilder told = new StringBuilder();
         for (byte[] frame : frames) {
-            ShardFrameCodec.Reader reader = new ShardFrameCodec.Reader();
-            reader.take(ByteBuffer.wrap(frame));
-            assertThatThrownBy(reader::next)
+            ShardFrameCodec.Decoder decoder = new ShardFrameCodec.Decoder();
+            decoder.append(ByteBuffer.wrap(frame));
+            assertThatThrownBy(decoder::nextResponse)
                     .isInstanceOf(MalformedMessageException.class)
                     .satisfies(e -> told.append(e.getMessage()).append('\n'));
         }
@@ -106,18 +108,18 @@
      */
     @Test
     void anAnswerChangedAtAnyByteIsTakenWholeOrNotAtAll() throws Exception {
-        byte[] good = ShardFrameCodec.frame('Y', "1.0 OK 17 a=1\nvalue".getBytes(StandardCharsets.US_ASCII))
+        byte[] good = ShardFrameCodec.encodeFrame('Y', "1.0 OK 17 a=1\nvalue".getBytes(StandardCharsets.US_ASCII))
                 .array();
         Random random = new Random(7);
         Set<String> taken = new TreeSet<>();
         for (int at = 4; at < 50 * (good.length - 5); at++) {
             byte[] bytes = good.clone();
             bytes[Math.max(4, at % (good.length - 5))] ^= (byte) (1 + random.nextInt(255));
-            ShardFrameCodec.Reader reader = new ShardFrameCodec.Reader();
-            reader.take(ByteBuffer.wrap(bytes));
+            ShardFrameCodec.Decoder decoder = new ShardFrameCodec.Decoder();
+            decoder.append(ByteBuffer.wrap(bytes));
             try {
-                ShardFrameCodec.Answer answer = reader.next();
-                if (answer != null && answer.id().equals("1.0") && answer.end() == ShardFrameCodec.End.OK) {
+                ShardFrameCodec.PartResponse answer = decoder.nextResponse();
+                if (answer != null && answer.id().equals("1.0") && answer.status() == ShardFrameCodec.Status.OK) {
                     taken.add(new String(answer.value(), StandardCharsets.US_ASCII));
                 }
             } catch (MalformedMessageException e) {
--- a/node/src/test/java/spartrail/shard/ShardPoolTest.java
+++ b/node/src/test/java/spartrail/shard/ShardPoolTest.java
@@ -66,7 +66,7 @@
         pool = new ShardPool(
                 worker.getIoThread(),
                 clock,
-                new ShardPool.Bounds(partsPerConnection, connectTimeoutMs, keepAliveMs, true, graceMs),
+                new ShardPool.Settings(partsPerConnection, connectTimeoutMs, keepAliveMs, true, graceMs),
                 (part, outcome, value, atMs) -> seen.add(part.id + " " + outcome),
                 invariants);
     }
@@ -166,7 +166,7 @@
             pool.send(address, List.of(three));
             pool.withdraw(one, Outcome.CANCELLED);
             pool.withdrawUnsent(three);
-            pool.bar(address);
+            pool.retire(address);
         });
         assertThat(List.of(next(), next(), next())).containsExactly("1.0 NOT_SENT", "3.0 NOT_SENT", "2.0 NOT_SENT");
     }
@@ -222,7 +222,7 @@
 
     @Test
     void aResetBehindTheFramesLastByteMayHaveRunWhateverOfTheAnswerHasCome() throws Exception {
-        byte[] answer = ShardFrameCodec.frame('Y', "1.0 OK 1 -\nvalue".getBytes(StandardCharsets.US_ASCII))
+        byte[] answer = ShardFrameCodec.encodeFrame('Y', "1.0 OK 1 -\nvalue".getBytes(StandardCharsets.US_ASCII))
                 .array();
         int line = 5 + "1.0 OK 1 -\n".length();
         StringBuilder table = new StringBuilder();
@@ -315,7 +315,7 @@
         Socket second = deaf.accept();
         opened.add(second);
         assertThat(second.getInputStream().readNBytes(10)).endsWith("3.0 0".getBytes(StandardCharsets.US_ASCII));
-        io(() -> assertThat(pool.size()).isEqualTo(1));
+        io(() -> assertThat(pool.connectionCount()).isEqualTo(1));
     }
 
     @Test
@@ -330,7 +330,7 @@
                 .containsExactly("server: opened", "server: part 1.0", "server: part 2.0");
         io(() -> pool.send(address, List.of(part("3.0"))));
         assertThat(List.of(next(), next())).containsExactly("server: opened", "server: part 3.0");
-        io(() -> assertThat(pool.size()).isEqualTo(2));
+        io(() -> assertThat(pool.connectionCount()).isEqualTo(2));
     }
 
     @Test
@@ -387,14 +387,14 @@
         pool(100, 1000, 60_000);
         InetSocketAddress address = toy(new Silent());
         io(() -> {
-            pool.hold();
+            pool.holdFrames();
             pool.send(address, List.of(part("1.0")));
         });
         assertThat(next()).isEqualTo("server: opened");
         io(() -> {
             pool.send(address, List.of(part("2.0")));
-            pool.bar(address);
-            pool.go(1);
+            pool.retire(address);
+            pool.releaseFrames(1);
         });
         assertThat(List.of(next(), next(), next()))
                 .containsExactlyInAnyOrder("1.0 NOT_SENT", "2.0 NOT_SENT", "server: closed");
@@ -505,14 +505,14 @@
         });
         io(() -> pool.send(address, List.of(part("1.0"), part("2.0"))));
         String ends = Stream.of(next(), next()).sorted().collect(Collectors.joining(", "));
-        io(() -> assertThat(pool.size()).as("connections in use").isZero());
+        io(() -> assertThat(pool.connectionCount()).as("connections in use").isZero());
         io(pool::close);
         return ends;
     }
 
     @Test
     void whatCannotBeReadEndsAllThatIsOutOnItsConnectionBeforeTheirTimeOuts() throws Exception {
-        byte[] good = ShardFrameCodec.frame('Y', "1.0 OK 1 -\nv".getBytes(StandardCharsets.US_ASCII))
+        byte[] good = ShardFrameCodec.encodeFrame('Y', "1.0 OK 1 -\nv".getBytes(StandardCharsets.US_ASCII))
                 .array();
         byte[] endless = good.clone();
         endless[3] += 20;
@@ -522,9 +522,9 @@
                 new byte[] {-80, 0, 0, 0, 'Y'},
                 endless,
                 new byte[] {0, 0, 0},
-                ShardFrameCodec.frame('Y', "3.0 OK 1 -\nv".getBytes(StandardCharsets.US_ASCII))
+                ShardFrameCodec.encodeFrame('Y', "3.0 OK 1 -\nv".getBytes(StandardCharsets.US_ASCII))
                         .array(),
-                ShardFrameCodec.frame('T', new byte[] {'-'}).array())) {
+                ShardFrameCodec.encodeFrame('T', new byte[] {'-'}).array())) {
             assertThat(spoilt(bytes)).isEqualTo(neither);
         }
         byte[] behind = ByteBuffer.allocate(2 * good.length + 3)
