--- a/node/src/test/java/spartrail/record/MultigetRecordFormTest.java
+++ b/node/src/test/java/spartrail/record/MultigetRecordFormTest.java
@@ -20,8 +20,8 @@
     void eachKindOfLineKeepsItsBytes() throws Exception {
         Path file = folder.resolve("record");
         byte[] text = "text".getBytes(StandardCharsets.UTF_8);
-        ClientQuery.AskedPart first = new ClientQuery.AskedPart(3, 0.25, 2);
-        ClientQuery.AskedPart second = new ClientQuery.AskedPart(0, 0.75, 4.5);
+        ClientQuery.QueriedPart first = new ClientQuery.QueriedPart(3, 0.25, 2);
+        ClientQuery.QueriedPart second = new ClientQuery.QueriedPart(0, 0.75, 4.5);
         ClientQuery keyed = new ClientQuery("9b1f", "orders", "k\"1", 1500, false, List.of(first, second), text);
         ClientQuery keyless = new ClientQuery("9b20", "Ümlaut", null, 0.5, true, List.of(second), new byte[0]);
         ClientQuery empty = new ClientQuery("9b21", "orders", "", 1500, false, List.of(), text);
