--- a/node/src/main/java/spartrail/front/ClientMultiget.java
+++ b/node/src/main/java/spartrail/front/ClientMultiget.java
@@ -14,14 +14,14 @@
 /** A multiget in hand, with the client that waits for it and what servers have answered. */
 final class ClientMultiget extends Multiget {
     /** A send that has had no outcome yet, and when this node stops waiting for it. */
-    record InFlightAttempt(PartRequest part, TimerQueue.Due timeout) {}
+    record InFlightAttempt(PartRequest part, TimerQueue.Timer timeout) {}
 
     final ClientQuery query;
     final ClientRequest request;
     final Map<Part, byte[]> values = new HashMap<>();
     final Map<Attempt, InFlightAttempt> inFlightAttempts = new IdentityHashMap<>();
     /** What answers it when its time is over and nothing else has. */
-    TimerQueue.Due expiry;
+    TimerQueue.Timer expiry;
 
     ClientMultiget(ClientQuery query, ClientRequest request) {
         this.query = query;
--- a/node/src/main/java/spartrail/shard/PartRequest.java
+++ b/node/src/main/java/spartrail/shard/PartRequest.java
@@ -36,7 +36,7 @@
         this.shard = shard;
         this.text = text;
         this.answerByMs = answerByMs;
-        this.beginByMs = Math.min(answerByMs, attempt.leaveByMs);
+        this.beginByMs = Math.min(answerByMs, attempt.sendDeadlineMs);
         this.clientWaiting = clientWaiting;
     }
 
--- a/node/src/main/java/spartrail/shard/ShardConnection.java
+++ b/node/src/main/java/spartrail/shard/ShardConnection.java
@@ -30,7 +30,7 @@
  *                     OPENING               IDLE                  IN USE                          RETIRED
  * call given          waits                 read once, written    written if there is room        (never chosen)
  * comes up            OPENING to IN USE     -                     -                               goes if nothing is out
- * answer              -                     GARBLED, closed       part ended; IDLE after the last part ended; closed after the last
+ * answer              -                     MALFORMED, closed     part ended; IDLE after the last part ended; closed after the last
  * end, reset          never ran             closed                written: may have run; not written or in part: never ran
  * part taken back     unsent                -                     unsent, or A frame if it began  the same, then closed
  * server drains,
@@ -372,7 +372,7 @@
      */
     private void closeMalformed(String reason) {
         pool.logMalformedFrame("server " + address + ": unusable frame, connection closed: " + reason);
-        close(null, Outcome.NOT_SENT, Outcome.GARBLED);
+        close(null, Outcome.NOT_SENT, Outcome.MALFORMED);
     }
 
     void close(String reason) {
--- a/node/src/main/java/spartrail/shard/ShardPool.java
+++ b/node/src/main/java/spartrail/shard/ShardPool.java
@@ -108,7 +108,7 @@
     /** So many lists have been taken, and what they end has been barred. */
     public void releaseFrames(int updates) {
         pendingEndpointUpdates -= updates;
-        invariants.holds(pendingEndpointUpdates >= 0, "no list is taken that was not read");
+        invariants.check(pendingEndpointUpdates >= 0, "no list is taken that was not read");
         writeAllConnections();
     }
 
@@ -200,7 +200,7 @@
 
     void remove(InetSocketAddress address, ShardConnection connection) {
         List<ShardConnection> open = connections.get(address);
-        if (invariants.holds(open != null && open.remove(connection), "a connection is in its pool")
+        if (invariants.check(open != null && open.remove(connection), "a connection is in its pool")
                 && open.isEmpty()) {
             connections.remove(address);
         }
