--- a/node/src/main/java/spartrail/cli/CheckCommand.java
+++ b/node/src/main/java/spartrail/cli/CheckCommand.java
@@ -35,7 +35,7 @@
             EndpointSourcesFile.read(members);
         }
         if (peers != null) {
-            FrontNode.loadPeerTransport().check(peers);
+            FrontNode.checkPeersFile(peers);
         }
         out.println("usable: node " + deployment.name() + " on " + deployment.listen() + ", op types "
                 + deployment.opTypes().stream().map(op -> op.name).toList() + ", "
--- a/node/src/main/java/spartrail/front/ActivePolicy.java
+++ b/node/src/main/java/spartrail/front/ActivePolicy.java
@@ -3,9 +3,10 @@
 import spartrail.config.DeploymentFile;
 
 /**
- * Settings by which a node is to go until a time, and by what after that.
+ * A policy version that holds until a time, and the one that holds after it.
  *
- * @param name as the record names it
- * @param untilMs on the node's clock; endless for the last one
+ * @param name as the record of multigets names it
+ * @param untilMs on the node's clock; infinite for the last one
+ * @param next null behind the last one
  */
 record ActivePolicy(String name, DeploymentFile deployment, double untilMs, ActivePolicy next) {}
--- a/node/src/main/java/spartrail/front/NodeCounters.java
+++ b/node/src/main/java/spartrail/front/NodeCounters.java
@@ -6,13 +6,16 @@
 import spartrail.model.Attempt;
 import spartrail.model.Multiget;
 
-/** What a node has done since its start, for its log; kept by the node's thread. */
+/**
+ * What a node has done since its start, for its log. Written by the coordinator's thread; other threads read it for a log line only
+ * and may see an older value.
+ */
 final class NodeCounters {
     long queries;
     long rejectedOverCap;
     long clientsGone;
     volatile long endpointUpdates;
-    /** Times that it went on by other settings. */
+    /** How often other settings have taken hold. */
     volatile long configurationSwitches;
 
     final LongAdder exceptions = new LongAdder();
@@ -22,9 +25,7 @@
     @Override
     public String toString() {
         return "taken " + queries + ", over cap " + rejectedOverCap + ", clients gone " + clientsGone + ", answers "
-                + answers
-                + ", outcomes " + outcomes + ", lists " + endpointUpdates + ", switches " + configurationSwitches
-                + ", exceptions "
-                + exceptions;
+                + answers + ", outcomes " + outcomes + ", lists " + endpointUpdates + ", switches "
+                + configurationSwitches + ", exceptions " + exceptions;
     }
 }
