--- a/node/src/main/java/spartrail/client/ClientQueryDecoder.java
+++ b/node/src/main/java/spartrail/client/ClientQueryDecoder.java
@@ -15,7 +15,7 @@
 import java.util.regex.Pattern;
 import spartrail.model.MalformedMessageException;
 
-/** Decodes requests; what the protocol does not know is turned away with one plain sentence. */
+/** Decodes queries; what the protocol does not know is rejected with one plain sentence. */
 final class ClientQueryDecoder {
     private static final Pattern ID_FORMAT = Pattern.compile("[0-9A-Za-z_-]{1,64}");
     private static final Pattern SECONDS_FORMAT = Pattern.compile("[0-9]{1,6}([.][0-9]{1,18})?");
@@ -24,10 +24,13 @@
     private static final HttpString KIND_HEADER = new HttpString("Req-Kind");
     private static final HttpString DEADLINE_HEADER = new HttpString("Req-Deadline");
     private static final HttpString RETRY_HEADER = new HttpString("Req-Retry");
-    /** Weights sum up to the whole, but for rounding. */
+    /** Weights sum up to 1, but for rounding. */
     private static final double WEIGHT_TOLERANCE = 1e-3;
 
-    /** Danger: of two values under one name each reader of the body may take another one. */
+    private static final double MICROS_PER_MS = 1000;
+    private static final double MS_PER_SECOND = 1000;
+
+    /** Strict, as of two values under one name each reader of the body may take another one. */
     private final JsonFactory jsonFactory = JsonFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
@@ -50,7 +53,7 @@
         if (opType == null || !opTypes.contains(opType) || pathSegments.length < 2 || !pathSegments[1].equals(opType)) {
             throw new MalformedMessageException("Req-Kind is unknown or not the path's");
         }
-        double clientLeftMs = 1000 * parseDeadlineSeconds(singleValue(headers, DEADLINE_HEADER));
+        double clientLeftMs = MS_PER_SECOND * parseDeadlineSeconds(singleValue(headers, DEADLINE_HEADER));
         try (JsonParser parser = jsonFactory.createParser(body)) {
             return decodeBody(
                     parser,
@@ -108,7 +111,7 @@
         return new ClientQuery(id, opType, key, clientLeftMs, retry, parts, text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A text that is the same in UTF-8: half of a surrogate pair has no form there. */
+    /** A text that has a form in UTF-8: half of a surrogate pair has none. */
     private static String decodeText(JsonParser parser) throws IOException, MalformedMessageException {
         String text = parser.currentToken() == JsonToken.VALUE_STRING ? parser.getText() : null;
         if (text == null || !StandardCharsets.UTF_8.newEncoder().canEncode(text)) {
@@ -125,39 +128,46 @@
 
     private List<ClientQuery.QueriedPart> decodeParts(JsonParser parser) throws IOException, MalformedMessageException {
         List<ClientQuery.QueriedPart> parts = new ArrayList<>();
-        BitSet seen = new BitSet(shards);
+        BitSet seenShards = new BitSet(shards);
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            int shard = -1;
-            double weight = Double.NaN;
-            double costMs = 0;
             if (parser.currentToken() != JsonToken.START_OBJECT) {
                 throw new MalformedMessageException("a segment is no JSON object");
             }
-            while (parser.nextToken() != JsonToken.END_OBJECT) {
-                String name = parser.currentName();
-                JsonToken value = parser.nextToken();
-                switch (name) {
-                    case "segment" -> {
-                        // Danger: a number with a fraction would be cut to that of another shard.
-                        requireSegmentForm(value == JsonToken.VALUE_NUMBER_INT);
-                        shard = parser.getIntValue();
-                    }
-                    case "boost" -> weight = parser.getDoubleValue();
-                    case "work" -> costMs = parser.getDoubleValue() / 1000;
-                    case "affinity" -> requireSegmentForm(value == JsonToken.VALUE_STRING
-                            && AFFINITY_FORMAT.matcher(parser.getText()).matches());
-                    default -> parser.skipChildren();
-                }
-            }
-            if (shard < 0 || shard >= shards || seen.get(shard)) {
+            ClientQuery.QueriedPart part = decodePart(parser);
+            if (part.shard() < 0 || part.shard() >= shards || seenShards.get(part.shard())) {
                 throw new MalformedMessageException("a segment does not exist or is there twice");
             }
-            if (!(weight >= 0 && weight <= 1 + WEIGHT_TOLERANCE) || !(costMs >= 0 && Double.isFinite(costMs))) {
+            boolean isWeightInRange = part.weight() >= 0 && part.weight() <= 1 + WEIGHT_TOLERANCE;
+            boolean isCostInRange = part.costMs() >= 0 && Double.isFinite(part.costMs());
+            if (!isWeightInRange || !isCostInRange) {
                 throw new MalformedMessageException("a segment's boost or work is out of range");
             }
-            seen.set(shard);
-            parts.add(new ClientQuery.QueriedPart(shard, weight, costMs));
+            seenShards.set(part.shard());
+            parts.add(part);
         }
         return parts;
     }
+
+    private static ClientQuery.QueriedPart decodePart(JsonParser parser) throws IOException, MalformedMessageException {
+        int shard = -1;
+        double weight = Double.NaN;
+        double costMs = 0;
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            JsonToken value = parser.nextToken();
+            switch (name) {
+                case "segment" -> {
+                    // A number with a fraction would be cut to that of another shard.
+                    requireSegmentForm(value == JsonToken.VALUE_NUMBER_INT);
+                    shard = parser.getIntValue();
+                }
+                case "boost" -> weight = parser.getDoubleValue();
+                case "work" -> costMs = parser.getDoubleValue() / MICROS_PER_MS;
+                case "affinity" -> requireSegmentForm(value == JsonToken.VALUE_STRING
+                        && AFFINITY_FORMAT.matcher(parser.getText()).matches());
+                default -> parser.skipChildren();
+            }
+        }
+        return new ClientQuery.QueriedPart(shard, weight, costMs);
+    }
 }
--- a/node/src/main/java/spartrail/client/ClientRequest.java
+++ b/node/src/main/java/spartrail/client/ClientRequest.java
@@ -10,19 +10,21 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * A request in hand: its client is watched until it has its one answer.
+ * A request in flight: its client is watched until it has its one response. All of it runs on the I/O thread.
  *
  * <pre>
- *            bytes come                              end, reset          answer given
- * WATCHED    kept for the next request, as many as   closed, told as     OVER, written
- *            it may have; then on to SPILT           gone: OVER
- * SPILT      thrown away                             the same            OVER, written as the connection's last
- * OVER       left to whoever reads next              the same            nothing: the first one counts
+ *              bytes come                              end, reset            response given
+ * WATCHED      kept for the next request, as many as   closed, reported as   FINISHED, written
+ *              it may have; then on to DISCARDING      gone: FINISHED
+ * DISCARDING   discarded                               the same              FINISHED, written as the connection's last
+ * FINISHED     left to whoever reads next              the same              nothing: the first one counts
  * </pre>
  */
 public final class ClientRequest {
+    /** As the client gave it. */
     public final String id;
-    private final ClientListener listener;
+
+    private final HttpRequestHandler handler;
     private final HttpServerExchange exchange;
     private final HttpServerConnection connection;
     /** When its last byte was read. */
@@ -31,8 +33,8 @@
     private boolean finished;
     private boolean discarding;
 
-    ClientRequest(ClientListener listener, HttpServerExchange exchange, String id, double arrivedMs) {
-        this.listener = listener;
+    ClientRequest(HttpRequestHandler handler, HttpServerExchange exchange, String id, double arrivedMs) {
+        this.handler = handler;
         this.exchange = exchange;
         this.connection = (HttpServerConnection) exchange.getConnection();
         this.id = id;
@@ -43,14 +45,14 @@
         return ((HttpServerConnection) exchange.getConnection()).getChannel();
     }
 
-    /** Whether its client still waits for it; on the I/O thread. */
+    /** Whether its client still waits for a response. */
     public boolean isClientWaiting() {
         return !finished;
     }
 
     /**
-     * Reads on while the request is in hand, whatever the client sends. Danger: with no read pending nobody notices that a
-     * client has left, and work goes on for it.
+     * Reads on while the request is in flight, whatever the client sends: with no read pending nobody notices that a client has left,
+     * and work goes on for it.
      */
     void watchClient() {
         StreamSourceConduit source = connection.getOriginalSourceConduit();
@@ -64,7 +66,7 @@
             return;
         }
         try {
-            ByteBuffer buffer = listener.scratchBuffer();
+            ByteBuffer buffer = handler.scratchBuffer();
             int count = source.read(buffer);
             if (count < 0) {
                 onDisconnect();
@@ -78,7 +80,7 @@
 
     private void bufferPipelined(ByteBuffer pipelined) {
         PooledByteBuffer before = connection.getExtraBytes();
-        if (discarding || !listener.reservePipelined(exchange, pipelined.remaining())) {
+        if (discarding || !handler.reservePipelined(exchange, pipelined.remaining())) {
             discarding = true;
         } else if (before instanceof PipelinedRequests buffered) {
             discarding = !buffered.append(pipelined);
@@ -95,16 +97,16 @@
     private void onDisconnect() {
         finished = true;
         IoUtils.safeClose(connection);
-        listener.onClientGone(this);
+        handler.onClientGone(this);
     }
 
-    /** The final answer; the first one counts. */
+    /** Gives the final response; the first one counts. */
     public void respond(ClientResponse response) {
         if (finished) {
             return;
         }
         finished = true;
         connection.getOriginalSourceConduit().suspendReads();
-        listener.sendResponse(exchange, response, discarding);
+        handler.sendResponse(exchange, response, discarding);
     }
 }
--- a/node/src/main/java/spartrail/client/ClientResponse.java
+++ b/node/src/main/java/spartrail/client/ClientResponse.java
@@ -8,13 +8,19 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The final answer to a client: a status, a time to come back after where that is advised, and a body. */
+/**
+ * The final response to a client.
+ *
+ * @param status the HTTP status
+ * @param retryAfter the value of the Retry-After header, in seconds; null for none
+ */
 public record ClientResponse(int status, String retryAfter, byte[] body) {
-    /** The value of a part that is in, as a server gave it. */
+    /** The value of an answered part, as a server gave it. */
     public record Value(int shard, byte[] value) {}
 
     private static final JsonFactory JSON = new JsonFactory();
 
+    /** The values of the parts that are answered, in the protocol's form. */
     public static ClientResponse success(boolean complete, List<Value> values) {
         ByteArrayOutputStream body = new ByteArrayOutputStream(64 + 48 * values.size());
         try (JsonGenerator json = JSON.createGenerator(body)) {
@@ -35,7 +41,7 @@
         return new ClientResponse(200, null, body.toByteArray());
     }
 
-    /** Trying again is harmless; a comeback time of 0 is none. */
+    /** The query was rejected, and may be repeated without harm; a time of 0 is no Retry-After. */
     public static ClientResponse rejected(double retryAfterMs) {
         return new ClientResponse(
                 503,
@@ -43,10 +49,12 @@
                 textBody("pushed back"));
     }
 
+    /** The query failed, and parts of it may have run. */
     public static ClientResponse failure() {
         return new ClientResponse(500, null, textBody("failed"));
     }
 
+    /** The request was none; the problem is told in one plain sentence. */
     static ClientResponse malformed(int status, String problem) {
         return new ClientResponse(status, null, textBody(problem));
     }
--- a/node/src/main/java/spartrail/client/LingeringClose.java
+++ b/node/src/main/java/spartrail/client/LingeringClose.java
@@ -10,13 +10,13 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * How a client's connection ends, so that what was written on it arrives whatever the client still sends. Danger: a close
- * over unread bytes resets the connection, and what its client has not read yet of an answer goes with it.
+ * How a client's connection ends, so that what was written on it arrives whatever the client still sends: a close over unread bytes
+ * would reset the connection, and what its client has not read yet of a response would be lost with it.
  *
  * <pre>
- *               bytes come               end, reset   MOST_BYTES came       LONGEST_MS are over
- * HALF_CLOSED   read and thrown away     closed       on to DEAF            closed
- * DEAF          stay in the system       not seen     -                     closed
+ *               bytes come               end, reset   MAX_DISCARDED_BYTES came   TIMEOUT_MS are over
+ * HALF_CLOSED   read and discarded       closed       on to NOT_READ             closed
+ * NOT_READ      stay in the system       not seen     -                          closed
  * </pre>
  *
  * <p>In both nothing is written, and nothing that was read is taken for a request. All of it runs on the I/O thread.
--- a/node/src/main/java/spartrail/client/PipelinedRequests.java
+++ b/node/src/main/java/spartrail/client/PipelinedRequests.java
@@ -3,7 +3,7 @@
 import io.undertow.connector.PooledByteBuffer;
 import java.nio.ByteBuffer;
 
-/** What a client has sent behind a request that is still in hand, for its next one; as much as a request may have. */
+/** What a client has sent behind a request that is still in flight, for its next one; as much as a request may have. */
 final class PipelinedRequests implements PooledByteBuffer {
     static final int MAX_BYTES = 80 * 1024;
 
@@ -15,7 +15,7 @@
                 .flip();
     }
 
-    /** Keeps these too; false if they are more than it may keep. */
+    /** Keeps these too; false if that would be more than it may keep. */
     boolean append(ByteBuffer more) {
         int needed = bytes.remaining() + more.remaining();
         if (needed > MAX_BYTES) {
--- a/node/src/test/java/spartrail/client/ClientListenerTest.java
+++ b/node/src/test/java/spartrail/client/ClientListenerTest.java
@@ -52,7 +52,7 @@
                 Set.of("orders"),
                 4,
                 mostConnections,
-                new ClientListener.QueryListener() {
+                new ClientQueryListener() {
                     @Override
                     public void onQuery(ClientQuery ask, ClientRequest request) {
                         asked.add(request);
