--- a/node/src/main/java/spartrail/shard/PartBatch.java
+++ b/node/src/main/java/spartrail/shard/PartBatch.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Parts that travel to a server in one frame. */
+/** Parts that travel to a server in one frame; those that end before leave it. */
 final class PartBatch {
     final List<PartRequest> parts;
     /** When the first of them was decided. */
--- a/node/src/main/java/spartrail/shard/PartRequest.java
+++ b/node/src/main/java/spartrail/shard/PartRequest.java
@@ -3,7 +3,7 @@
 import java.util.function.BooleanSupplier;
 import spartrail.model.Attempt;
 
-/** One part on its way to a server; its fields from the stage on belong to the I/O thread. */
+/** One attempt of a part on its way to a server. What changes of it belongs to the I/O thread. */
 public final class PartRequest {
     /** How far it has come. */
     enum Stage {
@@ -17,7 +17,7 @@
     final String id;
     final int shard;
     final byte[] text;
-    /** Until when this node waits for the answer. */
+    /** Until when this node waits for the response. */
     final double answerByMs;
     /** Until when its frame may begin. */
     final double beginByMs;
@@ -25,10 +25,20 @@
     final BooleanSupplier clientWaiting;
 
     Stage stage = Stage.QUEUED;
+    /** When it was given to a connection. */
     double queuedMs;
+
     ShardConnection connection;
     PartBatch batch;
 
+    /**
+     * An attempt that is to be sent.
+     *
+     * @param id by which the server answers
+     * @param text what the server is asked
+     * @param answerByMs until when the node waits for the response
+     * @param clientWaiting whether its client is still there; asked on the I/O thread
+     */
     public PartRequest(
             Attempt attempt, String id, int shard, byte[] text, double answerByMs, BooleanSupplier clientWaiting) {
         this.attempt = attempt;
@@ -41,13 +51,14 @@
     }
 
     /**
-     * Danger: between decision and frame a connection may come up late, a write may be blocked, the process may stand
-     * still; what was right when it was decided need not be so now.
+     * Whether its frame may still begin. Between decision and frame a connection may come up late, a write may be blocked, the process may
+     * be paused; what was right when it was decided need not be so now.
      */
     boolean mayBegin(double nowMs) {
         return nowMs <= beginByMs && clientWaiting.getAsBoolean();
     }
 
+    /** The attempt that the coordinator decided. */
     public Attempt attempt() {
         return attempt;
     }
--- a/node/src/main/java/spartrail/shard/ShardFrameCodec.java
+++ b/node/src/main/java/spartrail/shard/ShardFrameCodec.java
@@ -9,9 +9,13 @@
 import java.util.regex.Pattern;
 import spartrail.model.MalformedMessageException;
 
-/** The frames between front nodes and index servers: a length, a letter, the rest. */
+/**
+ * The frames between front nodes and index servers: four bytes of length, counted from behind them, one of type, the payload. Types sent
+ * are {@code R} (a batch of parts) and {@code A} (a part is cancelled); received are {@code Y} (a part's response) and {@code N} (the
+ * server could not read a frame).
+ */
 final class ShardFrameCodec {
-    /** A server's answer for one part. */
+    /** A server's response for one part. */
     record PartResponse(String id, Status status, byte[] value) {}
 
     /** How a server says that a part ended. */
@@ -21,7 +25,7 @@
         REJECTED
     }
 
-    /** A value goes into a client's answer, and no answer is longer than this. */
+    /** A value goes into a client's response, and no response is longer than this. */
     static final int MAX_FRAME_BYTES = 64 * 1024;
 
     private static final int HEADER_BYTES = 5;
@@ -29,7 +33,7 @@
 
     private ShardFrameCodec() {}
 
-    /** One call: each part a line and its text. */
+    /** A batch: each part a line and its text. */
     static ByteBuffer encodeBatch(List<PartRequest> parts, double nowMs) {
         ByteArrayOutputStream payload = new ByteArrayOutputStream();
         for (PartRequest part : parts) {
@@ -42,7 +46,7 @@
         return encodeFrame('R', payload.toByteArray());
     }
 
-    /** A part is given up. */
+    /** A part is not waited for any more. */
     static ByteBuffer encodeCancellation(String id) {
         return encodeFrame('A', id.getBytes(StandardCharsets.US_ASCII));
     }
@@ -52,7 +56,7 @@
         return frame.putInt(1 + payload.length).put((byte) type).put(payload).flip();
     }
 
-    /** Takes bytes as they come and tells where frames end. */
+    /** Takes bytes as they come and finds where frames end. */
     static final class Decoder {
         private byte[] bytes = new byte[512];
         private int from;
@@ -72,14 +76,14 @@
             to += more;
         }
 
-        /** A frame has begun and is not there whole. */
+        /** A frame has begun and is not complete. */
         boolean hasPartialFrame() {
             return to > from;
         }
 
         /**
-         * The next answer that is there whole, or null. A probe's answer is as unusable as any other that nobody
-         * here asks for. Danger: memory for a frame is taken as its bytes come, never as it announces.
+         * The next response that is complete, or null. A health check's response is as malformed as any other that nobody here asks for.
+         * Memory for a frame is taken as its bytes come, never as it announces.
          */
         PartResponse nextResponse() throws MalformedMessageException {
             if (to - from < HEADER_BYTES) {
@@ -112,7 +116,7 @@
             while (lineEnd < end && bytes[lineEnd] != '\n') {
                 lineEnd++;
             }
-            // What is wrong with a load report alone spoils no answer: nothing here goes by it.
+            // What is wrong with a load report alone makes no response malformed: nothing here goes by it.
             String[] words = new String(bytes, start, lineEnd - start, StandardCharsets.US_ASCII).split(" ", 4);
             if (lineEnd == end
                     || words.length < 4
@@ -127,7 +131,7 @@
                         default -> throw new MalformedMessageException("an answer of an unknown end");
                     };
             try {
-                // Danger: what is no text would reach the client as another value than the server made.
+                // What is no text would reach the client as another value than the server made.
                 StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes, lineEnd + 1, end - lineEnd - 1));
             } catch (CharacterCodingException e) {
                 throw new MalformedMessageException("a value that is no text", e);
