--- a/node/src/main/java/spartrail/cli/CheckCommand.java
+++ b/node/src/main/java/spartrail/cli/CheckCommand.java
@@ -42,14 +42,14 @@
                 + deployment.known().lines().size()
                 + " servers known");
         if (start) {
-            InetSocketAddress free = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-            try (FrontNode node = new FrontNode(deployment, free)) {
+            InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+            try (FrontNode node = new FrontNode(deployment, anyPort)) {
                 node.start();
                 String opType = deployment.opTypes().get(0).name;
                 String body = "{\"segments\":[{\"segment\":0,\"boost\":1.0}],\"text\":\"check\"}";
-                out.println("/up: " + answer(node.address(), "GET /up HTTP/1.1\r\n", ""));
+                out.println("/up: " + requestStatusLine(node.address(), "GET /up HTTP/1.1\r\n", ""));
                 out.println("a multiget: "
-                        + answer(
+                        + requestStatusLine(
                                 node.address(),
                                 "POST /" + opType + "/check HTTP/1.1\r\nReq-Id: check" + "\r\nReq-Kind: " + opType
                                         + "\r\nReq-Deadline: 1\r\n",
@@ -60,7 +60,7 @@
     }
 
     /** The first line of the answer. */
-    private static String answer(InetSocketAddress address, String head, String body) throws IOException {
+    private static String requestStatusLine(InetSocketAddress address, String head, String body) throws IOException {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(10_000);
             String request =
--- a/node/src/main/java/spartrail/cli/CommandLine.java
+++ b/node/src/main/java/spartrail/cli/CommandLine.java
@@ -28,15 +28,15 @@
                     + " | subset show --config FILE --list FILE | version; --help behind a command tells its options";
 
     /** What the command named first takes; without one, which there are. */
-    private static void help(String name, PrintStream out) {
+    private static void printHelp(String name, PrintStream out) {
         Object command = null;
         try {
-            for (SubCommand known : CommandLine.class
+            for (SubCommand subCommand : CommandLine.class
                     .getDeclaredField("command")
                     .getAnnotation(SubCommands.class)
                     .value()) {
-                if (known.name().equals(name)) {
-                    command = known.impl().getDeclaredConstructor().newInstance();
+                if (subCommand.name().equals(name)) {
+                    command = subCommand.impl().getDeclaredConstructor().newInstance();
                 }
             }
         } catch (ReflectiveOperationException e) {
@@ -59,14 +59,14 @@
         // Before anything logs, the parser of arguments included.
         System.setProperty("java.util.logging.manager", "spartrail.cli.DrainingLogManager");
         System.setProperty("java.util.logging.SimpleFormatter.format", "%1$tF %1$tT.%1$tL %4$s %3$s: %5$s%6$s%n");
-        CommandLine line = new CommandLine();
+        CommandLine commandLine = new CommandLine();
         if (Arrays.asList(args).contains("--help")) {
-            help(args[0], out);
+            printHelp(args[0], out);
             return 0;
         }
         try {
-            new CmdLineParser(line).parseArgument(args);
-            return line.command.run(out, err);
+            new CmdLineParser(commandLine).parseArgument(args);
+            return commandLine.command.run(out, err);
         } catch (CmdLineException | IllegalArgumentException e) {
             err.println("spartrail: " + e.getMessage());
             if (e instanceof CmdLineException) {
--- a/node/src/main/java/spartrail/cli/ServeCommand.java
+++ b/node/src/main/java/spartrail/cli/ServeCommand.java
@@ -19,7 +19,7 @@
 public final class ServeCommand implements Command {
     private static final System.Logger LOG = System.getLogger("spartrail.cli");
     /** Held, or its level would be forgotten. */
-    private Logger quiet;
+    private Logger xnioLogger;
 
     @Option(name = "--config", metaVar = "FILE", usage = "the node's configuration; else BALANCER_CONFIG names it")
     private Path config;
@@ -43,30 +43,31 @@
     private Path state;
 
     @Option(name = "--record", metaVar = "FILE", usage = "keep a line for each multiget taken, to replay it elsewhere")
-    private Path record;
+    private Path recordFile;
 
     @Option(
             name = "--record-mb",
             metaVar = "N",
             usage = "the record, and the history, end at so many megabytes (default 64)")
-    private int recordMb = 64;
+    private int maxRecordMb = 64;
 
     @Override
     public int run(PrintStream out, PrintStream err) throws Exception {
-        String named = System.getenv("BALANCER_CONFIG");
-        if (config == null && (named == null || named.isEmpty())) {
+        String configFromEnvironment = System.getenv("BALANCER_CONFIG");
+        if (config == null && (configFromEnvironment == null || configFromEnvironment.isEmpty())) {
             throw new IllegalArgumentException("no configuration: give --config or BALANCER_CONFIG");
         }
-        quiet = Logger.getLogger("org.xnio");
-        quiet.setLevel(Level.WARNING);
-        Path path = config == null ? Path.of(named) : config;
-        CountDownLatch over = new CountDownLatch(1);
-        AtomicReference<FrontNode> served = new AtomicReference<>();
+        xnioLogger = Logger.getLogger("org.xnio");
+        xnioLogger.setLevel(Level.WARNING);
+        Path path = config == null ? Path.of(configFromEnvironment) : config;
+        CountDownLatch ended = new CountDownLatch(1);
+        AtomicReference<FrontNode> startedNode = new AtomicReference<>();
         synchronized (ServeCommand.class) {
             // Danger: a JVM that nobody told otherwise ends on SIGHUP, with all that it has in hand. Danger: a signal
             // that comes between the word that the node is ready and what listens for it ends it the same way; so both
             // come first, and wait for the start.
-            if (Signal.handle(new Signal("HUP"), signal -> reload(served, path)) == SignalHandler.SIG_IGN) {
+            if (Signal.handle(new Signal("HUP"), signal -> reloadConfiguration(startedNode, path))
+                    == SignalHandler.SIG_IGN) {
                 // Danger: a JVM leaves a signal ignored that was so at its start, as below nohup, and no word is said
                 // when one comes.
                 LOG.log(
@@ -79,42 +80,42 @@
                 node.setEndpointSources(EndpointSourcesFile.read(members));
             }
             if (peers != null) {
-                node.enablePeers(peers, history, recordMb * 1024L * 1024);
+                node.enablePeers(peers, history, maxRecordMb * 1024L * 1024);
             }
             if (state != null) {
                 node.enablePolicy(state);
             }
-            MultigetRecord kept = record == null ? null : record();
-            node.setRecord(kept);
+            MultigetRecord record = recordFile == null ? null : openRecord();
+            node.setRecord(record);
             // Danger: the log opens with its first line, and of a process that ends by then nothing would ever be read.
             LOG.log(System.Logger.Level.INFO, "starts by " + path);
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
                             () -> {
                                 node.beginTermination();
-                                end(served, kept);
-                                over.countDown();
+                                drainAndClose(startedNode, record);
+                                ended.countDown();
                             },
                             "spartrail-drain"));
             node.start();
-            served.set(node);
+            startedNode.set(node);
         }
-        over.await();
+        ended.await();
         return 0;
     }
 
     /** Waits for the start, and does nothing where it failed; a SIGHUP is taken meanwhile. */
-    private static void end(AtomicReference<FrontNode> served, MultigetRecord kept) {
+    private static void drainAndClose(AtomicReference<FrontNode> startedNode, MultigetRecord record) {
         FrontNode node;
         synchronized (ServeCommand.class) {
-            node = served.get();
+            node = startedNode.get();
         }
         try {
             if (node != null) {
                 node.drain();
                 node.close();
-                if (kept != null) {
-                    kept.close();
+                if (record != null) {
+                    record.close();
                 }
             }
         } catch (InterruptedException e) {
@@ -122,28 +123,30 @@
         }
     }
 
-    private MultigetRecord record() {
-        if (recordMb < 1) {
-            throw new IllegalArgumentException("--record-mb: found " + recordMb + ", 1 or more is expected");
+    private MultigetRecord openRecord() {
+        if (maxRecordMb < 1) {
+            throw new IllegalArgumentException("--record-mb: found " + maxRecordMb + ", 1 or more is expected");
         }
         try {
-            return new MultigetRecord(record, recordMb * 1024L * 1024);
+            return new MultigetRecord(recordFile, maxRecordMb * 1024L * 1024);
         } catch (IOException e) {
-            throw new IllegalArgumentException("cannot write the record " + record, e);
+            throw new IllegalArgumentException("cannot write the record " + recordFile, e);
         }
     }
 
     /** One at a time and none before the start, so that of two signals the later one's reading counts. */
-    private static synchronized void reload(AtomicReference<FrontNode> served, Path path) {
-        if (served.get() == null) {
+    private static synchronized void reloadConfiguration(AtomicReference<FrontNode> startedNode, Path path) {
+        if (startedNode.get() == null) {
             return;
         }
         try {
-            String waiting = served.get().reload(DeploymentFile.read(path));
+            String waitingSettings = startedNode.get().reload(DeploymentFile.read(path));
             LOG.log(
-                    waiting.isEmpty() ? System.Logger.Level.INFO : System.Logger.Level.WARNING,
+                    waitingSettings.isEmpty() ? System.Logger.Level.INFO : System.Logger.Level.WARNING,
                     "configuration read again"
-                            + (waiting.isEmpty() ? "" : ", its settings wait for the next start: " + waiting));
+                            + (waitingSettings.isEmpty()
+                                    ? ""
+                                    : ", its settings wait for the next start: " + waitingSettings));
         } catch (IOException | RuntimeException e) {
             LOG.log(System.Logger.Level.WARNING, "configuration not taken, the one before stays: " + e.getMessage());
         }
--- a/node/src/main/java/spartrail/cli/SubsetCommand.java
+++ b/node/src/main/java/spartrail/cli/SubsetCommand.java
@@ -20,70 +20,72 @@
 /** Shows the subset of index servers that a node uses. */
 public final class SubsetCommand implements Command {
     @Argument(required = true, metaVar = "show", usage = "the one thing that it does")
-    private String what;
+    private String action;
 
     @Option(
             name = "--config",
             required = true,
             metaVar = "FILE",
             usage = "the node's configuration, with a subset in its settings")
-    private Path config;
+    private Path configFile;
 
     @Option(name = "--list", required = true, metaVar = "FILE", usage = "a whole list of servers in discovery's form")
-    private Path list;
+    private Path listFile;
 
     @Option(name = "--spares", metaVar = "N", usage = "so many of those that follow are shown (default 3)")
-    private int spares = 3;
+    private int maxSpares = 3;
 
     @Override
     public int run(PrintStream out, PrintStream err) throws Exception {
-        if (!what.equals("show")) {
-            throw new IllegalArgumentException("subset: found '" + what + "', 'show' is expected");
+        if (!action.equals("show")) {
+            throw new IllegalArgumentException("subset: found '" + action + "', 'show' is expected");
         }
-        DeploymentFile deployment = DeploymentFile.read(config);
+        DeploymentFile deployment = DeploymentFile.read(configFile);
         if (deployment.subset() == null) {
             throw new IllegalArgumentException(
-                    config + ": 'subset' of settings is missing: this node uses all servers");
+                    configFile + ": 'subset' of settings is missing: this node uses all servers");
         }
         SubsetSelector selector = deployment.subsetSelector();
-        selector.apply(live(), List.of());
-        summary(out, deployment, selector);
+        selector.apply(readLiveServers(), List.of());
+        printSummary(out, deployment, selector);
         for (int group = 0; group < selector.groups(); group++) {
-            List<String> follow = selector.spares(group);
+            List<String> spareServers = selector.spares(group);
             out.println("shard " + group + ": uses " + String.join(" ", selector.selected(group)) + "; then "
-                    + (follow.isEmpty()
+                    + (spareServers.isEmpty()
                             ? "none"
-                            : String.join(" ", follow.subList(0, Math.min(Math.max(0, spares), follow.size()))))
-                    + " (" + follow.size() + " spares, " + selector.zones(group) + " zones)");
+                            : String.join(
+                                    " ",
+                                    spareServers.subList(0, Math.min(Math.max(0, maxSpares), spareServers.size()))))
+                    + " (" + spareServers.size() + " spares, " + selector.zones(group) + " zones)");
         }
         return 0;
     }
 
-    private List<LiveServer> live() {
+    private List<LiveServer> readLiveServers() {
         try {
-            return EndpointList.decode(Files.readAllBytes(list)).lines().stream()
+            return EndpointList.decode(Files.readAllBytes(listFile)).lines().stream()
                     .filter(line -> line.state() == Server.State.LIVE)
                     .map(line -> new LiveServer(line.id(), line.zone(), line.cell(), line.rating()))
                     .toList();
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException(list + ": no JSON: " + JsonTree.fault(e), e);
+            throw new IllegalArgumentException(listFile + ": no JSON: " + JsonTree.fault(e), e);
         } catch (IOException e) {
-            throw new IllegalArgumentException("cannot read " + list, e);
+            throw new IllegalArgumentException("cannot read " + listFile, e);
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException(list + ": " + e.getMessage(), e);
+            throw new IllegalArgumentException(listFile + ": " + e.getMessage(), e);
         }
     }
 
-    private static void summary(PrintStream out, DeploymentFile deployment, SubsetSelector selector) {
-        int used = selector.selected().size();
+    private static void printSummary(PrintStream out, DeploymentFile deployment, SubsetSelector selector) {
+        int selected = selector.selected().size();
         out.printf(
                 Locale.ROOT,
                 "node %s uses %d of %d live servers; each is used by %.1f of %d nodes on average, by more than %d with a"
                         + " chance below %.0e%n",
                 deployment.name(),
-                used,
+                selected,
                 selector.liveServers(),
-                deployment.nodes() * used / (double) Math.max(1, selector.liveServers()),
+                deployment.nodes() * selected / (double) Math.max(1, selector.liveServers()),
                 deployment.nodes(),
                 selector.nodesPerServer(deployment.nodes()),
                 SharingBound.CHANCE);
--- a/node/src/main/java/spartrail/record/MultigetRecord.java
+++ b/node/src/main/java/spartrail/record/MultigetRecord.java
@@ -19,30 +19,30 @@
  * at the bound the record ends, with a whole last line.
  */
 public final class MultigetRecord implements AutoCloseable {
-    private record Taken(double atMs, long ns, String policy, ClientQuery ask) {}
+    private record Entry(double atMs, long decidedNs, String version, ClientQuery query) {}
 
     private static final System.Logger LOG = System.getLogger("spartrail.record");
     /** Danger: what waits here keeps its texts; a disk that stands still must not fill the heap with them. */
-    private static final int MOST_WAITING = 512;
+    private static final int MAX_QUEUED = 512;
 
-    private static final int FLUSHED_MS = 500;
+    private static final int FLUSH_INTERVAL_MS = 500;
 
-    private final ArrayBlockingQueue<Taken> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
-    private final JsonFactory json = new JsonFactory();
+    private final ArrayBlockingQueue<Entry> queue = new ArrayBlockingQueue<>(MAX_QUEUED);
+    private final JsonFactory jsonFactory = new JsonFactory();
     private final OutputStream out;
-    private final long mostBytes;
+    private final long maxBytes;
     private final Thread thread;
-    private final AtomicLong leftOut = new AtomicLong();
-    private long bytes;
-    private long lines;
+    private final AtomicLong dropped = new AtomicLong();
+    private long writtenBytes;
+    private long writtenLines;
     private volatile boolean full;
-    private volatile boolean ended;
+    private volatile boolean closed;
 
     /** Begins a new file; an IOException where it cannot be written, before the node serves. */
-    public MultigetRecord(Path file, long mostBytes) throws IOException {
+    public MultigetRecord(Path file, long maxBytes) throws IOException {
         this.out = new BufferedOutputStream(Files.newOutputStream(file), 1 << 15);
-        this.mostBytes = mostBytes;
-        this.thread = new Thread(this::write, "spartrail-record");
+        this.maxBytes = maxBytes;
+        this.thread = new Thread(this::writeEntries, "spartrail-record");
         thread.setDaemon(true);
         thread.start();
     }
@@ -53,21 +53,21 @@
      * @param ns the machine's monotonic clock when it was decided by what it is decided
      * @param policy by which version of policy; empty where there are none
      */
-    public void taken(ClientQuery ask, double atMs, long ns, String policy) {
-        if (!full && !waiting.offer(new Taken(atMs, ns, policy, ask))) {
-            leftOut.incrementAndGet();
+    public void append(ClientQuery query, double atMs, long decidedNs, String version) {
+        if (!full && !queue.offer(new Entry(atMs, decidedNs, version, query))) {
+            dropped.incrementAndGet();
         }
     }
 
-    public long leftOut() {
-        return leftOut.get();
+    public long droppedCount() {
+        return dropped.get();
     }
 
-    private void write() {
+    private void writeEntries() {
         try (out) {
             boolean unflushed = false;
-            while (!ended || !waiting.isEmpty()) {
-                Taken next = waiting.poll(FLUSHED_MS, TimeUnit.MILLISECONDS);
+            while (!closed || !queue.isEmpty()) {
+                Entry next = queue.poll(FLUSH_INTERVAL_MS, TimeUnit.MILLISECONDS);
                 if (next == null) {
                     if (unflushed) {
                         out.flush();
@@ -75,18 +75,18 @@
                     }
                     continue;
                 }
-                byte[] line = line(next);
-                if (bytes + line.length > mostBytes) {
+                byte[] encoded = encodeLine(next);
+                if (writtenBytes + encoded.length > maxBytes) {
                     full = true;
                     LOG.log(
                             System.Logger.Level.WARNING,
-                            "record full after " + lines + " multigets, nothing more is kept");
+                            "record full after " + writtenLines + " multigets, nothing more is kept");
                     break;
                 }
-                out.write(line);
-                bytes += line.length;
-                lines++;
-                unflushed = !waiting.isEmpty();
+                out.write(encoded);
+                writtenBytes += encoded.length;
+                writtenLines++;
+                unflushed = !queue.isEmpty();
                 if (!unflushed) {
                     // Danger: who is killed would lose what it had decided a moment before.
                     out.flush();
@@ -98,42 +98,42 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        waiting.clear();
+        queue.clear();
         LOG.log(
                 System.Logger.Level.INFO,
-                "record: " + lines + " multigets, " + bytes + " bytes, " + leftOut + " left out");
+                "record: " + writtenLines + " multigets, " + writtenBytes + " bytes, " + dropped + " left out");
     }
 
-    private byte[] line(Taken taken) throws IOException {
+    private byte[] encodeLine(Entry entry) throws IOException {
         java.io.ByteArrayOutputStream text = new java.io.ByteArrayOutputStream(160);
-        ClientQuery ask = taken.ask();
-        try (JsonGenerator generator = json.createGenerator(text)) {
+        ClientQuery query = entry.query();
+        try (JsonGenerator generator = jsonFactory.createGenerator(text)) {
             generator.writeStartObject();
-            generator.writeNumberField("atMs", Math.round(taken.atMs() * 1000) / 1000.0);
-            generator.writeStringField("opType", ask.opType());
-            generator.writeStringField("key", ask.key() == null ? "" : ask.key());
+            generator.writeNumberField("atMs", Math.round(entry.atMs() * 1000) / 1000.0);
+            generator.writeStringField("opType", query.opType());
+            generator.writeStringField("key", query.key() == null ? "" : query.key());
             generator.writeArrayFieldStart("shards");
-            for (ClientQuery.QueriedPart part : ask.parts()) {
+            for (ClientQuery.QueriedPart part : query.parts()) {
                 generator.writeNumber(part.shard());
             }
             generator.writeEndArray();
             generator.writeArrayFieldStart("weights");
-            for (ClientQuery.QueriedPart part : ask.parts()) {
+            for (ClientQuery.QueriedPart part : query.parts()) {
                 generator.writeNumber(part.weight());
             }
             generator.writeEndArray();
             generator.writeNumberField(
                     "workMs",
-                    ask.parts().stream()
+                    query.parts().stream()
                             .mapToDouble(ClientQuery.QueriedPart::costMs)
                             .average()
                             .orElse(0));
-            generator.writeNumberField("textBytes", ask.text().length);
-            generator.writeNumberField("clientMs", ask.clientLeftMs());
-            generator.writeBooleanField("retry", ask.retry());
-            if (!taken.policy().isEmpty()) {
-                generator.writeStringField("policy", taken.policy());
-                generator.writeNumberField("ns", taken.ns());
+            generator.writeNumberField("textBytes", query.text().length);
+            generator.writeNumberField("clientMs", query.clientLeftMs());
+            generator.writeBooleanField("retry", query.retry());
+            if (!entry.version().isEmpty()) {
+                generator.writeStringField("policy", entry.version());
+                generator.writeNumberField("ns", entry.decidedNs());
             }
             generator.writeEndObject();
         }
@@ -144,7 +144,7 @@
     /** Writes what waits and ends the file. */
     @Override
     public void close() throws InterruptedException {
-        ended = true;
+        closed = true;
         thread.join(5000);
     }
 }
--- a/node/src/test/java/spartrail/record/MultigetRecordFormTest.java
+++ b/node/src/test/java/spartrail/record/MultigetRecordFormTest.java
@@ -26,11 +26,11 @@
         ClientQuery keyless = new ClientQuery("9b20", "Ümlaut", null, 0.5, true, List.of(second), new byte[0]);
         ClientQuery empty = new ClientQuery("9b21", "orders", "", 1500, false, List.of(), text);
         try (MultigetRecord record = new MultigetRecord(file, 10_000)) {
-            record.taken(keyed, 1_782_324_000_000.125, 0, "");
-            record.taken(keyless, 1_782_324_000_001.0, 0, "");
-            record.taken(empty, 12.3456, 0, "");
-            record.taken(keyed, 1_782_324_000_002.0, 2_300_973_830_377L, "0|1");
-            record.taken(keyless, 1_782_324_000_003.0, -5, "17?");
+            record.append(keyed, 1_782_324_000_000.125, 0, "");
+            record.append(keyless, 1_782_324_000_001.0, 0, "");
+            record.append(empty, 12.3456, 0, "");
+            record.append(keyed, 1_782_324_000_002.0, 2_300_973_830_377L, "0|1");
+            record.append(keyless, 1_782_324_000_003.0, -5, "17?");
         }
         try (InputStream kept = getClass().getResourceAsStream("/forms/record.jsonl")) {
             assertThat(Files.readString(file)).isEqualTo(new String(kept.readAllBytes(), StandardCharsets.UTF_8));
--- a/node/src/test/java/spartrail/record/MultigetRecordTest.java
+++ b/node/src/test/java/spartrail/record/MultigetRecordTest.java
@@ -29,8 +29,8 @@
     void eachMultigetTakenIsALine() throws Exception {
         Path file = folder.resolve("record");
         try (MultigetRecord record = new MultigetRecord(file, 10_000)) {
-            record.taken(ask("k\"1"), 1_782_324_000_000.125, 0, "");
-            record.taken(ask(null), 1_782_324_000_001.0, 0, "");
+            record.append(ask("k\"1"), 1_782_324_000_000.125, 0, "");
+            record.append(ask(null), 1_782_324_000_001.0, 0, "");
         }
         assertThat(Files.readString(file))
                 .isEqualTo(
@@ -47,7 +47,7 @@
         Path file = folder.resolve("record");
         try (MultigetRecord record = new MultigetRecord(file, 1000)) {
             for (int i = 0; i < 100; i++) {
-                record.taken(ask("k" + i), i, 0, "");
+                record.append(ask("k" + i), i, 0, "");
             }
         }
         String text = Files.readString(file);
