--- a/node/src/main/java/spartrail/cli/CheckCommand.java
+++ b/node/src/main/java/spartrail/cli/CheckCommand.java
@@ -14,8 +14,10 @@
 import spartrail.endpoint.sources.EndpointSourcesFile;
 import spartrail.front.FrontNode;
 
-/** Reads a configuration and says whether a node could start with it. */
+/** Checks whether a node could start with a configuration, and on demand starts one. */
 public final class CheckCommand implements Command {
+    private static final int RESPONSE_TIMEOUT_MS = 10_000;
+
     @Argument(required = true, metaVar = "FILE")
     private Path config;
 
@@ -42,27 +44,28 @@
                 + deployment.known().lines().size()
                 + " servers known");
         if (start) {
-            InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-            try (FrontNode node = new FrontNode(deployment, anyPort)) {
-                node.start();
-                String opType = deployment.opTypes().get(0).name;
-                String body = "{\"segments\":[{\"segment\":0,\"boost\":1.0}],\"text\":\"check\"}";
-                out.println("/up: " + requestStatusLine(node.address(), "GET /up HTTP/1.1\r\n", ""));
-                out.println("a multiget: "
-                        + requestStatusLine(
-                                node.address(),
-                                "POST /" + opType + "/check HTTP/1.1\r\nReq-Id: check" + "\r\nReq-Kind: " + opType
-                                        + "\r\nReq-Deadline: 1\r\n",
-                                body));
-            }
+            startAndAsk(deployment, out);
         }
         return 0;
     }
 
-    /** The first line of the answer. */
+    private static void startAndAsk(DeploymentFile deployment, PrintStream out) throws Exception {
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        try (FrontNode node = new FrontNode(deployment, anyPort)) {
+            node.start();
+            String opType = deployment.opTypes().get(0).name;
+            String head = "POST /" + opType + "/check HTTP/1.1\r\nReq-Id: check\r\nReq-Kind: " + opType
+                    + "\r\nReq-Deadline: 1\r\n";
+            String body = "{\"segments\":[{\"segment\":0,\"boost\":1.0}],\"text\":\"check\"}";
+            out.println("/up: " + requestStatusLine(node.address(), "GET /up HTTP/1.1\r\n", ""));
+            out.println("a multiget: " + requestStatusLine(node.address(), head, body));
+        }
+    }
+
+    /** The status line of the response. */
     private static String requestStatusLine(InetSocketAddress address, String head, String body) throws IOException {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-            socket.setSoTimeout(10_000);
+            socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
             String request =
                     head + "Host: check\r\nConnection: close\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
--- a/node/src/main/java/spartrail/cli/Command.java
+++ b/node/src/main/java/spartrail/cli/Command.java
@@ -4,6 +4,6 @@
 
 /** A sub-command with its options. */
 interface Command {
-    /** The exit status. An IllegalArgumentException tells of an unusable configuration. */
+    /** Runs to the exit status; an IllegalArgumentException says what of the arguments or the configuration cannot be used. */
     int run(PrintStream out, PrintStream err) throws Exception;
 }
--- a/node/src/main/java/spartrail/cli/CommandLine.java
+++ b/node/src/main/java/spartrail/cli/CommandLine.java
@@ -22,38 +22,50 @@
     })
     private Command command;
 
+    /** The exit status for arguments or a configuration that cannot be used. */
+    private static final int STATUS_UNUSABLE = 2;
+
+    private static final int STATUS_FAILED = 1;
+    private static final int USAGE_WIDTH = 110;
+
     private static final String USAGE =
             "usage: spartrail serve [--config FILE] [--record FILE] [--members FILE] [--peers FILE]"
                     + " | check [--start] [--members FILE] [--peers FILE] FILE | simhost"
                     + " | subset show --config FILE --list FILE | version; --help behind a command tells its options";
 
-    /** What the command named first takes; without one, which there are. */
+    /** Prints the options of the command of this name; without such a command, which commands there are. */
     private static void printHelp(String name, PrintStream out) {
-        Object command = null;
-        try {
-            for (SubCommand subCommand : CommandLine.class
-                    .getDeclaredField("command")
-                    .getAnnotation(SubCommands.class)
-                    .value()) {
-                if (subCommand.name().equals(name)) {
-                    command = subCommand.impl().getDeclaredConstructor().newInstance();
-                }
-            }
-        } catch (ReflectiveOperationException e) {
-            throw new AssertionError("a command that cannot be made", e);
-        }
+        Object command = createCommand(name);
         if (command == null) {
             out.println(USAGE);
             return;
         }
         CmdLineParser parser =
-                new CmdLineParser(command, ParserProperties.defaults().withUsageWidth(110));
+                new CmdLineParser(command, ParserProperties.defaults().withUsageWidth(USAGE_WIDTH));
         out.print("spartrail " + name);
         parser.printSingleLineUsage(out);
         out.println();
         parser.printUsage(out);
     }
 
+    /** The command of this name, or null. */
+    private static Object createCommand(String name) {
+        try {
+            SubCommand[] subCommands = CommandLine.class
+                    .getDeclaredField("command")
+                    .getAnnotation(SubCommands.class)
+                    .value();
+            for (SubCommand subCommand : subCommands) {
+                if (subCommand.name().equals(name)) {
+                    return subCommand.impl().getDeclaredConstructor().newInstance();
+                }
+            }
+            return null;
+        } catch (ReflectiveOperationException e) {
+            throw new AssertionError("a command that cannot be made", e);
+        }
+    }
+
     /** Runs the command that the arguments name; what is unknown ends with the usage and status 2. */
     public static int run(String[] args, PrintStream out, PrintStream err) {
         // Before anything logs, the parser of arguments included.
@@ -67,15 +79,17 @@
         try {
             new CmdLineParser(commandLine).parseArgument(args);
             return commandLine.command.run(out, err);
-        } catch (CmdLineException | IllegalArgumentException e) {
+        } catch (CmdLineException e) {
             err.println("spartrail: " + e.getMessage());
-            if (e instanceof CmdLineException) {
-                err.println(USAGE);
-            }
-            return 2;
+            err.println(USAGE);
+            return STATUS_UNUSABLE;
+        } catch (IllegalArgumentException e) {
+            err.println("spartrail: " + e.getMessage());
+            return STATUS_UNUSABLE;
         } catch (Exception e) {
+            // The program's edge: whatever else ended the command is told in one line.
             err.println("spartrail: " + (e.getMessage() == null ? e : e.getMessage()));
-            return 1;
+            return STATUS_FAILED;
         }
     }
 }
--- a/node/src/main/java/spartrail/cli/DrainingLogManager.java
+++ b/node/src/main/java/spartrail/cli/DrainingLogManager.java
@@ -2,7 +2,7 @@
 
 import java.util.logging.LogManager;
 
-/** Keeps the log open while a node drains; the JDK's own closes it as soon as the process is told to end. */
+/** Keeps the log open while a node drains; the JDK's own log manager closes it at the beginning of the shutdown. */
 public final class DrainingLogManager extends LogManager {
     @Override
     public void reset() {
--- a/node/src/main/java/spartrail/cli/ServeCommand.java
+++ b/node/src/main/java/spartrail/cli/ServeCommand.java
@@ -15,10 +15,13 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** Serves clients as a front node, until it is told to end; then it drains. */
+/** Serves clients as a front node until SIGTERM; then it drains. */
 public final class ServeCommand implements Command {
     private static final System.Logger LOG = System.getLogger("spartrail.cli");
-    /** Held, or its level would be forgotten. */
+    private static final String CONFIG_VARIABLE = "BALANCER_CONFIG";
+    private static final long BYTES_PER_MB = 1024L * 1024;
+
+    /** Referenced, or the JVM would collect the logger and its level with it. */
     private Logger xnioLogger;
 
     @Option(name = "--config", metaVar = "FILE", usage = "the node's configuration; else BALANCER_CONFIG names it")
@@ -53,41 +56,20 @@
 
     @Override
     public int run(PrintStream out, PrintStream err) throws Exception {
-        String configFromEnvironment = System.getenv("BALANCER_CONFIG");
-        if (config == null && (configFromEnvironment == null || configFromEnvironment.isEmpty())) {
-            throw new IllegalArgumentException("no configuration: give --config or BALANCER_CONFIG");
-        }
+        Path path = configurationFile();
         xnioLogger = Logger.getLogger("org.xnio");
         xnioLogger.setLevel(Level.WARNING);
-        Path path = config == null ? Path.of(configFromEnvironment) : config;
         CountDownLatch ended = new CountDownLatch(1);
         AtomicReference<FrontNode> startedNode = new AtomicReference<>();
         synchronized (ServeCommand.class) {
-            // Danger: a JVM that nobody told otherwise ends on SIGHUP, with all that it has in hand. Danger: a signal
-            // that comes between the word that the node is ready and what listens for it ends it the same way; so both
-            // come first, and wait for the start.
-            if (Signal.handle(new Signal("HUP"), signal -> reloadConfiguration(startedNode, path))
-                    == SignalHandler.SIG_IGN) {
-                // Danger: a JVM leaves a signal ignored that was so at its start, as below nohup, and no word is said
-                // when one comes.
-                LOG.log(
-                        System.Logger.Level.WARNING,
-                        "SIGHUP is ignored, as it was by whoever started this process:"
-                                + " a new configuration is taken at the next start only");
-            }
-            FrontNode node = new FrontNode(DeploymentFile.read(path));
-            if (members != null) {
-                node.setEndpointSources(EndpointSourcesFile.read(members));
-            }
-            if (peers != null) {
-                node.enablePeers(peers, history, maxRecordMb * 1024L * 1024);
-            }
-            if (state != null) {
-                node.enablePolicy(state);
-            }
+            // Before the node reports ready, as a JVM without a handler ends on a signal with all that it has in
+            // flight. Both
+            // handlers wait for the start.
+            handleReloadSignal(startedNode, path);
+            FrontNode node = createNode(path);
             MultigetRecord record = recordFile == null ? null : openRecord();
             node.setRecord(record);
-            // Danger: the log opens with its first line, and of a process that ends by then nothing would ever be read.
+            // The log opens with its first line, and of a process that ends by then nothing would ever be read.
             LOG.log(System.Logger.Level.INFO, "starts by " + path);
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
@@ -104,6 +86,42 @@
         return 0;
     }
 
+    private Path configurationFile() {
+        if (config != null) {
+            return config;
+        }
+        String fromEnvironment = System.getenv(CONFIG_VARIABLE);
+        if (fromEnvironment == null || fromEnvironment.isEmpty()) {
+            throw new IllegalArgumentException("no configuration: give --config or " + CONFIG_VARIABLE);
+        }
+        return Path.of(fromEnvironment);
+    }
+
+    private static void handleReloadSignal(AtomicReference<FrontNode> startedNode, Path path) {
+        SignalHandler previous = Signal.handle(new Signal("HUP"), signal -> reloadConfiguration(startedNode, path));
+        if (previous == SignalHandler.SIG_IGN) {
+            // A JVM leaves a signal ignored that was so at its start, as below nohup, and is silent when one comes.
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "SIGHUP is ignored, as it was by whoever started this process:"
+                            + " a new configuration is taken at the next start only");
+        }
+    }
+
+    private FrontNode createNode(Path path) throws IOException {
+        FrontNode node = new FrontNode(DeploymentFile.read(path));
+        if (members != null) {
+            node.setEndpointSources(EndpointSourcesFile.read(members));
+        }
+        if (peers != null) {
+            node.enablePeers(peers, history, maxRecordMb * BYTES_PER_MB);
+        }
+        if (state != null) {
+            node.enablePolicy(state);
+        }
+        return node;
+    }
+
     /** Waits for the start, and does nothing where it failed; a SIGHUP is taken meanwhile. */
     private static void drainAndClose(AtomicReference<FrontNode> startedNode, MultigetRecord record) {
         FrontNode node;
@@ -128,7 +146,7 @@
             throw new IllegalArgumentException("--record-mb: found " + maxRecordMb + ", 1 or more is expected");
         }
         try {
-            return new MultigetRecord(recordFile, maxRecordMb * 1024L * 1024);
+            return new MultigetRecord(recordFile, maxRecordMb * BYTES_PER_MB);
         } catch (IOException e) {
             throw new IllegalArgumentException("cannot write the record " + recordFile, e);
         }
@@ -140,13 +158,14 @@
             return;
         }
         try {
-            String waitingSettings = startedNode.get().reload(DeploymentFile.read(path));
-            LOG.log(
-                    waitingSettings.isEmpty() ? System.Logger.Level.INFO : System.Logger.Level.WARNING,
-                    "configuration read again"
-                            + (waitingSettings.isEmpty()
-                                    ? ""
-                                    : ", its settings wait for the next start: " + waitingSettings));
+            String waiting = startedNode.get().reload(DeploymentFile.read(path));
+            if (waiting.isEmpty()) {
+                LOG.log(System.Logger.Level.INFO, "configuration read again");
+            } else {
+                LOG.log(
+                        System.Logger.Level.WARNING,
+                        "configuration read again, its settings wait for the next start: " + waiting);
+            }
         } catch (IOException | RuntimeException e) {
             LOG.log(System.Logger.Level.WARNING, "configuration not taken, the one before stays: " + e.getMessage());
         }
--- a/node/src/main/java/spartrail/cli/SubsetCommand.java
+++ b/node/src/main/java/spartrail/cli/SubsetCommand.java
@@ -17,7 +17,7 @@
 import spartrail.subset.SubsetSelector;
 import spartrail.subset.SubsetSelector.LiveServer;
 
-/** Shows the subset of index servers that a node uses. */
+/** Shows the subset of index servers that a node uses, by its configuration and a list of all servers. */
 public final class SubsetCommand implements Command {
     @Argument(required = true, metaVar = "show", usage = "the one thing that it does")
     private String action;
@@ -49,18 +49,19 @@
         selector.apply(readLiveServers(), List.of());
         printSummary(out, deployment, selector);
         for (int group = 0; group < selector.groups(); group++) {
-            List<String> spareServers = selector.spares(group);
-            out.println("shard " + group + ": uses " + String.join(" ", selector.selected(group)) + "; then "
-                    + (spareServers.isEmpty()
-                            ? "none"
-                            : String.join(
-                                    " ",
-                                    spareServers.subList(0, Math.min(Math.max(0, maxSpares), spareServers.size()))))
-                    + " (" + spareServers.size() + " spares, " + selector.zones(group) + " zones)");
+            printGroup(out, selector, group);
         }
         return 0;
     }
 
+    private void printGroup(PrintStream out, SubsetSelector selector, int group) {
+        List<String> spareServers = selector.spares(group);
+        int shown = Math.min(Math.max(0, maxSpares), spareServers.size());
+        String next = spareServers.isEmpty() ? "none" : String.join(" ", spareServers.subList(0, shown));
+        out.println("shard " + group + ": uses " + String.join(" ", selector.selected(group)) + "; then " + next + " ("
+                + spareServers.size() + " spares, " + selector.zones(group) + " zones)");
+    }
+
     private List<LiveServer> readLiveServers() {
         try {
             return EndpointList.decode(Files.readAllBytes(listFile)).lines().stream()
--- a/node/src/main/java/spartrail/record/package-info.java
+++ b/node/src/main/java/spartrail/record/package-info.java
@@ -1,6 +1,7 @@
 /**
- * A record of the multigets that a node takes, for replaying them elsewhere. Off unless asked for; nothing of it is
- * loaded then. In come decoded requests on the I/O thread, out go lines on a thread of its own; it never makes anybody
- * wait and never grows past its bound.
+ * A record of the multigets that a node takes, for replaying them elsewhere. Off unless asked for; nothing of it is loaded then.
+ *
+ * <p>In: decoded queries on the coordinator's thread. Out: lines of a file, written by a thread of its own. It never makes anybody wait
+ * and never grows past its bound.
  */
 package spartrail.record;
