--- a/lab/src/main/java/spartrail/lab/virtual/PolicyScene.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PolicySimulation.java
@@ -1,4 +1,4 @@
-package spartrail.lab.virtual;
+package spartrail.lab.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,40 +10,41 @@
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 import spartrail.lab.rules.PeersRules.Breach;
-import spartrail.policy.Ask;
-import spartrail.policy.Op;
+import spartrail.policy.LogOperation;
 import spartrail.policy.PolicyFollower;
 import spartrail.policy.PolicyLeader;
+import spartrail.policy.PolicyLease;
 import spartrail.policy.PolicyLog;
 import spartrail.policy.PolicyLog.Entry;
 import spartrail.policy.PolicyLog.Stage;
-import spartrail.policy.PolicyTimes;
-import spartrail.policy.Ruling;
-import spartrail.policy.Terms;
-import spartrail.policy.Told;
+import spartrail.policy.PolicyRequest;
+import spartrail.policy.PolicyResponse;
+import spartrail.policy.PolicySettings;
+import spartrail.policy.PolicyTimings;
 
 /**
  * Nodes that go by versions of policy. The agreed log is a stand-in: one list, a leader that is chosen anew some time after the one
  * before was lost, reads and entries that take time and succeed only where the leader still leads and reaches a majority; an entry
  * that does not may come to be all the same. All else is the program's own.
  */
-public final class PolicyScene implements World.Scene<PolicyScene.Message> {
+public final class PolicySimulation implements SimulatedNetwork.Scene<PolicySimulation.Message> {
     /** What nodes send each other about policy; kinds as in the program's wire form. */
-    public record Message(String kind, String from, Ask ask, Told told, String hint) {}
+    public record Message(String kind, String from, PolicyRequest ask, PolicyResponse told, String hint) {}
 
     /** Short times, so that much happens in a short run. */
-    static final PolicyTimes TIMES = new PolicyTimes(3000, 500, 8000, 5000, 0.02);
+    static final PolicyTimings TIMES = new PolicyTimings(3000, 500, 8000, 5000, 0.02);
 
     private static final double LOOK_MS = 100;
     private static final double LEADER_LOST_MS = 3000;
     private static final double GONE_MS = 5000;
     private static final int MOST_BREACHES = 20;
     private static final String BUDGET = "/opTypes/orders/budgetMs";
-    private static final Terms OWN = Terms.parse("{\"opTypes\":{\"orders\":{\"budgetMs\":2000,\"timeoutMs\":8000}},"
-            + "\"furtherSends\":{\"spanMs\":0,\"free\":0,\"share\":0}}");
+    private static final PolicySettings OWN =
+            PolicySettings.parse("{\"opTypes\":{\"orders\":{\"budgetMs\":2000,\"timeoutMs\":8000}},"
+                    + "\"furtherSends\":{\"spanMs\":0,\"free\":0,\"share\":0}}");
 
     /** A node's guest. */
-    private final class PolicyGuest implements Guest<Message> {
+    private final class PolicyGuest implements SimulatedNode<Message> {
         final int node;
         final int start;
         final PolicyFollower follower;
@@ -51,7 +52,7 @@
         final RandomGenerator chance;
         final Deque<Runnable> tasks = new ArrayDeque<>();
         final List<Parcel<Message>> out = new ArrayList<>();
-        final List<Ask> waiting = new ArrayList<>();
+        final List<PolicyRequest> waiting = new ArrayList<>();
         final double bornMs;
         boolean leads;
         boolean reading;
@@ -60,7 +61,7 @@
         double nextLookMs;
         double nowMs;
 
-        PolicyGuest(int node, int start, Terms own, RandomGenerator chance, double nowMs) {
+        PolicyGuest(int node, int start, PolicySettings own, RandomGenerator chance, double nowMs) {
             this.node = node;
             this.start = start;
             this.chance = chance;
@@ -70,7 +71,7 @@
         }
 
         void send(int to, Message message) {
-            out.add(new Parcel<>(World.address(to), message));
+            out.add(new Parcel<>(SimulatedNetwork.address(to), message));
         }
 
         @Override
@@ -78,9 +79,9 @@
             nowMs = atMs;
             switch (message.kind()) {
                 case "ASK" -> asked(message);
-                case "TOLD" -> follower.told(message.told(), atMs);
-                case "ELSEWHERE" -> follower.elsewhere(message.hint(), atMs);
-                default -> follower.news(atMs);
+                case "TOLD" -> follower.onResponse(message.told(), atMs);
+                case "ELSEWHERE" -> follower.onRedirect(message.hint(), atMs);
+                default -> follower.pollNoLaterThan(atMs);
             }
             advance(atMs);
         }
@@ -97,8 +98,8 @@
                                 leading >= 0 && world.linked(node, leading) ? "n" + leading : ""));
                 return;
             }
-            leader.leads(true);
-            leader.asked(message.ask(), nowMs);
+            leader.setLeading(true);
+            leader.onRequest(message.ask(), nowMs);
             waiting.add(message.ask());
             read();
         }
@@ -108,18 +109,19 @@
                 return;
             }
             reading = true;
-            List<Ask> batch = List.copyOf(waiting);
+            List<PolicyRequest> batch = List.copyOf(waiting);
             waiting.clear();
             confirmed(this, told -> {
                 reading = false;
-                for (Ask ask : batch) {
+                for (PolicyRequest ask : batch) {
                     if (told != null) {
-                        Told answer = new Told(ask.nonce(), told.index(), told.holds(), told.open());
-                        if (ask.name().equals("n" + node)) {
-                            follower.told(answer, nowMs);
+                        PolicyResponse answer =
+                                new PolicyResponse(ask.nonce(), told.appliedIndex(), told.active(), told.pending());
+                        if (ask.node().equals("n" + node)) {
+                            follower.onResponse(answer, nowMs);
                         } else {
                             send(
-                                    Integer.parseInt(ask.name().substring(1)),
+                                    Integer.parseInt(ask.node().substring(1)),
                                     new Message("TOLD", "n" + node, null, answer, ""));
                         }
                     }
@@ -136,17 +138,17 @@
             }
             if (atMs >= nextLookMs) {
                 nextLookMs = atMs + 50;
-                leader.leads(leads);
-                Op op = leads ? leader.due(log, there(node), atMs) : null;
+                leader.setLeading(leads);
+                LogOperation op = leads ? leader.nextOperation(log, there(node), atMs) : null;
                 if (op != null) {
                     append(this, op);
                 }
             }
-            Ask ask = follower.ask(atMs);
+            PolicyRequest ask = follower.pollIfDue(atMs);
             if (ask != null) {
                 ask(ask);
             }
-            Entry open = follower.toCheck();
+            Entry open = follower.proposalToCheck();
             if (open != null && checking != open.number()) {
                 checking = open.number();
                 checkedMs = atMs + 20 + 200 * chance.nextDouble();
@@ -156,31 +158,31 @@
                 if (open != null) {
                     String no = "";
                     try {
-                        follower.applied(open);
+                        follower.settingsWith(open);
                     } catch (IllegalArgumentException e) {
                         no = e.getMessage();
                     }
-                    follower.checked(open.number(), no, atMs);
+                    follower.recordVote(open.number(), no, atMs);
                 }
             }
         }
 
-        private void ask(Ask ask) {
+        private void ask(PolicyRequest ask) {
             if (leads) {
-                leader.leads(true);
-                leader.asked(ask, nowMs);
+                leader.setLeading(true);
+                leader.onRequest(ask, nowMs);
                 waiting.add(ask);
                 read();
                 return;
             }
-            send(Integer.parseInt(follower.whom().substring(1)), new Message("ASK", "n" + node, ask, null, ""));
+            send(Integer.parseInt(follower.pollTarget().substring(1)), new Message("ASK", "n" + node, ask, null, ""));
         }
 
         @Override
         public double nextMs() {
             return tasks.isEmpty()
                     ? Math.min(
-                            Math.min(follower.nextMs(), checkedMs),
+                            Math.min(follower.nextPollAtMs(), checkedMs),
                             node < deciders ? nextLookMs : Double.POSITIVE_INFINITY)
                     : Double.NEGATIVE_INFINITY;
         }
@@ -205,14 +207,14 @@
     private final PolicyLog log = new PolicyLog();
     private final List<Breach> breaches = new ArrayList<>();
     private final List<String> lines = new ArrayList<>();
-    private final List<Op> maybe = new ArrayList<>();
+    private final List<LogOperation> maybe = new ArrayList<>();
     private final List<Long> held = new ArrayList<>(List.of(0L));
     private final Map<Long, Double> budgets = new HashMap<>(Map.of(0L, 2000.0));
     private final String[] names;
     private final long[] lastAlone;
     private final double[] seenMs;
     private final double[] isolatedMs;
-    private World<Message> world;
+    private SimulatedNetwork<Message> world;
     private long index;
     private int leading = -1;
     private double leaderSeenMs;
@@ -226,7 +228,7 @@
     private int cutAt = -1;
 
     /** So many nodes, the first three or five decide; the node {@code unfit} (none if below 0) cannot apply every proposal. */
-    PolicyScene(int size, int unfit) {
+    PolicySimulation(int size, int unfit) {
         this.size = size;
         this.deciders = size < 5 ? 3 : 3 + 2 * (size % 2);
         this.unfit = unfit;
@@ -242,7 +244,7 @@
         cutAt = node;
     }
 
-    void in(World<Message> playing) {
+    void in(SimulatedNetwork<Message> playing) {
         world = playing;
         world.later(LOOK_MS, this::look);
     }
@@ -297,15 +299,15 @@
 
     private void look() {
         world.later(LOOK_MS, this::look);
-        double mostMs = TIMES.prepareMs() + TIMES.overMs() + 4 * TIMES.askMs();
-        if (log.open() != null
+        double mostMs = TIMES.voteTimeoutMs() + TIMES.leaseExpiryBoundMs() + 4 * TIMES.pollIntervalMs();
+        if (log.pending() != null
                 && world.nowMs() - Math.max(openedMs, ledMs) > mostMs
                 && leading >= 0
                 && eligible(leading)) {
             breach(
                     "(f) every proposal ends",
-                    log.open().number() + " is " + log.open().stage() + " after " + Math.round(world.nowMs() - openedMs)
-                            + " ms");
+                    log.pending().number() + " is " + log.pending().stage() + " after "
+                            + Math.round(world.nowMs() - openedMs) + " ms");
             openedMs = Double.POSITIVE_INFINITY;
         }
         if (leading < 0 || !eligible(leading)) {
@@ -353,13 +355,13 @@
         ledMs = world.nowMs();
         guest(leading).leads = true;
         line("n" + leading + " leads");
-        for (Op op : List.copyOf(maybe)) {
+        for (LogOperation op : List.copyOf(maybe)) {
             if (world.chance().nextBoolean()) {
                 commit(op);
             }
         }
         maybe.clear();
-        commit(Op.LEADS);
+        commit(LogOperation.OF_NEW_TERM);
         world.wake(leading);
     }
 
@@ -374,13 +376,13 @@
     }
 
     private interface Answer {
-        void of(Told told);
+        void of(PolicyResponse told);
     }
 
     /** A read that a majority confirms: what was committed when it began, if this node still leads when it ends. */
     private void confirmed(PolicyGuest guest, Answer answer) {
         boolean could = leading == guest.node && eligible(guest.node);
-        Told told = new Told(0, index, log.holds(), log.open());
+        PolicyResponse told = new PolicyResponse(0, index, log.active(), log.pending());
         world.later(1 + 40 * world.chance().nextDouble(), () -> {
             boolean can = could && leading == guest.node && eligible(guest.node) && world.guest(guest.node) == guest;
             guest.tasks.add(() -> answer.of(can ? told : null));
@@ -388,7 +390,7 @@
         });
     }
 
-    private void append(PolicyGuest guest, Op op) {
+    private void append(PolicyGuest guest, LogOperation op) {
         boolean could = leading == guest.node && eligible(guest.node);
         world.later(1 + 60 * world.chance().nextDouble(), () -> {
             if (could && leading == guest.node && eligible(guest.node)) {
@@ -399,20 +401,22 @@
         });
     }
 
-    private void commit(Op op) {
-        Entry was = log.open();
+    private void commit(LogOperation op) {
+        Entry was = log.pending();
         String came = log.apply(++index, op);
-        openedMs =
-                log.open() != null && (was == null || was.number() != log.open().number()) ? world.nowMs() : openedMs;
-        if (op.kind() == Op.Kind.LED) {
+        openedMs = log.pending() != null
+                        && (was == null || was.number() != log.pending().number())
+                ? world.nowMs()
+                : openedMs;
+        if (op.kind() == LogOperation.Kind.LED) {
             return;
         }
-        line(op.kind() + " " + op.number() + " " + op.who() + " " + op.text() + ": " + came);
-        Entry open = log.open();
-        if (op.kind() == Op.Kind.PROPOSE && open != null) {
-            budgets.put(open.number(), Terms.parse(open.settings()).number(BUDGET));
+        line(op.kind() + " " + op.proposalNumber() + " " + op.issuer() + " " + op.text() + ": " + came);
+        Entry open = log.pending();
+        if (op.kind() == LogOperation.Kind.PROPOSE && open != null) {
+            budgets.put(open.number(), PolicySettings.parse(open.settings()).number(BUDGET));
         }
-        if (op.kind() == Op.Kind.DECIDE
+        if (op.kind() == LogOperation.Kind.DECIDE
                 && open != null
                 && open.stage() == Stage.DECIDED
                 && was.stage() == Stage.PROPOSED) {
@@ -421,13 +425,13 @@
                 world.script(List.of(new Fault(world.nowMs(), Fault.Kind.CUT, List.of(cutAt), List.of(), 5000, 0)));
             }
         }
-        if (log.holds().number() != held.get(held.size() - 1)) {
-            held.add(log.holds().number());
+        if (log.active().number() != held.get(held.size() - 1)) {
+            held.add(log.active().number());
             if (was.stage() != Stage.DECIDED) {
                 breach("decided first", was.number() + " holds and was " + was.stage());
             }
         }
-        List<Entry> ended = log.entries();
+        List<Entry> ended = log.finished();
         for (Entry entry : ended) {
             if (ended.stream()
                             .filter(other -> other.token().equals(entry.token()))
@@ -450,9 +454,9 @@
             if (!world.runs(node)) {
                 continue;
             }
-            Ruling ruling = guest(node).follower.ruling();
+            PolicyLease ruling = guest(node).follower.lease();
             boolean touch = ruling != null
-                    && !ruling.at(world.clock(node)).name().endsWith("?")
+                    && !ruling.activeAt(world.clock(node)).label().endsWith("?")
                     && world.linked(node, leading)
                     && world.nowMs() - seenMs[node] < LOOK_MS * 2
                     && !world.stands(node);
@@ -470,7 +474,8 @@
 
     /** An operator proposes, and again where nobody answers; some send it twice. */
     void propose(int budgetMs, boolean twice) {
-        Op op = new Op(Op.Kind.PROPOSE, 0, "{\"" + BUDGET + "\":" + budgetMs + "}", "operator", "t" + proposals++);
+        LogOperation op = new LogOperation(
+                LogOperation.Kind.PROPOSE, 0, "{\"" + BUDGET + "\":" + budgetMs + "}", "operator", "t" + proposals++);
         ordered(op, 0);
         if (twice) {
             world.later(1000 + 8000 * world.chance().nextDouble(), () -> ordered(op, 0));
@@ -478,12 +483,12 @@
     }
 
     void abort() {
-        if (log.open() != null) {
-            ordered(new Op(Op.Kind.ABORT, log.open().number(), "", "operator", ""), 0);
+        if (log.pending() != null) {
+            ordered(new LogOperation(LogOperation.Kind.ABORT, log.pending().number(), "", "operator", ""), 0);
         }
     }
 
-    private void ordered(Op op, int tries) {
+    private void ordered(LogOperation op, int tries) {
         if (leading >= 0 && eligible(leading) && guest(leading).leads) {
             append(guest(leading), op);
         } else if (tries < 40) {
@@ -494,8 +499,11 @@
     // ---- The world's scene ----
 
     @Override
-    public Guest<Message> start(int node, int startNumber, String address, double nodeMs, RandomGenerator chance) {
-        Terms own = node == unfit ? OWN.with(Terms.parse("{\"opTypes\":{\"orders\":{\"timeoutMs\":2500}}}")) : OWN;
+    public SimulatedNode<Message> start(
+            int node, int startNumber, String address, double nodeMs, RandomGenerator chance) {
+        PolicySettings own = node == unfit
+                ? OWN.overriddenBy(PolicySettings.parse("{\"opTypes\":{\"orders\":{\"timeoutMs\":2500}}}"))
+                : OWN;
         names[node] = "";
         if (leading == node) {
             leading = -1;
@@ -517,14 +525,14 @@
     }
 
     @Override
-    public void stepped(int node, Guest<Message> guest, double worldMs, double nodeMs) {
+    public void stepped(int node, SimulatedNode<Message> guest, double worldMs, double nodeMs) {
         PolicyGuest stepped = (PolicyGuest) guest;
-        Ruling now = stepped.follower.ruling() == null
+        PolicyLease now = stepped.follower.lease() == null
                 ? null
-                : stepped.follower.ruling().at(nodeMs);
-        String name = now == null ? "" : now.name();
+                : stepped.follower.lease().activeAt(nodeMs);
+        String name = now == null ? "" : now.label();
         boolean leased = now != null && !name.endsWith("?");
-        double graceMs = TIMES.leaseMs() / (1 - TIMES.drift()) + 2 * LOOK_MS;
+        double graceMs = TIMES.leaseMs() / (1 - TIMES.maxClockDrift()) + 2 * LOOK_MS;
         if (leased && worldMs - isolatedMs[node] > graceMs && isolated(node)) {
             breach(
                     "(e) out of touch it stops",
@@ -535,7 +543,7 @@
         }
         line("n" + node + " goes by " + name);
         changes++;
-        if (names[node].isEmpty() && name.equals("0?") && nodeMs - stepped.bornMs < TIMES.readyMs()) {
+        if (names[node].isEmpty() && name.equals("0?") && nodeMs - stepped.bornMs < TIMES.startupTimeoutMs()) {
             breach(
                     "ready late enough",
                     "n" + node + " serves after " + Math.round(nodeMs - stepped.bornMs) + " ms and has heard nothing");
@@ -562,18 +570,18 @@
     }
 
     /** Whatever a node goes by is within each version that it names. */
-    private void strict(int node, Ruling now) {
-        for (long number : numbers(now.name())) {
+    private void strict(int node, PolicyLease now) {
+        for (long number : numbers(now.label())) {
             double budgetMs = budgets.getOrDefault(number, 0.0);
-            if (now.terms().number(BUDGET) > budgetMs + 1e-9) {
+            if (now.settings().number(BUDGET) > budgetMs + 1e-9) {
                 breach(
                         "guarded is the stricter",
-                        "n" + node + " by " + now.name() + " has a budget of "
-                                + now.terms().number(BUDGET) + ", " + number + " has " + budgetMs);
+                        "n" + node + " by " + now.label() + " has a budget of "
+                                + now.settings().number(BUDGET) + ", " + number + " has " + budgetMs);
             }
         }
-        if (now.guarded() != (now.name().contains("|") || now.name().endsWith("?"))) {
-            breach("guarded is the stricter", "n" + node + " by " + now.name() + " does not say so");
+        if (now.isJoint() != (now.label().contains("|") || now.label().endsWith("?"))) {
+            breach("guarded is the stricter", "n" + node + " by " + now.label() + " does not say so");
         }
     }
 
@@ -593,7 +601,9 @@
 
     private void refused(int node, String name) {
         TreeSet<Long> over = new TreeSet<>();
-        log.entries().stream().filter(entry -> entry.stage() != Stage.HOLDS).forEach(entry -> over.add(entry.number()));
+        log.finished().stream()
+                .filter(entry -> entry.stage() != Stage.HOLDS)
+                .forEach(entry -> over.add(entry.number()));
         over.retainAll(numbers(name));
         if (!over.isEmpty()) {
             breach(
@@ -603,43 +613,45 @@
     }
 
     private void instant(int node, String name, int other) {
-        Ruling ruling = guest(other).follower.ruling();
-        Ruling theirs = ruling == null ? null : ruling.at(world.clock(other));
-        if (theirs == null || theirs.name().endsWith("?")) {
+        PolicyLease ruling = guest(other).follower.lease();
+        PolicyLease theirs = ruling == null ? null : ruling.activeAt(world.clock(other));
+        if (theirs == null || theirs.label().endsWith("?")) {
             return;
         }
         List<Long> one = numbers(name);
-        List<Long> two = numbers(theirs.name());
+        List<Long> two = numbers(theirs.label());
         boolean same = one.stream().anyMatch(two::contains) && (one.size() > 1 || two.size() > 1 || one.equals(two));
         if (!same) {
             breach(
                     "(c) one version at an instant",
-                    "n" + node + " goes by " + name + " while n" + other + " goes by " + theirs.name());
+                    "n" + node + " goes by " + name + " while n" + other + " goes by " + theirs.label());
         }
     }
 
     /** Long after the last fault: nothing is open, and all that run go by what holds. */
     void settled(int lastBudgetMs) {
-        if (budgets.get(log.holds().number()) != lastBudgetMs) {
+        if (budgets.get(log.active().number()) != lastBudgetMs) {
             breach(
                     "what all can apply holds",
-                    log.holds().number() + " holds, not the one that was proposed when all was well");
+                    log.active().number() + " holds, not the one that was proposed when all was well");
         }
-        if (log.open() != null) {
+        if (log.pending() != null) {
             breach(
                     "(f) every proposal ends",
-                    log.open().number() + " is " + log.open().stage());
+                    log.pending().number() + " is " + log.pending().stage());
         }
         for (int node = 0; node < size; node++) {
-            Ruling ruling = world.runs(node) ? guest(node).follower.ruling() : null;
-            String name =
-                    ruling == null ? "nothing" : ruling.at(world.clock(node)).name();
+            PolicyLease ruling = world.runs(node) ? guest(node).follower.lease() : null;
+            String name = ruling == null
+                    ? "nothing"
+                    : ruling.activeAt(world.clock(node)).label();
             if (world.runs(node)
-                    && guest(node).follower.unfit().isEmpty()
-                    && !name.equals(Long.toString(log.holds().number()))) {
+                    && guest(node).follower.incompatibility().isEmpty()
+                    && !name.equals(Long.toString(log.active().number()))) {
                 breach(
                         "all go by what holds",
-                        "n" + node + " goes by " + name + ", and " + log.holds().number() + " holds");
+                        "n" + node + " goes by " + name + ", and "
+                                + log.active().number() + " holds");
             }
         }
     }
--- a/node/src/main/java/spartrail/front/EndpointTable.java
+++ b/node/src/main/java/spartrail/front/EndpointTable.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import spartrail.membership.EndpointList;
+import spartrail.endpoint.EndpointList;
 import spartrail.model.Server;
 
 /** The servers that this node may send to, as last listed; owned by the coordinator's thread. Cost: an update walks its own lines. */
--- a/node/src/main/java/spartrail/front/FleetParticipation.java
+++ b/node/src/main/java/spartrail/front/FleetParticipation.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.ServiceLoader;
 import spartrail.config.DeploymentFile;
-import spartrail.membership.EndpointList;
+import spartrail.endpoint.EndpointList;
 import spartrail.model.NodeClock;
-import spartrail.peers.PeerLane;
-import spartrail.peers.PeerTalk;
+import spartrail.peers.PeerChannel;
+import spartrail.peers.PeerTransport;
 
 /**
  * The node's part in its fleet, where it is asked for: gossip with the other front nodes, and policy versions on top of it. Nothing of
@@ -23,7 +23,7 @@
     /** Null where the node goes by its own settings only. */
     private Path stateDirectory;
 
-    private PeerTalk.Running transport;
+    private PeerTransport.Running transport;
     private PolicyHost policyHost;
 
     FleetParticipation(Path peersFile, Path historyFile, long historyMaxBytes) {
@@ -34,8 +34,8 @@
     }
 
     /** The transport on the class path, found by the service loader. */
-    static PeerTalk loadTransport() {
-        return ServiceLoader.load(PeerTalk.class)
+    static PeerTransport loadTransport() {
+        return ServiceLoader.load(PeerTransport.class)
                 .findFirst()
                 .orElseThrow(
                         () -> new IllegalArgumentException(
@@ -67,13 +67,13 @@
     /** When the node is ready: without policy, gossip starts now. */
     void startGossip(CoordinatorLoop loop) throws IOException {
         if (transport == null) {
-            startTransport(loop, PeerLane.NONE);
+            startTransport(loop, PeerChannel.NONE);
         }
     }
 
-    private void startTransport(CoordinatorLoop loop, List<PeerLane> lanes) throws IOException {
+    private void startTransport(CoordinatorLoop loop, List<PeerChannel> channels) throws IOException {
         transport = loadTransport()
-                .start(peersFile, historyFile, historyMaxBytes, view -> loop.setFleetView(view.word()), lanes);
+                .start(peersFile, historyFile, historyMaxBytes, view -> loop.setFleetView(view.word()), channels);
     }
 
     /** Before a new configuration is taken: an unusable peers' file changes nothing. */
--- a/policy/src/main/java/spartrail/governing/Pieces.java
+++ b/policy/src/main/java/spartrail/policy/replication/DatagramReassembler.java
@@ -1,4 +1,4 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -10,7 +10,7 @@
  * A message as pieces that fit into frames, and back: each has the message's number, its own place, and how many there are. A
  * piece that is lost loses the message; whoever sent it sends it again. Bounded: the oldest unfinished messages go.
  */
-public final class Pieces {
+public final class DatagramReassembler {
     private static final int HEAD = 8;
     private static final int MOST_PIECES = 256;
     private static final int MOST_UNFINISHED = 64;
@@ -22,12 +22,12 @@
     private int number;
 
     /** Pieces of so many bytes at the most. Numbers go on from one by chance: a restarted sender must not finish its former one's. */
-    public Pieces(int mostBytes, int first) {
+    public DatagramReassembler(int mostBytes, int first) {
         this.mostBytes = mostBytes;
         this.number = first;
     }
 
-    public List<byte[]> cut(byte[] message) {
+    public List<byte[]> split(byte[] message) {
         int room = mostBytes - HEAD;
         int count = Math.max(1, (message.length + room - 1) / room);
         if (count > MOST_PIECES) {
@@ -49,7 +49,7 @@
     }
 
     /** The message that this piece makes whole, or null. */
-    public byte[] whole(String from, byte[] piece) {
+    public byte[] add(String from, byte[] piece) {
         if (piece.length < HEAD) {
             return null;
         }
--- a/policy/src/main/java/spartrail/governing/Wire.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyMessageCodec.java
@@ -1,4 +1,4 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -8,9 +8,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import spartrail.json.JsonTree;
-import spartrail.policy.Ask;
 import spartrail.policy.PolicyLog;
-import spartrail.policy.Told;
+import spartrail.policy.PolicyRequest;
+import spartrail.policy.PolicyResponse;
 
 /**
  * The form of messages about policy: a CBOR array whose first value is the kind. Arrays may have more values at their end than
@@ -21,14 +21,14 @@
  *  1 TOLD       nonce, index, entry, entry or ""      entry: number, settings, by, stage, why, token
  *  2 ELSEWHERE  nonce, name of who leads or ""
  *  3 NEWS
- *  4 LOG        a message of the agreed log, see LogWire
+ *  4 LOG        a message of the agreed log, see RaftMessageCodec
  *  5 ORDER      token, kind, number, text, who         of an operator
  *  6 DONE       token, what came of it, name of who leads or ""
  *  7 QUESTION   token, what                            of an operator: show; check SETTINGS; in drills a point to crash at
  *  8 REPLY      token, text
  * </pre>
  */
-public final class Wire {
+public final class PolicyMessageCodec {
     public static final int ASK = 0;
     public static final int TOLD = 1;
     public static final int ELSEWHERE = 2;
@@ -48,7 +48,7 @@
 
     private static final CBORFactory CBOR = new CBORFactory();
 
-    private Wire() {}
+    private PolicyMessageCodec() {}
 
     /** A list of lists, numbers, text and flags as bytes. */
     public static byte[] bytes(List<?> plain) {
@@ -85,37 +85,47 @@
         }
     }
 
-    static List<?> ask(Ask ask) {
-        return List.of(ASK, ask.nonce(), ask.name(), ask.vote(), ask.no(), ask.by());
+    static List<?> ask(PolicyRequest ask) {
+        return List.of(ASK, ask.nonce(), ask.node(), ask.votedNumber(), ask.objection(), ask.activePolicy());
     }
 
-    static Ask ask(List<?> plain) {
-        return new Ask(number(plain, 1), (String) plain.get(2), number(plain, 3), (String) plain.get(4), (String)
-                plain.get(5));
+    static PolicyRequest ask(List<?> plain) {
+        return new PolicyRequest(
+                longAt(plain, 1), (String) plain.get(2), longAt(plain, 3), (String) plain.get(4), (String)
+                        plain.get(5));
     }
 
-    static List<?> told(Told told) {
+    static List<?> told(PolicyResponse told) {
         return List.of(
-                TOLD, told.nonce(), told.index(), entry(told.holds()), told.open() == null ? "" : entry(told.open()));
+                TOLD,
+                told.nonce(),
+                told.appliedIndex(),
+                entry(told.active()),
+                told.pending() == null ? "" : entry(told.pending()));
     }
 
-    static Told told(List<?> plain) {
-        return new Told(
-                number(plain, 1),
-                number(plain, 2),
+    static PolicyResponse told(List<?> plain) {
+        return new PolicyResponse(
+                longAt(plain, 1),
+                longAt(plain, 2),
                 entry(plain.get(3)),
                 plain.get(4) instanceof List<?> ? entry(plain.get(4)) : null);
     }
 
     private static List<?> entry(PolicyLog.Entry entry) {
         return List.of(
-                entry.number(), entry.settings(), entry.by(), entry.stage().name(), entry.why(), entry.token());
+                entry.number(),
+                entry.settings(),
+                entry.proposer(),
+                entry.stage().name(),
+                entry.reason(),
+                entry.token());
     }
 
     private static PolicyLog.Entry entry(Object plain) {
         List<?> list = (List<?>) plain;
         return new PolicyLog.Entry(
-                number(list, 0),
+                longAt(list, 0),
                 (String) list.get(1),
                 (String) list.get(2),
                 PolicyLog.Stage.valueOf((String) list.get(3)),
@@ -123,11 +133,11 @@
                 (String) list.get(5));
     }
 
-    static long number(List<?> plain, int at) {
+    static long longAt(List<?> plain, int at) {
         return ((Number) plain.get(at)).longValue();
     }
 
-    static int whole(List<?> plain, int at) {
+    static int intAt(List<?> plain, int at) {
         return ((Number) plain.get(at)).intValue();
     }
 
--- a/policy/src/main/java/spartrail/governing/Page.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyStatusPage.java
@@ -1,47 +1,53 @@
-package spartrail.governing;
+package spartrail.policy.replication;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.StringWriter;
 import spartrail.policy.PolicyFollower;
+import spartrail.policy.PolicyLease;
 import spartrail.policy.PolicyLog;
-import spartrail.policy.Ruling;
-import spartrail.policy.Told;
+import spartrail.policy.PolicyResponse;
 
 /** What a running node tells its operators about policy: by what it goes, what it knows, and, where it decides, the log. */
-final class Page {
+final class PolicyStatusPage {
     /** A page is one message; the latest so many proposals are in it. */
     private static final int MOST_ENTRIES = 50;
 
-    private Page() {}
+    private PolicyStatusPage() {}
 
     static String of(
-            String node, Ruling given, PolicyFollower follower, Deciding deciding, String leader, double nowMs) {
+            String node,
+            PolicyLease given,
+            PolicyFollower follower,
+            RaftReplica deciding,
+            String leader,
+            double nowMs) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
             out.writeStartObject();
             out.writeStringField("node", node);
-            Ruling now = given == null ? null : given.at(nowMs);
-            out.writeStringField("by", now == null ? "" : now.name());
-            out.writeBooleanField("guarded", now != null && now.guarded());
+            PolicyLease now = given == null ? null : given.activeAt(nowMs);
+            out.writeStringField("by", now == null ? "" : now.label());
+            out.writeBooleanField("guarded", now != null && now.isJoint());
             out.writeNumberField(
-                    "forMs", now == null || Double.isInfinite(now.untilMs()) ? -1 : Math.round(now.untilMs() - nowMs));
-            out.writeStringField("unfit", follower.unfit());
-            out.writeStringField("terms", now == null ? "{}" : now.terms().json());
+                    "forMs",
+                    now == null || Double.isInfinite(now.expiresAtMs()) ? -1 : Math.round(now.expiresAtMs() - nowMs));
+            out.writeStringField("unfit", follower.incompatibility());
+            out.writeStringField("terms", now == null ? "{}" : now.settings().toJson());
             out.writeBooleanField("decides", deciding != null);
-            out.writeBooleanField("leads", deciding != null && deciding.leading());
+            out.writeBooleanField("leads", deciding != null && deciding.isLeader());
             out.writeStringField("leader", leader);
-            Told last = follower.last();
+            PolicyResponse last = follower.lastResponse();
             if (last != null) {
-                entry(out, "holds", last.holds());
-                if (last.open() != null) {
-                    entry(out, "open", last.open());
+                entry(out, "holds", last.active());
+                if (last.pending() != null) {
+                    entry(out, "open", last.pending());
                 }
             }
             out.writeArrayFieldStart("entries");
             if (deciding != null) {
-                var entries = deciding.log().entries();
+                var entries = deciding.log().finished();
                 for (PolicyLog.Entry entry :
                         entries.subList(Math.max(0, entries.size() - MOST_ENTRIES), entries.size())) {
                     entry(out, null, entry);
@@ -62,8 +68,8 @@
         out.writeStartObject();
         out.writeNumberField("number", entry.number());
         out.writeStringField("stage", entry.stage().name());
-        out.writeStringField("by", entry.by());
-        out.writeStringField("why", entry.why());
+        out.writeStringField("by", entry.proposer());
+        out.writeStringField("why", entry.reason());
         out.writeStringField("settings", entry.settings());
         out.writeEndObject();
     }
