--- a/node/src/test/java/spartrail/cli/SignalsTest.java
+++ b/node/src/test/java/spartrail/cli/SignalsTest.java
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void aNodeAskedAgainAndAgainToEndAndToReadSpoiltFilesAnswersWhatItHas() throws Exception {
+    void repeatedSignalsAndUnusableFilesLeaveRequestsInFlightAnswered() throws Exception {
         CompletableFuture<ToyFleet.Link> held = new CompletableFuture<>();
         fleet.servers.forEach(toy -> toy.manner = new ToyFleet.Manner() {
             @Override
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void aNodeToldToEndBeforeItHasHeardOfItsServersEnds() throws Exception {
+    void aNodeTerminatedBeforeDiscoveryAnswersEnds() throws Exception {
         fleet.silent = true;
         serve("");
         fleet.awaitCalled();
@@ -181,14 +181,14 @@
     }
 
     @Test
-    void aNodeThatCannotBeToldOfANewConfigurationSaysSo() throws Exception {
+    void aNodeThatIgnoresSighupLogsIt() throws Exception {
         serve("trap '' HUP; ");
         assertThat(awaitLine("SIGHUP")).startsWith("spartrail.cli: SIGHUP is ignored, ");
         assertThat(awaitLine("serving on")).startsWith("spartrail.front: serving on ");
     }
 
     @Test
-    void aNodeStartedWithSighupIgnoredTakesANewConfigurationAllTheSame() throws Exception {
+    void theStartCommandRestoresAnIgnoredSighup() throws Exception {
         serveByStartCommand("trap '' HUP; ");
         assertThat(awaitLine("serving on")).startsWith("spartrail.front: serving on ");
         signal("HUP");
@@ -205,7 +205,7 @@
     }
 
     @Test
-    void idleClientsThatFillTheDescriptorsKeepNoNodeFromHearingOfAChange() throws Exception {
+    void idleClientsThatFillTheDescriptorsDoNotStopEndpointUpdates() throws Exception {
         Files.writeString(file, good.replace("\"sockets\": 1024", "\"sockets\": " + DESCRIPTORS));
         // The process cannot hold more than that, whatever it counts itself.
         serve("ulimit -n " + DESCRIPTORS + "; ");
--- a/node/src/test/java/spartrail/client/ClientListenerTest.java
+++ b/node/src/test/java/spartrail/client/ClientListenerTest.java
@@ -109,7 +109,7 @@
      * to, on one with half of a head read, on a new one, and on one in hand whose client has sent its next request.
      */
     @Test
-    void whatCrossesTheShuttingIsAnsweredOrEndedWithoutAReset() throws Exception {
+    void requestsThatCrossTheShutdownAreAnsweredOrEndWithoutAReset() throws Exception {
         ClientListener listener = listen(16);
         io(listener::startAccepting);
         Socket[] clients = new Socket[4];
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void anAnswerThatWasOnItsWayWhenTheDoorShutIsTheLastOfItsConnection() throws Exception {
+    void aResponseInProgressAtTheShutdownIsTheLastOfItsConnection() throws Exception {
         ClientListener listener = listen(16);
         io(listener::startAccepting);
         Socket client = new Socket();
@@ -181,7 +181,7 @@
 
     /** A paused process finds the rest of a request in the socket, and its own time for it over. */
     @Test
-    void whatCameDuringAPauseIsReadBeforeItsConnectionIsClosedForSlowness() throws Exception {
+    void bytesThatCameDuringAPauseAreReadBeforeTheirTimeout() throws Exception {
         ClientListener listener = listen(16);
         io(listener::startAccepting);
         int[] cuts = {0, 60, ASK.length() - 5};
@@ -208,9 +208,9 @@
         }
     }
 
-    /** Danger: with part of a core the I/O thread is long in coming, and nobody turns out whom the others accept. */
+    /** With part of a core the I/O thread is late, and nobody evicts whom the other threads accept. */
     @Test
-    void aCrowdTakesNoMoreDescriptorsThanItsShareWhileTheNodeIsBusy() throws Exception {
+    void aBurstOfConnectionsStaysWithinItsDescriptorsWhileTheNodeIsBusy() throws Exception {
         ClientListener listener = listen(16);
         CountDownLatch open = new CountDownLatch(1);
         CountDownLatch free = new CountDownLatch(1);
--- a/node/src/test/java/spartrail/front/JvmWarmUpTest.java
+++ b/node/src/test/java/spartrail/front/JvmWarmUpTest.java
@@ -14,9 +14,9 @@
 import spartrail.model.NodeClock;
 
 class JvmWarmUpTest {
-    /** Danger: a request of the rehearsal that is one would reach the servers. */
+    /** A request of the warm-up that is well-formed would reach the servers. */
     @Test
-    void whatIsAskedAtTheOwnDoorIsNoRequestThatIsServed() throws Exception {
+    void warmUpRequestsAreMalformedOnPurpose() throws Exception {
         Queue<String> asked = new ConcurrentLinkedQueue<>();
         HttpServer door = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
         door.createContext("/", exchange -> {
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aRehearsalWithoutServersOrAnAnsweringDoorEndsAllTheSame() throws Exception {
+    void aWarmUpWithoutServersOrAListenerEnds() throws Exception {
         String text = Files.readString(Path.of("example/config.json"))
                 .replaceAll("\"targets\": \\[(?s).*?]}", "\"targets\": []}");
         NodeClock clock = new NodeClock();
--- a/node/src/test/java/spartrail/front/PauseDetectorTest.java
+++ b/node/src/test/java/spartrail/front/PauseDetectorTest.java
@@ -6,7 +6,7 @@
 
 class PauseDetectorTest {
     @Test
-    void whatIsReadAfterAGapMayBeAsOldAsTheGapUntilTheSocketsAreGoneThrough() {
+    void bytesReadAfterAPauseMayBeAsOldAsThePauseUntilTheSocketsArePolled() {
         PauseDetector node = new PauseDetector(5);
         StringBuilder trace = new StringBuilder();
         double now = 1000;
--- a/node/src/test/java/spartrail/shard/ShardFrameCodecTest.java
+++ b/node/src/test/java/spartrail/shard/ShardFrameCodecTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aCallIsALineAndTheTextForEachPart() {
+    void aBatchIsALineAndTheTextForEachPart() {
         byte[] text = "c41é".getBytes(StandardCharsets.UTF_8);
         Attempt send = new Attempt(null, null, 0, 0, 240);
         PartRequest first = new PartRequest(send, "9b.3", 3, text, 240.9, () -> true);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void answersAreReadWhereverTheirBytesAreCut() throws Exception {
+    void responsesAreDecodedWhereverTheirBytesAreCut() throws Exception {
         byte[] one = frame('Y', "9b.3 OK 1840277719 inflight=7,util=0.61\na\nb");
         byte[] two = frame('Y', "9b.4 REJECTED 0 -\n");
         byte[] odd = frame('Y', "9b.5 OK 7 load ??? \u0000 so=what\nc");
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void whatTheProtocolDoesNotKnowIsGarbled() {
+    void framesThatTheProtocolDoesNotKnowAreMalformed() {
         List<byte[]> frames = List.of(
                 frame('Q', ""),
                 frame('N', "no such\u0007 frame"),
@@ -103,11 +103,11 @@
     }
 
     /**
-     * Danger: an answer changed in one place that is still taken for a good one, with another value. (A length that
+     * No answer changed in one place may be taken for a good one with another value. (A length that
      * is a little shorter cuts the value, and nothing in the protocol tells.)
      */
     @Test
-    void anAnswerChangedAtAnyByteIsTakenWholeOrNotAtAll() throws Exception {
+    void aResponseChangedAtAnyByteIsDecodedUnchangedOrNotAtAll() throws Exception {
         byte[] good = ShardFrameCodec.encodeFrame('Y', "1.0 OK 17 a=1\nvalue".getBytes(StandardCharsets.US_ASCII))
                 .array();
         Random random = new Random(7);
--- /dev/null
+++ b/node/src/test/java/spartrail/shard/ShardPoolFixture.java
@@ -0,0 +1,156 @@
+package spartrail.shard;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import example.ToyFleet;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.Xnio;
+import org.xnio.XnioWorker;
+import spartrail.endpoint.EndpointList;
+import spartrail.model.Attempt;
+import spartrail.model.Invariants;
+import spartrail.model.NodeClock;
+
+/** A pool on an I/O thread of its own, the servers it connects to, and how its parts end. */
+abstract class ShardPoolFixture {
+    final XnioWorker worker;
+
+    final NodeClock clock = new NodeClock();
+
+    final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
+
+    final Invariants invariants = new Invariants();
+
+    final List<AutoCloseable> opened = new ArrayList<>();
+
+    final Set<String> gone = ConcurrentHashMap.newKeySet();
+
+    final BlockingQueue<ToyFleet.Link> links = new LinkedBlockingQueue<>();
+
+    double graceMs = 10_000;
+
+    double leaveByMs = Double.POSITIVE_INFINITY;
+
+    ShardPool pool;
+
+    ShardPoolFixture() throws IOException {
+        worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
+    }
+
+    @AfterEach
+    void close() throws Exception {
+        io(pool::close);
+        worker.shutdown();
+        for (AutoCloseable each : opened) {
+            each.close();
+        }
+        assertThat(invariants.violations()).isEmpty();
+    }
+
+    void pool(int partsPerConnection, double connectTimeoutMs, double keepAliveMs) {
+        pool = new ShardPool(
+                worker.getIoThread(),
+                clock,
+                new ShardPool.Settings(partsPerConnection, connectTimeoutMs, keepAliveMs, true, graceMs),
+                (part, outcome, value, atMs) -> seen.add(part.id + " " + outcome),
+                invariants);
+    }
+
+    void io(Runnable task) throws InterruptedException {
+        CountDownLatch done = new CountDownLatch(1);
+        worker.getIoThread().execute(() -> {
+            task.run();
+            done.countDown();
+        });
+        done.await();
+    }
+
+    PartRequest part(String id) {
+        return part(id, 1);
+    }
+
+    PartRequest part(String id, int bytes) {
+        Attempt send = new Attempt(null, null, 0, clock.nowMs(), 10_000);
+        send.sendDeadlineMs = leaveByMs;
+        return new PartRequest(send, id, 0, new byte[bytes], clock.nowMs() + 10_000, () -> !gone.contains(id));
+    }
+
+    String next() throws InterruptedException {
+        String next = seen.poll(20, TimeUnit.SECONDS);
+        return next == null ? "nothing" : next;
+    }
+
+    /** An address where connecting neither succeeds nor fails: its queue of new connections is full. */
+    InetSocketAddress hanging() throws IOException {
+        return (InetSocketAddress) hangingSocket().getLocalSocketAddress();
+    }
+
+    ServerSocket hangingSocket() throws IOException {
+        ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+        opened.add(full);
+        for (int i = 0; i < 4; i++) {
+            Socket socket = new Socket();
+            opened.add(socket);
+            try {
+                socket.connect(full.getLocalSocketAddress(), 100);
+            } catch (IOException e) {
+                break;
+            }
+        }
+        return full;
+    }
+
+    /** A server that does as told with each part, and tells what it sees. */
+    InetSocketAddress toy(ToyFleet.Manner manner) throws IOException {
+        ToyFleet fleet = new ToyFleet(1, 0, 0);
+        opened.add(fleet);
+        fleet.servers.get(0).manner = manner;
+        return EndpointList.address(fleet.servers.get(0).endpoint());
+    }
+
+    /** Answers, and tells on which connection each part came. */
+    class Linking implements ToyFleet.Manner {
+        @Override
+        public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
+            links.add(link);
+            link.answer(id, "OK", text);
+        }
+    }
+
+    class Silent implements ToyFleet.Manner {
+        @Override
+        public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
+            seen.add("server: part " + id);
+        }
+
+        @Override
+        public void givenUp(ToyFleet.Link link, String id) {
+            seen.add("server: given up " + id);
+        }
+
+        @Override
+        public void opened(ToyFleet.Link link) {
+            seen.add("server: opened");
+        }
+
+        @Override
+        public void closed(ToyFleet.Link link) {
+            seen.add("server: closed");
+        }
+    }
+}
