--- a/node/src/main/java/spartrail/front/FleetParticipation.java
+++ b/node/src/main/java/spartrail/front/FleetParticipation.java
@@ -73,7 +73,12 @@
 
     private void startTransport(CoordinatorLoop loop, List<PeerChannel> channels) throws IOException {
         transport = loadTransport()
-                .start(peersFile, historyFile, historyMaxBytes, view -> loop.setFleetView(view.word()), channels);
+                .start(
+                        peersFile,
+                        historyFile,
+                        historyMaxBytes,
+                        view -> loop.setFleetView(view.toFleetView()),
+                        channels);
     }
 
     /** Before a new configuration is taken: an unusable peers' file changes nothing. */
