--- a/node/src/main/java/spartrail/Main.java
+++ b/node/src/main/java/spartrail/Main.java
@@ -6,6 +6,7 @@
 public final class Main {
     private Main() {}
 
+    /** Runs a sub-command and exits with its status. */
     public static void main(String[] args) {
         System.exit(CommandLine.run(args, System.out, System.err));
     }
--- a/node/src/main/java/spartrail/client/ClientConnection.java
+++ b/node/src/main/java/spartrail/client/ClientConnection.java
@@ -18,7 +18,7 @@
  *                                        RESPONSE
  * AWAITING_RESPONSE  kept for the next   after the response  IDLE, or HEAD     its response is the last       never before 5 s of a
  *                    request                                 with bytes kept                                  response that is not read
- * IDLE               on to HEAD          -                   -                 read once more, then CLOSING   closed, the longest unused first
+ * IDLE               on to HEAD          -                   -                 read once more, then CLOSING   closed, longest unused first
  * CLOSING            discarded           never taken         -                 stays                          closed
  * </pre>
  *
--- a/node/src/test/java/spartrail/cli/CommandLineTest.java
+++ b/node/src/test/java/spartrail/cli/CommandLineTest.java
@@ -39,39 +39,44 @@
         return run("check", file.toString());
     }
 
+    /** What the check prints of a good configuration, of others with one fault each, and of a file that is missing. */
+    private String checkAll(String good) throws IOException {
+        return String.join(
+                "\n",
+                check(good),
+                check("{"),
+                check("[]"),
+                check("{}"),
+                check(good.replace("127.0.0.1:3000", "front:3000")),
+                check(good.replace("\"discovery\": \"127", "\"d\": \"127")),
+                check(good.replace("\"uid\": \"s-2\"", "\"uid\": 2")),
+                check(good.replace("\"aim\": 2.0,", "")),
+                check(good.replace("\"effect\": \"free\"", "\"effect\": \"odd\"")),
+                check(good.replace("\"fetch-parts\": [0]", "\"fetch-parts\": [3]")),
+                check(good.replace("\"slabs\": 4", "\"slabs\": \"4\"")),
+                check(good.replace("\"fall\": 1.0", "\"fall\": 1.0, \"further-ratio\": 0.1")),
+                check(good.replace("\"aim\": 2.0", "\"aim\": 5.0")),
+                check(good.replace("\"late-share\": 0.3", "\"late-share\": 3")),
+                check(good.replace("\"try-limit\": 4", "\"try-limit\": -4")),
+                check(good.replace("\"cancelling\": true", "\"cancelling\": 1")),
+                check(good.replace("\"effect\": \"free\"", "\"effect\": \"guarded\"")),
+                check(good.replace("\"try-limit\": 4", "\"t\": 4")),
+                check(good.replace("\"keepalive\": 30.0,", "")),
+                check(good.replace("\"cold-share\": 0.2,", "")),
+                check(good.replace("\"stop-sending-within\": 0.5,", "")),
+                check(good.replace("\"width\": 2", "\"width\": 5")),
+                check(good.replace("\"peers-total\": 1,", "")),
+                check(good.replace("\"sockets\": 1024", "\"sockets\": 0")),
+                check(good.replace("\"classes\": [", "\"classes\": [], \"old\": [")),
+                check(good.replace("\"classes\": [", "\"classes\": [3, ")),
+                check(good.replace("\"rules\": {", "\"rules\": 7, \"old\": {")),
+                run("check", folder.resolve("none").toString()));
+    }
+
     @Test
-    void whatIsWrongWithAConfigurationIsSaidInOneLine() throws IOException {
+    void theFaultOfAConfigurationIsReportedInOneLine() throws IOException {
         String good = Files.readString(Path.of("example/config.json"));
-        assertThat(String.join(
-                        "\n",
-                        check(good),
-                        check("{"),
-                        check("[]"),
-                        check("{}"),
-                        check(good.replace("127.0.0.1:3000", "front:3000")),
-                        check(good.replace("\"discovery\": \"127", "\"d\": \"127")),
-                        check(good.replace("\"uid\": \"s-2\"", "\"uid\": 2")),
-                        check(good.replace("\"aim\": 2.0,", "")),
-                        check(good.replace("\"effect\": \"free\"", "\"effect\": \"odd\"")),
-                        check(good.replace("\"fetch-parts\": [0]", "\"fetch-parts\": [3]")),
-                        check(good.replace("\"slabs\": 4", "\"slabs\": \"4\"")),
-                        check(good.replace("\"fall\": 1.0", "\"fall\": 1.0, \"further-ratio\": 0.1")),
-                        check(good.replace("\"aim\": 2.0", "\"aim\": 5.0")),
-                        check(good.replace("\"late-share\": 0.3", "\"late-share\": 3")),
-                        check(good.replace("\"try-limit\": 4", "\"try-limit\": -4")),
-                        check(good.replace("\"cancelling\": true", "\"cancelling\": 1")),
-                        check(good.replace("\"effect\": \"free\"", "\"effect\": \"guarded\"")),
-                        check(good.replace("\"try-limit\": 4", "\"t\": 4")),
-                        check(good.replace("\"keepalive\": 30.0,", "")),
-                        check(good.replace("\"cold-share\": 0.2,", "")),
-                        check(good.replace("\"stop-sending-within\": 0.5,", "")),
-                        check(good.replace("\"width\": 2", "\"width\": 5")),
-                        check(good.replace("\"peers-total\": 1,", "")),
-                        check(good.replace("\"sockets\": 1024", "\"sockets\": 0")),
-                        check(good.replace("\"classes\": [", "\"classes\": [], \"old\": [")),
-                        check(good.replace("\"classes\": [", "\"classes\": [3, ")),
-                        check(good.replace("\"rules\": {", "\"rules\": 7, \"old\": {")),
-                        run("check", folder.resolve("none").toString())))
+        assertThat(checkAll(good))
                 .isEqualTo(
                         """
                 0 usable: node n0 on /127.0.0.1:3000, op types [orders], 4 servers known
