--- a/node/src/main/java/spartrail/cli/SubsetCommand.java
+++ b/node/src/main/java/spartrail/cli/SubsetCommand.java
@@ -10,7 +10,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 import spartrail.config.DeploymentFile;
-import spartrail.endpoint.EndpointList;
+import spartrail.endpoint.EndpointListDecoder;
 import spartrail.json.JsonTree;
 import spartrail.model.Server;
 import spartrail.subset.SharingBound;
@@ -48,7 +48,7 @@
         SubsetSelector selector = deployment.subsetSelector();
         selector.apply(readLiveServers(), List.of());
         printSummary(out, deployment, selector);
-        for (int group = 0; group < selector.groups(); group++) {
+        for (int group = 0; group < selector.groupCount(); group++) {
             printGroup(out, selector, group);
         }
         return 0;
@@ -58,18 +58,18 @@
         List<String> spareServers = selector.spares(group);
         int shown = Math.min(Math.max(0, maxSpares), spareServers.size());
         String next = spareServers.isEmpty() ? "none" : String.join(" ", spareServers.subList(0, shown));
-        out.println("shard " + group + ": uses " + String.join(" ", selector.selected(group)) + "; then " + next + " ("
-                + spareServers.size() + " spares, " + selector.zones(group) + " zones)");
+        out.println("shard " + group + ": uses " + String.join(" ", selector.selectedReplicas(group)) + "; then " + next
+                + " (" + spareServers.size() + " spares, " + selector.zoneCount(group) + " zones)");
     }
 
     private List<LiveServer> readLiveServers() {
         try {
-            return EndpointList.decode(Files.readAllBytes(listFile)).lines().stream()
-                    .filter(line -> line.state() == Server.State.LIVE)
-                    .map(line -> new LiveServer(line.id(), line.zone(), line.cell(), line.rating()))
+            return EndpointListDecoder.decode(Files.readAllBytes(listFile)).endpoints().stream()
+                    .filter(endpoint -> endpoint.state() == Server.State.LIVE)
+                    .map(endpoint -> new LiveServer(endpoint.id(), endpoint.zone(), endpoint.cell(), endpoint.weight()))
                     .toList();
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException(listFile + ": no JSON: " + JsonTree.fault(e), e);
+            throw new IllegalArgumentException(listFile + ": no JSON: " + JsonTree.describe(e), e);
         } catch (IOException e) {
             throw new IllegalArgumentException("cannot read " + listFile, e);
         } catch (IllegalArgumentException e) {
@@ -78,17 +78,17 @@
     }
 
     private static void printSummary(PrintStream out, DeploymentFile deployment, SubsetSelector selector) {
-        int selected = selector.selected().size();
+        int selected = selector.selectedServers().size();
         out.printf(
                 Locale.ROOT,
                 "node %s uses %d of %d live servers; each is used by %.1f of %d nodes on average, by more than %d with a"
                         + " chance below %.0e%n",
                 deployment.name(),
                 selected,
-                selector.liveServers(),
-                deployment.nodes() * selected / (double) Math.max(1, selector.liveServers()),
+                selector.liveServerCount(),
+                deployment.nodes() * selected / (double) Math.max(1, selector.liveServerCount()),
                 deployment.nodes(),
                 selector.nodesPerServer(deployment.nodes()),
-                SharingBound.CHANCE);
+                SharingBound.EXCEEDANCE_PROBABILITY);
     }
 }
--- a/node/src/main/java/spartrail/front/EndpointTable.java
+++ b/node/src/main/java/spartrail/front/EndpointTable.java
@@ -40,8 +40,8 @@
     /** Applies a complete list or a list of changes. */
     Changes apply(EndpointList list) {
         Changes changes = new Changes(new HashSet<>(), new ArrayList<>());
-        Set<String> gone = list.all() ? new HashSet<>(endpoints.keySet()) : new HashSet<>();
-        for (EndpointList.Endpoint endpoint : list.lines()) {
+        Set<String> gone = list.isComplete() ? new HashSet<>(endpoints.keySet()) : new HashSet<>();
+        for (EndpointList.Endpoint endpoint : list.endpoints()) {
             if (endpoint.state() == Server.State.GONE) {
                 gone.add(endpoint.id());
                 continue;
