--- a/node/src/main/java/spartrail/front/NodeCounters.java
+++ b/node/src/main/java/spartrail/front/NodeCounters.java
@@ -6,14 +6,17 @@
 import spartrail.model.Attempt;
 import spartrail.model.Multiget;
 
-/** What a node has done since its start, for its log; kept by the node's thread. */
+/**
+ * What a node has done since its start, for its log. Written by the coordinator's thread; other threads read it for a log line only
+ * and may see an older value.
+ */
 final class NodeCounters {
-    long taken;
-    long overCap;
-    long gone;
-    volatile long lists;
-    /** Times that it went on by other settings. */
-    volatile long switches;
+    long queries;
+    long rejectedOverCap;
+    long clientsGone;
+    volatile long endpointUpdates;
+    /** How often other settings have taken hold. */
+    volatile long configurationSwitches;
 
     final LongAdder exceptions = new LongAdder();
     final Map<Multiget.Answer, Long> answers = new EnumMap<>(Multiget.Answer.class);
@@ -21,8 +24,8 @@
 
     @Override
     public String toString() {
-        return "taken " + taken + ", over cap " + overCap + ", clients gone " + gone + ", answers " + answers
-                + ", outcomes " + outcomes + ", lists " + lists + ", switches " + switches + ", exceptions "
-                + exceptions;
+        return "taken " + queries + ", over cap " + rejectedOverCap + ", clients gone " + clientsGone + ", answers "
+                + answers + ", outcomes " + outcomes + ", lists " + endpointUpdates + ", switches "
+                + configurationSwitches + ", exceptions " + exceptions;
     }
 }
