--- a/node/src/main/java/spartrail/config/DeploymentFile.java
+++ b/node/src/main/java/spartrail/config/DeploymentFile.java
@@ -2,6 +2,9 @@
 
 import static spartrail.config.CoordinatorSettings.flag;
 import static spartrail.config.CoordinatorSettings.number;
+import static spartrail.config.CoordinatorSettings.requiredCount;
+import static spartrail.config.CoordinatorSettings.requiredNumber;
+import static spartrail.config.CoordinatorSettings.section;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
