--- a/core/src/main/java/spartrail/policy/PolicyFollower.java
+++ b/core/src/main/java/spartrail/policy/PolicyFollower.java
@@ -27,202 +27,204 @@
  * </ol>
  */
 public final class PolicyFollower {
-    private static final int MOST_ASKED = 16;
+    private static final int MAX_PENDING_POLLS = 16;
     /** Danger: two nodes each of which takes the other one for the leader would have a third ask without pause. */
-    private static final double SOONEST_MS = 100;
+    private static final double MIN_POLL_INTERVAL_MS = 100;
 
-    private final String name;
-    private final List<String> deciders;
+    private final String node;
+    private final List<String> voters;
     private final PolicyTimings times;
-    private final RandomGenerator chance;
-    private final double bornMs;
-    private final Map<Long, Double> asked = new LinkedHashMap<>();
-    private PolicySettings own;
-    private PolicyResponse last;
-    private double leaseMs;
-    private double nextAskMs;
-    private double askedMs = Double.NEGATIVE_INFINITY;
-    private String whom = "";
-    private boolean unanswered;
-    private int turn;
-    private PolicyLease ruling;
-    private long vote;
-    private String no = "";
-    private String unfit = "";
-
-    /** Begins with the node's own settings; {@code deciders} are who can say what holds. */
+    private final RandomGenerator random;
+    private final double startedAtMs;
+    private final Map<Long, Double> pollTimesMs = new LinkedHashMap<>();
+    private PolicySettings localSettings;
+    private PolicyResponse lastResponse;
+    private double leaseEndMs;
+    private double nextPollAtMs;
+    private double lastPollAtMs = Double.NEGATIVE_INFINITY;
+    private String pollTarget = "";
+    private boolean isTargetSilent;
+    private int nextVoter;
+    private PolicyLease lease;
+    private long votedNumber;
+    private String objection = "";
+    private String incompatibility = "";
+
+    /** Begins with the node's own settings; {@code voters} are who can say what holds. */
     public PolicyFollower(
-            String name,
-            List<String> deciders,
-            PolicySettings own,
+            String node,
+            List<String> voters,
+            PolicySettings localSettings,
             PolicyTimings times,
-            RandomGenerator chance,
+            RandomGenerator random,
             double nowMs) {
-        this.name = name;
-        this.deciders = deciders;
-        this.turn = chance.nextInt(Math.max(1, deciders.size()));
-        this.own = own;
+        this.node = node;
+        this.voters = voters;
+        this.nextVoter = random.nextInt(Math.max(1, voters.size()));
+        this.localSettings = localSettings;
         this.times = times;
-        this.chance = chance;
-        this.bornMs = nowMs;
-        this.nextAskMs = nowMs;
+        this.random = random;
+        this.startedAtMs = nowMs;
+        this.nextPollAtMs = nowMs;
     }
 
     /** The node's own settings are others now. */
     public void updateLocalSettings(PolicySettings changed) {
-        own = changed;
-        if (last != null) {
-            rule();
+        localSettings = changed;
+        if (lastResponse != null) {
+            updateLease();
         }
     }
 
     /** When it asks next, or begins to serve by itself. */
     public double nextPollAtMs() {
-        return ruling == null ? Math.min(nextAskMs, bornMs + times.startupTimeoutMs()) : nextAskMs;
+        return lease == null ? Math.min(nextPollAtMs, startedAtMs + times.startupTimeoutMs()) : nextPollAtMs;
     }
 
     /** Something has changed, it is said: it asks then. */
     public void pollNoLaterThan(double atMs) {
-        nextAskMs = Math.min(nextAskMs, atMs);
+        nextPollAtMs = Math.min(nextPollAtMs, atMs);
     }
 
     /** Who was asked does not lead, and says who does; or does not know, where that is empty. */
     public void onRedirect(String leader, double nowMs) {
-        if (!leader.isEmpty() && !leader.equals(name)) {
-            whom = leader;
-            unanswered = false;
-            pollNoLaterThan(Math.max(nowMs, askedMs + SOONEST_MS));
+        if (!leader.isEmpty() && !leader.equals(node)) {
+            pollTarget = leader;
+            isTargetSilent = false;
+            pollNoLaterThan(Math.max(nowMs, lastPollAtMs + MIN_POLL_INTERVAL_MS));
         }
     }
 
     /** To whom the latest question goes: whoever answered the one before, or was named; else the next of the deciding nodes. */
     public String pollTarget() {
-        return whom;
+        return pollTarget;
     }
 
-    private void choose() {
-        for (int i = 0; i < deciders.size() && (unanswered || whom.isEmpty() || whom.equals(name)); i++) {
-            whom = deciders.get(turn++ % deciders.size());
-            unanswered = false;
+    private void choosePollTarget() {
+        for (int i = 0; i < voters.size() && (isTargetSilent || pollTarget.isEmpty() || pollTarget.equals(node)); i++) {
+            pollTarget = voters.get(nextVoter++ % voters.size());
+            isTargetSilent = false;
         }
-        unanswered = true;
+        isTargetSilent = true;
     }
 
     /** The question that is due, or null. */
     public PolicyRequest pollIfDue(double nowMs) {
-        if (ruling == null && nowMs - bornMs >= times.startupTimeoutMs()) {
-            ruling = new PolicyLease("0?", own, true, Double.POSITIVE_INFINITY, null);
+        if (lease == null && nowMs - startedAtMs >= times.startupTimeoutMs()) {
+            lease = new PolicyLease("0?", localSettings, true, Double.POSITIVE_INFINITY, null);
         }
-        if (nowMs < nextAskMs) {
+        if (nowMs < nextPollAtMs) {
             return null;
         }
-        choose();
-        askedMs = nowMs;
-        nextAskMs = nowMs + times.pollIntervalMs() * (0.9 + 0.2 * chance.nextDouble());
-        long nonce = chance.nextLong();
-        asked.put(nonce, nowMs);
-        if (asked.size() > MOST_ASKED) {
-            asked.remove(asked.keySet().iterator().next());
+        choosePollTarget();
+        lastPollAtMs = nowMs;
+        nextPollAtMs = nowMs + times.pollIntervalMs() * (0.9 + 0.2 * random.nextDouble());
+        long nonce = random.nextLong();
+        pollTimesMs.put(nonce, nowMs);
+        if (pollTimesMs.size() > MAX_PENDING_POLLS) {
+            pollTimesMs.remove(pollTimesMs.keySet().iterator().next());
         }
         return new PolicyRequest(
                 nonce,
-                name,
-                vote,
-                no,
-                ruling == null ? "" : ruling.activeAt(nowMs).label());
+                node,
+                votedNumber,
+                objection,
+                lease == null ? "" : lease.activeAt(nowMs).label());
     }
 
     /** An answer has come. */
     public void onResponse(PolicyResponse told, double nowMs) {
-        Double sinceMs = asked.remove(told.nonce());
-        unanswered &= sinceMs == null;
-        if (sinceMs == null || last != null && told.appliedIndex() < last.appliedIndex()) {
+        Double sinceMs = pollTimesMs.remove(told.nonce());
+        isTargetSilent &= sinceMs == null;
+        if (sinceMs == null || lastResponse != null && told.appliedIndex() < lastResponse.appliedIndex()) {
             return;
         }
-        last = told;
-        leaseMs = Math.max(leaseMs, sinceMs + times.leaseMs());
-        rule();
-        if (nowMs >= leaseMs) {
+        lastResponse = told;
+        leaseEndMs = Math.max(leaseEndMs, sinceMs + times.leaseMs());
+        updateLease();
+        if (nowMs >= leaseEndMs) {
             pollNoLaterThan(nowMs);
         }
     }
 
-    private void rule() {
-        PolicySettings holds;
+    private void updateLease() {
+        PolicySettings activeSettings;
         try {
-            holds = own.overriddenBy(PolicySettings.parse(last.active().settings()));
-            unfit = "";
+            activeSettings = localSettings.overriddenBy(
+                    PolicySettings.parse(lastResponse.active().settings()));
+            incompatibility = "";
         } catch (IllegalArgumentException e) {
             // Its settings do not go with the version that holds: it takes no part until they do.
-            lapse(last.active(), e);
+            endLease(lastResponse.active(), e);
             return;
         }
-        boolean decided = last.pending() != null && last.pending().stage() == Stage.DECIDED;
-        String named = Long.toString(last.active().number());
-        PolicySettings guarded = holds;
-        if (last.pending() != null) {
+        boolean decided =
+                lastResponse.pending() != null && lastResponse.pending().stage() == Stage.DECIDED;
+        String named = Long.toString(lastResponse.active().number());
+        PolicySettings jointSettings = activeSettings;
+        if (lastResponse.pending() != null) {
             try {
-                guarded = holds.stricterOf(
-                        own.overriddenBy(PolicySettings.parse(last.pending().settings())));
-                named += "|" + last.pending().number();
+                jointSettings = activeSettings.stricterOf(localSettings.overriddenBy(
+                        PolicySettings.parse(lastResponse.pending().settings())));
+                named += "|" + lastResponse.pending().number();
             } catch (IllegalArgumentException e) {
                 if (decided) {
                     // Danger: it was out of touch and nobody waited for its no; a lease on the version before alone
                     // would outlast that version.
-                    lapse(last.pending(), e);
+                    endLease(lastResponse.pending(), e);
                     return;
                 }
                 // It says no, so that this will never hold.
-                guarded = holds;
+                jointSettings = activeSettings;
             }
         }
-        PolicyLease after = new PolicyLease(named + "?", guarded, true, Double.POSITIVE_INFINITY, null);
-        ruling = new PolicyLease(
-                decided ? named : Long.toString(last.active().number()),
-                decided ? guarded : holds,
+        PolicyLease after = new PolicyLease(named + "?", jointSettings, true, Double.POSITIVE_INFINITY, null);
+        lease = new PolicyLease(
+                decided ? named : Long.toString(lastResponse.active().number()),
+                decided ? jointSettings : activeSettings,
                 decided,
-                leaseMs,
+                leaseEndMs,
                 after);
     }
 
     /** A version comes that it cannot go by: it is out of touch from now on, or, where it had nothing to go by yet, not ready. */
-    private void lapse(Entry version, IllegalArgumentException why) {
-        unfit = "cannot go by version " + version.number() + ": " + why.getMessage();
-        while (ruling != null && ruling.successor() != null) {
-            ruling = ruling.successor();
+    private void endLease(Entry version, IllegalArgumentException why) {
+        incompatibility = "cannot go by version " + version.number() + ": " + why.getMessage();
+        while (lease != null && lease.successor() != null) {
+            lease = lease.successor();
         }
     }
 
     /** The proposal that this node has yet to say whether it can apply it, or null. */
     public Entry proposalToCheck() {
-        Entry open = last == null ? null : last.pending();
-        return open == null || open.stage() != Stage.PROPOSED || vote == open.number() ? null : open;
+        Entry open = lastResponse == null ? null : lastResponse.pending();
+        return open == null || open.stage() != Stage.PROPOSED || votedNumber == open.number() ? null : open;
     }
 
     /** The settings that a proposal would make of this node's own; an IllegalArgumentException where it cannot apply them. */
     public PolicySettings settingsWith(Entry proposal) {
-        return own.overriddenBy(PolicySettings.parse(proposal.settings()));
+        return localSettings.overriddenBy(PolicySettings.parse(proposal.settings()));
     }
 
     /** It can apply the proposal, or not because of this. The next question, which says so, is due at once. */
     public void recordVote(long number, String because, double nowMs) {
-        vote = number;
-        no = because;
+        votedNumber = number;
+        objection = because;
         pollNoLaterThan(nowMs);
     }
 
     /** By what this node decides; null while it is to decide nothing yet. */
     public PolicyLease lease() {
-        return ruling;
+        return lease;
     }
 
     /** Why it cannot go by the version that holds; empty if it can. */
     public String incompatibility() {
-        return unfit;
+        return incompatibility;
     }
 
     /** What it was told last, or null. */
     public PolicyResponse lastResponse() {
-        return last;
+        return lastResponse;
     }
 }
--- a/core/src/main/java/spartrail/policy/PolicyLeader.java
+++ b/core/src/main/java/spartrail/policy/PolicyLeader.java
@@ -22,19 +22,19 @@
  * </ol>
  */
 public final class PolicyLeader {
-    private static final int MOST_NODES = 1024;
+    private static final int MAX_NODES = 1024;
 
     private record Vote(long number, String no) {}
 
     private final PolicyTimings times;
     private final Map<String, Vote> votes = new HashMap<>();
-    private final Map<String, Double> leaseMs = new HashMap<>();
-    private boolean leads;
+    private final Map<String, Double> leaseEndsMs = new HashMap<>();
+    private boolean isLeading;
     private long knownNumber;
-    private Stage known;
-    private double knownMs;
-    private long askedFor;
-    private double askedForMs;
+    private Stage knownStage;
+    private double knownSinceMs;
+    private long requestedAtIndex;
+    private double requestedAtMs;
 
     public PolicyLeader(PolicyTimings times) {
         this.times = times;
@@ -42,77 +42,77 @@
 
     /** Whether this node leads now; whoever begins to has heard nobody yet. */
     public void setLeading(boolean leading) {
-        if (leading != leads) {
-            leads = leading;
-            known = null;
+        if (leading != isLeading) {
+            isLeading = leading;
+            knownStage = null;
             votes.clear();
-            leaseMs.clear();
+            leaseEndsMs.clear();
         }
     }
 
     /** A node has asked; the lease that it is about to get may last so long at the most. */
     public void onRequest(PolicyRequest ask, double nowMs) {
-        if (leads && (leaseMs.containsKey(ask.node()) || leaseMs.size() < MOST_NODES)) {
-            leaseMs.put(ask.node(), nowMs + times.leaseExpiryBoundMs());
+        if (isLeading && (leaseEndsMs.containsKey(ask.node()) || leaseEndsMs.size() < MAX_NODES)) {
+            leaseEndsMs.put(ask.node(), nowMs + times.leaseExpiryBoundMs());
             votes.put(ask.node(), new Vote(ask.votedNumber(), ask.objection()));
         }
     }
 
     /** What is to be appended to the log now, if anything; {@code there} names the nodes that are there. */
-    public LogOperation nextOperation(PolicyLog log, Collection<String> there, double nowMs) {
-        Entry open = log.pending();
-        if (!leads || open == null) {
-            known = null;
+    public LogOperation nextOperation(PolicyLog log, Collection<String> liveNodes, double nowMs) {
+        Entry pending = log.pending();
+        if (!isLeading || pending == null) {
+            knownStage = null;
             return null;
         }
-        if (known != open.stage() || knownNumber != open.number()) {
-            known = open.stage();
-            knownNumber = open.number();
-            knownMs = nowMs;
-            askedFor = -1;
+        if (knownStage != pending.stage() || knownNumber != pending.number()) {
+            knownStage = pending.stage();
+            knownNumber = pending.number();
+            knownSinceMs = nowMs;
+            requestedAtIndex = -1;
         }
-        if (askedFor == log.lastAppliedIndex() && nowMs - askedForMs < times.pollIntervalMs()) {
+        if (requestedAtIndex == log.lastAppliedIndex() && nowMs - requestedAtMs < times.pollIntervalMs()) {
             return null;
         }
-        LogOperation op = open.stage() == Stage.DECIDED ? held(open, nowMs) : decided(open, there, nowMs);
+        LogOperation op = pending.stage() == Stage.DECIDED ? held(pending, nowMs) : decided(pending, liveNodes, nowMs);
         if (op != null) {
-            askedFor = log.lastAppliedIndex();
-            askedForMs = nowMs;
+            requestedAtIndex = log.lastAppliedIndex();
+            requestedAtMs = nowMs;
         }
         return op;
     }
 
-    private LogOperation held(Entry open, double nowMs) {
-        return nowMs - knownMs < times.leaseExpiryBoundMs()
+    private LogOperation held(Entry pending, double nowMs) {
+        return nowMs - knownSinceMs < times.leaseExpiryBoundMs()
                 ? null
-                : new LogOperation(LogOperation.Kind.HOLD, open.number(), "", "", "");
+                : new LogOperation(LogOperation.Kind.HOLD, pending.number(), "", "", "");
     }
 
-    private LogOperation decided(Entry open, Collection<String> there, double nowMs) {
-        TreeSet<String> missing = new TreeSet<>(there);
-        leaseMs.forEach((name, untilMs) -> {
+    private LogOperation decided(Entry pending, Collection<String> liveNodes, double nowMs) {
+        TreeSet<String> missing = new TreeSet<>(liveNodes);
+        leaseEndsMs.forEach((name, untilMs) -> {
             if (untilMs > nowMs) {
                 missing.add(name);
             }
         });
         for (String name : new ArrayList<>(missing)) {
             Vote vote = votes.get(name);
-            if (vote != null && vote.number() == open.number()) {
+            if (vote != null && vote.number() == pending.number()) {
                 if (!vote.no().isEmpty()) {
-                    return new LogOperation(LogOperation.Kind.REFUSE, open.number(), vote.no(), name, "");
+                    return new LogOperation(LogOperation.Kind.REFUSE, pending.number(), vote.no(), name, "");
                 }
                 missing.remove(name);
             }
         }
         // Danger: a leader of a moment ago has heard of nobody yet, and would decide for nodes that cannot apply it.
-        if (missing.isEmpty() && nowMs - knownMs >= times.pollIntervalMs()) {
-            return new LogOperation(LogOperation.Kind.DECIDE, open.number(), "", "", "");
+        if (missing.isEmpty() && nowMs - knownSinceMs >= times.pollIntervalMs()) {
+            return new LogOperation(LogOperation.Kind.DECIDE, pending.number(), "", "", "");
         }
-        return nowMs - knownMs < times.voteTimeoutMs()
+        return nowMs - knownSinceMs < times.voteTimeoutMs()
                 ? null
                 : new LogOperation(
                         LogOperation.Kind.REFUSE,
-                        open.number(),
+                        pending.number(),
                         "said nothing in " + Math.round(times.voteTimeoutMs()) + " ms",
                         String.join(", ", new ArrayList<>(missing).subList(0, Math.min(5, missing.size()))),
                         "");
--- a/lab/src/main/java/spartrail/lab/simulation/Mutations.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Mutations.java
@@ -104,7 +104,7 @@
             new Plant(
                     LEADER,
                     "a version holds as soon as it is decided",
-                    "nowMs - knownMs < times.leaseExpiryBoundMs() ?",
+                    "nowMs - knownSinceMs < times.leaseExpiryBoundMs() ?",
                     "false ?"),
             new Plant(
                     "policy/PolicyTimings",
@@ -121,40 +121,40 @@
             new Plant(
                     FOLLOWER,
                     "a lease does not end",
-                    "decided ? guarded : holds, decided, leaseMs, after);",
-                    "decided ? guarded : holds, decided, Double.POSITIVE_INFINITY, after);"),
+                    "decided ? jointSettings : activeSettings, decided, leaseEndMs, after);",
+                    "decided ? jointSettings : activeSettings, decided, Double.POSITIVE_INFINITY, after);"),
             new Plant(
                     FOLLOWER,
                     "what was overtaken is taken up",
-                    "last != null && told.appliedIndex() < last.appliedIndex()",
+                    "lastResponse != null && told.appliedIndex() < lastResponse.appliedIndex()",
                     "false"),
             new Plant(
                     FOLLOWER,
                     "nobody is guarded after the decision",
-                    "last.pending().stage() == Stage.DECIDED;\n        String named",
+                    "lastResponse.pending().stage() == Stage.DECIDED;\n        String named",
                     "false;\n        String named"),
             new Plant(
                     FOLLOWER,
                     "out of touch the proposal is forgotten",
-                    "new PolicyLease(named + \"?\", guarded, true",
-                    "new PolicyLease(named + \"?\", holds, true"),
+                    "new PolicyLease(named + \"?\", jointSettings, true",
+                    "new PolicyLease(named + \"?\", activeSettings, true"),
             new Plant(
                     FOLLOWER,
                     "a node that starts is ready at once",
-                    "nowMs - bornMs >= times.startupTimeoutMs()",
-                    "nowMs >= bornMs"),
+                    "nowMs - startedAtMs >= times.startupTimeoutMs()",
+                    "nowMs >= startedAtMs"),
             new Plant(
                     FOLLOWER,
                     "a node that heard nothing is not guarded",
-                    "new PolicyLease(\"0?\", own, true,",
-                    "new PolicyLease(\"0\", own, false,"),
-            new Plant(FOLLOWER, "nobody says that it can", "        vote = number;\n", ""),
+                    "new PolicyLease(\"0?\", localSettings, true,",
+                    "new PolicyLease(\"0\", localSettings, false,"),
+            new Plant(FOLLOWER, "nobody says that it can", "        votedNumber = number;\n", ""),
             new Plant(LEADER, "a no is not heard", "if (!vote.no().isEmpty()) {", "if (false) {"),
             new Plant(LEADER, "nobody is waited for", "if (missing.isEmpty() && nowMs", "if (nowMs"),
             new Plant(
                     LEADER,
                     "a proposal that not all answer stays open",
-                    "return nowMs - knownMs < times.voteTimeoutMs() ? null",
+                    "return nowMs - knownSinceMs < times.voteTimeoutMs() ? null",
                     "return true ? null"),
             new Plant(
                     LOG,
