--- a/core/src/main/java/spartrail/policy/LogOperation.java
+++ b/core/src/main/java/spartrail/policy/LogOperation.java
@@ -1,38 +1,46 @@
 package spartrail.policy;
 
-import java.util.List;
-
 /**
- * An entry of the agreed log.
+ * What an entry of the replicated log does.
  *
  * @param proposalNumber of the proposal meant; 0 where it has none yet
- * @param text the settings that are proposed, or why one is refused
- * @param issuer who proposes, refuses or asks
- * @param token by chance: the same proposal sent twice is one
+ * @param text the settings that are proposed, or why a proposal is refused
+ * @param issuer who proposes, refuses or aborts
+ * @param token random: the same proposal sent twice is one
  */
 public record LogOperation(Kind kind, long proposalNumber, String text, String issuer, String token) {
-    /** What it does; LED opens a new leader's time, and changes nothing. */
+    /** The kinds of operations, with their names in messages and in the log on disk. */
     public enum Kind {
-        LED,
-        PROPOSE,
-        REFUSE,
-        ABORT,
-        DECIDE,
-        HOLD
-    }
+        /** Opens a new leader's term, and changes nothing. */
+        NEW_TERM("LED"),
+        /** Proposes a version. */
+        PROPOSE("PROPOSE"),
+        /** Refuses a proposal that a node cannot apply. */
+        REFUSE("REFUSE"),
+        /** Gives a proposal up. */
+        ABORT("ABORT"),
+        /** Decides a proposal that all nodes can apply. */
+        DECIDE("DECIDE"),
+        /** Makes a decided proposal the active version. */
+        HOLD("HOLD");
 
-    public static final LogOperation OF_NEW_TERM = new LogOperation(Kind.LED, 0, "", "", "");
+        private final String wireName;
 
-    public List<Object> toList() {
-        return List.of(kind.name(), proposalNumber, text, issuer, token);
+        Kind(String wireName) {
+            this.wireName = wireName;
+        }
+
+        /** The name in messages and in the log on disk. */
+        public String wireName() {
+            return wireName;
+        }
     }
 
-    public static LogOperation fromList(List<?> plain) {
-        return new LogOperation(
-                Kind.valueOf((String) plain.get(0)),
-                ((Number) plain.get(1)).longValue(),
-                (String) plain.get(2),
-                (String) plain.get(3),
-                (String) plain.get(4));
+    /** What a new leader appends first. */
+    public static final LogOperation OF_NEW_TERM = new LogOperation(Kind.NEW_TERM, 0, "", "", "");
+
+    /** A leader's operation on a proposal. */
+    static LogOperation ofLeader(Kind kind, long proposalNumber) {
+        return new LogOperation(kind, proposalNumber, "", "", "");
     }
 }
--- a/core/src/main/java/spartrail/policy/PolicyFollower.java
+++ b/core/src/main/java/spartrail/policy/PolicyFollower.java
@@ -4,33 +4,40 @@
 import java.util.List;
 import java.util.Map;
 import java.util.random.RandomGenerator;
-import spartrail.policy.PolicyLog.Entry;
-import spartrail.policy.PolicyLog.Stage;
 
 /**
- * What every node does: it asks again and again what holds, says whether it can apply what is proposed, and goes by what it was
- * told until its lease is over.
+ * What every node does: it polls the leader for what is active, says whether it can apply what is proposed, and goes by the
+ * response until its lease expires.
  *
  * <pre>
- *  it was told, by its latest answer     until its lease is over     after that
- *  n holds, nothing or a proposal open   n                           guarded: the stricter of n and the proposal
- *  n holds, n+1 is decided               guarded: the stricter       the same
- *  what it cannot go by holds, or will   guarded, as out of touch    the same
- *  nothing yet                           not ready                   after readyMs guarded by its own settings
+ *  latest response                        until the lease expires    after that
+ *  n is active, nothing or a proposal     n                          joint: the stricter of n and the proposal
+ *      pending
+ *  n is active, n+1 is decided            joint: the stricter        the same
+ *  a version that it cannot apply is      joint, as after expiry     the same
+ *      active or decided
+ *  nothing yet                            not ready                  after startupTimeoutMs its local settings, joint
  * </pre>
  *
  * <ol>
- * <li>A lease counts from when the node asked, by its own monotonic clock.
- * <li>What is older than what was heard last is not taken up.
- * <li>What a node goes by is a {@link PolicyLease}, which says itself when it is over: whoever decides looks at the clock first, so
- *     that a node that stood still finds out before its next decision, not after it.
+ * <li>A lease counts from when the node polled, by its own monotonic clock.
+ * <li>A response that was overtaken by a later one is ignored.
+ * <li>What a node goes by is a {@link PolicyLease}, which knows itself when it expires: whoever decides looks at the clock first,
+ *     so that a paused process finds out before its next decision, not after it.
  * </ol>
  */
 public final class PolicyFollower {
     private static final int MAX_PENDING_POLLS = 16;
-    /** Danger: two nodes each of which takes the other one for the leader would have a third ask without pause. */
+
+    /** Polls are no closer together: two nodes that name each other the leader would make a third poll without pause. */
     private static final double MIN_POLL_INTERVAL_MS = 100;
 
+    private static final double MIN_POLL_JITTER = 0.9;
+    private static final double POLL_JITTER_RANGE = 0.2;
+
+    /** Of a node that went by no version yet, and by none for certain now. */
+    private static final String LOCAL_LABEL = "0?";
+
     private final String node;
     private final List<String> voters;
     private final PolicyTimings times;
@@ -50,7 +57,7 @@
     private String objection = "";
     private String incompatibility = "";
 
-    /** Begins with the node's own settings; {@code voters} are who can say what holds. */
+    /** Begins with the node's local settings; {@code voters} are the nodes of which one leads. */
     public PolicyFollower(
             String node,
             List<String> voters,
@@ -68,7 +75,7 @@
         this.nextPollAtMs = nowMs;
     }
 
-    /** The node's own settings are others now. */
+    /** The node's local settings are others now. */
     public void updateLocalSettings(PolicySettings changed) {
         localSettings = changed;
         if (lastResponse != null) {
@@ -76,17 +83,19 @@
         }
     }
 
-    /** When it asks next, or begins to serve by itself. */
+    // ---- Polling ----
+
+    /** When it polls next, or begins to serve by its local settings. */
     public double nextPollAtMs() {
         return lease == null ? Math.min(nextPollAtMs, startedAtMs + times.startupTimeoutMs()) : nextPollAtMs;
     }
 
-    /** Something has changed, it is said: it asks then. */
+    /** Something is said to have changed: polls then, if not sooner. */
     public void pollNoLaterThan(double atMs) {
         nextPollAtMs = Math.min(nextPollAtMs, atMs);
     }
 
-    /** Who was asked does not lead, and says who does; or does not know, where that is empty. */
+    /** The poll's target does not lead, and names the leader; an empty name if it knows none. */
     public void onRedirect(String leader, double nowMs) {
         if (!leader.isEmpty() && !leader.equals(node)) {
             pollTarget = leader;
@@ -95,136 +104,148 @@
         }
     }
 
-    /** To whom the latest question goes: whoever answered the one before, or was named; else the next of the deciding nodes. */
+    /** To whom the latest poll goes: the node that answered the one before, or that was named; else the next of the voters. */
     public String pollTarget() {
         return pollTarget;
     }
 
     private void choosePollTarget() {
-        for (int i = 0; i < voters.size() && (isTargetSilent || pollTarget.isEmpty() || pollTarget.equals(node)); i++) {
+        for (int i = 0; i < voters.size() && needsOtherTarget(); i++) {
             pollTarget = voters.get(nextVoter++ % voters.size());
             isTargetSilent = false;
         }
         isTargetSilent = true;
     }
 
-    /** The question that is due, or null. */
+    private boolean needsOtherTarget() {
+        return isTargetSilent || pollTarget.isEmpty() || pollTarget.equals(node);
+    }
+
+    /** The poll that is due, or null. */
     public PolicyRequest pollIfDue(double nowMs) {
         if (lease == null && nowMs - startedAtMs >= times.startupTimeoutMs()) {
-            lease = new PolicyLease("0?", localSettings, true, Double.POSITIVE_INFINITY, null);
+            lease = new PolicyLease(LOCAL_LABEL, localSettings, true, Double.POSITIVE_INFINITY, null);
         }
         if (nowMs < nextPollAtMs) {
             return null;
         }
         choosePollTarget();
         lastPollAtMs = nowMs;
-        nextPollAtMs = nowMs + times.pollIntervalMs() * (0.9 + 0.2 * random.nextDouble());
+        double jitter = MIN_POLL_JITTER + POLL_JITTER_RANGE * random.nextDouble();
+        nextPollAtMs = nowMs + times.pollIntervalMs() * jitter;
         long nonce = random.nextLong();
+        rememberPoll(nonce, nowMs);
+        String activePolicy = lease == null ? "" : lease.activeAt(nowMs).label();
+        return new PolicyRequest(nonce, node, votedNumber, objection, activePolicy);
+    }
+
+    private void rememberPoll(long nonce, double nowMs) {
         pollTimesMs.put(nonce, nowMs);
         if (pollTimesMs.size() > MAX_PENDING_POLLS) {
             pollTimesMs.remove(pollTimesMs.keySet().iterator().next());
         }
-        return new PolicyRequest(
-                nonce,
-                node,
-                votedNumber,
-                objection,
-                lease == null ? "" : lease.activeAt(nowMs).label());
-    }
-
-    /** An answer has come. */
-    public void onResponse(PolicyResponse told, double nowMs) {
-        Double sinceMs = pollTimesMs.remove(told.nonce());
-        isTargetSilent &= sinceMs == null;
-        if (sinceMs == null || lastResponse != null && told.appliedIndex() < lastResponse.appliedIndex()) {
+    }
+
+    /** Takes up a response to a poll. */
+    public void onResponse(PolicyResponse response, double nowMs) {
+        Double polledAtMs = pollTimesMs.remove(response.nonce());
+        if (polledAtMs == null) {
+            return;
+        }
+        isTargetSilent = false;
+        if (lastResponse != null && response.appliedIndex() < lastResponse.appliedIndex()) {
             return;
         }
-        lastResponse = told;
-        leaseEndMs = Math.max(leaseEndMs, sinceMs + times.leaseMs());
+        lastResponse = response;
+        leaseEndMs = Math.max(leaseEndMs, polledAtMs + times.leaseMs());
         updateLease();
         if (nowMs >= leaseEndMs) {
             pollNoLaterThan(nowMs);
         }
     }
 
+    // ---- The lease ----
+
     private void updateLease() {
+        PolicyVersion active = lastResponse.active();
+        PolicyVersion pending = lastResponse.pending();
         PolicySettings activeSettings;
         try {
-            activeSettings = localSettings.overriddenBy(
-                    PolicySettings.parse(lastResponse.active().settings()));
+            activeSettings = settingsWith(active);
             incompatibility = "";
         } catch (IllegalArgumentException e) {
-            // Its settings do not go with the version that holds: it takes no part until they do.
-            endLease(lastResponse.active(), e);
+            // The local settings do not go with the active version: this node takes no part until they do.
+            endLease(active, e);
             return;
         }
-        boolean decided =
-                lastResponse.pending() != null && lastResponse.pending().stage() == Stage.DECIDED;
-        String named = Long.toString(lastResponse.active().number());
+        boolean isDecided = pending != null && pending.stage() == PolicyVersion.Stage.DECIDED;
+        String activeLabel = Long.toString(active.number());
+        String jointLabel = activeLabel;
         PolicySettings jointSettings = activeSettings;
-        if (lastResponse.pending() != null) {
+        if (pending != null) {
             try {
-                jointSettings = activeSettings.stricterOf(localSettings.overriddenBy(
-                        PolicySettings.parse(lastResponse.pending().settings())));
-                named += "|" + lastResponse.pending().number();
+                jointSettings = activeSettings.stricterOf(settingsWith(pending));
+                jointLabel = activeLabel + "|" + pending.number();
             } catch (IllegalArgumentException e) {
-                if (decided) {
-                    // Danger: it was out of touch and nobody waited for its no; a lease on the version before alone
+                if (isDecided) {
+                    // It was out of touch and nobody waited for its objection. A lease on the active version alone
                     // would outlast that version.
-                    endLease(lastResponse.pending(), e);
+                    endLease(pending, e);
                     return;
                 }
-                // It says no, so that this will never hold.
-                jointSettings = activeSettings;
+                // It objects to the proposal, which will therefore never be active.
             }
         }
-        PolicyLease after = new PolicyLease(named + "?", jointSettings, true, Double.POSITIVE_INFINITY, null);
-        lease = new PolicyLease(
-                decided ? named : Long.toString(lastResponse.active().number()),
-                decided ? jointSettings : activeSettings,
-                decided,
-                leaseEndMs,
-                after);
-    }
-
-    /** A version comes that it cannot go by: it is out of touch from now on, or, where it had nothing to go by yet, not ready. */
-    private void endLease(Entry version, IllegalArgumentException why) {
-        incompatibility = "cannot go by version " + version.number() + ": " + why.getMessage();
+        PolicyLease afterExpiry =
+                new PolicyLease(jointLabel + "?", jointSettings, true, Double.POSITIVE_INFINITY, null);
+        lease = isDecided
+                ? new PolicyLease(jointLabel, jointSettings, true, leaseEndMs, afterExpiry)
+                : new PolicyLease(activeLabel, activeSettings, false, leaseEndMs, afterExpiry);
+    }
+
+    /** A version comes that this node cannot apply: its lease is over, or, where it has none yet, it is not ready. */
+    private void endLease(PolicyVersion version, IllegalArgumentException reason) {
+        incompatibility = "cannot go by version " + version.number() + ": " + reason.getMessage();
         while (lease != null && lease.successor() != null) {
             lease = lease.successor();
         }
     }
 
-    /** The proposal that this node has yet to say whether it can apply it, or null. */
-    public Entry proposalToCheck() {
-        Entry open = lastResponse == null ? null : lastResponse.pending();
-        return open == null || open.stage() != Stage.PROPOSED || votedNumber == open.number() ? null : open;
-    }
-
-    /** The settings that a proposal would make of this node's own; an IllegalArgumentException where it cannot apply them. */
-    public PolicySettings settingsWith(Entry proposal) {
-        return localSettings.overriddenBy(PolicySettings.parse(proposal.settings()));
-    }
-
-    /** It can apply the proposal, or not because of this. The next question, which says so, is due at once. */
-    public void recordVote(long number, String because, double nowMs) {
-        votedNumber = number;
-        objection = because;
-        pollNoLaterThan(nowMs);
-    }
-
-    /** By what this node decides; null while it is to decide nothing yet. */
+    /** What this node goes by; null while it is to decide nothing yet. */
     public PolicyLease lease() {
         return lease;
     }
 
-    /** Why it cannot go by the version that holds; empty if it can. */
+    /** Why it cannot apply the version that is active or decided; empty if it can. */
     public String incompatibility() {
         return incompatibility;
     }
 
-    /** What it was told last, or null. */
+    /** The latest response, or null. */
     public PolicyResponse lastResponse() {
         return lastResponse;
     }
+
+    // ---- Voting ----
+
+    /** The proposal that this node has yet to vote on, or null. */
+    public PolicyVersion proposalToCheck() {
+        PolicyVersion pending = lastResponse == null ? null : lastResponse.pending();
+        if (pending == null || pending.stage() != PolicyVersion.Stage.PROPOSED || votedNumber == pending.number()) {
+            return null;
+        }
+        return pending;
+    }
+
+    /** The settings that a version makes of the local ones; an IllegalArgumentException where this node cannot apply them. */
+    public PolicySettings settingsWith(PolicyVersion version) {
+        return localSettings.overriddenBy(PolicySettings.parse(version.settings()));
+    }
+
+    /** This node can apply the proposal, or not for a reason. The next poll, which says so, is due at once. */
+    public void recordVote(long number, String reasonAgainst, double nowMs) {
+        votedNumber = number;
+        objection = reasonAgainst;
+        pollNoLaterThan(nowMs);
+    }
 }
--- a/core/src/main/java/spartrail/policy/PolicyLog.java
+++ b/core/src/main/java/spartrail/policy/PolicyLog.java
@@ -2,175 +2,146 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import spartrail.policy.LogOperation.Kind;
+import spartrail.policy.PolicyVersion.Stage;
 
 /**
- * The state that the deciding nodes agree on: each of them applies the same entries in the same order. One proposal is open at
- * a time.
+ * The replicated state: each voter applies the same operations in the same order. One proposal is pending at a time.
  *
  * <pre>
- *  from       entry    to         allowed
- *  -          PROPOSE  PROPOSED   none is open, the settings can be read
- *  PROPOSED   REFUSE   REFUSED
- *  PROPOSED   ABORT    ABORTED
- *  PROPOSED   DECIDE   DECIDED    from here on no lease is given on the version before alone
- *  DECIDED    HOLD     HOLDS      all leases on the version before alone are over; no other way leads out of DECIDED
+ *  from       operation  to         allowed
+ *  -          PROPOSE    PROPOSED   none is pending, the settings can be read
+ *  PROPOSED   REFUSE     REFUSED
+ *  PROPOSED   ABORT      ABORTED
+ *  PROPOSED   DECIDE     DECIDED    from here on no lease is granted on the version before alone
+ *  DECIDED    HOLD       HOLDS      all leases on the version before alone have expired; no other way leads out of DECIDED
  * </pre>
  *
- * What holds always:
+ * What is always so:
  * <ol>
- * <li>Numbers go up; the version that holds never goes back.
- * <li>A version that was refused or aborted never holds, and is never decided.
- * <li>Between two versions that hold there is a time in which the later one is decided.
+ * <li>Numbers go up; the active version never goes back.
+ * <li>A version that was refused or aborted is never active, and never decided.
+ * <li>Between two active versions there is a time in which the later one is decided.
  * </ol>
  */
 public final class PolicyLog {
-    /** Where a proposal stands. */
-    public enum Stage {
-        PROPOSED,
-        DECIDED,
-        HOLDS,
-        REFUSED,
-        ABORTED
-    }
-
-    /** A proposal and what came of it. */
-    public record Entry(long number, String settings, String proposer, Stage stage, String reason, String token) {
-        Entry withStage(Stage next, String because) {
-            return new Entry(number, settings, proposer, next, because, token);
-        }
-    }
-
-    /** Before anything was proposed each node goes by its own settings. */
-    public static final Entry OWN = new Entry(0, "{}", "", Stage.HOLDS, "", "");
-
-    private static final int REMEMBERED = 200;
-    private static final int MOST_TEXT = 16_384;
-
-    private final List<Entry> entries = new ArrayList<>();
-    private Entry holds = OWN;
-    private Entry open;
-    private long last;
-    private long applied;
-
-    /** Applies an entry; what came of it, as the proposer is told: a number, or {@code !} and what is wrong. */
-    public String apply(long index, LogOperation op) {
-        applied = index;
-        if (op.kind() == LogOperation.Kind.LED) {
+    private static final int MAX_FINISHED = 200;
+    private static final int MAX_SETTINGS_CHARACTERS = 16_384;
+
+    /** Begins the outcome of an operation that changes nothing. */
+    private static final String FAILURE_PREFIX = "!";
+
+    private final List<PolicyVersion> finished = new ArrayList<>();
+    private PolicyVersion active = PolicyVersion.INITIAL;
+    private PolicyVersion pending;
+    private long lastNumber;
+    private long lastAppliedIndex;
+
+    /** Applies an operation; the outcome, as its issuer reads it, is the proposal's number, or {@code !} and what is wrong. */
+    public String apply(long index, LogOperation operation) {
+        lastAppliedIndex = index;
+        if (operation.kind() == Kind.NEW_TERM) {
             return "";
         }
-        if (op.kind() == LogOperation.Kind.PROPOSE) {
-            return propose(op);
+        if (operation.kind() == Kind.PROPOSE) {
+            return propose(operation);
         }
-        if (open == null || open.number() != op.proposalNumber()) {
-            return "!no proposal " + op.proposalNumber() + " is open";
+        if (pending == null || pending.number() != operation.proposalNumber()) {
+            return FAILURE_PREFIX + "no proposal " + operation.proposalNumber() + " is open";
         }
-        boolean decided = open.stage() == Stage.DECIDED;
-        if (decided != (op.kind() == LogOperation.Kind.HOLD)) {
-            return decided
-                    ? "!" + op.proposalNumber() + " is decided and will hold"
-                    : "!" + op.proposalNumber() + " is not decided";
+        boolean isDecided = pending.stage() == Stage.DECIDED;
+        if (isDecided != (operation.kind() == Kind.HOLD)) {
+            String reason = isDecided ? " is decided and will hold" : " is not decided";
+            return FAILURE_PREFIX + operation.proposalNumber() + reason;
         }
-        switch (op.kind()) {
-            case REFUSE -> close(open.withStage(Stage.REFUSED, op.issuer() + ": " + op.text()));
-            case ABORT -> close(open.withStage(Stage.ABORTED, "aborted by " + op.issuer()));
-            case DECIDE -> open = open.withStage(Stage.DECIDED, "");
-            default -> {
-                holds = open.withStage(Stage.HOLDS, "");
-                close(holds);
+        advance(operation);
+        return Long.toString(operation.proposalNumber());
+    }
+
+    private void advance(LogOperation operation) {
+        switch (operation.kind()) {
+            case REFUSE -> finish(pending.withStage(Stage.REFUSED, operation.issuer() + ": " + operation.text()));
+            case ABORT -> finish(pending.withStage(Stage.ABORTED, "aborted by " + operation.issuer()));
+            case DECIDE -> pending = pending.withStage(Stage.DECIDED, "");
+            case HOLD -> {
+                active = pending.withStage(Stage.HOLDS, "");
+                finish(active);
             }
+            default -> throw new IllegalArgumentException(
+                    "found " + operation.kind() + ", an operation on a pending proposal is expected");
         }
-        return Long.toString(op.proposalNumber());
     }
 
-    private String propose(LogOperation op) {
-        for (Entry entry : entries) {
-            if (entry.token().equals(op.token())) {
-                return Long.toString(entry.number());
+    private String propose(LogOperation operation) {
+        for (PolicyVersion version : finished) {
+            if (version.token().equals(operation.token())) {
+                return Long.toString(version.number());
             }
         }
-        if (open != null) {
-            return open.token().equals(op.token())
-                    ? Long.toString(open.number())
-                    : "!proposal " + open.number() + " by " + open.proposer() + " is still open";
+        if (pending != null) {
+            return pending.token().equals(operation.token())
+                    ? Long.toString(pending.number())
+                    : FAILURE_PREFIX + "proposal " + pending.number() + " by " + pending.proposer() + " is still open";
         }
+        String settings;
         try {
-            if (op.text().length() > MOST_TEXT) {
-                throw new IllegalArgumentException(
-                        op.text().length() + " characters, at most " + MOST_TEXT + " are expected");
-            }
-            open = new Entry(
-                    last + 1, PolicySettings.parse(op.text()).toJson(), op.issuer(), Stage.PROPOSED, "", op.token());
+            settings = checkedSettings(operation.text());
         } catch (IllegalArgumentException e) {
-            return "!" + e.getMessage();
+            return FAILURE_PREFIX + e.getMessage();
         }
-        return Long.toString(++last);
+        lastNumber++;
+        pending = new PolicyVersion(lastNumber, settings, operation.issuer(), Stage.PROPOSED, "", operation.token());
+        return Long.toString(lastNumber);
     }
 
-    private void close(Entry entry) {
-        open = null;
-        entries.add(entry);
-        if (entries.size() > REMEMBERED) {
-            entries.remove(0);
+    private static String checkedSettings(String text) {
+        if (text.length() > MAX_SETTINGS_CHARACTERS) {
+            throw new IllegalArgumentException(
+                    text.length() + " characters, at most " + MAX_SETTINGS_CHARACTERS + " are expected");
         }
+        return PolicySettings.parse(text).toJson();
     }
 
-    /** The version that holds. */
-    public Entry active() {
-        return holds;
+    private void finish(PolicyVersion version) {
+        pending = null;
+        finished.add(version);
+        if (finished.size() > MAX_FINISHED) {
+            finished.remove(0);
+        }
     }
 
-    /** The proposal that is open, or null. */
-    public Entry pending() {
-        return open;
+    /** The version that nodes go by. */
+    public PolicyVersion active() {
+        return active;
     }
 
-    /** Index of the entry applied last. */
-    public long lastAppliedIndex() {
-        return applied;
+    /** The proposal that has not ended, or null. */
+    public PolicyVersion pending() {
+        return pending;
     }
 
-    /** Proposals that have ended, oldest first, the last two hundred. */
-    public List<Entry> finished() {
-        return List.copyOf(entries);
-    }
-
-    /** All of it as plain values, for a snapshot. */
-    public List<Object> toSnapshot() {
-        List<Object> all = new ArrayList<>();
-        entries.forEach(entry -> all.add(plain(entry)));
-        List<Object> state = new ArrayList<>(List.of(last, plain(holds), all));
-        state.add(open == null ? "" : plain(open));
-        return state;
+    /** The index of the entry that was applied last. */
+    public long lastAppliedIndex() {
+        return lastAppliedIndex;
     }
 
-    private static List<Object> plain(Entry entry) {
-        return List.of(
-                entry.number(),
-                entry.settings(),
-                entry.proposer(),
-                entry.stage().name(),
-                entry.reason(),
-                entry.token());
+    /** Proposals that have ended, oldest first, the last two hundred. */
+    public List<PolicyVersion> finished() {
+        return List.copyOf(finished);
     }
 
-    /** Takes up a snapshot in the place of all it has. */
-    public void restoreSnapshot(long index, List<?> plain) {
-        applied = index;
-        last = ((Number) plain.get(0)).longValue();
-        holds = entry(plain.get(1));
-        entries.clear();
-        ((List<?>) plain.get(2)).forEach(each -> entries.add(entry(each)));
-        open = plain.get(3) instanceof List<?> ? entry(plain.get(3)) : null;
+    /** All of the state. */
+    public PolicyLogSnapshot toSnapshot() {
+        return new PolicyLogSnapshot(lastNumber, active, finished, pending);
     }
 
-    private static Entry entry(Object plain) {
-        List<?> list = (List<?>) plain;
-        return new Entry(
-                ((Number) list.get(0)).longValue(),
-                (String) list.get(1),
-                (String) list.get(2),
-                Stage.valueOf((String) list.get(3)),
-                (String) list.get(4),
-                (String) list.get(5));
+    /** Takes up a snapshot of the state at an index in the place of all it has. */
+    public void restoreSnapshot(long index, PolicyLogSnapshot snapshot) {
+        lastAppliedIndex = index;
+        lastNumber = snapshot.lastNumber();
+        active = snapshot.active();
+        finished.clear();
+        finished.addAll(snapshot.finished());
+        pending = snapshot.pending();
     }
 }
--- a/core/src/main/java/spartrail/policy/PolicyResponse.java
+++ b/core/src/main/java/spartrail/policy/PolicyResponse.java
@@ -1,10 +1,10 @@
 package spartrail.policy;
 
 /**
- * What a node is told: this held when it asked.
+ * The response to a poll: these versions were active and pending when the poll came.
  *
- * @param nonce of its question
+ * @param nonce of the poll
  * @param appliedIndex the log was applied up to there
- * @param pending the proposal that is open, or null
+ * @param pending the proposal that has not ended, or null
  */
-public record PolicyResponse(long nonce, long appliedIndex, PolicyLog.Entry active, PolicyLog.Entry pending) {}
+public record PolicyResponse(long nonce, long appliedIndex, PolicyVersion active, PolicyVersion pending) {}
--- a/core/src/main/java/spartrail/policy/PolicyService.java
+++ b/core/src/main/java/spartrail/policy/PolicyService.java
@@ -4,14 +4,12 @@
 import java.nio.file.Path;
 import spartrail.peers.PeerChannel;
 
-/**
- * How a node takes part in versions of policy, found by the service loader; on the class path only where it is asked for.
- */
+/** How a node takes part in versions of policy, found by the service loader; on the class path only where it is asked for. */
 public interface PolicyService {
     /**
      * Begins to take part on a thread of its own.
      *
-     * @param state the folder of what a deciding node must not forget
+     * @param state the folder of what a voter must not forget
      */
     Running start(Path state, Host host) throws IOException;
 
@@ -20,19 +18,19 @@
         /** The clock by which the node decides. */
         double nowMs();
 
-        /** What of the node's own settings policy may change. */
+        /** The part of the node's local settings that policy may change. */
         PolicySettings localSettings();
 
-        /** Tries these terms out of the way of all that is served; why they cannot be gone by, or empty. */
-        String rehearse(PolicySettings terms);
+        /** Tries settings out apart from all that is served; why the node cannot apply them, or empty. */
+        String rehearse(PolicySettings settings);
 
-        /** The node goes by this from now on. */
-        void apply(PolicyLease ruling);
+        /** The node goes by this lease from now on. */
+        void apply(PolicyLease lease);
     }
 
-    /** A part that has been begun. */
+    /** A part that has begun. */
     interface Running extends PeerChannel, AutoCloseable {
-        /** The node's own settings are others now. */
+        /** The node's local settings are others now. */
         void updateLocalSettings(PolicySettings changed);
 
         /** Waits until the node knows by what to decide. */
--- a/core/src/main/java/spartrail/policy/PolicySettings.java
+++ b/core/src/main/java/spartrail/policy/PolicySettings.java
@@ -6,6 +6,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import java.io.IOException;
 import java.io.StringWriter;
+import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -14,7 +15,6 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import spartrail.json.JsonTree;
-import spartrail.model.OpType;
 
 /**
  * What may change while a node runs, by field: all of it as a node goes by it, or the part that a version states. Immutable.
@@ -25,8 +25,8 @@
  *  opTypes/NAME/budgetMs          the shorter        an answer within the shorter is within the longer
  *  opTypes/NAME/timeoutMs         the shorter
  *  opTypes/NAME/need, floor       the larger         an answer that is enough for the larger is for the smaller
- *  opTypes/NAME/dedupMs           the shorter        a repeat within the shorter is within the longer
- *  opTypes/NAME/repeat            the least          what may not be repeated under one is not
+ *  opTypes/NAME/dedupMs           the shorter        a retry within the shorter is within the longer
+ *  opTypes/NAME/repeat            the least          what may not be retried under one is not
  *  opTypes/NAME/importance,       the first one's    they order work and bound nothing
  *      lateShare, partialShare
  *  sends/most                     the fewer          a count within the smaller is within the larger
@@ -34,54 +34,49 @@
  *  furtherSends/free, share       the fewer
  *  furtherSends/spanMs            the longer; where they differ, no share: what is free in the longer span is free in the
  *                                 shorter one within it, a share of what was taken in it is not; none, the other one's
- *  cold/leastShare, tipMultiple,  the smaller        less is sent to a cold server
+ *  cold/leastShare, tipMultiple,  the smaller        less is sent to a server that is warming up
  *      fallMs
  *  cold/warmMs                    the longer
  *  comeback/told                  only if both
- *  comeback/longestMs             the shorter        a client comes no later than either allows
+ *  comeback/longestMs             the shorter        a client retries no later than either allows
  *  inHand/most                    the fewer
  * </pre>
  */
 public final class PolicySettings {
-    /** What stands in a field, and which of two is the stricter. */
-    private enum Kind {
-        LESS,
-        MORE,
-        FIRST,
-        SHARE_LESS,
-        SHARE_MORE,
-        SHARE_FIRST,
-        COUNT_LESS,
-        BOTH,
-        REPEAT,
-        BUDGET
-    }
-
     private static final String OP_TYPES = "/opTypes/";
-    private static final String SPAN = "/furtherSends/spanMs";
-    private static final String SHARE = "/furtherSends/share";
-    private static final Map<String, Kind> FIELDS = Map.ofEntries(
-            Map.entry(OP_TYPES + "*/budgetMs", Kind.LESS),
-            Map.entry(OP_TYPES + "*/timeoutMs", Kind.LESS),
-            Map.entry(OP_TYPES + "*/need", Kind.SHARE_MORE),
-            Map.entry(OP_TYPES + "*/floor", Kind.SHARE_MORE),
-            Map.entry(OP_TYPES + "*/dedupMs", Kind.LESS),
-            Map.entry(OP_TYPES + "*/repeat", Kind.REPEAT),
-            Map.entry(OP_TYPES + "*/importance", Kind.FIRST),
-            Map.entry(OP_TYPES + "*/lateShare", Kind.SHARE_FIRST),
-            Map.entry(OP_TYPES + "*/partialShare", Kind.SHARE_FIRST),
-            Map.entry("/sends/most", Kind.COUNT_LESS),
-            Map.entry("/sends/parallel", Kind.BOTH),
-            Map.entry(SPAN, Kind.BUDGET),
-            Map.entry("/furtherSends/free", Kind.LESS),
-            Map.entry(SHARE, Kind.SHARE_LESS),
-            Map.entry("/cold/leastShare", Kind.SHARE_LESS),
-            Map.entry("/cold/tipMultiple", Kind.LESS),
-            Map.entry("/cold/fallMs", Kind.LESS),
-            Map.entry("/cold/warmMs", Kind.MORE),
-            Map.entry("/comeback/told", Kind.BOTH),
-            Map.entry("/comeback/longestMs", Kind.LESS),
-            Map.entry("/inHand/most", Kind.COUNT_LESS));
+    private static final String ANY_OP_TYPE = OP_TYPES + "*/";
+    private static final String BUDGET = "/budgetMs";
+    private static final String TIMEOUT = "/timeoutMs";
+    private static final String RETRY_BUDGET = "/furtherSends/";
+
+    /** Sorts after all fields of the retry budget, and before all others. */
+    private static final String RETRY_BUDGET_END = "/furtherSends0";
+
+    private static final String RETRY_BUDGET_SPAN = RETRY_BUDGET + "spanMs";
+    private static final String RETRY_BUDGET_SHARE = RETRY_BUDGET + "share";
+
+    private static final Map<String, SettingRule> RULES = Map.ofEntries(
+            Map.entry(ANY_OP_TYPE + "budgetMs", SettingRule.SMALLER),
+            Map.entry(ANY_OP_TYPE + "timeoutMs", SettingRule.SMALLER),
+            Map.entry(ANY_OP_TYPE + "need", SettingRule.LARGER_SHARE),
+            Map.entry(ANY_OP_TYPE + "floor", SettingRule.LARGER_SHARE),
+            Map.entry(ANY_OP_TYPE + "dedupMs", SettingRule.SMALLER),
+            Map.entry(ANY_OP_TYPE + "repeat", SettingRule.LEAST_REPEATABLE),
+            Map.entry(ANY_OP_TYPE + "importance", SettingRule.UNORDERED),
+            Map.entry(ANY_OP_TYPE + "lateShare", SettingRule.UNORDERED_SHARE),
+            Map.entry(ANY_OP_TYPE + "partialShare", SettingRule.UNORDERED_SHARE),
+            Map.entry("/sends/most", SettingRule.SMALLER_COUNT),
+            Map.entry("/sends/parallel", SettingRule.ONLY_IF_BOTH),
+            Map.entry(RETRY_BUDGET_SPAN, SettingRule.LARGER),
+            Map.entry(RETRY_BUDGET + "free", SettingRule.SMALLER),
+            Map.entry(RETRY_BUDGET_SHARE, SettingRule.SMALLER_SHARE),
+            Map.entry("/cold/leastShare", SettingRule.SMALLER_SHARE),
+            Map.entry("/cold/tipMultiple", SettingRule.SMALLER),
+            Map.entry("/cold/fallMs", SettingRule.SMALLER),
+            Map.entry("/cold/warmMs", SettingRule.LARGER),
+            Map.entry("/comeback/told", SettingRule.ONLY_IF_BOTH),
+            Map.entry("/comeback/longestMs", SettingRule.SMALLER),
+            Map.entry("/inHand/most", SettingRule.SMALLER_COUNT));
 
     private final SortedMap<String, Object> fields;
 
@@ -89,21 +84,43 @@
         this.fields = fields;
     }
 
-    /** Of values by field; an IllegalArgumentException says in one line which one is wrong. */
+    /** Settings of values by field; an IllegalArgumentException says in one line which one is wrong. */
     public static PolicySettings of(Map<String, ?> values) {
         TreeMap<String, Object> fields = new TreeMap<>();
-        values.forEach((field, value) -> fields.put(field, checked(field, value)));
+        values.forEach((field, value) -> fields.put(field, rule(field).checked(field, value)));
         return new PolicySettings(fields);
     }
 
-    /** What a version states, as a JSON object, nested or by fields. */
+    private static SettingRule rule(String field) {
+        SettingRule rule = RULES.get(pattern(field));
+        if (rule == null) {
+            throw new IllegalArgumentException(
+                    field + ": cannot change while nodes run, or is not known to this program; one of "
+                            + new TreeSet<>(RULES.keySet()) + " is expected");
+        }
+        return rule;
+    }
+
+    /** The field with any name of an op type in it. */
+    private static String pattern(String field) {
+        String[] steps = field.split("/", -1);
+        boolean isOfOpType = field.startsWith(OP_TYPES) && steps.length == 4 && !steps[2].isEmpty();
+        if (isOfOpType) {
+            return ANY_OP_TYPE + steps[3];
+        }
+        return field.contains("*") ? "" : field;
+    }
+
+    // ---- JSON ----
+
+    /** What a version states, as a JSON object, nested or by fields; an IllegalArgumentException says what is wrong with it. */
     public static PolicySettings parse(String text) {
         try (JsonParser parser = new JsonFactory().createParser(text)) {
             if (parser.nextToken() == null || !(JsonTree.value(parser) instanceof Map<?, ?> tree)) {
                 throw new IllegalArgumentException("a JSON object is expected");
             }
             Map<String, Object> values = new TreeMap<>();
-            flat("", tree, values);
+            flatten("", tree, values);
             return of(values);
         } catch (JsonProcessingException e) {
             throw new IllegalArgumentException(
@@ -111,69 +128,51 @@
                             + e.getLocation().getLineNr(),
                     e);
         } catch (IOException e) {
-            throw new IllegalStateException("text in memory", e);
+            throw new UncheckedIOException("reading from memory", e);
         }
     }
 
-    private static void flat(String path, Map<?, ?> tree, Map<String, Object> values) {
+    private static void flatten(String path, Map<?, ?> tree, Map<String, Object> values) {
         tree.forEach((name, value) -> {
-            String field = (name.toString().startsWith("/") ? path : path + "/") + name;
+            String separator = name.toString().startsWith("/") ? "" : "/";
+            String field = path + separator + name;
             if (value instanceof Map<?, ?> inner) {
-                flat(field, inner, values);
+                flatten(field, inner, values);
             } else if (values.put(field, value == null ? "null" : value) != null) {
                 throw new IllegalArgumentException(field + ": is there twice");
             }
         });
     }
 
-    private static Kind kind(String field) {
-        String[] steps = field.split("/", -1);
-        boolean ofOpType = field.startsWith(OP_TYPES) && steps.length == 4 && !steps[2].isEmpty();
-        return FIELDS.get(ofOpType ? OP_TYPES + "*/" + steps[3] : field.contains("*") ? "" : field);
-    }
-
-    private static Object checked(String field, Object value) {
-        Kind kind = kind(field);
-        if (kind == null) {
-            throw new IllegalArgumentException(
-                    field + ": cannot change while nodes run, or is not known to this program; one of "
-                            + new TreeSet<>(FIELDS.keySet()) + " is expected");
-        }
-        switch (kind) {
-            case BOTH -> {
-                return flag(field, value);
-            }
-            case REPEAT -> {
-                for (OpType.Repeat repeat : OpType.Repeat.values()) {
-                    if (repeat.name().equals(value)) {
-                        return value;
-                    }
-                }
-                throw new IllegalArgumentException(
-                        field + ": found " + value + ", one of " + List.of(OpType.Repeat.values()) + " is expected");
-            }
-            default -> {
-                boolean share = kind.name().startsWith("SHARE");
-                double least = kind == Kind.COUNT_LESS ? 1 : 0;
-                double number = value instanceof Number given ? given.doubleValue() : Double.NaN;
-                if (!(number >= least) || Double.isInfinite(number) || share && number > 1) {
-                    throw new IllegalArgumentException(field + ": found " + value + ", "
-                            + (share ? "a share of 0 to 1" : "a number of " + (int) least + " or more")
-                            + " is expected");
-                }
-                return number;
+    /** A JSON object by fields, in their order: the same settings are the same text. */
+    public String toJson() {
+        StringWriter text = new StringWriter();
+        try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
+            out.writeStartObject();
+            for (Map.Entry<String, Object> field : fields.entrySet()) {
+                out.writeFieldName(field.getKey());
+                writeValue(out, field.getValue());
             }
+            out.writeEndObject();
+        } catch (IOException e) {
+            throw new UncheckedIOException("writing to memory", e);
         }
+        return text.toString();
     }
 
-    private static Object flag(String field, Object value) {
-        if (!(value instanceof Boolean)) {
-            throw new IllegalArgumentException(field + ": found " + value + ", true or false is expected");
+    private static void writeValue(JsonGenerator out, Object value) throws IOException {
+        if (value instanceof Boolean flag) {
+            out.writeBoolean(flag);
+        } else if (value instanceof Double number) {
+            out.writeNumber(number);
+        } else {
+            out.writeString(value.toString());
         }
-        return value;
     }
 
-    /** These, and of that what it states; an IllegalArgumentException where it states what a node does not have. */
+    // ---- Versions on top of a node's settings ----
+
+    /** These with what a version states in their place; an IllegalArgumentException where it states what a node does not have. */
     public PolicySettings overriddenBy(PolicySettings version) {
         TreeMap<String, Object> all = new TreeMap<>(fields);
         version.fields.forEach((field, value) -> {
@@ -181,53 +180,69 @@
                 throw new IllegalArgumentException(field + ": this node has no such op type");
             }
         });
-        PolicySettings made = new PolicySettings(all);
-        made.opTypeNames().forEach(name -> {
-            if (made.number(OP_TYPES + name + "/budgetMs") > made.number(OP_TYPES + name + "/timeoutMs")) {
-                throw new IllegalArgumentException(OP_TYPES + name + "/budgetMs: found "
-                        + made.number(OP_TYPES + name + "/budgetMs") + ", no more than timeoutMs, "
-                        + made.number(OP_TYPES + name + "/timeoutMs") + ", is expected");
-            }
-        });
-        return made;
+        PolicySettings merged = new PolicySettings(all);
+        merged.opTypeNames().forEach(merged::checkBudget);
+        return merged;
+    }
+
+    private void checkBudget(String opType) {
+        double budgetMs = number(OP_TYPES + opType + BUDGET);
+        double timeoutMs = number(OP_TYPES + opType + TIMEOUT);
+        if (budgetMs > timeoutMs) {
+            throw new IllegalArgumentException(OP_TYPES + opType + BUDGET + ": found " + budgetMs
+                    + ", no more than timeoutMs, " + timeoutMs + ", is expected");
+        }
     }
 
     /** Field by field the stricter of both, as the table above says. Both are of one node, so that they have the same fields. */
     public PolicySettings stricterOf(PolicySettings other) {
         TreeMap<String, Object> all = new TreeMap<>();
-        fields.forEach((field, value) -> all.put(field, stricterOf(kind(field), value, other.fields.get(field))));
-        if (!Objects.equals(fields.get(SPAN), other.fields.get(SPAN))) {
-            PolicySettings without = number(SPAN) == 0 ? this : other;
-            PolicySettings with = without == this ? other : this;
-            if (without.number(SPAN) == 0) {
-                with.fields.subMap("/furtherSends/", "/furtherSends0").forEach(all::put);
-            } else {
-                all.put(SHARE, 0.0);
-            }
+        fields.forEach((field, value) -> all.put(field, rule(field).stricterOf(value, other.fields.get(field))));
+        if (!Objects.equals(fields.get(RETRY_BUDGET_SPAN), other.fields.get(RETRY_BUDGET_SPAN))) {
+            mergeRetryBudgets(other, all);
         }
         return new PolicySettings(all);
     }
 
-    private static Object stricterOf(Kind kind, Object one, Object other) {
-        return switch (kind) {
-            case LESS, SHARE_LESS, COUNT_LESS -> Math.min((double) one, (double) other);
-            case MORE, SHARE_MORE, BUDGET -> Math.max((double) one, (double) other);
-            case BOTH -> (boolean) one && (boolean) other;
-            case REPEAT -> OpType.Repeat.valueOf((String) one).compareTo(OpType.Repeat.valueOf((String) other)) >= 0
-                    ? one
-                    : other;
-            default -> one;
-        };
+    /** Of two budgets over different spans only what is free is within both; a span of 0 is no budget. */
+    private void mergeRetryBudgets(PolicySettings other, TreeMap<String, Object> all) {
+        if (number(RETRY_BUDGET_SPAN) == 0) {
+            all.putAll(other.retryBudget());
+        } else if (other.number(RETRY_BUDGET_SPAN) == 0) {
+            all.putAll(retryBudget());
+        } else {
+            all.put(RETRY_BUDGET_SHARE, 0.0);
+        }
+    }
+
+    private SortedMap<String, Object> retryBudget() {
+        return fields.subMap(RETRY_BUDGET, RETRY_BUDGET_END);
     }
 
-    /** Whether whoever keeps to these keeps to those, too; what only orders work is not asked. */
+    /** Whether whoever keeps to these keeps to those, too; fields that only order work do not count. */
     public boolean isWithin(PolicySettings wider) {
         return wider.stricterOf(this).fields.entrySet().stream()
-                .allMatch(each -> kind(each.getKey()).name().endsWith("FIRST")
-                        || each.getValue().equals(fields.get(each.getKey())));
+                .allMatch(field ->
+                        !rule(field.getKey()).isBinding() || field.getValue().equals(fields.get(field.getKey())));
     }
 
-    /** Names of op types that are told of. */
+    /** What differs, a line each: field, here, there. */
+    public List<String> differencesTo(PolicySettings other) {
+        List<String> lines = new ArrayList<>();
+        TreeSet<String> all = new TreeSet<>(fields.keySet());
+        all.addAll(other.fields.keySet());
+        for (String field : all) {
+            if (!Objects.equals(fields.get(field), other.fields.get(field))) {
+                lines.add(field + ": " + fields.getOrDefault(field, "-") + " -> "
+                        + other.fields.getOrDefault(field, "-"));
+            }
+        }
+        return lines;
+    }
+
+    // ---- Values ----
+
+    /** Names of the op types that have settings here. */
     public List<String> opTypeNames() {
         return fields.keySet().stream()
                 .filter(field -> field.startsWith(OP_TYPES))
@@ -236,57 +251,24 @@
                 .toList();
     }
 
+    /** The value of a field that holds a number. */
     public double number(String field) {
         return (double) fields.get(field);
     }
 
+    /** The value of a field that holds a flag. */
     public boolean flag(String field) {
         return (boolean) fields.get(field);
     }
 
+    /** The value of a field that holds a text. */
     public String text(String field) {
         return (String) fields.get(field);
     }
 
-    /** What differs, a line each: field, here, there. */
-    public List<String> differencesTo(PolicySettings other) {
-        List<String> lines = new ArrayList<>();
-        TreeSet<String> all = new TreeSet<>(fields.keySet());
-        all.addAll(other.fields.keySet());
-        for (String field : all) {
-            if (!Objects.equals(fields.get(field), other.fields.get(field))) {
-                lines.add(field + ": " + fields.getOrDefault(field, "-") + " -> "
-                        + other.fields.getOrDefault(field, "-"));
-            }
-        }
-        return lines;
-    }
-
-    /** As a JSON object by fields, in their order: the same terms are the same text. */
-    public String toJson() {
-        StringWriter text = new StringWriter();
-        try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
-            out.writeStartObject();
-            for (Map.Entry<String, Object> field : fields.entrySet()) {
-                out.writeFieldName(field.getKey());
-                if (field.getValue() instanceof Boolean flag) {
-                    out.writeBoolean(flag);
-                } else if (field.getValue() instanceof Double number) {
-                    out.writeNumber(number);
-                } else {
-                    out.writeString(field.getValue().toString());
-                }
-            }
-            out.writeEndObject();
-        } catch (IOException e) {
-            throw new IllegalStateException("text in memory", e);
-        }
-        return text.toString();
-    }
-
     @Override
     public boolean equals(Object other) {
-        return other instanceof PolicySettings terms && terms.fields.equals(fields);
+        return other instanceof PolicySettings settings && settings.fields.equals(fields);
     }
 
     @Override
--- a/core/src/test/java/spartrail/policy/PolicyTest.java
+++ b/core/src/test/java/spartrail/policy/PolicyTest.java
@@ -158,7 +158,7 @@
         assertThat(by(node, 2800) + ", " + by(node, 5499) + ", " + by(node, 5500))
                 .isEqualTo("1 1000, 1 1000, 1? guarded 1000");
         PolicyRequest again = node.pollIfDue(4000);
-        node.onResponse(new PolicyResponse(again.nonce(), 1, PolicyLog.OWN, null), 4100);
+        node.onResponse(new PolicyResponse(again.nonce(), 1, PolicyVersion.INITIAL, null), 4100);
         assertThat(by(node, 4100)).isEqualTo("1 1000");
         // It stood still for long: whoever decides looks at the clock first, and finds the lease over.
         assertThat(by(node, 60_000)).isEqualTo("1? guarded 1000");
--- a/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
@@ -647,7 +647,7 @@
 
     /** How far the machine's clock is from the right time, how fast the node's own one runs, and what room its disk has. */
     private static List<String> machine(JsonNode how) {
-        List<String> options = new ArrayList<>(List.of("-D" + CrashPoint.ALLOWED + "=true"));
+        List<String> options = new ArrayList<>(List.of("-D" + CrashPoint.ENABLING_PROPERTY + "=true"));
         if (how.has("clock")) {
             options.add("-Dspartrail.clock.aheadMs="
                     + how.get("clock").path("aheadMs").asLong(0));
--- a/lab/src/main/java/spartrail/lab/experiment/NodeProcess.java
+++ b/lab/src/main/java/spartrail/lab/experiment/NodeProcess.java
@@ -155,7 +155,7 @@
         }
         command.addAll(options);
         if (extras.state() != null && options.isEmpty()) {
-            command.add("-D" + CrashPoint.ALLOWED + "=true");
+            command.add("-D" + CrashPoint.ENABLING_PROPERTY + "=true");
         }
         command.addAll(List.of("-cp", path.toString(), "spartrail.Main", "serve", "--config", config.toString()));
         option(command, "--members", extras.members());
--- a/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
+++ b/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
@@ -10,14 +10,14 @@
 
     @Override
     public byte[] encode(byte[] piece) {
-        return PeerMessageCodec.bytes(fleet, PolicyMessageCodec.LANE, piece);
+        return PeerMessageCodec.bytes(fleet, PolicyMessageCodec.CHANNEL, piece);
     }
 
     @Override
     public byte[] decode(byte[] datagram, int length) {
         try {
             PeerMessageCodec.Frame frame = PeerMessageCodec.read(datagram, length, fleet, LONGEST);
-            return frame.lane() == PolicyMessageCodec.LANE ? frame.bytes() : null;
+            return frame.lane() == PolicyMessageCodec.CHANNEL ? frame.bytes() : null;
         } catch (PeerMessageCodec.Unusable e) {
             return null;
         }
--- a/lab/src/main/java/spartrail/lab/simulation/Mutations.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Mutations.java
@@ -104,8 +104,8 @@
             new Plant(
                     LEADER,
                     "a version holds as soon as it is decided",
-                    "nowMs - knownSinceMs < times.leaseExpiryBoundMs() ?",
-                    "false ?"),
+                    "if (nowMs - knownSinceMs < times.leaseExpiryBoundMs()) {",
+                    "if (false) {"),
             new Plant(
                     "policy/PolicyTimings",
                     "the leader waits for half a lease",
@@ -117,27 +117,30 @@
                     "return leaseMs * (1 + maxClockDrift) / (1 - maxClockDrift);",
                     "return leaseMs;"),
             new Plant(
-                    FOLLOWER, "a lease counts from the answer", "sinceMs + times.leaseMs()", "nowMs + times.leaseMs()"),
+                    FOLLOWER,
+                    "a lease counts from the answer",
+                    "polledAtMs + times.leaseMs()",
+                    "nowMs + times.leaseMs()"),
             new Plant(
                     FOLLOWER,
                     "a lease does not end",
-                    "decided ? jointSettings : activeSettings, decided, leaseEndMs, after);",
-                    "decided ? jointSettings : activeSettings, decided, Double.POSITIVE_INFINITY, after);"),
+                    "Math.max(leaseEndMs, polledAtMs + times.leaseMs())",
+                    "Double.POSITIVE_INFINITY"),
             new Plant(
                     FOLLOWER,
                     "what was overtaken is taken up",
-                    "lastResponse != null && told.appliedIndex() < lastResponse.appliedIndex()",
+                    "lastResponse != null && response.appliedIndex() < lastResponse.appliedIndex()",
                     "false"),
             new Plant(
                     FOLLOWER,
                     "nobody is guarded after the decision",
-                    "lastResponse.pending().stage() == Stage.DECIDED;\n        String named",
-                    "false;\n        String named"),
+                    "pending != null && pending.stage() == PolicyVersion.Stage.DECIDED;",
+                    "false;"),
             new Plant(
                     FOLLOWER,
                     "out of touch the proposal is forgotten",
-                    "new PolicyLease(named + \"?\", jointSettings, true",
-                    "new PolicyLease(named + \"?\", activeSettings, true"),
+                    "new PolicyLease(jointLabel + \"?\", jointSettings, true",
+                    "new PolicyLease(jointLabel + \"?\", activeSettings, true"),
             new Plant(
                     FOLLOWER,
                     "a node that starts is ready at once",
@@ -146,31 +149,35 @@
             new Plant(
                     FOLLOWER,
                     "a node that heard nothing is not guarded",
-                    "new PolicyLease(\"0?\", localSettings, true,",
+                    "new PolicyLease(LOCAL_LABEL, localSettings, true,",
                     "new PolicyLease(\"0\", localSettings, false,"),
             new Plant(FOLLOWER, "nobody says that it can", "        votedNumber = number;\n", ""),
-            new Plant(LEADER, "a no is not heard", "if (!vote.no().isEmpty()) {", "if (false) {"),
-            new Plant(LEADER, "nobody is waited for", "if (missing.isEmpty() && nowMs", "if (nowMs"),
+            new Plant(LEADER, "a no is not heard", "if (!vote.objection().isEmpty()) {", "if (false) {"),
+            new Plant(
+                    LEADER,
+                    "nobody is waited for",
+                    "if (missing.isEmpty() && hasLedLongEnough) {",
+                    "if (hasLedLongEnough) {"),
             new Plant(
                     LEADER,
                     "a proposal that not all answer stays open",
-                    "return nowMs - knownSinceMs < times.voteTimeoutMs() ? null",
-                    "return true ? null"),
+                    "if (nowMs - knownSinceMs < times.voteTimeoutMs()) {",
+                    "if (true) {"),
             new Plant(
                     LOG,
                     "any stage leads to any other",
-                    "if (decided != (op.kind() == LogOperation.Kind.HOLD)) {",
+                    "if (isDecided != (operation.kind() == Kind.HOLD)) {",
                     "if (false) {"),
             new Plant(
                     LOG,
                     "the same proposal sent twice is two",
-                    "            if (entry.token().equals(op.token())) {",
+                    "            if (version.token().equals(operation.token())) {",
                     "            if (false) {"),
             new Plant(
-                    "policy/PolicySettings",
+                    "policy/SettingRule",
                     "guarded is the looser of two times",
-                    "case LESS, SHARE_LESS, COUNT_LESS -> Math.min(",
-                    "case LESS, SHARE_LESS, COUNT_LESS -> Math.max("));
+                    "case SMALLER -> Math.min(",
+                    "case SMALLER -> Math.max("));
 
     private static final Pattern WORD = Pattern.compile("\\w+");
     private static final Pattern TOKEN = Pattern.compile("\\w+|\\S");
--- a/lab/src/main/java/spartrail/lab/simulation/PolicySimulation.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PolicySimulation.java
@@ -15,12 +15,12 @@
 import spartrail.policy.PolicyLeader;
 import spartrail.policy.PolicyLease;
 import spartrail.policy.PolicyLog;
-import spartrail.policy.PolicyLog.Entry;
-import spartrail.policy.PolicyLog.Stage;
 import spartrail.policy.PolicyRequest;
 import spartrail.policy.PolicyResponse;
 import spartrail.policy.PolicySettings;
 import spartrail.policy.PolicyTimings;
+import spartrail.policy.PolicyVersion;
+import spartrail.policy.PolicyVersion.Stage;
 
 /**
  * Nodes that go by versions of policy. The agreed log is a stand-in: one list, a leader that is chosen anew some time after the one
@@ -148,7 +148,7 @@
             if (ask != null) {
                 ask(ask);
             }
-            Entry open = follower.proposalToCheck();
+            PolicyVersion open = follower.proposalToCheck();
             if (open != null && checking != open.number()) {
                 checking = open.number();
                 checkedMs = atMs + 20 + 200 * chance.nextDouble();
@@ -402,17 +402,17 @@
     }
 
     private void commit(LogOperation op) {
-        Entry was = log.pending();
+        PolicyVersion was = log.pending();
         String came = log.apply(++index, op);
         openedMs = log.pending() != null
                         && (was == null || was.number() != log.pending().number())
                 ? world.nowMs()
                 : openedMs;
-        if (op.kind() == LogOperation.Kind.LED) {
+        if (op.kind() == LogOperation.Kind.NEW_TERM) {
             return;
         }
         line(op.kind() + " " + op.proposalNumber() + " " + op.issuer() + " " + op.text() + ": " + came);
-        Entry open = log.pending();
+        PolicyVersion open = log.pending();
         if (op.kind() == LogOperation.Kind.PROPOSE && open != null) {
             budgets.put(open.number(), PolicySettings.parse(open.settings()).number(BUDGET));
         }
@@ -431,8 +431,8 @@
                 breach("decided first", was.number() + " holds and was " + was.stage());
             }
         }
-        List<Entry> ended = log.finished();
-        for (Entry entry : ended) {
+        List<PolicyVersion> ended = log.finished();
+        for (PolicyVersion entry : ended) {
             if (ended.stream()
                             .filter(other -> other.token().equals(entry.token()))
                             .count()
@@ -449,7 +449,7 @@
     }
 
     /** Whoever is in touch when a version is decided has said that it can. */
-    private void votes(Entry decided) {
+    private void votes(PolicyVersion decided) {
         for (int node = 0; node < size; node++) {
             if (!world.runs(node)) {
                 continue;
--- a/policy/src/main/java/spartrail/policy/replication/AdminClient.java
+++ b/policy/src/main/java/spartrail/policy/replication/AdminClient.java
@@ -11,145 +11,177 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.UUID;
+import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
+import java.util.function.Predicate;
 import spartrail.policy.LogOperation;
 
 /**
- * An operator's side: asks a running node, and gives orders to whoever leads. Frames are made and read by who knows their form.
+ * The operator's side: queries a running node, and sends commands to the leader. Blocks its caller; one socket, one thread. A
+ * datagram that is lost is sent again with the same token, and counts once.
  */
 public final class AdminClient implements AutoCloseable {
-    private static final int ANSWER_MS = 500;
-    private static final int TRIES = 40;
-    private static final int TRIES_A_QUESTION = 4;
-    private static final int TRIES_A_CHECK = 8;
+    private static final int RESPONSE_TIMEOUT_MS = 500;
+    private static final int RETRY_BACKOFF_MS = RESPONSE_TIMEOUT_MS / 2;
+    private static final int MAX_COMMAND_ATTEMPTS = 40;
+    private static final int MAX_QUERY_ATTEMPTS = 4;
 
-    /** How bytes of the lane become a datagram, and back; null for one of something else. */
+    /** A check takes as long as a rehearsal on the node. */
+    private static final int MAX_CHECK_ATTEMPTS = 8;
+
+    private static final int MAX_PIECE_BYTES = 1100;
+    private static final int RECEIVE_BUFFER_BYTES = 65_536;
+
+    /** How pieces of messages become datagrams, and back; the fleet's transport knows. */
     public interface FrameCodec {
+        /** The datagram for a piece. */
         byte[] encode(byte[] piece);
 
+        /** The piece of a datagram, or null for one of something else. */
         byte[] decode(byte[] datagram, int length);
     }
 
     private final FrameCodec frames;
     private final DatagramSocket socket;
-    private final DatagramReassembler pieces;
+    private final DatagramSplitter splitter;
+    private final DatagramReassembler reassembler = new DatagramReassembler();
 
-    /** Speaks from this machine; the node's file has to name it among its operators. */
+    /** Speaks from this machine, which the node's peers file has to name among its operators. */
     public AdminClient(FrameCodec frames, boolean loopback) throws IOException {
         this.frames = frames;
         this.socket = loopback
                 ? new DatagramSocket(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0))
                 : new DatagramSocket();
-        this.pieces = new DatagramReassembler(1100, new SecureRandom().nextInt());
-        socket.setSoTimeout(ANSWER_MS);
+        this.splitter = new DatagramSplitter(MAX_PIECE_BYTES, new SecureRandom().nextInt());
+        socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
     }
 
-    /** What a node knows, as JSON; an IOException where it does not answer. */
+    /** A node's status as JSON; an IOException where it does not answer. */
     public String fetchStatus(String address) throws IOException {
-        return question(address, "show", TRIES_A_QUESTION);
+        return query(address, AdminRequestHandler.SHOW_QUERY, MAX_QUERY_ATTEMPTS);
     }
 
-    /** The same, asked once. */
+    /** A node's status as JSON, queried once. */
     public String fetchStatusOnce(String address) throws IOException {
-        return question(address, "show", 1);
+        return query(address, AdminRequestHandler.SHOW_QUERY, 1);
     }
 
-    /** What these settings would change for a node, a line each; {@code !} and why it cannot go by them. */
+    /** What these settings would change for a node, a line each; {@code !} and why it cannot apply them. */
     public String dryRun(String address, String settings) throws IOException {
-        return question(address, PolicyMessageCodec.CHECK + settings, TRIES_A_CHECK);
+        return query(address, AdminRequestHandler.CHECK_QUERY_PREFIX + settings, MAX_CHECK_ATTEMPTS);
     }
 
-    /** In drills: the node's process is gone when it next gets to this point. */
+    /** In drills: the node's process ends when it next gets to this {@link CrashPoint}. */
     public boolean armCrashPoint(String address, String point) throws IOException {
-        return question(address, point, TRIES_A_QUESTION).equals("armed");
+        return query(address, point, MAX_QUERY_ATTEMPTS).equals(AdminRequestHandler.ARMED_REPLY);
     }
 
-    private String question(String address, String what, int tries) throws IOException {
+    private String query(String address, String query, int maxAttempts) throws IOException {
         String token = UUID.randomUUID().toString();
-        for (int i = 0; i < tries; i++) {
-            List<?> reply =
-                    asked(address, List.of(PolicyMessageCodec.QUESTION, token, what), token, PolicyMessageCodec.REPLY);
+        for (int attempt = 0; attempt < maxAttempts; attempt++) {
+            PolicyMessage reply = exchange(
+                    address,
+                    new PolicyMessage.AdminQuery(token, query),
+                    message -> message instanceof PolicyMessage.AdminReply found
+                            && found.token().equals(token));
             if (reply != null) {
-                return (String) reply.get(2);
+                return ((PolicyMessage.AdminReply) reply).text();
             }
         }
         throw new IOException(address + " does not answer");
     }
 
     /**
-     * Gives an order, and follows it to whoever leads; a number, or {@code !} and what is wrong. {@code where} is another way to an
-     * address that a node names, as a rig has it. The same order may arrive twice and counts once.
+     * Sends an operation by way of a node and follows it to the leader.
+     *
+     * @param toReachable the address at which this machine reaches a node that another node names
+     * @return the proposal's number, or {@code !} and what is wrong
      */
     public String submit(
             String address,
             LogOperation.Kind kind,
-            long number,
+            long proposalNumber,
             String text,
-            String who,
-            Function<String, String> where)
+            String issuer,
+            Function<String, String> toReachable)
             throws IOException {
         String token = UUID.randomUUID().toString();
-        String to = address;
-        for (int i = 0; i < TRIES; i++) {
-            List<?> reply = asked(
-                    to,
-                    List.of(PolicyMessageCodec.ORDER, token, kind.name(), number, text, who),
-                    token,
-                    PolicyMessageCodec.DONE);
-            if (reply != null && !((String) reply.get(2)).isEmpty()) {
-                return (String) reply.get(2);
+        LogOperation operation = new LogOperation(kind, proposalNumber, text, issuer, token);
+        String target = address;
+        for (int attempt = 0; attempt < MAX_COMMAND_ATTEMPTS; attempt++) {
+            PolicyMessage.AdminResult result = sendCommand(target, operation);
+            if (result != null && !result.outcome().isEmpty()) {
+                return result.outcome();
             }
-            String leader = reply == null ? "" : (String) reply.get(3);
-            to = leader.isEmpty() ? address : where.apply(leader);
-            if (reply != null && (i > 0 || leader.isEmpty())) {
-                // Danger: two nodes that name each other, or one that is lost, would use up all tries before another
-                // one leads.
-                pause();
+            String leader = result == null ? "" : result.leaderAddress();
+            target = leader.isEmpty() ? address : toReachable.apply(leader);
+            if (result != null && (attempt > 0 || leader.isEmpty())) {
+                // Two nodes that name each other, or one that is lost, would use up all attempts before another one
+                // leads.
+                backOff();
             }
         }
         throw new IOException("nobody who leads answers, asked by way of " + address);
     }
 
-    private void pause() throws IOException {
+    private PolicyMessage.AdminResult sendCommand(String address, LogOperation operation) throws IOException {
+        return (PolicyMessage.AdminResult) exchange(
+                address,
+                new PolicyMessage.AdminCommand(operation),
+                message -> message instanceof PolicyMessage.AdminResult found
+                        && found.token().equals(operation.token()));
+    }
+
+    private static void backOff() throws IOException {
         try {
-            Thread.sleep(ANSWER_MS / 2);
+            Thread.sleep(RETRY_BACKOFF_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
         }
     }
 
-    private List<?> asked(String address, List<?> question, String token, int kind) throws IOException {
-        int colon = address.lastIndexOf(':');
-        InetSocketAddress to =
-                new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
-        for (byte[] piece : pieces.split(PolicyMessageCodec.bytes(question))) {
+    /** The first message that is expected, or null where none came in time. */
+    private PolicyMessage exchange(String address, PolicyMessage request, Predicate<PolicyMessage> isExpected)
+            throws IOException {
+        InetSocketAddress receiver = socketAddress(address);
+        for (byte[] piece : splitter.split(PolicyMessageCodec.encode(request))) {
             byte[] frame = frames.encode(piece);
-            socket.send(new DatagramPacket(frame, frame.length, to));
+            socket.send(new DatagramPacket(frame, frame.length, receiver));
         }
-        long untilNs = System.nanoTime() + ANSWER_MS * 1_000_000L;
-        byte[] buffer = new byte[65_536];
-        while (System.nanoTime() < untilNs) {
-            DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RESPONSE_TIMEOUT_MS);
+        while (System.nanoTime() < deadlineNs) {
+            DatagramPacket packet = new DatagramPacket(new byte[RECEIVE_BUFFER_BYTES], RECEIVE_BUFFER_BYTES);
             try {
                 socket.receive(packet);
             } catch (SocketTimeoutException e) {
                 return null;
             }
-            byte[] piece = frames.decode(Arrays.copyOf(buffer, packet.getLength()), packet.getLength());
-            byte[] whole =
-                    piece == null ? null : pieces.add(packet.getSocketAddress().toString(), piece);
-            List<?> reply = whole == null ? List.of(-1) : PolicyMessageCodec.plain(whole);
-            if (PolicyMessageCodec.intAt(reply, 0) == kind && token.equals(reply.get(1))) {
-                return reply;
+            PolicyMessage message = messageCompletedBy(packet);
+            if (isExpected.test(message)) {
+                return message;
             }
         }
         return null;
     }
 
-    /** Makes the log of a deciding node of a new set. */
-    public static void bootstrap(Path folder, String fleet, String node, List<String> deciders) throws IOException {
-        RaftLogStore.bootstrap(folder, fleet, node, deciders);
+    private PolicyMessage messageCompletedBy(DatagramPacket packet) throws IOException {
+        byte[] piece = frames.decode(Arrays.copyOf(packet.getData(), packet.getLength()), packet.getLength());
+        if (piece == null) {
+            return null;
+        }
+        byte[] message = reassembler.add(packet.getSocketAddress().toString(), piece);
+        return message == null ? null : PolicyMessageCodec.decode(message);
+    }
+
+    private static InetSocketAddress socketAddress(String address) {
+        int colon = address.lastIndexOf(':');
+        return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
+    }
+
+    /** Makes the log of one voter of a new group. */
+    public static void bootstrap(Path folder, String fleet, String node, List<String> voters) throws IOException {
+        RaftLogStore.bootstrap(folder, fleet, node, voters);
     }
 
     @Override
--- /dev/null
+++ b/policy/src/main/java/spartrail/policy/replication/AdminRequestHandler.java
@@ -0,0 +1,105 @@
+package spartrail.policy.replication;
+
+import java.util.EnumSet;
+import spartrail.policy.LogOperation;
+import spartrail.policy.PolicyFollower;
+import spartrail.policy.PolicyVersion;
+
+/** Answers operators' queries about this node, and carries out their commands where it leads. */
+final class AdminRequestHandler {
+    /** The query for the status page. */
+    static final String SHOW_QUERY = "show";
+
+    /** Begins the query whether a node could apply the settings that follow. */
+    static final String CHECK_QUERY_PREFIX = "check ";
+
+    /** The answer to a query that arms a crash point. */
+    static final String ARMED_REPLY = "armed";
+
+    private static final String BUSY_REPLY = "!busy";
+    private static final String UNKNOWN_REPLY = "unknown question";
+
+    /** What operators may append to the log; the rest is the leader's. */
+    private static final EnumSet<LogOperation.Kind> PERMITTED =
+            EnumSet.of(LogOperation.Kind.PROPOSE, LogOperation.Kind.ABORT);
+
+    /** What it needs of the node. */
+    interface Node {
+        /** This node's part in the log, or null where it does not vote. */
+        RaftReplica replica();
+
+        /** Where the leader listens, as far as this node knows; empty where it does not. */
+        String leaderAddress();
+
+        /** What operators read about this node. */
+        String statusPage();
+
+        /** Runs a task on the thread of policy. */
+        void execute(Runnable task);
+    }
+
+    private final Node node;
+    private final PolicyFollower follower;
+    private final ProposalChecker checker;
+    private final MessageSender sender;
+    private boolean isDryRunning;
+
+    AdminRequestHandler(Node node, PolicyFollower follower, ProposalChecker checker, MessageSender sender) {
+        this.node = node;
+        this.follower = follower;
+        this.checker = checker;
+        this.sender = sender;
+    }
+
+    /** Answers a query. */
+    void onQuery(String from, PolicyMessage.AdminQuery request) {
+        String query = request.query();
+        if (query.startsWith(CHECK_QUERY_PREFIX)) {
+            dryRun(from, request.token(), query.substring(CHECK_QUERY_PREFIX.length()));
+        } else if (query.equals(SHOW_QUERY)) {
+            reply(from, request.token(), node.statusPage());
+        } else if (CrashPoint.all().contains(query) && CrashPoint.arm(query)) {
+            reply(from, request.token(), ARMED_REPLY);
+        } else {
+            reply(from, request.token(), UNKNOWN_REPLY);
+        }
+    }
+
+    /** One at a time, as a rehearsal costs CPU. */
+    private void dryRun(String from, String token, String settings) {
+        if (isDryRunning || follower.lease() == null) {
+            reply(from, token, BUSY_REPLY);
+            return;
+        }
+        isDryRunning = true;
+        PolicyVersion proposal = new PolicyVersion(0, settings, from, PolicyVersion.Stage.PROPOSED, "", "");
+        checker.dryRun(
+                proposal,
+                follower.lease().settings(),
+                result -> node.execute(() -> {
+                    isDryRunning = false;
+                    reply(from, token, result);
+                }));
+    }
+
+    private void reply(String to, String token, String text) {
+        sender.send(to, new PolicyMessage.AdminReply(token, text));
+    }
+
+    /** Carries out a command, or names the leader, who can. */
+    void onCommand(String from, LogOperation operation) {
+        if (!PERMITTED.contains(operation.kind())) {
+            return;
+        }
+        RaftReplica replica = node.replica();
+        if (replica == null) {
+            sendResult(from, operation.token(), "");
+            return;
+        }
+        replica.replicate(operation, outcome -> sendResult(from, operation.token(), outcome == null ? "" : outcome));
+    }
+
+    private void sendResult(String to, String token, String outcome) {
+        sender.send(to, new PolicyMessage.AdminResult(token, outcome, node.leaderAddress()));
+    }
+}
--- a/policy/src/main/java/spartrail/policy/replication/CrashPoint.java
+++ b/policy/src/main/java/spartrail/policy/replication/CrashPoint.java
@@ -1,57 +1,107 @@
 package spartrail.policy.replication;
 
 import java.util.ArrayList;
+import java.util.EnumSet;
 import java.util.List;
-import spartrail.policy.PolicyLog;
+import spartrail.policy.PolicyVersion;
 
 /**
- * The points at which a process may be lost that matter to policy: before and after each message, each sync and each change of
- * state. Their names are made of the names of these, so that a new kind of message or record is a new point. A drill arms one in
- * a running process, and the process is gone the moment it gets there, as by a kill that comes just then.
+ * The points at which the loss of a process matters to policy: before and after each message, each sync and each change of state.
+ * Their names are made of the names of these, so that a new kind of message or record is a new point. A drill arms one in a
+ * running process, which ends the moment it gets there, as by a kill that comes just then.
  */
 public final class CrashPoint {
-    /** Drills start nodes so; others cannot be armed. */
-    public static final String ALLOWED = "spartrail.crash";
+    /** What a process does at a point. */
+    enum Activity {
+        SENDING("sending"),
+        SYNCING("syncing"),
+        CHANGING_STATE("becoming");
 
-    private static final boolean ON = Boolean.getBoolean(ALLOWED);
+        private final String text;
 
-    static final List<String> STATES = List.of("RULING", "VOTE");
+        Activity(String text) {
+            this.text = text;
+        }
+    }
+
+    /** The system property that lets points be armed, which drills set at a node's start. */
+    public static final String ENABLING_PROPERTY = "spartrail.crash";
+
+    /** A node takes up another lease. */
+    static final String LEASE_CHANGE = "RULING";
+
+    /** A node has made up its mind on a proposal. */
+    static final String VOTE_CHANGE = "VOTE";
 
-    /** The log's messages are named by their own kinds; operators send orders and questions; nobody is told to lead. */
-    private static final List<String> NOT_SENT = List.of("LOG", "ORDER", "QUESTION", "LEAD");
+    private static final String ARMED_AT_START_PROPERTY = "spartrail.crash.at";
+    private static final boolean ENABLED = Boolean.getBoolean(ENABLING_PROPERTY);
+    private static final int KILLED_EXIT_STATUS = 137;
+    private static final String BEFORE = "before ";
+    private static final String AFTER = "after ";
 
-    private static volatile String armed = System.getProperty("spartrail.crash.at", "");
+    /** Raft messages are named by their own kinds; operators send commands and queries. */
+    private static final EnumSet<PolicyMessage.Kind> WITHOUT_POINT =
+            EnumSet.of(PolicyMessage.Kind.RAFT, PolicyMessage.Kind.ADMIN_COMMAND, PolicyMessage.Kind.ADMIN_QUERY);
+
+    private static volatile String armed = System.getProperty(ARMED_AT_START_PROPERTY, "");
 
     private CrashPoint() {}
 
-    /** All points. */
+    /** The names of all points. */
     public static List<String> all() {
         List<String> points = new ArrayList<>();
-        for (String side : List.of("before ", "after ")) {
-            PolicyMessageCodec.NAMES.stream()
-                    .filter(name -> !NOT_SENT.contains(name))
-                    .forEach(name -> points.add(side + "sending " + name));
-            RaftMessageCodec.NAMES.stream()
-                    .filter(name -> !NOT_SENT.contains(name))
-                    .forEach(name -> points.add(side + "sending " + name));
-            RaftLogStore.SYNCED.forEach(name -> points.add(side + "syncing " + name));
-            for (PolicyLog.Stage stage : PolicyLog.Stage.values()) {
-                points.add(side + "becoming " + stage);
+        points.addAll(all(BEFORE));
+        points.addAll(all(AFTER));
+        return points;
+    }
+
+    private static List<String> all(String side) {
+        List<String> points = new ArrayList<>();
+        for (PolicyMessage.Kind kind : PolicyMessage.Kind.values()) {
+            if (!WITHOUT_POINT.contains(kind)) {
+                points.add(name(side, Activity.SENDING, kind.crashPointName()));
             }
-            STATES.forEach(name -> points.add(side + "becoming " + name));
         }
+        for (RaftMessageKind kind : RaftMessageKind.values()) {
+            // No operator can ask for another leader, so that this message is never sent.
+            if (kind != RaftMessageKind.TRIGGER_LEADER_ELECTION) {
+                points.add(name(side, Activity.SENDING, kind.crashPointName()));
+            }
+        }
+        for (SyncPoint point : SyncPoint.values()) {
+            points.add(name(side, Activity.SYNCING, point.crashPointName()));
+        }
+        for (PolicyVersion.Stage stage : PolicyVersion.Stage.values()) {
+            points.add(name(side, Activity.CHANGING_STATE, stage.name()));
+        }
+        points.add(name(side, Activity.CHANGING_STATE, LEASE_CHANGE));
+        points.add(name(side, Activity.CHANGING_STATE, VOTE_CHANGE));
         return points;
     }
 
-    /** The process is gone when it next gets there; false where drills may not do that. */
+    private static String name(String side, Activity activity, String subject) {
+        return side + activity.text + ' ' + subject;
+    }
+
+    /** The process ends when it next gets to this point; false where that is not enabled. */
     static boolean arm(String point) {
-        armed = ON ? point : "";
-        return ON;
+        armed = ENABLED ? point : "";
+        return ENABLED;
+    }
+
+    /** The process is about to do this. */
+    static void before(Activity activity, String subject) {
+        reached(BEFORE, activity, subject);
+    }
+
+    /** The process has done this. */
+    static void after(Activity activity, String subject) {
+        reached(AFTER, activity, subject);
     }
 
-    static void reached(String side, String what, String name) {
-        if (ON && !armed.isEmpty() && armed.equals(side + ' ' + what + ' ' + name)) {
-            Runtime.getRuntime().halt(137);
+    private static void reached(String side, Activity activity, String subject) {
+        if (ENABLED && !armed.isEmpty() && armed.equals(name(side, activity, subject))) {
+            Runtime.getRuntime().halt(KILLED_EXIT_STATUS);
         }
     }
 }
--- a/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
@@ -3,89 +3,79 @@
 import io.microraft.model.message.RaftMessage;
 import java.io.IOException;
 import java.nio.file.Path;
-import java.time.Clock;
-import java.time.Instant;
-import java.time.ZoneId;
-import java.time.ZoneOffset;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 import spartrail.peers.MembershipView;
-import spartrail.policy.LogOperation;
 import spartrail.policy.PolicyFollower;
 import spartrail.policy.PolicyLease;
-import spartrail.policy.PolicyLog;
 import spartrail.policy.PolicyRequest;
 import spartrail.policy.PolicyResponse;
 import spartrail.policy.PolicyService;
 import spartrail.policy.PolicySettings;
 import spartrail.policy.PolicyTimings;
+import spartrail.policy.PolicyVersion;
 
 /**
- * A node's part in versions of policy and the thread that owns it: its {@link PolicyFollower}, where it is one of the deciding
- * nodes its {@link RaftReplica}, and the messages of both. It decides nothing.
+ * A node's part in versions of policy: its {@link PolicyFollower}, where it is a voter its {@link RaftReplica}, and the messages
+ * of both. It decides nothing. All state is that of the {@link PolicyThread}.
  */
-final class PolicyAgent implements PolicyService.Running, RaftReplica.Place, Runnable {
+final class PolicyAgent implements PolicyService.Running {
     private static final System.Logger LOG = System.getLogger("spartrail.governing");
-    private static final double LONGEST_WAIT_MS = 50;
-    private static final int MOST_QUEUED = 10_000;
-
-    private record Scheduled(double atMs, long number, Runnable task) {}
+    private static final long NOT_READY_LOG_INTERVAL_SECONDS = 10;
 
     private final Path folder;
     private final PolicyService.Host host;
-    private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
-    private final PriorityQueue<Scheduled> later =
-            new PriorityQueue<>(Comparator.comparingDouble(Scheduled::atMs).thenComparingLong(Scheduled::number));
+    private final PolicyThread thread;
     private final Map<String, String> addresses = new HashMap<>();
-    private final List<String> there = new ArrayList<>();
-    private final CountDownLatch ruled = new CountDownLatch(1);
-    private final RandomGenerator chance = RandomGenerator.of("L64X128MixRandom");
+    private final List<String> liveNodes = new ArrayList<>();
+    private final CountDownLatch firstLease = new CountDownLatch(1);
+    private final RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
+    private final DatagramReassembler reassembler = new DatagramReassembler();
     private Carrier carrier;
     private PolicyTimings times;
-    private List<String> deciders = List.of();
+    private List<String> voters = List.of();
     private PolicyFollower follower;
-    private RaftReplica deciding;
-    private RaftLogStore journal;
-    private DatagramReassembler pieces;
-    private Thread thread;
-    private PolicyLease given;
-    private String name = "";
-    private String told = "";
-    private long checking;
-    private boolean leading;
-    private boolean trying;
-    private long count;
-    private volatile boolean ended;
-
+    private PolicyHistory history;
+    private MessageSender sender;
+    private ProposalChecker checker;
+    private AdminRequestHandler adminRequests;
+    private RaftReplica replica;
+    private RaftLogStore store;
+    private PolicyLease givenLease;
+    private String activeLabel = "";
+    private String lastVersions = "";
+    private long checkedNumber;
+    private boolean wasLeader;
+
+    /** Takes part for a host; a voter's log is in this folder. */
     PolicyAgent(Path folder, PolicyService.Host host) {
         this.folder = folder;
         this.host = host;
+        this.thread = new PolicyThread(host::nowMs, new Work());
     }
 
     @Override
     public int number() {
-        return PolicyMessageCodec.LANE;
+        return PolicyMessageCodec.CHANNEL;
     }
 
     @Override
     public void begin(Carrier by) {
         carrier = by;
-        PolicyConfig said = new PolicyConfig(by.told("policy"));
-        times = said.times;
-        deciders = said.deciders;
-        pieces = new DatagramReassembler(Carrier.MOST_BYTES, chance.nextInt());
-        follower = new PolicyFollower(by.name(), deciders, host.localSettings(), times, chance, host.nowMs());
-        thread = new Thread(this, "spartrail-policy");
-        thread.setDaemon(true);
+        PolicyConfig config = PolicyConfig.of(by.told("policy"));
+        times = config.times();
+        voters = config.voters();
+        sender = new MessageSender(by, new DatagramSplitter(Carrier.MOST_BYTES, random.nextInt()));
+        history = new PolicyHistory(by);
+        follower = new PolicyFollower(by.name(), voters, host.localSettings(), times, random, host.nowMs());
+        checker = new ProposalChecker(host, follower);
+        adminRequests = new AdminRequestHandler(new AdminNode(), follower, checker, sender);
         thread.start();
     }
 
@@ -93,442 +83,291 @@
 
     @Override
     public void heard(String from, byte[] piece) {
-        if (queue.size() < MOST_QUEUED) {
-            queue.add(() -> {
-                byte[] message = pieces.add(from, piece);
-                if (message != null) {
-                    message(from, message);
-                }
-            });
-        }
+        thread.submitMessage(() -> {
+            byte[] message = reassembler.add(from, piece);
+            if (message != null) {
+                onMessage(from, message);
+            }
+        });
     }
 
     @Override
     public void seen(MembershipView view) {
         Map<String, String> known = new HashMap<>();
-        List<String> names = new ArrayList<>();
+        List<String> live = new ArrayList<>();
         for (MembershipView.Seen seen : view.peers()) {
             known.put(seen.card().name(), seen.card().address());
             if (seen.standing().there()) {
-                names.add(seen.card().name());
+                live.add(seen.card().name());
             }
         }
-        queue.add(() -> {
-            boolean met = deciders.stream()
-                    .anyMatch(decider -> known.containsKey(decider) && !addresses.containsKey(decider));
-            addresses.clear();
-            addresses.putAll(known);
-            there.clear();
-            there.addAll(names);
-            if (met) {
-                follower.pollNoLaterThan(host.nowMs());
-            }
-        });
+        thread.execute(() -> onPeers(known, live));
     }
 
     @Override
     public void updateLocalSettings(PolicySettings changed) {
-        queue.add(() -> follower.updateLocalSettings(changed));
+        thread.execute(() -> follower.updateLocalSettings(changed));
     }
 
     @Override
     public void awaitFirstLease() throws InterruptedException {
-        while (!ruled.await(10, TimeUnit.SECONDS)) {
-            LOG.log(
-                    System.Logger.Level.WARNING,
-                    "not ready: "
-                            + (follower.incompatibility().isEmpty()
-                                    ? "no deciding node has said yet what holds"
-                                    : follower.incompatibility()));
+        while (!firstLease.await(NOT_READY_LOG_INTERVAL_SECONDS, TimeUnit.SECONDS)) {
+            String reason = follower.incompatibility().isEmpty()
+                    ? "no deciding node has said yet what holds"
+                    : follower.incompatibility();
+            LOG.log(System.Logger.Level.WARNING, "not ready: " + reason);
         }
     }
 
-    // ---- The thread ----
-
-    @Override
-    public void execute(Runnable task) {
-        queue.add(task);
-    }
-
-    @Override
-    public void submit(Runnable task) {
-        queue.add(task);
-    }
-
     @Override
-    public void schedule(Runnable task, long delay, TimeUnit unit) {
-        double atMs = host.nowMs() + unit.toNanos(delay) / 1e6;
-        queue.add(() -> later.add(new Scheduled(atMs, count++, task)));
+    public void close() {
+        thread.close();
     }
 
-    /** The library's clock never steps. */
-    @Override
-    public Clock clock() {
-        return new Clock() {
-            @Override
-            public ZoneId getZone() {
-                return ZoneOffset.UTC;
-            }
-
-            @Override
-            public Clock withZone(ZoneId zone) {
-                return this;
-            }
-
-            @Override
-            public Instant instant() {
-                return Instant.ofEpochMilli((long) host.nowMs());
-            }
-        };
-    }
+    // ---- The thread of policy ----
 
-    @Override
-    public void run() {
-        guarded(this::openLog);
-        while (!ended) {
-            try {
-                double dueMs = Math.min(
-                        later.isEmpty() ? Double.POSITIVE_INFINITY : later.peek().atMs, follower.nextPollAtMs());
-                double waitMs = Math.max(0, Math.min(LONGEST_WAIT_MS, dueMs - host.nowMs()));
-                Runnable task = queue.poll((long) (1e6 * waitMs), TimeUnit.NANOSECONDS);
-                for (; task != null; task = queue.poll()) {
-                    guarded(task);
-                }
-                while (!later.isEmpty() && later.peek().atMs <= host.nowMs()) {
-                    guarded(later.poll().task);
-                }
-                guarded(this::step);
-            } catch (InterruptedException e) {
-                ended = true;
+    private final class Work implements PolicyThread.Work {
+        @Override
+        public void begin() {
+            if (voters.contains(carrier.name())) {
+                startReplica();
             }
         }
-        if (deciding != null) {
-            deciding.close();
+
+        @Override
+        public void step() {
+            double nowMs = host.nowMs();
+            stepReplica(nowMs);
+            pollIfDue(nowMs);
+            checkProposal();
+            applyLease(nowMs);
         }
-        try {
-            if (journal != null) {
-                journal.close();
-            }
-        } catch (IOException e) {
-            LOG.log(System.Logger.Level.DEBUG, "closing", e);
+
+        @Override
+        public double nextStepAtMs() {
+            return follower.nextPollAtMs();
         }
-    }
 
-    private void guarded(Runnable task) {
-        try {
-            task.run();
-        } catch (RuntimeException | Error e) {
-            LOG.log(System.Logger.Level.ERROR, "exception in the part in policy", e);
+        @Override
+        public void end() {
+            if (replica != null) {
+                replica.close();
+            }
+            closeStore();
         }
     }
 
-    /** Danger: a deciding node that lost its disk would vote a second time; without its log it takes no part in deciding. */
-    private void openLog() {
-        if (!deciders.contains(carrier.name())) {
-            return;
-        }
+    /** A voter that lost its log would vote a second time in the same term; without its log it does not vote. */
+    private void startReplica() {
         try {
             if (!RaftLogStore.exists(folder)) {
                 throw new IOException(
                         folder + ": holds no log of policy; 'spartrail policy found' makes those of a new set");
             }
-            journal = new RaftLogStore(folder, carrier.fleet(), carrier.name());
-            deciding = new RaftReplica(
+            store = new RaftLogStore(folder, carrier.fleet(), carrier.name());
+            replica = new RaftReplica(
                     carrier.name(),
                     carrier.fleet(),
-                    journal,
+                    store,
                     times,
-                    this,
-                    new Random(chance.nextLong()),
-                    this::carry,
-                    addresses::containsKey,
-                    this::changed);
-            carrier.note("decider", "on", true);
+                    thread,
+                    new Random(random.nextLong()),
+                    new ReplicaEnvironment());
+            history.voterStarted();
         } catch (IOException e) {
-            journal = null;
+            store = null;
             LOG.log(System.Logger.Level.ERROR, "does not decide about policy: " + e.getMessage());
-            carrier.note("decider", "on", false, "why", e.getMessage());
+            history.voterFailed(e.getMessage());
         }
     }
 
-    private void step() {
-        double nowMs = host.nowMs();
-        if (deciding != null) {
-            deciding.step(there, nowMs);
-            if (leading != deciding.isLeader()) {
-                leading = !leading;
-                LOG.log(System.Logger.Level.INFO, leading ? "leads those that decide about policy" : "leads no longer");
-                carrier.note("leads", "on", leading);
-            }
+    private void closeStore() {
+        if (store == null) {
+            return;
         }
-        PolicyRequest ask = follower.pollIfDue(nowMs);
-        if (ask != null) {
-            ask(ask, nowMs);
+        try {
+            store.close();
+        } catch (IOException e) {
+            LOG.log(System.Logger.Level.DEBUG, "closing", e);
         }
-        PolicyLog.Entry open = follower.proposalToCheck();
-        if (open != null && checking != open.number()) {
-            checking = open.number();
-            check(open);
+    }
+
+    private void onPeers(Map<String, String> known, List<String> live) {
+        boolean foundVoter =
+                voters.stream().anyMatch(voter -> known.containsKey(voter) && !addresses.containsKey(voter));
+        addresses.clear();
+        addresses.putAll(known);
+        liveNodes.clear();
+        liveNodes.addAll(live);
+        if (foundVoter) {
+            follower.pollNoLaterThan(host.nowMs());
         }
-        PolicyLease ruling = follower.lease();
-        if (ruling != null && ruling != given) {
-            given = ruling;
-            CrashPoint.reached("before", "becoming", "RULING");
-            host.apply(ruling);
-            ruled.countDown();
-            CrashPoint.reached("after", "becoming", "RULING");
+    }
+
+    private void stepReplica(double nowMs) {
+        if (replica == null) {
+            return;
         }
-        String by = ruling == null ? "" : ruling.activeAt(nowMs).label();
-        if (!by.equals(name)) {
-            name = by;
-            LOG.log(System.Logger.Level.INFO, "goes by policy " + by);
-            carrier.note(
-                    "policy",
-                    "by",
-                    by,
-                    "guarded",
-                    ruling != null && ruling.activeAt(nowMs).isJoint());
+        replica.step(liveNodes, nowMs);
+        if (wasLeader != replica.isLeader()) {
+            wasLeader = !wasLeader;
+            LOG.log(System.Logger.Level.INFO, wasLeader ? "leads those that decide about policy" : "leads no longer");
+            history.leadershipChanged(wasLeader);
         }
     }
 
-    private void ask(PolicyRequest ask, double nowMs) {
-        if (deciding != null && deciding.isLeader()) {
-            deciding.onPoll(ask, nowMs, told -> {
-                if (told != null) {
-                    told(told);
+    private void pollIfDue(double nowMs) {
+        PolicyRequest request = follower.pollIfDue(nowMs);
+        if (request == null) {
+            return;
+        }
+        if (replica != null && replica.isLeader()) {
+            replica.onPoll(request, nowMs, response -> {
+                if (response != null) {
+                    onResponse(response);
                 }
             });
             return;
         }
-        send(addresses.get(follower.pollTarget()), PolicyMessageCodec.ask(ask));
+        sender.send(addresses.get(follower.pollTarget()), new PolicyMessage.Poll(request));
     }
 
-    private void told(PolicyResponse heard) {
-        follower.onResponse(heard, host.nowMs());
-        String state = heard.active().number()
-                + (heard.pending() == null
-                        ? ""
-                        : " " + heard.pending().number() + " " + heard.pending().stage());
-        if (!state.equals(told)) {
-            told = state;
-            carrier.note(
-                    "told",
-                    "holds",
-                    heard.active().number(),
-                    "open",
-                    heard.pending() == null ? 0 : heard.pending().number(),
-                    "stage",
-                    heard.pending() == null ? "" : heard.pending().stage().name());
+    private void onResponse(PolicyResponse response) {
+        follower.onResponse(response, host.nowMs());
+        PolicyVersion pending = response.pending();
+        String versions =
+                response.active().number() + (pending == null ? "" : " " + pending.number() + " " + pending.stage());
+        if (!versions.equals(lastVersions)) {
+            lastVersions = versions;
+            history.responseChanged(response);
         }
     }
 
-    /** Away from this thread: a version that hurts must not keep the node from asking. */
-    private void check(PolicyLog.Entry open) {
-        Thread checker = new Thread(
-                () -> {
-                    String no = no(open);
-                    queue.add(() -> {
-                        carrier.note("vote", "number", open.number(), "no", no);
-                        LOG.log(
-                                System.Logger.Level.INFO,
-                                "proposal " + open.number() + ": " + (no.isEmpty() ? "can be applied" : no));
-                        CrashPoint.reached("before", "becoming", "VOTE");
-                        follower.recordVote(open.number(), no, host.nowMs());
-                        CrashPoint.reached("after", "becoming", "VOTE");
-                    });
-                },
-                "spartrail-policy-check");
-        checker.setDaemon(true);
-        checker.start();
+    private void checkProposal() {
+        PolicyVersion proposal = follower.proposalToCheck();
+        if (proposal == null || checkedNumber == proposal.number()) {
+            return;
+        }
+        checkedNumber = proposal.number();
+        checker.check(proposal, objection -> thread.execute(() -> onChecked(proposal.number(), objection)));
     }
 
-    private String no(PolicyLog.Entry open) {
-        try {
-            PolicySettings terms = follower.settingsWith(open);
-            String alone = host.rehearse(terms);
-            PolicyResponse last = follower.lastResponse();
-            return !alone.isEmpty()
-                    ? alone
-                    : host.rehearse(follower.settingsWith(last.active()).stricterOf(terms));
-        } catch (RuntimeException | Error e) {
-            return String.valueOf(e.getMessage());
+    private void onChecked(long number, String objection) {
+        history.voted(number, objection);
+        LOG.log(
+                System.Logger.Level.INFO,
+                "proposal " + number + ": " + (objection.isEmpty() ? "can be applied" : objection));
+        CrashPoint.before(CrashPoint.Activity.CHANGING_STATE, CrashPoint.VOTE_CHANGE);
+        follower.recordVote(number, objection, host.nowMs());
+        CrashPoint.after(CrashPoint.Activity.CHANGING_STATE, CrashPoint.VOTE_CHANGE);
+    }
+
+    private void applyLease(double nowMs) {
+        PolicyLease lease = follower.lease();
+        if (lease != null && lease != givenLease) {
+            givenLease = lease;
+            CrashPoint.before(CrashPoint.Activity.CHANGING_STATE, CrashPoint.LEASE_CHANGE);
+            host.apply(lease);
+            firstLease.countDown();
+            CrashPoint.after(CrashPoint.Activity.CHANGING_STATE, CrashPoint.LEASE_CHANGE);
+        }
+        PolicyLease current = lease == null ? null : lease.activeAt(nowMs);
+        String label = current == null ? "" : current.label();
+        if (!label.equals(activeLabel)) {
+            activeLabel = label;
+            LOG.log(System.Logger.Level.INFO, "goes by policy " + label);
+            history.leaseChanged(current);
         }
     }
 
     // ---- Messages ----
 
-    private void message(String from, byte[] bytes) {
+    private void onMessage(String from, byte[] bytes) {
         try {
-            List<?> plain = PolicyMessageCodec.plain(bytes);
-            switch (PolicyMessageCodec.intAt(plain, 0)) {
-                case PolicyMessageCodec.ASK -> asked(from, PolicyMessageCodec.ask(plain));
-                case PolicyMessageCodec.TOLD -> told(PolicyMessageCodec.told(plain));
-                case PolicyMessageCodec.ELSEWHERE -> follower.onRedirect((String) plain.get(2), host.nowMs());
-                case PolicyMessageCodec.NEWS -> follower.pollNoLaterThan(host.nowMs());
-                case PolicyMessageCodec.LOG -> {
-                    if (deciding != null) {
-                        RaftMessage message = RaftMessageCodec.message((List<?>) plain.get(1));
-                        deciding.onMessage(message);
-                    }
-                }
-                case PolicyMessageCodec.ORDER -> {
-                    if (carrier.operator(from)) {
-                        order(from, plain);
-                    }
-                }
-                case PolicyMessageCodec.QUESTION -> {
-                    if (carrier.operator(from)) {
-                        asked(from, plain.get(1), (String) plain.get(2));
-                    }
-                }
-                default -> {}
+            PolicyMessage message = PolicyMessageCodec.decode(bytes);
+            if (message != null) {
+                onMessage(from, message);
             }
-        } catch (IOException | RuntimeException e) {
+        } catch (MalformedMessageException | RuntimeException e) {
             LOG.log(System.Logger.Level.DEBUG, "unreadable message about policy from " + from, e);
         }
     }
 
-    private void asked(String from, PolicyRequest ask) {
-        if (deciding == null) {
-            send(from, List.of(PolicyMessageCodec.ELSEWHERE, ask.nonce(), ""));
+    private void onMessage(String from, PolicyMessage message) {
+        if (message instanceof PolicyMessage.Poll poll) {
+            onPoll(from, poll.request());
+        } else if (message instanceof PolicyMessage.PollResponse response) {
+            onResponse(response.response());
+        } else if (message instanceof PolicyMessage.Redirect redirect) {
+            follower.onRedirect(redirect.leader(), host.nowMs());
+        } else if (message instanceof PolicyMessage.UpdateNotice) {
+            follower.pollNoLaterThan(host.nowMs());
+        } else if (message instanceof PolicyMessage.Raft raft && replica != null) {
+            replica.onMessage(raft.message());
+        } else if (message instanceof PolicyMessage.AdminCommand command && carrier.operator(from)) {
+            adminRequests.onCommand(from, command.operation());
+        } else if (message instanceof PolicyMessage.AdminQuery query && carrier.operator(from)) {
+            adminRequests.onQuery(from, query);
+        }
+    }
+
+    private void onPoll(String from, PolicyRequest request) {
+        if (replica == null) {
+            sender.send(from, new PolicyMessage.Redirect(request.nonce(), ""));
             return;
         }
-        deciding.onPoll(ask, host.nowMs(), told -> {
-            if (told != null) {
-                send(from, PolicyMessageCodec.told(told));
+        replica.onPoll(request, host.nowMs(), response -> {
+            if (response != null) {
+                sender.send(from, new PolicyMessage.PollResponse(response));
             } else {
-                send(
-                        from,
-                        List.of(
-                                PolicyMessageCodec.ELSEWHERE,
-                                ask.nonce(),
-                                deciding.isLeader() ? "" : deciding.leaderName()));
+                // A leader that could not read the log does not name itself: the node is to poll another voter.
+                String leader = replica.isLeader() ? "" : replica.leaderName();
+                sender.send(from, new PolicyMessage.Redirect(request.nonce(), leader));
             }
         });
     }
 
-    /** An operator's question. */
-    private void asked(String from, Object token, String what) {
-        if (what.startsWith(PolicyMessageCodec.CHECK)) {
-            tryOut(from, token, what.substring(PolicyMessageCodec.CHECK.length()));
-            return;
+    private final class ReplicaEnvironment implements RaftReplica.Environment {
+        @Override
+        public void send(String voter, RaftMessage message) {
+            sender.send(addresses.get(voter), new PolicyMessage.Raft(message));
         }
-        send(
-                from,
-                List.of(
-                        PolicyMessageCodec.REPLY,
-                        token,
-                        what.equals("show")
-                                ? page()
-                                : CrashPoint.all().contains(what) && CrashPoint.arm(what)
-                                        ? "armed"
-                                        : "unknown question"));
-    }
 
-    /** Whether this node could apply these settings, and what would change for it. One at a time: a rehearsal costs CPU. */
-    private void tryOut(String from, Object token, String settings) {
-        if (trying || follower.lease() == null) {
-            send(from, List.of(PolicyMessageCodec.REPLY, token, "!busy"));
-            return;
+        @Override
+        public boolean isReachable(String voter) {
+            return addresses.containsKey(voter);
         }
-        trying = true;
-        PolicyLog.Entry entry = new PolicyLog.Entry(0, settings, from, PolicyLog.Stage.PROPOSED, "", "");
-        PolicySettings now = follower.lease().settings();
-        Thread checker = new Thread(
-                () -> {
-                    String no = no(entry);
-                    String said = no.isEmpty()
-                            ? String.join("\n", now.differencesTo(follower.settingsWith(entry)))
-                            : "!" + no;
-                    queue.add(() -> {
-                        trying = false;
-                        send(from, List.of(PolicyMessageCodec.REPLY, token, said));
-                    });
-                },
-                "spartrail-policy-check");
-        checker.setDaemon(true);
-        checker.start();
-    }
 
-    private void order(String from, List<?> plain) {
-        LogOperation op = new LogOperation(
-                LogOperation.Kind.valueOf((String) plain.get(2)),
-                PolicyMessageCodec.longAt(plain, 3),
-                (String) plain.get(4),
-                (String) plain.get(5),
-                (String) plain.get(1));
-        if (op.kind() != LogOperation.Kind.PROPOSE && op.kind() != LogOperation.Kind.ABORT) {
-            return;
-        }
-        if (deciding == null) {
-            send(from, List.of(PolicyMessageCodec.DONE, op.token(), "", addressOfLeader()));
-            return;
+        @Override
+        public void onLogChange() {
+            history.logChanged(replica.log(), replica.isLeader());
+            if (replica.isLeader()) {
+                liveNodes.forEach(node -> sender.send(addresses.get(node), new PolicyMessage.UpdateNotice()));
+                follower.pollNoLaterThan(host.nowMs());
+            }
         }
-        deciding.replicate(
-                op,
-                came -> send(
-                        from,
-                        List.of(PolicyMessageCodec.DONE, op.token(), came == null ? "" : came, addressOfLeader())));
     }
 
-    private String addressOfLeader() {
-        String leads = deciding != null ? deciding.leaderName() : follower.pollTarget();
-        return addresses.getOrDefault(leads, "");
-    }
-
-    private String page() {
-        return PolicyStatusPage.of(carrier.name(), given, follower, deciding, addressOfLeader(), host.nowMs());
-    }
-
-    private void carry(String to, RaftMessage message) {
-        send(addresses.get(to), List.of(PolicyMessageCodec.LOG, RaftMessageCodec.plain(message)));
-    }
+    private final class AdminNode implements AdminRequestHandler.Node {
+        @Override
+        public RaftReplica replica() {
+            return replica;
+        }
 
-    /** The log has moved on: all that are there are to ask anew. */
-    private void changed() {
-        PolicyLog log = deciding.log();
-        carrier.note(
-                "log",
-                "holds",
-                log.active().number(),
-                "open",
-                log.pending() == null ? 0 : log.pending().number(),
-                "stage",
-                log.pending() == null ? "" : log.pending().stage().name(),
-                "leading",
-                deciding.isLeader(),
-                "last",
-                log.finished().isEmpty()
-                        ? ""
-                        : log.finished().get(log.finished().size() - 1).number() + " "
-                                + log.finished().get(log.finished().size() - 1).stage() + " "
-                                + log.finished().get(log.finished().size() - 1).reason());
-        if (deciding.isLeader()) {
-            there.forEach(node -> send(addresses.get(node), List.of(PolicyMessageCodec.NEWS)));
-            follower.pollNoLaterThan(host.nowMs());
+        @Override
+        public String leaderAddress() {
+            String leader = replica != null ? replica.leaderName() : follower.pollTarget();
+            return addresses.getOrDefault(leader, "");
         }
-    }
 
-    private void send(String address, List<?> plain) {
-        if (address == null || address.isEmpty()) {
-            return;
+        @Override
+        public String statusPage() {
+            return PolicyStatusPage.of(carrier.name(), givenLease, follower, replica, leaderAddress(), host.nowMs());
         }
-        int kind = PolicyMessageCodec.intAt(plain, 0);
-        String called = kind == PolicyMessageCodec.LOG
-                ? RaftMessageCodec.NAMES.get(PolicyMessageCodec.intAt((List<?>) plain.get(1), 0) - 1)
-                : PolicyMessageCodec.NAMES.get(kind);
-        CrashPoint.reached("before", "sending", called);
-        pieces.split(PolicyMessageCodec.bytes(plain)).forEach(piece -> carrier.send(address, piece));
-        CrashPoint.reached("after", "sending", called);
-    }
 
-    @Override
-    public void close() {
-        ended = true;
-        try {
-            thread.join(2000);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
+        @Override
+        public void execute(Runnable task) {
+            thread.execute(task);
         }
     }
 }
--- a/policy/src/main/java/spartrail/policy/replication/PolicyConfig.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyConfig.java
@@ -1,56 +1,80 @@
 package spartrail.policy.replication;
 
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
 import spartrail.policy.PolicyTimings;
 
-/** What the peers' file says about policy; its form is in {@code deploy/peers.schema.json}. */
-final class PolicyConfig {
+/**
+ * What the peers file says about policy; its form is in {@code deploy/peers.schema.json}.
+ *
+ * @param voters the nodes that vote on the log
+ */
+record PolicyConfig(List<String> voters, PolicyTimings times) {
+    private static final String VOTERS = "deciders";
+    private static final String LEASE = "leaseMs";
+    private static final String POLL_INTERVAL = "askMs";
+    private static final String VOTE_TIMEOUT = "prepareMs";
+    private static final String STARTUP_TIMEOUT = "readyMs";
+    private static final String MAX_CLOCK_DRIFT = "drift";
     private static final Set<String> NAMES =
-            new TreeSet<>(Set.of("deciders", "leaseMs", "askMs", "prepareMs", "readyMs", "drift"));
+            new TreeSet<>(Set.of(VOTERS, LEASE, POLL_INTERVAL, VOTE_TIMEOUT, STARTUP_TIMEOUT, MAX_CLOCK_DRIFT));
 
-    final List<String> deciders = new ArrayList<>();
-    final PolicyTimings times;
+    private static final Set<Integer> PERMITTED_VOTER_COUNTS = Set.of(3, 5);
+    private static final int MIN_POLLS_PER_LEASE = 2;
+    private static final double GREATEST_CLOCK_DRIFT = 0.2;
 
-    PolicyConfig(Map<?, ?> tree) {
+    /** Reads it; an IllegalArgumentException names the field, what was found and what is expected. */
+    static PolicyConfig of(Map<?, ?> tree) {
         for (Object name : tree.keySet()) {
             if (!NAMES.contains(name)) {
                 throw new IllegalArgumentException(
                         "/policy/" + name + ": is unknown, one of " + NAMES + " is expected");
             }
         }
-        if (!(tree.get("deciders") instanceof List<?> names)
-                || names.size() != 3 && names.size() != 5
+        PolicyConfig config = new PolicyConfig(voters(tree.get(VOTERS)), times(tree));
+        config.checkTimes();
+        return config;
+    }
+
+    private static List<String> voters(Object found) {
+        if (!(found instanceof List<?> names)
+                || !PERMITTED_VOTER_COUNTS.contains(names.size())
                 || Set.copyOf(names).size() != names.size()) {
             throw new IllegalArgumentException(
-                    "/policy/deciders: found " + tree.get("deciders") + ", the names of 3 or 5 nodes are expected");
-        }
-        names.forEach(name -> deciders.add(String.valueOf(name)));
-        PolicyTimings usual = PolicyTimings.DEFAULTS;
-        times = new PolicyTimings(
-                number(tree, "leaseMs", usual.leaseMs()),
-                number(tree, "askMs", usual.pollIntervalMs()),
-                number(tree, "prepareMs", usual.voteTimeoutMs()),
-                number(tree, "readyMs", usual.startupTimeoutMs()),
-                number(tree, "drift", usual.maxClockDrift()));
-        if (times.pollIntervalMs() * 2 > times.leaseMs() || times.maxClockDrift() > 0.2) {
-            throw new IllegalArgumentException("/policy/leaseMs: found " + times.leaseMs() + " with askMs "
-                    + times.pollIntervalMs() + " and drift " + times.maxClockDrift()
-                    + ", at least two questions a lease and a drift of 0.2 at most are expected");
+                    "/policy/deciders: found " + found + ", the names of 3 or 5 nodes are expected");
         }
+        return names.stream().map(String::valueOf).toList();
+    }
+
+    private static PolicyTimings times(Map<?, ?> tree) {
+        PolicyTimings defaults = PolicyTimings.DEFAULTS;
+        return new PolicyTimings(
+                number(tree, LEASE, defaults.leaseMs()),
+                number(tree, POLL_INTERVAL, defaults.pollIntervalMs()),
+                number(tree, VOTE_TIMEOUT, defaults.voteTimeoutMs()),
+                number(tree, STARTUP_TIMEOUT, defaults.startupTimeoutMs()),
+                number(tree, MAX_CLOCK_DRIFT, defaults.maxClockDrift()));
     }
 
-    private static double number(Map<?, ?> tree, String name, double usual) {
+    private static double number(Map<?, ?> tree, String name, double defaultValue) {
         Object value = tree.get(name);
         if (value == null) {
-            return usual;
+            return defaultValue;
         }
         if (value instanceof Number number && number.doubleValue() > 0) {
             return number.doubleValue();
         }
         throw new IllegalArgumentException("/policy/" + name + ": found " + value + ", a number above 0 is expected");
     }
+
+    private void checkTimes() {
+        boolean isPolledOften = times.pollIntervalMs() * MIN_POLLS_PER_LEASE <= times.leaseMs();
+        if (!isPolledOften || times.maxClockDrift() > GREATEST_CLOCK_DRIFT) {
+            throw new IllegalArgumentException("/policy/leaseMs: found " + times.leaseMs() + " with askMs "
+                    + times.pollIntervalMs() + " and drift " + times.maxClockDrift()
+                    + ", at least two questions a lease and a drift of 0.2 at most are expected");
+        }
+    }
 }
--- /dev/null
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyLogCodec.java
@@ -0,0 +1,103 @@
+package spartrail.policy.replication;
+
+import java.util.ArrayList;
+import java.util.List;
+import spartrail.policy.LogOperation;
+import spartrail.policy.PolicyLogSnapshot;
+import spartrail.policy.PolicyVersion;
+
+/** The form of the policy log's own values: operations, versions and snapshots. */
+final class PolicyLogCodec {
+    private PolicyLogCodec() {}
+
+    /** Adds the values of an operation. */
+    static void writeOperation(CborArrayWriter out, LogOperation operation) {
+        out.text(operation.kind().wireName())
+                .number(operation.proposalNumber())
+                .text(operation.text())
+                .text(operation.issuer())
+                .text(operation.token());
+    }
+
+    /** An operation of this kind, whose other values come next. */
+    static LogOperation readOperation(String kind, CborArrayReader in) throws MalformedMessageException {
+        return new LogOperation(operationKind(kind), in.nextLong(), in.nextText(), in.nextText(), in.nextText());
+    }
+
+    /** The kind of operation with this name. */
+    static LogOperation.Kind operationKind(String wireName) throws MalformedMessageException {
+        for (LogOperation.Kind kind : LogOperation.Kind.values()) {
+            if (kind.wireName().equals(wireName)) {
+                return kind;
+            }
+        }
+        throw new MalformedMessageException("found an operation of kind " + wireName + ", one of "
+                + List.of(LogOperation.Kind.values()) + " is expected");
+    }
+
+    /** Adds the values of a version. */
+    static void writeVersion(CborArrayWriter out, PolicyVersion version) {
+        out.number(version.number())
+                .text(version.settings())
+                .text(version.proposer())
+                .text(version.stage().name())
+                .text(version.reason())
+                .text(version.token());
+    }
+
+    /** The version whose values come next. */
+    static PolicyVersion readVersion(CborArrayReader in) throws MalformedMessageException {
+        return new PolicyVersion(
+                in.nextLong(),
+                in.nextText(),
+                in.nextText(),
+                constant(PolicyVersion.Stage.class, in.nextText()),
+                in.nextText(),
+                in.nextText());
+    }
+
+    /** Adds a version, or an empty text in its place where it is null. */
+    static void writeVersionOrNone(CborArrayWriter out, PolicyVersion version) {
+        if (version == null) {
+            out.text("");
+        } else {
+            out.array(values -> writeVersion(values, version));
+        }
+    }
+
+    /** The version that comes next, or null where there is none. */
+    static PolicyVersion readVersionOrNull(CborArrayReader in) throws MalformedMessageException {
+        CborArrayReader version = in.nextArrayOrNull();
+        return version == null ? null : readVersion(version);
+    }
+
+    /** Adds the values of a snapshot. */
+    static void writeSnapshot(CborArrayWriter out, PolicyLogSnapshot snapshot) {
+        out.number(snapshot.lastNumber())
+                .array(version -> writeVersion(version, snapshot.active()))
+                .array(finished ->
+                        snapshot.finished().forEach(version -> finished.array(each -> writeVersion(each, version))));
+        writeVersionOrNone(out, snapshot.pending());
+    }
+
+    /** The snapshot whose values come next. */
+    static PolicyLogSnapshot readSnapshot(CborArrayReader in) throws MalformedMessageException {
+        long lastNumber = in.nextLong();
+        PolicyVersion active = readVersion(in.nextArray());
+        List<PolicyVersion> finished = new ArrayList<>();
+        for (CborArrayReader versions = in.nextArray(); versions.hasNext(); ) {
+            finished.add(readVersion(versions.nextArray()));
+        }
+        return new PolicyLogSnapshot(lastNumber, active, finished, readVersionOrNull(in));
+    }
+
+    /** The constant of this name. */
+    static <T extends Enum<T>> T constant(Class<T> type, String name) throws MalformedMessageException {
+        try {
+            return Enum.valueOf(type, name);
+        } catch (IllegalArgumentException e) {
+            throw new MalformedMessageException(
+                    "found " + name + ", one of " + List.of(type.getEnumConstants()) + " is expected", e);
+        }
+    }
+}
--- a/policy/src/main/java/spartrail/policy/replication/PolicyMessageCodec.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyMessageCodec.java
@@ -1,150 +1,134 @@
 package spartrail.policy.replication;
 
-import com.fasterxml.jackson.core.JsonGenerator;
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
-import java.io.ByteArrayOutputStream;
-import java.io.IOException;
-import java.util.ArrayList;
-import java.util.List;
-import spartrail.json.JsonTree;
-import spartrail.policy.PolicyLog;
+import spartrail.policy.LogOperation;
 import spartrail.policy.PolicyRequest;
 import spartrail.policy.PolicyResponse;
 
 /**
- * The form of messages about policy: a CBOR array whose first value is the kind. Arrays may have more values at their end than
- * a reader knows.
+ * The form of messages about policy: a CBOR array whose first value is the number of the kind. Later versions may add values at
+ * the end of an array.
  *
  * <pre>
- *  0 ASK        nonce, name, vote, no, by
- *  1 TOLD       nonce, index, entry, entry or ""      entry: number, settings, by, stage, why, token
- *  2 ELSEWHERE  nonce, name of who leads or ""
- *  3 NEWS
- *  4 LOG        a message of the agreed log, see RaftMessageCodec
- *  5 ORDER      token, kind, number, text, who         of an operator
- *  6 DONE       token, what came of it, name of who leads or ""
- *  7 QUESTION   token, what                            of an operator: show; check SETTINGS; in drills a point to crash at
- *  8 REPLY      token, text
+ *  0 POLL           nonce, node, voted number, objection, active policy
+ *  1 POLL_RESPONSE  nonce, applied index, active version, pending version or ""
+ *                   a version: number, settings, proposer, stage, reason, token
+ *  2 REDIRECT       nonce, the leader's name or ""
+ *  3 UPDATE_NOTICE
+ *  4 RAFT           a Raft message, see RaftMessageEncoder
+ *  5 ADMIN_COMMAND  token, kind of operation, proposal number, text, issuer
+ *  6 ADMIN_RESULT   token, outcome, the leader's address or ""
+ *  7 ADMIN_QUERY    token, query: show; check SETTINGS; in drills a crash point to arm
+ *  8 ADMIN_REPLY    token, text
  * </pre>
  */
 public final class PolicyMessageCodec {
-    public static final int ASK = 0;
-    public static final int TOLD = 1;
-    public static final int ELSEWHERE = 2;
-    public static final int NEWS = 3;
-    public static final int LOG = 4;
-    public static final int ORDER = 5;
-    public static final int DONE = 6;
-    public static final int QUESTION = 7;
-    public static final int REPLY = 8;
-    /** The lane of policy in the frames of talk. */
-    public static final int LANE = 3;
-
-    static final String CHECK = "check ";
-
-    static final List<String> NAMES =
-            List.of("ASK", "TOLD", "ELSEWHERE", "NEWS", "LOG", "ORDER", "DONE", "QUESTION", "REPLY");
-
-    private static final CBORFactory CBOR = new CBORFactory();
+    /** The channel of policy in the frames of gossip. */
+    public static final int CHANNEL = 3;
 
     private PolicyMessageCodec() {}
 
-    /** A list of lists, numbers, text and flags as bytes. */
-    public static byte[] bytes(List<?> plain) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
-        try (JsonGenerator out = CBOR.createGenerator(bytes)) {
-            write(out, plain);
-        } catch (IOException e) {
-            throw new IllegalStateException("bytes in memory", e);
-        }
-        return bytes.toByteArray();
+    /** The bytes of a message. */
+    static byte[] encode(PolicyMessage message) {
+        return CborArrayWriter.encode(out -> {
+            out.number(message.kind().wireNumber());
+            writeFields(out, message);
+        });
     }
 
-    private static void write(JsonGenerator out, Object value) throws IOException {
-        if (value instanceof List<?> list) {
-            out.writeStartArray();
-            for (Object each : list) {
-                write(out, each);
+    private static void writeFields(CborArrayWriter out, PolicyMessage message) {
+        switch (message.kind()) {
+            case POLL -> writeRequest(out, ((PolicyMessage.Poll) message).request());
+            case POLL_RESPONSE -> writeResponse(out, ((PolicyMessage.PollResponse) message).response());
+            case REDIRECT -> {
+                PolicyMessage.Redirect redirect = (PolicyMessage.Redirect) message;
+                out.number(redirect.nonce()).text(redirect.leader());
             }
-            out.writeEndArray();
-        } else {
-            out.writeObject(value);
-        }
-    }
-
-    /** The other way; an IOException where they are no list. */
-    public static List<?> plain(byte[] bytes) throws IOException {
-        try (JsonParser in = CBOR.createParser(bytes)) {
-            if (in.nextToken() == null || !(JsonTree.value(in) instanceof List<?> list)) {
-                throw new IOException("a list is expected");
+            case UPDATE_NOTICE -> {}
+            case RAFT -> out.array(raft -> RaftMessageEncoder.write(raft, ((PolicyMessage.Raft) message).message()));
+            case ADMIN_COMMAND -> writeCommand(out, ((PolicyMessage.AdminCommand) message).operation());
+            case ADMIN_RESULT -> {
+                PolicyMessage.AdminResult result = (PolicyMessage.AdminResult) message;
+                out.text(result.token()).text(result.outcome()).text(result.leaderAddress());
+            }
+            case ADMIN_QUERY -> {
+                PolicyMessage.AdminQuery query = (PolicyMessage.AdminQuery) message;
+                out.text(query.token()).text(query.query());
             }
-            return list;
-        } catch (RuntimeException e) {
-            throw new IOException("unreadable", e);
+            case ADMIN_REPLY -> {
+                PolicyMessage.AdminReply reply = (PolicyMessage.AdminReply) message;
+                out.text(reply.token()).text(reply.text());
+            }
+            default -> throw new IllegalStateException("a kind without fields: " + message.kind());
         }
     }
 
-    static List<?> ask(PolicyRequest ask) {
-        return List.of(ASK, ask.nonce(), ask.node(), ask.votedNumber(), ask.objection(), ask.activePolicy());
-    }
-
-    static PolicyRequest ask(List<?> plain) {
-        return new PolicyRequest(
-                longAt(plain, 1), (String) plain.get(2), longAt(plain, 3), (String) plain.get(4), (String)
-                        plain.get(5));
+    private static void writeRequest(CborArrayWriter out, PolicyRequest request) {
+        out.number(request.nonce())
+                .text(request.node())
+                .number(request.votedNumber())
+                .text(request.objection())
+                .text(request.activePolicy());
     }
 
-    static List<?> told(PolicyResponse told) {
-        return List.of(
-                TOLD,
-                told.nonce(),
-                told.appliedIndex(),
-                entry(told.active()),
-                told.pending() == null ? "" : entry(told.pending()));
+    private static void writeResponse(CborArrayWriter out, PolicyResponse response) {
+        out.number(response.nonce())
+                .number(response.appliedIndex())
+                .array(version -> PolicyLogCodec.writeVersion(version, response.active()));
+        PolicyLogCodec.writeVersionOrNone(out, response.pending());
     }
 
-    static PolicyResponse told(List<?> plain) {
-        return new PolicyResponse(
-                longAt(plain, 1),
-                longAt(plain, 2),
-                entry(plain.get(3)),
-                plain.get(4) instanceof List<?> ? entry(plain.get(4)) : null);
+    private static void writeCommand(CborArrayWriter out, LogOperation operation) {
+        out.text(operation.token())
+                .text(operation.kind().wireName())
+                .number(operation.proposalNumber())
+                .text(operation.text())
+                .text(operation.issuer());
     }
 
-    private static List<?> entry(PolicyLog.Entry entry) {
-        return List.of(
-                entry.number(),
-                entry.settings(),
-                entry.proposer(),
-                entry.stage().name(),
-                entry.reason(),
-                entry.token());
+    /** The message of these bytes, or null for one of a kind that is not known. */
+    static PolicyMessage decode(byte[] bytes) throws MalformedMessageException {
+        CborArrayReader in = CborArrayReader.of(bytes);
+        PolicyMessage.Kind kind = kindOrNull(in.nextInt());
+        if (kind == null) {
+            return null;
+        }
+        return switch (kind) {
+            case POLL -> new PolicyMessage.Poll(readRequest(in));
+            case POLL_RESPONSE -> new PolicyMessage.PollResponse(readResponse(in));
+            case REDIRECT -> new PolicyMessage.Redirect(in.nextLong(), in.nextText());
+            case UPDATE_NOTICE -> new PolicyMessage.UpdateNotice();
+            case RAFT -> new PolicyMessage.Raft(RaftMessageDecoder.read(in.nextArray()));
+            case ADMIN_COMMAND -> new PolicyMessage.AdminCommand(readCommand(in));
+            case ADMIN_RESULT -> new PolicyMessage.AdminResult(in.nextText(), in.nextText(), in.nextText());
+            case ADMIN_QUERY -> new PolicyMessage.AdminQuery(in.nextText(), in.nextText());
+            case ADMIN_REPLY -> new PolicyMessage.AdminReply(in.nextText(), in.nextText());
+        };
     }
 
-    private static PolicyLog.Entry entry(Object plain) {
-        List<?> list = (List<?>) plain;
-        return new PolicyLog.Entry(
-                longAt(list, 0),
-                (String) list.get(1),
-                (String) list.get(2),
-                PolicyLog.Stage.valueOf((String) list.get(3)),
-                (String) list.get(4),
-                (String) list.get(5));
+    private static PolicyMessage.Kind kindOrNull(int wireNumber) {
+        for (PolicyMessage.Kind kind : PolicyMessage.Kind.values()) {
+            if (kind.wireNumber() == wireNumber) {
+                return kind;
+            }
+        }
+        return null;
     }
 
-    static long longAt(List<?> plain, int at) {
-        return ((Number) plain.get(at)).longValue();
+    private static PolicyRequest readRequest(CborArrayReader in) throws MalformedMessageException {
+        return new PolicyRequest(in.nextLong(), in.nextText(), in.nextLong(), in.nextText(), in.nextText());
     }
 
-    static int intAt(List<?> plain, int at) {
-        return ((Number) plain.get(at)).intValue();
+    private static PolicyResponse readResponse(CborArrayReader in) throws MalformedMessageException {
+        return new PolicyResponse(
+                in.nextLong(),
+                in.nextLong(),
+                PolicyLogCodec.readVersion(in.nextArray()),
+                PolicyLogCodec.readVersionOrNull(in));
     }
 
-    /** Names of a list. */
-    static List<String> names(Object plain) {
-        List<String> names = new ArrayList<>();
-        ((List<?>) plain).forEach(name -> names.add((String) name));
-        return names;
+    private static LogOperation readCommand(CborArrayReader in) throws MalformedMessageException {
+        String token = in.nextText();
+        LogOperation.Kind kind = PolicyLogCodec.operationKind(in.nextText());
+        return new LogOperation(kind, in.nextLong(), in.nextText(), in.nextText(), token);
     }
 }
--- a/policy/src/main/java/spartrail/policy/replication/PolicyServiceProvider.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyServiceProvider.java
@@ -4,11 +4,11 @@
 import java.nio.file.Path;
 import spartrail.policy.PolicyService;
 
-/** Versions of policy by datagrams, and an agreed log on disk. */
+/** Versions of policy by datagrams, and a replicated log on disk. */
 public final class PolicyServiceProvider implements PolicyService {
     static {
-        // What the agreed log's library says of itself is not kept; without this it complains on standard error that
-        // nobody does.
+        // The log of the Raft library is not kept; without this its logging facade complains on standard error that
+        // there is none.
         System.getProperties().putIfAbsent("slf4j.internal.verbosity", "ERROR");
     }
 
--- a/policy/src/main/java/spartrail/policy/replication/PolicyStatusPage.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyStatusPage.java
@@ -4,73 +4,93 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.StringWriter;
+import java.io.UncheckedIOException;
+import java.util.List;
 import spartrail.policy.PolicyFollower;
 import spartrail.policy.PolicyLease;
-import spartrail.policy.PolicyLog;
 import spartrail.policy.PolicyResponse;
+import spartrail.policy.PolicyVersion;
 
-/** What a running node tells its operators about policy: by what it goes, what it knows, and, where it decides, the log. */
+/**
+ * What operators read about a running node, as JSON: by which lease it goes, what it knows, and, where it votes, the log. The
+ * names of fields are part of the command line's output.
+ */
 final class PolicyStatusPage {
-    /** A page is one message; the latest so many proposals are in it. */
-    private static final int MOST_ENTRIES = 50;
+    /** A page is one message, in which the latest so many proposals find room. */
+    private static final int MAX_ENTRIES = 50;
 
     private PolicyStatusPage() {}
 
+    /** The page of a node; {@code replica} is null where it does not vote. */
     static String of(
             String node,
-            PolicyLease given,
+            PolicyLease givenLease,
             PolicyFollower follower,
-            RaftReplica deciding,
-            String leader,
+            RaftReplica replica,
+            String leaderAddress,
             double nowMs) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
+            PolicyLease lease = givenLease == null ? null : givenLease.activeAt(nowMs);
             out.writeStartObject();
             out.writeStringField("node", node);
-            PolicyLease now = given == null ? null : given.activeAt(nowMs);
-            out.writeStringField("by", now == null ? "" : now.label());
-            out.writeBooleanField("guarded", now != null && now.isJoint());
-            out.writeNumberField(
-                    "forMs",
-                    now == null || Double.isInfinite(now.expiresAtMs()) ? -1 : Math.round(now.expiresAtMs() - nowMs));
+            out.writeStringField("by", lease == null ? "" : lease.label());
+            out.writeBooleanField("guarded", lease != null && lease.isJoint());
+            out.writeNumberField("forMs", remainingMs(lease, nowMs));
             out.writeStringField("unfit", follower.incompatibility());
-            out.writeStringField("terms", now == null ? "{}" : now.settings().toJson());
-            out.writeBooleanField("decides", deciding != null);
-            out.writeBooleanField("leads", deciding != null && deciding.isLeader());
-            out.writeStringField("leader", leader);
-            PolicyResponse last = follower.lastResponse();
-            if (last != null) {
-                entry(out, "holds", last.active());
-                if (last.pending() != null) {
-                    entry(out, "open", last.pending());
-                }
-            }
+            out.writeStringField(
+                    "terms", lease == null ? "{}" : lease.settings().toJson());
+            out.writeBooleanField("decides", replica != null);
+            out.writeBooleanField("leads", replica != null && replica.isLeader());
+            out.writeStringField("leader", leaderAddress);
+            writeKnownVersions(out, follower.lastResponse());
             out.writeArrayFieldStart("entries");
-            if (deciding != null) {
-                var entries = deciding.log().finished();
-                for (PolicyLog.Entry entry :
-                        entries.subList(Math.max(0, entries.size() - MOST_ENTRIES), entries.size())) {
-                    entry(out, null, entry);
-                }
+            for (PolicyVersion version : latestFinished(replica)) {
+                writeVersion(out, version);
             }
             out.writeEndArray();
             out.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException("text in memory", e);
+            throw new UncheckedIOException("writing to memory", e);
         }
         return text.toString();
     }
 
-    private static void entry(JsonGenerator out, String name, PolicyLog.Entry entry) throws IOException {
-        if (name != null) {
-            out.writeFieldName(name);
+    /** So long the lease lasts; -1 where there is none or it has no end. */
+    private static long remainingMs(PolicyLease lease, double nowMs) {
+        if (lease == null || Double.isInfinite(lease.expiresAtMs())) {
+            return -1;
+        }
+        return Math.round(lease.expiresAtMs() - nowMs);
+    }
+
+    private static void writeKnownVersions(JsonGenerator out, PolicyResponse known) throws IOException {
+        if (known == null) {
+            return;
+        }
+        out.writeFieldName("holds");
+        writeVersion(out, known.active());
+        if (known.pending() != null) {
+            out.writeFieldName("open");
+            writeVersion(out, known.pending());
+        }
+    }
+
+    private static List<PolicyVersion> latestFinished(RaftReplica replica) {
+        if (replica == null) {
+            return List.of();
         }
+        List<PolicyVersion> finished = replica.log().finished();
+        return finished.subList(Math.max(0, finished.size() - MAX_ENTRIES), finished.size());
+    }
+
+    private static void writeVersion(JsonGenerator out, PolicyVersion version) throws IOException {
         out.writeStartObject();
-        out.writeNumberField("number", entry.number());
-        out.writeStringField("stage", entry.stage().name());
-        out.writeStringField("by", entry.proposer());
-        out.writeStringField("why", entry.reason());
-        out.writeStringField("settings", entry.settings());
+        out.writeNumberField("number", version.number());
+        out.writeStringField("stage", version.stage().name());
+        out.writeStringField("by", version.proposer());
+        out.writeStringField("why", version.reason());
+        out.writeStringField("settings", version.settings());
         out.writeEndObject();
     }
 }
--- a/policy/src/main/java/spartrail/policy/replication/RaftReplica.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftReplica.java
@@ -5,9 +5,11 @@
 import io.microraft.RaftConfig;
 import io.microraft.RaftEndpoint;
 import io.microraft.RaftNode;
+import io.microraft.RaftNode.RaftNodeBuilder;
 import io.microraft.RaftNodeStatus;
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.model.message.RaftMessage;
+import io.microraft.persistence.RestoredRaftState;
 import io.microraft.statemachine.StateMachine;
 import io.microraft.transport.Transport;
 import java.time.Clock;
@@ -16,22 +18,22 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Random;
-import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import java.util.function.Predicate;
 import spartrail.policy.LogOperation;
 import spartrail.policy.PolicyLeader;
 import spartrail.policy.PolicyLog;
+import spartrail.policy.PolicyLogSnapshot;
 import spartrail.policy.PolicyRequest;
 import spartrail.policy.PolicyResponse;
 import spartrail.policy.PolicyTimings;
+import spartrail.policy.PolicyVersion;
 
 /**
- * One of the nodes that agree on the log: the library, its state machine, and what the leading one does. All on the thread of
+ * One of the nodes that vote on the log: the Raft library, its state machine, and what the leader does. All on the thread of
  * policy.
  *
- * <p>A question is answered by a read of the log that a majority confirms after the question came: those that come while one is
- * under way wait for the next.
+ * <p>A poll is answered by a read of the log that a majority confirms after the poll came: those that come while a read is under
+ * way wait for the next one.
  */
 final class RaftReplica implements StateMachine, Transport {
     /** Whole seconds, as the library has them: a new leader is there some five seconds after the old one was lost. */
@@ -43,89 +45,100 @@
             .setRaftNodeReportPublishPeriodSecs(10)
             .build();
 
-    private static final int MOST_WAITING = 4096;
+    private static final int MAX_WAITING_POLLS = 4096;
+
+    /** The operation of a read, which changes nothing. */
     private static final Object READ = "read";
 
-    private record Waiting(PolicyRequest ask, Consumer<PolicyResponse> reply) {}
+    private record WaitingPoll(PolicyRequest request, Consumer<PolicyResponse> onResponse) {}
+
+    /** What a replica uses of the thread that it lives on. */
+    interface ExecutionContext extends RaftNodeExecutor {
+        /** A clock that never steps. */
+        Clock clock();
+    }
+
+    /** What a replica needs of its node. */
+    interface Environment {
+        /** Sends a message to another voter. */
+        void send(String voter, RaftMessage message);
+
+        /** Whether an address of this voter is known. */
+        boolean isReachable(String voter);
+
+        /** The active or the pending version is another one. */
+        void onLogChange();
+    }
 
     private final RaftNode raft;
-    private final RaftLogStore journal;
+    private final Environment environment;
     private final PolicyLog log = new PolicyLog();
     private final PolicyLeader leader;
-    private final BiConsumer<String, RaftMessage> sending;
-    private final Predicate<String> reachable;
-    private final Runnable changed;
-    private List<Waiting> waiting = new ArrayList<>();
-    private boolean reading;
-    private PolicyLog.Entry holds = PolicyLog.OWN;
-    private PolicyLog.Entry open;
-
-    /** What a deciding node uses of the thread it lives on. */
-    interface Place extends RaftNodeExecutor {
-        Clock clock();
-    }
+    private List<WaitingPoll> waitingPolls = new ArrayList<>();
+    private boolean isReading;
+    private PolicyVersion lastActive = PolicyVersion.INITIAL;
+    private PolicyVersion lastPending;
 
+    /** Goes on where the store ends, and starts. */
     RaftReplica(
             String name,
             String fleet,
-            RaftLogStore journal,
+            RaftLogStore store,
             PolicyTimings times,
-            Place place,
-            Random chance,
-            BiConsumer<String, RaftMessage> sending,
-            Predicate<String> reachable,
-            Runnable changed) {
-        this.journal = journal;
+            ExecutionContext context,
+            Random random,
+            Environment environment) {
         this.leader = new PolicyLeader(times);
-        this.sending = sending;
-        this.reachable = reachable;
-        this.changed = changed;
-        var builder = RaftNode.newBuilder()
+        this.environment = environment;
+        RaftNodeBuilder builder = RaftNode.newBuilder()
                 .setGroupId(fleet)
                 .setConfig(CONFIG)
-                .setExecutor(place)
+                .setExecutor(context)
                 .setTransport(this)
                 .setStateMachine(this)
-                .setStore(journal)
-                .setModelFactory(RaftMessageCodec.MODEL)
-                .setRandom(chance)
-                .setClock(place.clock());
-        var restored = journal.restored();
+                .setStore(store)
+                .setModelFactory(LogEntryCodec.MODEL)
+                .setRandom(random)
+                .setClock(context.clock());
+        RestoredRaftState restored = store.restored();
         if (restored != null) {
             builder.setRestoredState(restored);
         } else {
-            builder.setLocalEndpoint(new Voter(name)).setInitialGroupMembers(Voter.endpoints(journal.voters()));
+            builder.setLocalEndpoint(new Voter(name)).setInitialGroupMembers(Voter.endpoints(store.voters()));
         }
         raft = builder.build();
         raft.start();
     }
 
-    // ---- The library's ports ----
+    // ---- Ports of the Raft library ----
 
     @Override
     public Object runOperation(long index, Object operation) {
         if (operation == READ) {
             return new PolicyResponse(0, log.lastAppliedIndex(), log.active(), log.pending());
         }
-        LogOperation op = (LogOperation) operation;
-        PolicyLog.Stage next =
-                switch (op.kind()) {
-                    case PROPOSE -> PolicyLog.Stage.PROPOSED;
-                    case REFUSE -> PolicyLog.Stage.REFUSED;
-                    case ABORT -> PolicyLog.Stage.ABORTED;
-                    case DECIDE -> PolicyLog.Stage.DECIDED;
-                    case HOLD -> PolicyLog.Stage.HOLDS;
-                    default -> null;
-                };
-        CrashPoint.reached("before", "becoming", String.valueOf(next));
-        String came = log.apply(index, op);
-        if (log.active() != holds || log.pending() != open) {
-            holds = log.active();
-            open = log.pending();
-            changed.run();
+        LogOperation logOperation = (LogOperation) operation;
+        String nextStage = String.valueOf(stageAfter(logOperation.kind()));
+        CrashPoint.before(CrashPoint.Activity.CHANGING_STATE, nextStage);
+        String outcome = log.apply(index, logOperation);
+        if (log.active() != lastActive || log.pending() != lastPending) {
+            lastActive = log.active();
+            lastPending = log.pending();
+            environment.onLogChange();
         }
-        CrashPoint.reached("after", "becoming", String.valueOf(next));
-        return came;
+        CrashPoint.after(CrashPoint.Activity.CHANGING_STATE, nextStage);
+        return outcome;
+    }
+
+    private static PolicyVersion.Stage stageAfter(LogOperation.Kind kind) {
+        return switch (kind) {
+            case PROPOSE -> PolicyVersion.Stage.PROPOSED;
+            case REFUSE -> PolicyVersion.Stage.REFUSED;
+            case ABORT -> PolicyVersion.Stage.ABORTED;
+            case DECIDE -> PolicyVersion.Stage.DECIDED;
+            case HOLD -> PolicyVersion.Stage.HOLDS;
+            case NEW_TERM -> null;
+        };
     }
 
     @Override
@@ -135,7 +148,7 @@
 
     @Override
     public void installSnapshot(long index, List<Object> chunks) {
-        log.restoreSnapshot(index, (List<?>) chunks.get(0));
+        log.restoreSnapshot(index, (PolicyLogSnapshot) chunks.get(0));
     }
 
     @Override
@@ -144,88 +157,93 @@
     }
 
     @Override
-    public void send(RaftEndpoint to, RaftMessage message) {
-        sending.accept(Voter.nameOf(to), message);
+    public void send(RaftEndpoint receiver, RaftMessage message) {
+        environment.send(Voter.nameOf(receiver), message);
     }
 
     @Override
     public boolean isReachable(RaftEndpoint endpoint) {
-        return reachable.test(Voter.nameOf(endpoint));
+        return environment.isReachable(Voter.nameOf(endpoint));
     }
 
+    // ---- What the node asks of it ----
+
+    /** Takes up a message of another voter. */
     void onMessage(RaftMessage message) {
         raft.handle(message);
     }
 
-    // ---- What is asked of it ----
-
-    /** Who leads, as far as this node knows; empty where it does not. */
+    /** The name of the leader, as far as this node knows; empty where it does not. */
     String leaderName() {
-        return raft.getStatus() == RaftNodeStatus.TERMINATED
-                ? ""
-                : Voter.nameOf(raft.getTerm().getLeaderEndpoint());
+        if (raft.getStatus() == RaftNodeStatus.TERMINATED) {
+            return "";
+        }
+        return Voter.nameOf(raft.getTerm().getLeaderEndpoint());
     }
 
     boolean isLeader() {
         return leaderName().equals(Voter.nameOf(raft.getLocalEndpoint()));
     }
 
-    /** A node asks what holds; the reply is null where this node cannot say. */
-    void onPoll(PolicyRequest ask, double nowMs, Consumer<PolicyResponse> reply) {
-        if (!isLeader() || waiting.size() >= MOST_WAITING) {
-            reply.accept(null);
+    /** Answers a poll; the response is null where this node cannot say what is active. */
+    void onPoll(PolicyRequest request, double nowMs, Consumer<PolicyResponse> onResponse) {
+        if (!isLeader() || waitingPolls.size() >= MAX_WAITING_POLLS) {
+            onResponse.accept(null);
             return;
         }
         leader.setLeading(true);
-        leader.onRequest(ask, nowMs);
-        waiting.add(new Waiting(ask, reply));
-        read();
+        leader.onRequest(request, nowMs);
+        waitingPolls.add(new WaitingPoll(request, onResponse));
+        readLog();
     }
 
-    private void read() {
-        if (reading || waiting.isEmpty()) {
+    private void readLog() {
+        if (isReading || waitingPolls.isEmpty()) {
             return;
         }
-        reading = true;
-        List<Waiting> batch = waiting;
-        waiting = new ArrayList<>();
+        isReading = true;
+        List<WaitingPoll> batch = waitingPolls;
+        waitingPolls = new ArrayList<>();
         raft.<PolicyResponse>query(READ, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
                 .whenComplete((answer, failure) -> {
-                    reading = false;
-                    PolicyResponse told = failure == null ? answer.getResult() : null;
-                    batch.forEach(each -> each.reply()
-                            .accept(
-                                    told == null
-                                            ? null
-                                            : new PolicyResponse(
-                                                    each.ask().nonce(),
-                                                    told.appliedIndex(),
-                                                    told.active(),
-                                                    told.pending())));
-                    read();
+                    isReading = false;
+                    PolicyResponse read = failure == null ? answer.getResult() : null;
+                    batch.forEach(poll -> respond(poll, read));
+                    readLog();
                 });
     }
 
-    /** An order of an operator; what came of it, or null where this node does not lead, or does not know. */
-    void replicate(LogOperation op, Consumer<String> came) {
+    private static void respond(WaitingPoll poll, PolicyResponse read) {
+        if (read == null) {
+            poll.onResponse().accept(null);
+            return;
+        }
+        long nonce = poll.request().nonce();
+        poll.onResponse().accept(new PolicyResponse(nonce, read.appliedIndex(), read.active(), read.pending()));
+    }
+
+    /** Appends an operator's operation; the outcome is null where this node does not lead, or does not know. */
+    void replicate(LogOperation operation, Consumer<String> onOutcome) {
         if (!isLeader()) {
-            came.accept(null);
+            onOutcome.accept(null);
             return;
         }
-        raft.<String>replicate(op)
+        raft.<String>replicate(operation)
                 .whenComplete((Ordered<String> answer, Throwable failure) ->
-                        came.accept(failure == null ? answer.getResult() : null));
+                        onOutcome.accept(failure == null ? answer.getResult() : null));
     }
 
-    /** What the leading one has to do by now. */
-    void step(Collection<String> there, double nowMs) {
+    /** Does what is due if this node leads. */
+    void step(Collection<String> liveNodes, double nowMs) {
         leader.setLeading(isLeader());
-        LogOperation op = leader.nextOperation(log, there, nowMs);
-        if (op != null) {
-            raft.<String>replicate(op).whenComplete((answer, failure) -> {});
+        LogOperation operation = leader.nextOperation(log, liveNodes, nowMs);
+        if (operation != null) {
+            // Whether it was committed shows in the log; if not, the leader asks for it again.
+            raft.<String>replicate(operation).whenComplete((answer, failure) -> {});
         }
     }
 
+    /** The log as far as this node has applied it. */
     PolicyLog log() {
         return log;
     }
--- a/policy/src/main/java/spartrail/policy/replication/Voter.java
+++ b/policy/src/main/java/spartrail/policy/replication/Voter.java
@@ -4,26 +4,30 @@
 import java.util.Collection;
 import java.util.List;
 
-/** One of the few nodes that agree on the log, by its name. */
+/** One of the few nodes that vote on the log, by its name. */
 record Voter(String name) implements RaftEndpoint {
     @Override
     public Object getId() {
         return name;
     }
 
+    /** The voters of these names. */
     static List<RaftEndpoint> endpoints(Collection<String> names) {
         return names.stream().map(name -> (RaftEndpoint) new Voter(name)).toList();
     }
 
-    static RaftEndpoint endpointOrNull(Object plain) {
-        return plain.equals("") ? null : new Voter((String) plain);
+    /** The voter of this name, or null for an empty one. */
+    static RaftEndpoint endpointOrNull(String name) {
+        return name.isEmpty() ? null : new Voter(name);
     }
 
-    static String nameOf(RaftEndpoint decider) {
-        return decider == null ? "" : (String) decider.getId();
+    /** A voter's name, empty for null. */
+    static String nameOf(RaftEndpoint voter) {
+        return voter == null ? "" : (String) voter.getId();
     }
 
-    static List<String> namesOf(Collection<RaftEndpoint> deciders) {
-        return deciders.stream().map(Voter::nameOf).toList();
+    /** The names of voters. */
+    static List<String> namesOf(Collection<RaftEndpoint> voters) {
+        return voters.stream().map(Voter::nameOf).toList();
     }
 }
--- a/policy/src/test/java/spartrail/policy/replication/LogFileFormsTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/LogFileFormsTest.java
@@ -45,16 +45,16 @@
     }
 
     private static void writeTerm(RaftLogStore journal, int term, String votedFor) throws IOException {
-        journal.persistAndFlushTerm(RaftMessageCodec.MODEL
+        journal.persistAndFlushTerm(LogEntryCodec.MODEL
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(term)
-                .setVotedFor(Voter.endpointOrNull((Object) votedFor))
+                .setVotedFor(Voter.endpointOrNull(votedFor))
                 .build());
     }
 
     private static void writeEachKind(Path folder) throws IOException {
         try (RaftLogStore journal = open(folder)) {
-            journal.persistAndFlushLocalEndpoint(RaftMessageCodec.MODEL
+            journal.persistAndFlushLocalEndpoint(LogEntryCodec.MODEL
                     .createRaftEndpointPersistentStateBuilder()
                     .setLocalEndpoint(new Voter("n0"))
                     .setVoting(true)
--- a/policy/src/test/java/spartrail/policy/replication/MessageFormsTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/MessageFormsTest.java
@@ -16,81 +16,67 @@
 import org.junit.jupiter.api.Test;
 import spartrail.policy.LogOperation;
 import spartrail.policy.PolicyLog;
+import spartrail.policy.PolicyLogSnapshot;
 import spartrail.policy.PolicyRequest;
 import spartrail.policy.PolicyResponse;
+import spartrail.policy.PolicyVersion;
 
 /** Messages about policy keep the bytes of the first released form; nodes of two versions understand each other. */
 class MessageFormsTest {
     private static final long LARGE = 0x1234_5678_9abc_def0L;
-    private static final PolicyLog.Entry HOLDS =
-            new PolicyLog.Entry(7, "{\"/sends/most\":3.0}", "ana", PolicyLog.Stage.HOLDS, "", "t7");
+    private static final PolicyVersion HOLDS =
+            new PolicyVersion(7, "{\"/sends/most\":3.0}", "ana", PolicyVersion.Stage.HOLDS, "", "t7");
 
-    private static PolicyLog.Entry entry(PolicyLog.Stage stage) {
-        return new PolicyLog.Entry(LARGE, "{}", "bo", stage, "why é", "t8");
+    private static PolicyVersion entry(PolicyVersion.Stage stage) {
+        return new PolicyVersion(LARGE, "{}", "bo", stage, "why é", "t8");
     }
 
-    private static List<?> told(PolicyLog.Stage open) {
-        return PolicyMessageCodec.told(new PolicyResponse(-LARGE, 300, HOLDS, open == null ? null : entry(open)));
+    private static PolicyMessage response(PolicyVersion pending) {
+        return new PolicyMessage.PollResponse(new PolicyResponse(-LARGE, 300, HOLDS, pending));
     }
 
-    private static Map<String, List<?>> policyMessages() {
-        Map<String, List<?>> messages = new LinkedHashMap<>();
-        messages.put("ASK", PolicyMessageCodec.ask(new PolicyRequest(LARGE, "n1", 8, "", "7|8?")));
+    private static PolicyMessage command(LogOperation.Kind kind, long number, String text) {
+        return new PolicyMessage.AdminCommand(new LogOperation(kind, number, text, "ana", "token"));
+    }
+
+    private static Map<String, PolicyMessage> policyMessages() {
+        Map<String, PolicyMessage> messages = new LinkedHashMap<>();
+        messages.put("ASK", new PolicyMessage.Poll(new PolicyRequest(LARGE, "n1", 8, "", "7|8?")));
         messages.put(
                 "ASK with a refusal",
-                PolicyMessageCodec.ask(new PolicyRequest(-1, "n1", 70_000, "/sends/most: too few", "")));
-        messages.put("TOLD", told(null));
-        for (PolicyLog.Stage stage : PolicyLog.Stage.values()) {
-            messages.put("TOLD " + stage.ordinal(), told(stage));
+                new PolicyMessage.Poll(new PolicyRequest(-1, "n1", 70_000, "/sends/most: too few", "")));
+        messages.put("TOLD", response(null));
+        for (PolicyVersion.Stage stage : PolicyVersion.Stage.values()) {
+            messages.put("TOLD " + stage.ordinal(), response(entry(stage)));
         }
-        messages.put("ELSEWHERE", List.of(PolicyMessageCodec.ELSEWHERE, LARGE, "n2"));
-        messages.put("ELSEWHERE unknown", List.of(PolicyMessageCodec.ELSEWHERE, 1L, ""));
-        messages.put("NEWS", List.of(PolicyMessageCodec.NEWS));
-        messages.put(
-                "LOG",
-                List.of(
-                        PolicyMessageCodec.LOG,
-                        RaftMessageCodec.plain(raftMessages().get("VOTE"))));
+        messages.put("ELSEWHERE", new PolicyMessage.Redirect(LARGE, "n2"));
+        messages.put("ELSEWHERE unknown", new PolicyMessage.Redirect(1, ""));
+        messages.put("NEWS", new PolicyMessage.UpdateNotice());
+        messages.put("LOG", new PolicyMessage.Raft(raftMessages().get("VOTE")));
+        messages.put("ORDER to propose", command(LogOperation.Kind.PROPOSE, 0, "{\"/sends/most\":3.0}"));
+        messages.put("ORDER to abort", command(LogOperation.Kind.ABORT, 8, ""));
+        messages.put("DONE", new PolicyMessage.AdminResult("token", "8", "127.0.0.1:7000"));
+        messages.put("QUESTION", new PolicyMessage.AdminQuery("token", AdminRequestHandler.SHOW_QUERY));
         messages.put(
-                "ORDER to propose",
-                List.of(
-                        PolicyMessageCodec.ORDER,
-                        "token",
-                        LogOperation.Kind.PROPOSE.name(),
-                        0L,
-                        "{\"/sends/most\":3.0}",
-                        "ana"));
-        messages.put(
-                "ORDER to abort",
-                List.of(PolicyMessageCodec.ORDER, "token", LogOperation.Kind.ABORT.name(), 8L, "", "ana"));
-        messages.put("DONE", List.of(PolicyMessageCodec.DONE, "token", "8", "127.0.0.1:7000"));
-        messages.put("QUESTION", List.of(PolicyMessageCodec.QUESTION, "token", "show"));
-        messages.put(
-                "QUESTION to check", List.of(PolicyMessageCodec.QUESTION, "token", PolicyMessageCodec.CHECK + "{}"));
-        messages.put("REPLY", List.of(PolicyMessageCodec.REPLY, "token", "!busy"));
+                "QUESTION to check",
+                new PolicyMessage.AdminQuery("token", AdminRequestHandler.CHECK_QUERY_PREFIX + "{}"));
+        messages.put("REPLY", new PolicyMessage.AdminReply("token", "!busy"));
         return messages;
     }
 
     @Test
     void policyMessagesKeepTheirBytes() throws IOException {
-        assertSame("policy-messages.txt", policyMessages());
+        Map<String, byte[]> seen = new LinkedHashMap<>();
+        policyMessages().forEach((name, message) -> seen.put(name, PolicyMessageCodec.encode(message)));
+        assertSame("policy-messages.txt", seen);
     }
 
     @Test
     void storedPolicyMessagesAreReadAndWrittenAgain() throws IOException {
         for (Map.Entry<String, String> form :
                 StoredForms.read("policy-messages.txt").entrySet()) {
-            List<?> plain = PolicyMessageCodec.plain(StoredForms.bytes(form.getValue()));
-            List<?> again =
-                    switch (PolicyMessageCodec.intAt(plain, 0)) {
-                        case PolicyMessageCodec.ASK -> PolicyMessageCodec.ask(PolicyMessageCodec.ask(plain));
-                        case PolicyMessageCodec.TOLD -> PolicyMessageCodec.told(PolicyMessageCodec.told(plain));
-                        case PolicyMessageCodec.LOG -> List.of(
-                                PolicyMessageCodec.LOG,
-                                RaftMessageCodec.plain(RaftMessageCodec.message((List<?>) plain.get(1))));
-                        default -> plain;
-                    };
-            assertThat(StoredForms.hex(PolicyMessageCodec.bytes(again)))
+            PolicyMessage message = PolicyMessageCodec.decode(StoredForms.bytes(form.getValue()));
+            assertThat(StoredForms.hex(PolicyMessageCodec.encode(message)))
                     .as(form.getKey())
                     .isEqualTo(form.getValue());
         }
@@ -101,7 +87,7 @@
         Map<String, RaftMessage> messages = new LinkedHashMap<>();
         messages.put(
                 "ENTRIES",
-                RaftMessageCodec.MODEL
+                LogEntryCodec.MODEL
                         .createAppendEntriesRequestBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -115,7 +101,7 @@
                         .build());
         messages.put(
                 "ENTRIES TAKEN",
-                RaftMessageCodec.MODEL
+                LogEntryCodec.MODEL
                         .createAppendEntriesSuccessResponseBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -126,7 +112,7 @@
                         .build());
         messages.put(
                 "ENTRIES REFUSED",
-                RaftMessageCodec.MODEL
+                LogEntryCodec.MODEL
                         .createAppendEntriesFailureResponseBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -139,7 +125,7 @@
         messages.put("SNAPSHOT without a chunk", snapshot(null));
         messages.put(
                 "SNAPSHOT TAKEN",
-                RaftMessageCodec.MODEL
+                LogEntryCodec.MODEL
                         .createInstallSnapshotResponseBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -151,7 +137,7 @@
                         .build());
         messages.put(
                 "PRE-VOTE ASKED",
-                RaftMessageCodec.MODEL
+                LogEntryCodec.MODEL
                         .createPreVoteRequestBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -161,7 +147,7 @@
                         .build());
         messages.put(
                 "PRE-VOTE",
-                RaftMessageCodec.MODEL
+                LogEntryCodec.MODEL
                         .createPreVoteResponseBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -170,7 +156,7 @@
                         .build());
         messages.put(
                 "VOTE ASKED",
-                RaftMessageCodec.MODEL
+                LogEntryCodec.MODEL
                         .createVoteRequestBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -181,7 +167,7 @@
                         .build());
         messages.put(
                 "VOTE",
-                RaftMessageCodec.MODEL
+                LogEntryCodec.MODEL
                         .createVoteResponseBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -190,7 +176,7 @@
                         .build());
         messages.put(
                 "LEAD",
-                RaftMessageCodec.MODEL
+                LogEntryCodec.MODEL
                         .createTriggerLeaderElectionRequestBuilder()
                         .setGroupId("recife")
                         .setSender(sender)
@@ -202,7 +188,7 @@
     }
 
     private static RaftMessage snapshot(SnapshotChunk chunk) {
-        return RaftMessageCodec.MODEL
+        return LogEntryCodec.MODEL
                 .createInstallSnapshotRequestBuilder()
                 .setGroupId("recife")
                 .setSender(new Voter("n1"))
@@ -220,7 +206,7 @@
     }
 
     static RaftGroupMembersView members() {
-        return RaftMessageCodec.MODEL
+        return LogEntryCodec.MODEL
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(9)
                 .setMembers(Voter.endpoints(List.of("n0", "n1", "n2")))
@@ -229,7 +215,7 @@
     }
 
     /** The state of a log that has seen a proposal of each outcome, as a snapshot holds it. */
-    private static List<Object> logState() {
+    private static PolicyLogSnapshot logState() {
         PolicyLog log = new PolicyLog();
         log.apply(1, LogOperation.OF_NEW_TERM);
         log.apply(2, new LogOperation(LogOperation.Kind.PROPOSE, 0, "{\"sends\":{\"most\":3}}", "ana", "t1"));
@@ -245,7 +231,7 @@
     }
 
     static SnapshotChunk chunk(long index, int place) {
-        return RaftMessageCodec.MODEL
+        return LogEntryCodec.MODEL
                 .createSnapshotChunkBuilder()
                 .setIndex(index)
                 .setTerm(2)
@@ -257,7 +243,7 @@
     }
 
     static LogEntry entry(long index, Object operation) {
-        return RaftMessageCodec.MODEL
+        return LogEntryCodec.MODEL
                 .createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(2)
@@ -275,7 +261,7 @@
         for (MembershipChangeMode mode : MembershipChangeMode.values()) {
             entries.add(entry(
                     ++index,
-                    RaftMessageCodec.MODEL
+                    LogEntryCodec.MODEL
                             .createUpdateRaftGroupMembersOpBuilder()
                             .setMembers(Voter.endpoints(List.of("n0", "n1", "n2")))
                             .setVotingMembers(Voter.endpoints(List.of("n0", "n1")))
@@ -288,25 +274,31 @@
 
     @Test
     void raftMessagesAndLogEntriesKeepTheirBytes() throws IOException {
-        Map<String, List<?>> seen = new LinkedHashMap<>();
-        raftMessages().forEach((name, message) -> seen.put(name, RaftMessageCodec.plain(message)));
+        Map<String, byte[]> seen = new LinkedHashMap<>();
+        raftMessages().forEach((name, message) -> seen.put(name, bytes(message)));
         for (LogEntry entry : entries()) {
-            seen.put("entry " + entry.getIndex(), RaftMessageCodec.plain(entry));
+            seen.put("entry " + entry.getIndex(), bytes(entry));
         }
         assertSame("raft-messages.txt", seen);
     }
 
+    private static byte[] bytes(RaftMessage message) {
+        return CborArrayWriter.encode(out -> RaftMessageEncoder.write(out, message));
+    }
+
+    private static byte[] bytes(LogEntry entry) {
+        return CborArrayWriter.encode(out -> LogEntryCodec.writeEntry(out, entry));
+    }
+
     @Test
     void storedRaftMessagesAndLogEntriesAreReadAndWrittenAgain() throws IOException {
         for (Map.Entry<String, String> form :
                 StoredForms.read("raft-messages.txt").entrySet()) {
-            List<?> plain = PolicyMessageCodec.plain(StoredForms.bytes(form.getValue()));
-            List<?> again = form.getKey().startsWith("entry")
-                    ? RaftMessageCodec.plain(RaftMessageCodec.entry(plain))
-                    : RaftMessageCodec.plain(RaftMessageCodec.message(plain));
-            assertThat(StoredForms.hex(PolicyMessageCodec.bytes(again)))
-                    .as(form.getKey())
-                    .isEqualTo(form.getValue());
+            CborArrayReader in = CborArrayReader.of(StoredForms.bytes(form.getValue()));
+            byte[] again = form.getKey().startsWith("entry")
+                    ? bytes(LogEntryCodec.readEntry(in))
+                    : bytes(RaftMessageDecoder.read(in));
+            assertThat(StoredForms.hex(again)).as(form.getKey()).isEqualTo(form.getValue());
         }
     }
 
@@ -316,13 +308,13 @@
         Map<String, String> seen = new LinkedHashMap<>();
         byte[] message = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11};
         int place = 0;
-        for (byte[] piece : new DatagramReassembler(13, 0x01020304).split(message)) {
+        for (byte[] piece : new DatagramSplitter(13, 0x01020304).split(message)) {
             seen.put("piece " + place++, StoredForms.hex(piece));
         }
         StoredForms.writeSeen("pieces.txt", seen);
         assertThat(seen).isEqualTo(stored);
 
-        DatagramReassembler receiver = new DatagramReassembler(13, 9);
+        DatagramReassembler receiver = new DatagramReassembler();
         byte[] complete = null;
         for (String piece : stored.values()) {
             complete = receiver.add("sender", StoredForms.bytes(piece));
@@ -340,9 +332,9 @@
         assertThat(seen).isEqualTo(StoredForms.read("crash-points.txt"));
     }
 
-    private static void assertSame(String resource, Map<String, List<?>> messages) throws IOException {
+    private static void assertSame(String resource, Map<String, byte[]> forms) throws IOException {
         Map<String, String> seen = new LinkedHashMap<>();
-        messages.forEach((name, plain) -> seen.put(name, StoredForms.hex(PolicyMessageCodec.bytes(plain))));
+        forms.forEach((name, bytes) -> seen.put(name, StoredForms.hex(bytes)));
         StoredForms.writeSeen(resource, seen);
         assertThat(seen).isEqualTo(StoredForms.read(resource));
     }
--- a/policy/src/test/java/spartrail/policy/replication/PageFormsTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/PageFormsTest.java
@@ -2,6 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.microraft.model.message.RaftMessage;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.time.Clock;
@@ -21,25 +22,25 @@
 import org.junit.jupiter.api.io.TempDir;
 import spartrail.policy.LogOperation;
 import spartrail.policy.PolicyFollower;
-import spartrail.policy.PolicyLog;
 import spartrail.policy.PolicyRequest;
 import spartrail.policy.PolicyResponse;
 import spartrail.policy.PolicySettings;
 import spartrail.policy.PolicyTimings;
+import spartrail.policy.PolicyVersion;
 
 /** What operators are told about a node keeps its JSON text. */
 class PageFormsTest {
     private static final String RESOURCE = "pages.txt";
-    private static final PolicyLog.Entry HOLDS =
-            new PolicyLog.Entry(1, "{\"/sends/most\":3.0}", "ana", PolicyLog.Stage.HOLDS, "", "t1");
-    private static final PolicyLog.Entry OPEN =
-            new PolicyLog.Entry(2, "{\"/sends/most\":2.0}", "bo", PolicyLog.Stage.DECIDED, "", "t2");
+    private static final PolicyVersion HOLDS =
+            new PolicyVersion(1, "{\"/sends/most\":3.0}", "ana", PolicyVersion.Stage.HOLDS, "", "t1");
+    private static final PolicyVersion OPEN =
+            new PolicyVersion(2, "{\"/sends/most\":2.0}", "bo", PolicyVersion.Stage.DECIDED, "", "t2");
 
     @TempDir
     private Path folder;
 
     /** A thread's queue and timers, played by hand on a clock that only the test moves. */
-    private static final class ManualPlace implements RaftReplica.Place {
+    private static final class ManualContext implements RaftReplica.ExecutionContext {
         private record Timer(long atMs, long number, Runnable task) {}
 
         private final Deque<Runnable> queue = new ArrayDeque<>();
@@ -97,12 +98,26 @@
         }
     }
 
+    /** The only voter has nobody to send to. */
+    private static final class UnconnectedEnvironment implements RaftReplica.Environment {
+        @Override
+        public void send(String voter, RaftMessage message) {}
+
+        @Override
+        public boolean isReachable(String voter) {
+            return false;
+        }
+
+        @Override
+        public void onLogChange() {}
+    }
+
     private static PolicyFollower follower() {
         PolicySettings own = PolicySettings.of(Map.of("/sends/most", 4, "/comeback/told", true));
         return new PolicyFollower("n0", List.of("n0", "n1", "n2"), own, PolicyTimings.DEFAULTS, new Random(5), 0);
     }
 
-    private static PolicyFollower follower(PolicyLog.Entry open) {
+    private static PolicyFollower follower(PolicyVersion open) {
         PolicyFollower follower = follower();
         PolicyRequest ask = follower.pollIfDue(0);
         follower.onResponse(new PolicyResponse(ask.nonce(), 9, HOLDS, open), 1);
@@ -116,21 +131,19 @@
     /** The log of the only deciding node, which has seen a proposal of each outcome. */
     private String pageOfLeader() throws IOException {
         RaftLogStore.bootstrap(folder, "recife", "n0", List.of("n0"));
-        ManualPlace place = new ManualPlace();
+        ManualContext context = new ManualContext();
         try (RaftLogStore journal = new RaftLogStore(folder, "recife", "n0")) {
             RaftReplica deciding = new RaftReplica(
                     "n0",
                     "recife",
                     journal,
                     PolicyTimings.DEFAULTS,
-                    place,
+                    context,
                     new Random(1),
-                    (to, message) -> {},
-                    name -> false,
-                    () -> {});
-            place.runQueue();
+                    new UnconnectedEnvironment());
+            context.runQueue();
             for (int i = 0; i < 1000 && !deciding.isLeader(); i++) {
-                place.runNextTimer();
+                context.runNextTimer();
             }
             for (LogOperation op : List.of(
                     new LogOperation(LogOperation.Kind.PROPOSE, 0, "{\"sends\":{\"most\":3}}", "ana", "t1"),
@@ -141,11 +154,11 @@
                     new LogOperation(LogOperation.Kind.PROPOSE, 0, "{}", "bo", "t3"),
                     new LogOperation(LogOperation.Kind.ABORT, 3, "", "ana", ""))) {
                 deciding.replicate(op, came -> {});
-                place.runQueue();
+                context.runQueue();
             }
             String page = page(follower(null), deciding, 100);
             deciding.close();
-            place.runQueue();
+            context.runQueue();
             return page;
         }
     }
--- a/policy/src/test/java/spartrail/policy/replication/RaftLogStoreTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/RaftLogStoreTest.java
@@ -27,14 +27,14 @@
     private final Logger quiet = Logger.getLogger("spartrail.governing");
 
     @BeforeEach
-    void found() throws IOException {
+    void bootstrap() throws IOException {
         quiet.setLevel(Level.OFF);
         RaftLogStore.bootstrap(folder, "recife", "n0", List.of("n0", "n1", "n2"));
         file = folder.resolve("policy.log");
     }
 
     private static LogEntry entry(long index, String text) {
-        return RaftMessageCodec.MODEL
+        return LogEntryCodec.MODEL
                 .createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(2)
@@ -43,33 +43,33 @@
     }
 
     private void fill() throws IOException {
-        try (RaftLogStore journal = new RaftLogStore(folder, "recife", "n0")) {
-            journal.persistAndFlushLocalEndpoint(RaftMessageCodec.MODEL
+        try (RaftLogStore store = new RaftLogStore(folder, "recife", "n0")) {
+            store.persistAndFlushLocalEndpoint(LogEntryCodec.MODEL
                     .createRaftEndpointPersistentStateBuilder()
                     .setLocalEndpoint(new Voter("n0"))
                     .setVoting(true)
                     .build());
-            journal.persistAndFlushInitialGroupMembers(RaftMessageCodec.MODEL
+            store.persistAndFlushInitialGroupMembers(LogEntryCodec.MODEL
                     .createRaftGroupMembersViewBuilder()
                     .setLogIndex(0)
-                    .setMembers(Voter.endpoints(journal.voters()))
-                    .setVotingMembers(Voter.endpoints(journal.voters()))
+                    .setMembers(Voter.endpoints(store.voters()))
+                    .setVotingMembers(Voter.endpoints(store.voters()))
                     .build());
-            journal.persistAndFlushTerm(RaftMessageCodec.MODEL
+            store.persistAndFlushTerm(LogEntryCodec.MODEL
                     .createRaftTermPersistentStateBuilder()
                     .setTerm(2)
                     .setVotedFor(new Voter("n1"))
                     .build());
-            journal.persistLogEntries(List.of(entry(1, "a"), entry(2, "b"), entry(3, "c")));
-            journal.truncateLogEntriesFrom(3);
-            journal.persistLogEntries(List.of(entry(3, "d")));
-            journal.flush();
+            store.persistLogEntries(List.of(entry(1, "a"), entry(2, "b"), entry(3, "c")));
+            store.truncateLogEntriesFrom(3);
+            store.persistLogEntries(List.of(entry(3, "d")));
+            store.flush();
         }
     }
 
     private String read() throws IOException {
-        try (RaftLogStore journal = new RaftLogStore(folder, "recife", "n0")) {
-            RestoredRaftState state = journal.restored();
+        try (RaftLogStore store = new RaftLogStore(folder, "recife", "n0")) {
+            RestoredRaftState state = store.restored();
             return state == null
                     ? "nothing"
                     : state.getTermPersistentState().getTerm() + " "
@@ -116,14 +116,14 @@
         fill();
         byte[] all = Files.readAllBytes(file);
         for (int at = 0; at < all.length; at++) {
-            byte[] spoilt = all.clone();
-            spoilt[at] ^= 0x10;
-            Files.write(file, spoilt);
+            byte[] corrupted = all.clone();
+            corrupted[at] ^= 0x10;
+            Files.write(file, corrupted);
             assertThatThrownBy(this::read)
                     .as("byte " + at)
                     .isInstanceOf(IOException.class)
-                    .hasMessageContaining("is spoilt");
-            assertThat(file).as("what is refused stays as it was").hasBinaryContent(spoilt);
+                    .hasMessageContaining("is corrupt");
+            assertThat(file).as("what is refused stays as it was").hasBinaryContent(corrupted);
         }
     }
 
@@ -136,15 +136,15 @@
         assertThatThrownBy(() -> RaftLogStore.bootstrap(folder, "recife", "n0", List.of("n0")))
                 .hasMessage(file + ": is there already");
         Files.writeString(file, "{\"fleet\": \"recife\", \"what\": \"something else\"}");
-        assertThatThrownBy(() -> new RaftLogStore(folder, "recife", "n0")).hasMessageContaining("spoilt");
+        assertThatThrownBy(() -> new RaftLogStore(folder, "recife", "n0")).hasMessageContaining("corrupt");
     }
 
     @Test
     void piecesMakeTheMessageWholeInAnyOrderAndOnlyWhole() {
         byte[] message = new byte[5000];
         new java.util.Random(3).nextBytes(message);
-        DatagramReassembler from = new DatagramReassembler(1100, 7);
-        DatagramReassembler to = new DatagramReassembler(1100, 9);
+        DatagramSplitter from = new DatagramSplitter(1100, 7);
+        DatagramReassembler to = new DatagramReassembler();
         List<byte[]> pieces = from.split(message);
         assertThat(pieces).hasSize(5);
         for (int i : new int[] {3, 0, 4, 4, 1}) {
