--- a/lab/src/main/java/spartrail/lab/simulation/Mutations.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Mutations.java
@@ -24,11 +24,7 @@
  */
 public final class Mutations {
     /** A fault, and the one place in the source that it changes; how lines are broken there does not matter. */
-    public record Plant(String file, String name, String text, String instead) {
-        Plant(String name, String text, String instead) {
-            this("peers/SwimMembership", name, text, instead);
-        }
-    }
+    public record Plant(String file, String name, String text, String instead) {}
 
     /** Whether it was found, by which seed and rule. */
     public record Caught(Plant plant, String seed, String rule, String size) {
@@ -40,60 +36,92 @@
     /** Faults of peers. */
     public static final List<Plant> ALL = List.of(
             new Plant(
+                    "peers/StateTransitions",
                     "older news replaces newer",
-                    "member.card, member.standing) <= 0) {",
-                    "member.card, member.standing) == 0) {"),
+                    "peer.descriptor, peer.state) <= 0) {",
+                    "peer.descriptor, peer.state) == 0) {"),
             new Plant(
+                    "peers/Suspicions",
                     "a node in doubt ends suspicions",
-                    "        if (!judges()) {\n            // In doubt",
-                    "        if (false) {\n            // In doubt"),
+                    "if (!health.mayAccuse()) {",
+                    "if (false) {"),
             new Plant(
+                    "peers/FailureDetector",
                     "a node in doubt suspects",
-                    "member.card.life().equals(ended.life) && judges()) {",
-                    "member.card.life().equals(ended.life)) {"),
-            new Plant("a standstill is not noticed", "if (lateMs > times.stoodMs()) {", "if (lateMs > 1e12) {"),
+                    "peer.isIn(probe.incarnation) && health.mayAccuse()) {",
+                    "peer.isIn(probe.incarnation)) {"),
             new Plant(
+                    "peers/PauseDetector",
+                    "a standstill is not noticed",
+                    "return latenessMs > times.pauseThresholdMs();",
+                    "return latenessMs > 1e12;"),
+            new Plant(
+                    "peers/UpdateHandler",
                     "nothing is refuted",
-                    "            reborn(self.at(self.life(), word.card().turn() + 1));\n            // Danger",
-                    "            // Danger"),
+                    "local.refute(update.descriptor().refutations());",
+                    ""),
             new Plant(
+                    "peers/LocalPeer",
                     "refuted with the same turn",
-                    "reborn(self.at(self.life(), word.card().turn() + 1));",
-                    "reborn(self.at(self.life(), word.card().turn()));"),
-            new Plant("nobody looks for the lost", "        lookForLost();\n        Peer next", "        Peer next"),
+                    "withIncarnation(incarnation(), refutations + 1)",
+                    "withIncarnation(incarnation(), refutations)"),
+            new Plant("peers/SwimMembership", "nobody looks for the lost", "failureDetector.probeDeparted();", ""),
             new Plant(
+                    "peers/SwimMembership",
                     "what a new answer says of this node is not heard",
-                    "if (trusted || proof && word",
-                    "if (trusted || false && word"),
-            new Plant("helpers are not asked", "if (asking != round || asking.answered) {", "if (true) {"),
+                    "if (isTrusted || isFreshAck && isAboutLocal) {",
+                    "if (isTrusted || false && isAboutLocal) {"),
+            new Plant(
+                    "peers/FailureDetector",
+                    "helpers are not asked",
+                    "if (probe != currentProbe || probe.acknowledged) {",
+                    "if (true) {"),
             new Plant(
+                    "peers/FailureDetector",
                     "a helper's find does not count",
-                    "        if (about.life().compareTo(round.life) >= 0) {",
-                    "        if (false) {"),
+                    "if (found.compareTo(currentProbe.incarnation) >= 0) {",
+                    "if (false) {"),
             new Plant(
+                    "peers/StateTransitions",
                     "the digest leaves out who is new",
-                    "member.hash = is.there() ? hash(card, is) : 0;",
-                    "member.hash = was != null && is.there() ? hash(card, is) : 0;"),
-            new Plant("news is passed on for ever", "                member.passedOn++;\n", ""),
+                    "table.updateDigest(peer);",
+                    "if (previousState != null) { table.updateDigest(peer); }"),
+            new Plant("peers/Dissemination", "news is passed on for ever", "peer.transmissions++;", ""),
             new Plant(
+                    "peers/LocalPeer",
                     "who leaves does not say so",
-                    "        standing = PeerState.LEFT;\n",
-                    "        standing = PeerState.ALIVE;\n"),
-            new Plant("a former life's later start is not outbid", "            begin(other.life());\n", ""),
+                    "state = PeerState.LEFT;",
+                    "state = PeerState.ALIVE;"),
+            new Plant(
+                    "peers/NameConflict",
+                    "a former life's later start is not outbid",
+                    "startIncarnationAfter(other.incarnation());",
+                    ""),
             new Plant(
+                    "peers/Suspicions",
                     "a suspicion never ends",
-                    "() -> unrefuted(member));\n    }\n\n    private void unrefuted",
-                    "() -> { });\n    }\n\n    private void unrefuted"),
-            new Plant("a node that is cut off does not notice", "unanswered >= UNANSWERED", "unanswered >= 1000"),
-            new Plant("suspicions go on where doubt ends", "if (doubted && !inDoubtOfItself()) {", "if (false) {"),
+                    "deadlineMs), () -> onTimeout(peer));",
+                    "deadlineMs), () -> { });"),
+            new Plant(
+                    "peers/LocalHealth",
+                    "a node that is cut off does not notice",
+                    "unansweredRounds >= MAX_UNANSWERED_ROUNDS",
+                    "unansweredRounds >= 1000"),
+            new Plant(
+                    "peers/LocalHealth",
+                    "suspicions go on where doubt ends",
+                    "return hadNoConfidence && !isAwaitingAcksAfterPause();",
+                    "return false;"),
             new Plant(
+                    "peers/SwimMembership",
                     "suspects are not asked again",
-                    "this::askSuspects);\n        if (standing == PeerState.LEFT ||",
-                    "this::askSuspects);\n        if (true ||"),
+                    "if (!local.hasLeft() && !nameConflict.isNameLost()) {\n            failureDetector.probeSuspects();",
+                    "if (false) {\n            failureDetector.probeSuspects();"),
             new Plant(
+                    "peers/SwimMembership",
                     "strangers are not met",
-                    "            Contact met = meet(message.from().address());",
-                    "            Contact met = null;"));
+                    "if (contacts.add(address) && rateLimiter",
+                    "if (false && rateLimiter"));
 
     private static final String FOLLOWER = "policy/PolicyFollower";
     private static final String LEADER = "policy/PolicyLeader";
--- a/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
@@ -95,10 +95,10 @@
     public void seen(MembershipView view) {
         Map<String, String> known = new HashMap<>();
         List<String> live = new ArrayList<>();
-        for (MembershipView.Seen seen : view.peers()) {
-            known.put(seen.card().name(), seen.card().address());
-            if (seen.standing().there()) {
-                live.add(seen.card().name());
+        for (MembershipView.Entry entry : view.peers()) {
+            known.put(entry.descriptor().name(), entry.descriptor().address());
+            if (entry.state().isPresent()) {
+                live.add(entry.descriptor().name());
             }
         }
         thread.execute(() -> onPeers(known, live));
