--- a/core/src/test/java/spartrail/policy/PolicySettingsTest.java
+++ b/core/src/test/java/spartrail/policy/PolicySettingsTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void guardedIsTheStricterFieldByField() {
+    void stricterOfTakesTheStricterOfEachField() {
         PolicySettings other = with(
                 "{'opTypes':{'orders':{'budgetMs':1500,'timeoutMs':5000,'need':0.9,'floor':0.95,'dedupMs':5,'repeat':'DEDUPED',"
                         + "'importance':7}},'sends':{'most':6,'parallel':false},'furtherSends':{'free':20,'share':0.05},"
@@ -65,11 +65,11 @@
         for (int i = 0; i < 2000; i++) {
             PolicySettings one = drawn(chance);
             PolicySettings other = drawn(chance);
-            PolicySettings guarded = one.stricterOf(other);
-            assertThat(guarded.isWithin(one)).as("%s%n%s", one, other).isTrue();
-            assertThat(guarded.isWithin(other)).as("%s%n%s", one, other).isTrue();
-            assertThat(guarded.stricterOf(other)).isEqualTo(guarded);
-            assertThat(other.stricterOf(one).isWithin(guarded)).isTrue();
+            PolicySettings joint = one.stricterOf(other);
+            assertThat(joint.isWithin(one)).as("%s%n%s", one, other).isTrue();
+            assertThat(joint.isWithin(other)).as("%s%n%s", one, other).isTrue();
+            assertThat(joint.stricterOf(other)).isEqualTo(joint);
+            assertThat(other.stricterOf(one).isWithin(joint)).isTrue();
         }
     }
 
