--- a/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
@@ -26,7 +26,7 @@
  * of both. It decides nothing. All state is that of the {@link PolicyThread}.
  */
 final class PolicyAgent implements PolicyService.Running {
-    private static final System.Logger LOG = System.getLogger("spartrail.governing");
+    private static final System.Logger LOG = System.getLogger("spartrail.policy");
     private static final long NOT_READY_LOG_INTERVAL_SECONDS = 10;
 
     private final Path folder;
--- a/policy/src/main/java/spartrail/policy/replication/PolicyThread.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyThread.java
@@ -27,7 +27,7 @@
         void end();
     }
 
-    private static final System.Logger LOG = System.getLogger("spartrail.governing");
+    private static final System.Logger LOG = System.getLogger("spartrail.policy");
     private static final double MAX_WAIT_MS = 50;
     private static final double NANOS_PER_MS = 1e6;
     private static final int MAX_QUEUED_MESSAGES = 10_000;
--- a/policy/src/main/java/spartrail/policy/replication/RaftLogFile.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftLogFile.java
@@ -26,7 +26,7 @@
  * </ol>
  */
 final class RaftLogFile implements AutoCloseable {
-    private static final System.Logger LOG = System.getLogger("spartrail.governing");
+    private static final System.Logger LOG = System.getLogger("spartrail.policy");
 
     private static final String NAME = "policy.log";
     private static final int HEAD_BYTES = 12;
--- a/policy/src/main/java/spartrail/policy/replication/RaftLogStore.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftLogStore.java
@@ -25,7 +25,7 @@
  * </ol>
  */
 final class RaftLogStore implements RaftStore, AutoCloseable {
-    private static final System.Logger LOG = System.getLogger("spartrail.governing");
+    private static final System.Logger LOG = System.getLogger("spartrail.policy");
 
     private static final String LOCK_NAME = "policy.log.lock";
 
--- a/policy/src/test/java/spartrail/policy/replication/RaftLogStoreTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/RaftLogStoreTest.java
@@ -24,7 +24,7 @@
 
     private Path file;
 
-    private final Logger quiet = Logger.getLogger("spartrail.governing");
+    private final Logger quiet = Logger.getLogger("spartrail.policy");
 
     @BeforeEach
     void bootstrap() throws IOException {
