--- a/policy/src/main/java/spartrail/policy/replication/CborArrayReader.java
+++ b/policy/src/main/java/spartrail/policy/replication/CborArrayReader.java
@@ -24,7 +24,7 @@
     /** A reader of the array that these bytes hold. */
     static CborArrayReader of(byte[] bytes) throws MalformedMessageException {
         try (JsonParser parser = CBOR.createParser(bytes)) {
-            if (parser.nextToken() == null || !(JsonTree.value(parser) instanceof List<?> values)) {
+            if (parser.nextToken() == null || !(JsonTree.readValue(parser) instanceof List<?> values)) {
                 throw new MalformedMessageException("found no array, an array is expected");
             }
             return new CborArrayReader(values);
