--- a/core/src/main/java/spartrail/endpoint/EndpointRegistry.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointRegistry.java
@@ -41,7 +41,7 @@
     private final StatusRules rules;
     private final EndpointPublisher publisher = new EndpointPublisher();
     private final TimerQueue timers = new TimerQueue();
-    private final Map<EndpointRecord, TimerQueue.Due> reviews = new HashMap<>();
+    private final Map<EndpointRecord, TimerQueue.Timer> reviews = new HashMap<>();
     private double nowMs;
     private long tombstonesLifted;
     private long evaluations;
@@ -181,12 +181,12 @@
     /** Evaluates the records whose status time alone may have changed by now. */
     public void advance(double atMs) {
         nowMs = atMs;
-        timers.run(atMs);
+        timers.runDue(atMs);
     }
 
     /** When {@link #advance} has something to do next. */
     public double nextMs() {
-        return timers.nextMs();
+        return timers.nextDueMs();
     }
 
     // Evaluation
@@ -195,15 +195,15 @@
         evaluations++;
         Verdict verdict = rules.evaluate(record, nowMs);
         apply(record, verdict);
-        TimerQueue.Due review = reviews.remove(record);
+        TimerQueue.Timer review = reviews.remove(record);
         if (review != null) {
-            timers.remove(review);
+            timers.cancel(review);
         }
         if (verdict.isForgotten()) {
             table.remove(record);
             publisher.remove(record);
         } else if (verdict.reviewAtMs() < StatusRules.NEVER_MS) {
-            reviews.put(record, timers.add(verdict.reviewAtMs(), () -> {
+            reviews.put(record, timers.schedule(verdict.reviewAtMs(), () -> {
                 reviews.remove(record);
                 evaluate(record);
             }));
--- a/core/src/main/java/spartrail/policy/SettingRule.java
+++ b/core/src/main/java/spartrail/policy/SettingRule.java
@@ -1,8 +1,5 @@
 package spartrail.policy;
 
-import java.util.List;
-import spartrail.model.OpType;
-
 /** What a field of {@link PolicySettings} holds, and which of two values is the stricter. */
 enum SettingRule {
     SMALLER(Type.NUMBER, Order.SMALLER),
@@ -73,12 +70,10 @@
     }
 
     private static Object checkedIdempotency(String field, Object value) {
-        for (OpType.Repeat repeat : OpType.Repeat.values()) {
-            if (repeat.name().equals(value)) {
-                return value;
-            }
+        if (value instanceof String name && IdempotencyNames.all().contains(name)) {
+            return value;
         }
-        throw unexpected(field, value, "one of " + List.of(OpType.Repeat.values()));
+        throw unexpected(field, value, "one of " + IdempotencyNames.all());
     }
 
     private static IllegalArgumentException unexpected(String field, Object found, String expected) {
@@ -92,12 +87,7 @@
             case LARGER -> Math.max((double) one, (double) other);
             case FIRST -> one;
             case BOTH -> (boolean) one && (boolean) other;
-            case LEAST_REPEATABLE -> leastRepeatable((String) one, (String) other);
+            case LEAST_REPEATABLE -> IdempotencyNames.stricter((String) one, (String) other);
         };
     }
-
-    /** Their order is that of the constants. */
-    private static String leastRepeatable(String one, String other) {
-        return OpType.Repeat.valueOf(one).compareTo(OpType.Repeat.valueOf(other)) >= 0 ? one : other;
-    }
 }
--- a/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
+++ b/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
@@ -155,7 +155,7 @@
                 endpoint.cell(),
                 endpoint.state(),
                 endpoint.weight(),
-                endpoint.bootMs() > 0 ? clock.at(endpoint.bootMs()) : STARTED_LONG_AGO,
+                endpoint.bootMs() > 0 ? clock.toNodeTimeMs(endpoint.bootMs()) : STARTED_LONG_AGO,
                 0);
     }
 
--- a/node/src/main/java/spartrail/shard/ShardConnection.java
+++ b/node/src/main/java/spartrail/shard/ShardConnection.java
@@ -3,9 +3,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Deque;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -18,398 +16,344 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 import org.xnio.XnioExecutor;
-import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 import spartrail.model.Attempt.Outcome;
+import spartrail.model.MalformedMessageException;
 
 /**
- * One connection to a server: calls that wait to be written, and parts that wait for answers. By event and state:
+ * One connection to a server: batches that wait to be written, and parts that wait for responses. All of it runs on the I/O thread. By
+ * event and state:
  *
  * <pre>
- *                     OPENING               IDLE                  IN USE                          RETIRED
- * call given          waits                 read once, written    written if there is room        (never chosen)
- * comes up            OPENING to IN USE     -                     -                               goes if nothing is out
- * answer              -                     GARBLED, closed       part ended; IDLE after the last part ended; closed after the last
- * end, reset          never ran             closed                written: may have run; not written or in part: never ran
- * part taken back     unsent                -                     unsent, or A frame if it began  the same, then closed
- * server drains,
- * is another process  unsent, RETIRED       closed                what has not begun is unsent, RETIRED
- * unused, too long    no connection in time closed                a frame or an answer that stops half-way ends it
+ *                      CONNECTING                 IDLE                    IN USE                         DRAINING
+ * batch queued         waits                      read once, written      written if there is room       (never chosen)
+ * connected            on to IN USE               -                       -                              closed if nothing is in flight
+ * response             -                          malformed, closed       part ended; IDLE after the     closed after the last
+ *                                                                         last part ended
+ * end, reset           never ran, closed          closed                  written: may have run; not written or in part: never ran; closed
+ * part withdrawn       unsent                     -                       unsent, or cancelled if its    the same, then closed
+ *                                                                         frame began
+ * server drains, is    unsent, DRAINING           closed                  what has not begun is unsent,
+ * another process                                                         DRAINING
+ * idle, or too long    no connection in time:     closed                  a frame or a response that     the same
+ *                      never ran, closed                                  stops half-way closes it
  * </pre>
  *
- * <p>A frame begins only if its parts may still leave, nothing is known to have changed about servers that the loop has
- * not seen ({@link ShardPool#hold}), and the sockets were looked at lately ({@link ShardPool#blind}).
+ * <p>CONNECTING is it without a channel, IDLE with no part in flight; both may be DRAINING as well. When a frame may begin stands at
+ * {@link FrameWriter}.
  */
 final class ShardConnection {
     private final ShardPool pool;
     private final InetSocketAddress address;
-    private final Deque<PartBatch> waiting = new ArrayDeque<>();
-    private final Deque<ByteBuffer> giveUps = new ArrayDeque<>();
-    /** The call whose frame is being written, and what is left of the frame; no call for a frame that gives up. */
-    private PartBatch writing;
+    private final FrameWriter writer;
+    private final ShardFrameCodec.Decoder decoder = new ShardFrameCodec.Decoder();
+    private final Map<String, PartRequest> awaitingResponse = new HashMap<>();
+    /** Ids of the parts that ended last, at most as many as may be in flight. */
+    private final Set<String> recentlyEnded = new LinkedHashSet<>();
 
-    private ByteBuffer left;
-    private final Map<String, PartRequest> out = new HashMap<>();
-    /** The parts that were last out and are no longer, at most as many as may be out. */
-    private final Set<String> settled = new LinkedHashSet<>();
-    /** When a frame that has begun should long be there whole. */
-    private XnioExecutor.Key lateFrame;
+    private final IoFuture<StreamConnection> connecting;
+    private final XnioExecutor.Key connectTimeout;
+    /** Null until it is connected. */
+    private StreamConnection channel;
+    /** By then a frame that has begun to come should long be there; null where none has begun. */
+    private XnioExecutor.Key partialFrameTimeout;
 
-    private final ShardFrameCodec.Reader frames = new ShardFrameCodec.Reader();
+    private double lastUsedMs;
+    private double lastReadMs;
+    /** It gets no further batches, and closes once nothing is in flight on it. */
+    private boolean draining;
 
-    private final IoFuture<StreamConnection> opening;
-    private final XnioExecutor.Key openTimer;
-    private StreamConnection connection;
     private boolean closed;
-    private double usedMs;
-    private double readMs;
-    /** It gets no further calls, and goes once nothing is out on it. */
-    private boolean retired;
 
     ShardConnection(ShardPool pool, InetSocketAddress address) {
         this.pool = pool;
         this.address = address;
-        this.usedMs = pool.clock.nowMs();
-        // Danger: a machine that vanished says nothing, and what waits for its connection would wait on.
-        openTimer = pool.io.executeAfter(
+        this.writer = new FrameWriter(pool, this);
+        this.lastUsedMs = pool.clock.nowMs();
+        // A machine that vanished says nothing, and what waits for its connection would wait on.
+        connectTimeout = pool.io.executeAfter(
                 () -> {
-                    if (connection == null) {
-                        end("no connection in time");
+                    if (channel == null) {
+                        close("no connection in time");
                     }
                 },
-                Math.round(pool.bounds.connectTimeoutMs()),
+                Math.round(pool.settings.connectTimeoutMs()),
                 TimeUnit.MILLISECONDS);
-        opening = pool.io.openStreamConnection(address, null, OptionMap.create(Options.TCP_NODELAY, true));
-        opening.addNotifier((future, attachment) -> pool.io.execute(() -> opened(future)), null);
+        connecting = pool.io.openStreamConnection(address, null, OptionMap.create(Options.TCP_NODELAY, true));
+        connecting.addNotifier((future, attachment) -> pool.io.execute(() -> onConnected(future)), null);
     }
 
-    private void opened(IoFuture<? extends StreamConnection> future) {
-        openTimer.remove();
+    private void onConnected(IoFuture<? extends StreamConnection> future) {
+        connectTimeout.remove();
         if (future.getStatus() != IoFuture.Status.DONE) {
-            end("cannot connect");
+            close("cannot connect");
             return;
         }
         try {
-            StreamConnection opened = future.get();
+            StreamConnection connected = future.get();
             if (closed) {
-                IoUtils.safeClose(opened);
+                IoUtils.safeClose(connected);
                 return;
             }
-            connection = opened;
-            connection.getSourceChannel().setReadListener(this::readable);
-            connection.getSinkChannel().setWriteListener(channel -> write());
-            connection.getSourceChannel().resumeReads();
+            channel = connected;
+            channel.getSourceChannel().setReadListener(this::onReadable);
+            channel.getSinkChannel().setWriteListener(sink -> write());
+            channel.getSourceChannel().resumeReads();
             write();
         } catch (IOException e) {
-            end("cannot connect");
+            close("cannot connect");
         }
     }
 
     /**
-     * Whether it still leads to the server, as far as the system has heard. Danger: a server's own close waits in the
-     * socket, and a frame written behind it is reset and may have run.
+     * Whether it still leads to the server, as far as the system has heard. The server's own close may wait in the socket, and a frame
+     * written behind it would be reset and may have run.
      */
-    boolean alive() {
-        if (connection != null && !closed && load() == 0) {
-            readable(connection.getSourceChannel());
+    boolean isAlive() {
+        if (channel != null && !closed && load() == 0) {
+            onReadable(channel.getSourceChannel());
         }
         return !closed;
     }
 
-    /** Parts that it has in hand, of the number that it may carry. */
+    /** Parts in flight, of the number that it may carry. */
     int load() {
-        int load = out.size();
-        for (PartBatch call : waiting) {
-            load += call.parts.size();
-        }
-        if (writing != null) {
-            for (PartRequest part : writing.parts) {
-                load += part.stage == PartRequest.Stage.BEGUN ? 1 : 0;
-            }
-        }
-        return load;
+        return awaitingResponse.size() + writer.load();
     }
 
-    boolean idleSince(double ms) {
-        return load() == 0 && left == null && giveUps.isEmpty() && usedMs < ms;
+    /** Nothing is in flight, and it was last used before this time. */
+    boolean isIdleSince(double ms) {
+        return load() == 0 && writer.isIdle() && lastUsedMs < ms;
     }
 
-    void send(PartBatch call) {
-        usedMs = pool.clock.nowMs();
-        for (PartRequest part : call.parts) {
+    /** Writes a batch as soon as it may begin. */
+    void enqueue(PartBatch batch) {
+        lastUsedMs = pool.clock.nowMs();
+        for (PartRequest part : batch.parts) {
             part.connection = this;
-            part.givenMs = usedMs;
+            part.queuedMs = lastUsedMs;
         }
-        waiting.add(call);
+        writer.enqueue(batch);
         write();
     }
 
-    boolean takes(int parts, int most) {
-        return !retired && load() + parts <= most;
+    /** Whether it takes so many more parts without passing the limit. */
+    boolean hasCapacityFor(int parts, int limit) {
+        return !draining && load() + parts <= limit;
     }
 
-    void retire() {
-        retired = true;
-        goIfDone();
+    /** Takes no further batches, and closes once nothing is in flight. */
+    void drain() {
+        draining = true;
+        closeIfDrained();
     }
 
-    /** Not at once: the part that is being taken back has its end first. */
-    private void goWhenDone() {
-        if (retired) {
-            pool.io.execute(this::goIfDone);
+    /** Not at once: the part that is being withdrawn ends first. */
+    private void closeLaterIfDrained() {
+        if (draining) {
+            pool.io.execute(this::closeIfDrained);
         }
     }
 
-    private void goIfDone() {
-        if (retired && load() == 0) {
-            end(null);
+    private void closeIfDrained() {
+        if (draining && load() == 0) {
+            close(null);
         }
     }
 
-    /** Nothing more is waited for; a frame that has not begun does not leave. True where the part never left. */
+    /** The part is not waited for any more; a frame that has not begun does not leave. True where the part never left. */
     boolean withdraw(PartRequest part, boolean timedOut) {
-        // Danger: a connection that no longer leads anywhere says nothing, and would swallow all that comes
-        // after. One that was silent for the whole wait for a part gets no more.
-        retired |= timedOut && connection != null && readMs < part.givenMs;
-        if (part.stage == PartRequest.Stage.WAITING) {
-            part.call.parts.remove(part);
-            if (part.call.parts.isEmpty()) {
-                waiting.remove(part.call);
-            }
-            goWhenDone();
+        // A connection that no longer leads anywhere says nothing, and would swallow all that comes after. One that
+        // was silent for the whole wait for a part gets no more.
+        draining |= timedOut && channel != null && lastReadMs < part.queuedMs;
+        if (part.stage == PartRequest.Stage.QUEUED) {
+            writer.remove(part);
+            closeLaterIfDrained();
             return true;
         }
-        out.remove(part.id, part);
-        settle(part.id);
-        if (pool.bounds.cancelling() && !closed) {
-            giveUps.add(ShardFrameCodec.giveUp(part.id));
+        awaitingResponse.remove(part.id, part);
+        rememberEnded(part.id);
+        if (pool.settings.cancelling() && !closed) {
+            writer.enqueueCancellation(part.id);
             write();
         }
-        goWhenDone();
+        closeLaterIfDrained();
         return false;
     }
 
-    /** Whatever has not begun to leave goes back unsent. */
-    void dropWaiting() {
-        List<PartBatch> calls = new ArrayList<>(waiting);
-        waiting.clear();
-        calls.forEach(call -> List.copyOf(call.parts).forEach(part -> pool.ended(part, Outcome.NOT_SENT, null)));
+    /** Parts that have not begun to leave end as not sent. */
+    void dropQueued() {
+        writer.removeQueued().forEach(part -> pool.endPart(part, Outcome.NOT_SENT, null));
     }
 
     /** Writes on where it may. */
     void write() {
-        if (closed || connection == null) {
+        if (closed || channel == null) {
             return;
         }
-        ConduitStreamSinkChannel sink = connection.getSinkChannel();
         try {
-            while (nextFrame()) {
-                if (writing != null && left.position() > 0 && late(writing)) {
-                    // Danger: the rest of a frame leaves when a server reads again, long after what it was decided for.
-                    end("a frame stopped half-way until it could no longer leave");
-                    return;
-                }
-                sink.write(left);
-                if (left.hasRemaining()) {
-                    unbegin();
-                    sink.resumeWrites();
-                    return;
-                }
-                left = null;
-                usedMs = pool.clock.nowMs();
-                if (writing != null) {
-                    for (PartRequest part : writing.parts) {
-                        if (part.stage == PartRequest.Stage.BEGUN) {
-                            part.stage = PartRequest.Stage.WRITTEN;
-                            out.put(part.id, part);
-                        }
-                    }
-                    writing = null;
-                }
-            }
-            if (!sink.flush()) {
-                sink.resumeWrites();
-            } else {
-                sink.suspendWrites();
+            if (!writer.write(channel.getSinkChannel())) {
+                close("a frame stopped half-way until it could no longer leave");
             }
         } catch (IOException e) {
-            end("broken while writing");
+            close("broken while writing");
         }
     }
 
-    private boolean late(PartBatch call) {
-        return call.parts.stream().anyMatch(part -> pool.clock.nowMs() > part.leaveByMs);
-    }
-
-    /** A call of which no byte has left has not begun. */
-    private void unbegin() {
-        if (writing != null && left.position() == 0) {
-            writing.parts.removeIf(part -> part.stage != PartRequest.Stage.BEGUN);
-            writing.parts.forEach(part -> part.stage = PartRequest.Stage.WAITING);
-            if (!writing.parts.isEmpty()) {
-                waiting.addFirst(writing);
-            }
-            writing = null;
-            left = null;
-        }
-    }
-
-    /** Begins the next frame if none is being written. */
-    private boolean nextFrame() {
-        if (left != null) {
-            return true;
+    /** The last byte of a frame has left; of a batch, or of a cancellation where it is null. */
+    void onFrameWritten(PartBatch batch) {
+        lastUsedMs = pool.clock.nowMs();
+        if (batch == null) {
+            return;
         }
-        left = giveUps.poll();
-        while (left == null && !waiting.isEmpty() && pool.mayBegin(waiting.peek())) {
-            PartBatch call = waiting.poll();
-            double nowMs = pool.clock.nowMs();
-            List<PartRequest> stay =
-                    call.parts.stream().filter(part -> !part.mayLeave(nowMs)).toList();
-            call.parts.removeAll(stay);
-            stay.forEach(part -> pool.ended(part, Outcome.NOT_SENT, null));
-            if (!call.parts.isEmpty()) {
-                writing = call;
-                call.parts.forEach(part -> part.stage = PartRequest.Stage.BEGUN);
-                left = ShardFrameCodec.call(call.parts, nowMs);
+        for (PartRequest part : batch.parts) {
+            if (part.stage == PartRequest.Stage.WRITING) {
+                part.stage = PartRequest.Stage.WRITTEN;
+                awaitingResponse.put(part.id, part);
             }
         }
-        return left != null;
     }
 
-    private void readable(ConduitStreamSourceChannel source) {
+    private void onReadable(ConduitStreamSourceChannel source) {
         try {
-            boolean whole = false;
+            boolean completed = false;
             while (!closed) {
                 ByteBuffer buffer = pool.readBuffer.clear();
-                int got = source.read(buffer);
-                if (got < 0) {
-                    end("closed by the server");
-                } else if (got == 0) {
+                int count = source.read(buffer);
+                if (count < 0) {
+                    close("closed by the server");
+                } else if (count == 0) {
                     break;
                 } else {
-                    frames.take(buffer.flip());
-                    for (ShardFrameCodec.Answer answer = frames.next(); answer != null; answer = frames.next()) {
-                        answered(answer);
-                        whole = true;
-                    }
-                    goIfDone();
+                    decoder.append(buffer.flip());
+                    completed |= readResponses();
+                    closeIfDrained();
                 }
             }
-            awaitRest(source, whole);
-        } catch (ShardFrameCodec.Garbled e) {
-            garbled(e.getMessage());
+            checkPartialFrame(source, completed);
+        } catch (MalformedMessageException e) {
+            closeMalformed(e.getMessage());
         } catch (IOException e) {
-            end("broken");
+            close("broken");
         } catch (RuntimeException e) {
             pool.log(System.Logger.Level.ERROR, "server " + address + ": connection closed after exception " + e);
-            end(null);
+            close(null);
+        }
+    }
+
+    /** Takes the responses that are complete; whether there were any. */
+    private boolean readResponses() throws MalformedMessageException {
+        boolean any = false;
+        ShardFrameCodec.PartResponse response = decoder.nextResponse();
+        while (response != null) {
+            onResponse(response);
+            any = true;
+            response = decoder.nextResponse();
         }
+        return any;
     }
 
     /**
-     * What has begun to come is to be there soon, and nothing is to come where nothing is waited for. Danger: a
-     * frame that announces more than comes swallows all answers behind it; what is behind a good answer becomes
-     * the head of the next one.
+     * What has begun to come is to be there soon, and nothing is to come where nothing is waited for. Otherwise a frame that announces
+     * more than comes would swallow all responses behind it, and what is behind a good response would become the head of the next one.
      */
-    private void awaitRest(ConduitStreamSourceChannel source, boolean whole) throws ShardFrameCodec.Garbled {
-        boolean partial = !closed && frames.partial();
+    private void checkPartialFrame(ConduitStreamSourceChannel source, boolean completed)
+            throws MalformedMessageException {
+        boolean partial = !closed && decoder.hasPartialFrame();
         if (partial && load() == 0) {
-            throw new ShardFrameCodec.Garbled("more than was asked for");
+            throw new MalformedMessageException("more than was asked for");
         }
-        if (lateFrame != null && (whole || !partial)) {
-            lateFrame.remove();
-            lateFrame = null;
+        if (partialFrameTimeout != null && (completed || !partial)) {
+            partialFrameTimeout.remove();
+            partialFrameTimeout = null;
         }
-        if (partial && lateFrame == null) {
-            lateFrame = pool.io.executeAfter(
-                    () -> {
-                        // Danger: of a node that stood still the rest may wait in the socket.
-                        XnioExecutor.Key due = lateFrame;
-                        readable(source);
-                        if (!closed && lateFrame == due) {
-                            garbled("a frame that does not end");
-                        }
-                    },
-                    Math.round(pool.bounds.connectTimeoutMs()),
+        if (partial && partialFrameTimeout == null) {
+            partialFrameTimeout = pool.io.executeAfter(
+                    () -> onPartialFrameTimeout(source),
+                    Math.round(pool.settings.connectTimeoutMs()),
                     TimeUnit.MILLISECONDS);
         }
     }
 
-    private void answered(ShardFrameCodec.Answer answer) throws ShardFrameCodec.Garbled {
-        usedMs = pool.clock.nowMs();
-        readMs = usedMs;
-        PartRequest part = out.remove(answer.id());
+    /** Of a process that was paused the rest may wait in the socket, so that is read first. */
+    private void onPartialFrameTimeout(ConduitStreamSourceChannel source) {
+        XnioExecutor.Key timeout = partialFrameTimeout;
+        onReadable(source);
+        if (!closed && partialFrameTimeout == timeout) {
+            closeMalformed("a frame that does not end");
+        }
+    }
+
+    private void onResponse(ShardFrameCodec.PartResponse response) throws MalformedMessageException {
+        lastUsedMs = pool.clock.nowMs();
+        lastReadMs = lastUsedMs;
+        PartRequest part = awaitingResponse.remove(response.id());
         if (part == null) {
-            // Late or doubled answers concern nobody any more; another is the spoilt one of a part that is out.
-            if (!settled.contains(answer.id())) {
-                throw new ShardFrameCodec.Garbled("an answer for a part that was not asked for");
+            // Late or duplicated responses concern nobody any more; another one is the spoilt one of a part in flight.
+            if (!recentlyEnded.contains(response.id())) {
+                throw new MalformedMessageException("an answer for a part that was not asked for");
             }
             return;
         }
-        settle(part.id);
-        switch (answer.end()) {
-            case OK -> pool.ended(part, Outcome.ANSWERED, answer.value());
-            case ERROR -> pool.ended(part, Outcome.ERROR, null);
-            default -> pool.ended(part, Outcome.FULL, null);
+        rememberEnded(part.id);
+        switch (response.status()) {
+            case OK -> pool.endPart(part, Outcome.ANSWERED, response.value());
+            case ERROR -> pool.endPart(part, Outcome.ERROR, null);
+            default -> pool.endPart(part, Outcome.FULL, null);
         }
     }
 
-    private void settle(String id) {
-        settled.remove(id);
-        settled.add(id);
-        if (settled.size() > pool.bounds.partsPerConnection()) {
-            settled.remove(settled.iterator().next());
+    private void rememberEnded(String id) {
+        recentlyEnded.remove(id);
+        recentlyEnded.add(id);
+        if (recentlyEnded.size() > pool.settings.partsPerConnection()) {
+            recentlyEnded.remove(recentlyEnded.iterator().next());
         }
     }
 
     /**
-     * Where frames begin is no longer known, so nothing that is out here can be answered any more. All of it may
-     * have run; that it ends now and not at its time-out leaves time for another server.
+     * Where frames begin is no longer known, so nothing that is in flight here can be answered any more. All of it may have run; that it
+     * ends now and not at its timeout leaves time for another server.
      */
-    private void garbled(String why) {
-        pool.garbled("server " + address + ": unusable frame, connection closed: " + why);
-        end(null, Outcome.NOT_SENT, Outcome.GARBLED);
+    private void closeMalformed(String reason) {
+        pool.logMalformedFrame("server " + address + ": unusable frame, connection closed: " + reason);
+        close(null, Outcome.NOT_SENT, Outcome.MALFORMED);
     }
 
-    void end(String why) {
-        end(why, Outcome.CONNECT_FAILED, Outcome.RESET);
+    /** Closes it; the reason goes to the log where parts end by it, null for none. */
+    void close(String reason) {
+        close(reason, Outcome.CONNECT_FAILED, Outcome.RESET);
     }
 
     /**
-     * The connection is over: what was written whole may have run, the rest never did. Danger: a frame that
-     * was written in part is no call to the server, so none of its parts ran.
+     * What was written completely may have run, the rest never did: a frame that was written in part is no request to the server, so none
+     * of its parts ran.
      */
-    private void end(String why, Outcome neverRan, Outcome mayHaveRun) {
+    private void close(String reason, Outcome outcomeIfUnsent, Outcome outcomeIfSent) {
         if (closed) {
             return;
         }
         closed = true;
-        openTimer.remove();
-        if (lateFrame != null) {
-            lateFrame.remove();
+        connectTimeout.remove();
+        if (partialFrameTimeout != null) {
+            partialFrameTimeout.remove();
         }
-        if (connection == null) {
-            opening.cancel();
+        if (channel == null) {
+            connecting.cancel();
         } else {
-            IoUtils.safeClose(connection);
-        }
-        pool.forget(address, this);
-        List<PartRequest> never = new ArrayList<>();
-        if (writing != null) {
-            never.addAll(writing.parts);
+            IoUtils.safeClose(channel);
         }
-        waiting.forEach(call -> never.addAll(call.parts));
-        List<PartRequest> maybe = new ArrayList<>(out.values());
-        waiting.clear();
-        out.clear();
-        writing = null;
-        if (why != null && never.size() + maybe.size() > 0) {
+        pool.remove(address, this);
+        List<PartRequest> unsent = writer.removeUnsent();
+        List<PartRequest> sent = new ArrayList<>(awaitingResponse.values());
+        awaitingResponse.clear();
+        if (reason != null && unsent.size() + sent.size() > 0) {
             pool.log(
                     System.Logger.Level.DEBUG,
-                    "server " + address + ": " + why + "; " + never.size() + " parts never ran, " + maybe.size()
+                    "server " + address + ": " + reason + "; " + unsent.size() + " parts never ran, " + sent.size()
                             + " may have");
         }
-        never.forEach(part -> pool.ended(part, neverRan, null));
-        maybe.forEach(part -> pool.ended(part, mayHaveRun, null));
+        unsent.forEach(part -> pool.endPart(part, outcomeIfUnsent, null));
+        sent.forEach(part -> pool.endPart(part, outcomeIfSent, null));
     }
 }
--- a/node/src/test/java/spartrail/record/MultigetRecordTest.java
+++ b/node/src/test/java/spartrail/record/MultigetRecordTest.java
@@ -21,7 +21,7 @@
                 key,
                 1500,
                 false,
-                List.of(new ClientQuery.AskedPart(3, 0.25, 2), new ClientQuery.AskedPart(0, 0.75, 4)),
+                List.of(new ClientQuery.QueriedPart(3, 0.25, 2), new ClientQuery.QueriedPart(0, 0.75, 4)),
                 "text".getBytes(StandardCharsets.UTF_8));
     }
 
@@ -29,8 +29,8 @@
     void eachMultigetTakenIsALine() throws Exception {
         Path file = folder.resolve("record");
         try (MultigetRecord record = new MultigetRecord(file, 10_000)) {
-            record.taken(ask("k\"1"), 1_782_324_000_000.125, 0, "");
-            record.taken(ask(null), 1_782_324_000_001.0, 0, "");
+            record.append(ask("k\"1"), 1_782_324_000_000.125, 0, "");
+            record.append(ask(null), 1_782_324_000_001.0, 0, "");
         }
         assertThat(Files.readString(file))
                 .isEqualTo(
@@ -47,7 +47,7 @@
         Path file = folder.resolve("record");
         try (MultigetRecord record = new MultigetRecord(file, 1000)) {
             for (int i = 0; i < 100; i++) {
-                record.taken(ask("k" + i), i, 0, "");
+                record.append(ask("k" + i), i, 0, "");
             }
         }
         String text = Files.readString(file);
