--- a/node/src/main/java/spartrail/config/CoordinatorSettings.java
+++ b/node/src/main/java/spartrail/config/CoordinatorSettings.java
@@ -15,6 +15,7 @@
 public final class CoordinatorSettings {
     private CoordinatorSettings() {}
 
+    /** The op types of the settings, with no latency statistics yet. */
     public static List<OpType> opTypes(Map<?, ?> settings) {
         List<OpType> opTypes = new ArrayList<>();
         Map<?, ?> layout = section(settings, "family-info");
@@ -60,6 +61,7 @@
         return opTypes;
     }
 
+    /** A configured coordinator of these op types, whose random draws come from the seed. */
     public static Coordinator coordinator(long seed, Map<?, ?> settings, List<OpType> opTypes) {
         Map<?, ?> layout = section(settings, "family-info");
         return configure(
--- a/node/src/main/java/spartrail/config/DeploymentFile.java
+++ b/node/src/main/java/spartrail/config/DeploymentFile.java
@@ -60,6 +60,7 @@
         }
     }
 
+    /** Parses and checks the text of a file. */
     public static DeploymentFile parse(String text) throws IOException {
         try (JsonParser parser = new JsonFactory().createParser(text)) {
             if (parser.nextToken() == null || !(JsonTree.readValue(parser) instanceof Map<?, ?> tree)) {
@@ -96,6 +97,7 @@
         subset();
     }
 
+    /** The name of this node. */
     public String name() {
         return String.valueOf(tree.get("name"));
     }
@@ -105,10 +107,12 @@
         return tree.get("version") == null ? "" : String.valueOf(tree.get("version"));
     }
 
+    /** The address on which clients connect. */
     public InetSocketAddress listen() {
         return listen;
     }
 
+    /** The address of the discovery service. */
     public InetSocketAddress discovery() {
         return discovery;
     }
@@ -128,10 +132,12 @@
         }
     }
 
+    /** The op types, with no latency statistics yet. */
     public List<OpType> opTypes() {
         return CoordinatorSettings.opTypes(settings);
     }
 
+    /** A configured coordinator of these op types. */
     public Coordinator coordinator(List<OpType> opTypes) {
         return CoordinatorSettings.coordinator(seed(), settings, opTypes);
     }
@@ -198,14 +204,17 @@
         return (int) requiredCount(section(settings, "bounds"), "open-cap", " of bounds");
     }
 
+    /** The most attempts of a part. */
     public int maxAttemptsPerPart() {
         return (int) requiredCount(section(settings, "bounds"), "try-limit", " of bounds");
     }
 
+    /** The most parts in flight on one connection to a server. */
     public int callsPerConnection() {
         return (int) requiredCount(section(settings, "bounds"), "streams-per-conn", " of bounds");
     }
 
+    /** The time after which a connection that is not up is given up. */
     public double connectTimeoutMs() {
         return 1000 * requiredNumber(section(settings, "bounds"), "connect-timeout", " of bounds");
     }
@@ -220,6 +229,7 @@
         return 1000 * requiredNumber(section(settings, "rules"), "stop-sending-within", " of rules");
     }
 
+    /** Whether an attempt may be cancelled. */
     public boolean isCancellationAllowed() {
         return flag(section(settings, "bounds"), "cancelling");
     }
@@ -229,10 +239,12 @@
         return opTypes().stream().mapToDouble(op -> op.timeoutMs).max().orElse(0);
     }
 
+    /** The number of shards. */
     public int shards() {
         return (int) number(section(settings, "family-info"), "slabs", 0);
     }
 
+    /** The number of cells. */
     public int cells() {
         return (int) number(section(settings, "family-info"), "sets", 1);
     }
--- a/node/src/main/java/spartrail/config/PolicyFields.java
+++ b/node/src/main/java/spartrail/config/PolicyFields.java
@@ -11,7 +11,15 @@
 
 /** Maps the settings of the deploy file to the fields of policy and back. Times are seconds there and milliseconds here. */
 public final class PolicyFields {
-    private record Field(String policyField, String section, String setting, double unitFactor, Object defaultValue) {}
+    private record Field(String policyField, String section, String setting, double unitFactor, Object defaultValue) {
+        /** The value in policy's unit; the default where the setting is missing. */
+        Object toPolicy(Object value) {
+            if (value instanceof Number number) {
+                return number.doubleValue() * unitFactor;
+            }
+            return value == null ? defaultValue : value;
+        }
+    }
 
     private static final List<Field> FIELDS = List.of(
             new Field("/sends/most", "bounds", "try-limit", 1, (double) Integer.MAX_VALUE),
@@ -72,13 +80,7 @@
         for (Field field : FIELDS) {
             Object value =
                     CoordinatorSettings.section(file.settings(), field.section).get(field.setting);
-            values.put(
-                    field.policyField,
-                    value == null
-                            ? field.defaultValue
-                            : value instanceof Number number
-                                    ? (Object) (number.doubleValue() * field.unitFactor)
-                                    : value);
+            values.put(field.policyField, field.toPolicy(value));
         }
         return PolicySettings.of(values);
     }
--- a/node/src/main/java/spartrail/sim/SimHost.java
+++ b/node/src/main/java/spartrail/sim/SimHost.java
@@ -24,6 +24,7 @@
     /** Server lists by number, which the wire shares among instances. */
     private final Map<Integer, List<?>> rosters = new HashMap<>();
 
+    /** Writes actions to one stream and failures to the other. */
     public SimHost(Writer out, PrintStream err) {
         this.out = out;
         this.err = err;
