--- a/policy/src/main/java/spartrail/policy/replication/AdminClient.java
+++ b/policy/src/main/java/spartrail/policy/replication/AdminClient.java
@@ -14,6 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import java.util.function.Predicate;
+import spartrail.model.MalformedMessageException;
 import spartrail.policy.LogOperation;
 
 /**
@@ -171,7 +172,14 @@
             return null;
         }
         byte[] message = reassembler.add(packet.getSocketAddress().toString(), piece);
-        return message == null ? null : PolicyMessageCodec.decode(message);
+        if (message == null) {
+            return null;
+        }
+        try {
+            return PolicyMessageCodec.decode(message);
+        } catch (MalformedMessageException e) {
+            throw new IOException(packet.getSocketAddress() + ": sent a malformed message: " + e.getMessage(), e);
+        }
     }
 
     private static InetSocketAddress socketAddress(String address) {
--- a/policy/src/main/java/spartrail/policy/replication/CborArrayReader.java
+++ b/policy/src/main/java/spartrail/policy/replication/CborArrayReader.java
@@ -6,6 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import spartrail.json.JsonTree;
+import spartrail.model.MalformedMessageException;
 
 /**
  * Reads the values of a CBOR array one after the other. Values after the last one that is asked for are ignored, so that a later
@@ -28,8 +29,6 @@
                 throw new MalformedMessageException("found no array, an array is expected");
             }
             return new CborArrayReader(values);
-        } catch (MalformedMessageException e) {
-            throw e;
         } catch (IOException | RuntimeException e) {
             throw new MalformedMessageException("found bytes that are no CBOR, an array is expected", e);
         }
--- a/policy/src/main/java/spartrail/policy/replication/LogEntryCodec.java
+++ b/policy/src/main/java/spartrail/policy/replication/LogEntryCodec.java
@@ -7,6 +7,7 @@
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
+import spartrail.model.MalformedMessageException;
 import spartrail.policy.LogOperation;
 import spartrail.policy.PolicyLogSnapshot;
 
--- a/policy/src/main/java/spartrail/policy/replication/LogRecordCodec.java
+++ b/policy/src/main/java/spartrail/policy/replication/LogRecordCodec.java
@@ -4,6 +4,7 @@
 
 import io.microraft.model.persistence.RaftEndpointPersistentState;
 import io.microraft.model.persistence.RaftTermPersistentState;
+import spartrail.model.MalformedMessageException;
 
 /** The form of the log's records on disk: a CBOR array whose first value names the kind. */
 final class LogRecordCodec {
--- a/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
+import spartrail.model.MalformedMessageException;
 import spartrail.peers.MembershipView;
 import spartrail.policy.PolicyFollower;
 import spartrail.policy.PolicyLease;
--- a/policy/src/main/java/spartrail/policy/replication/PolicyLogCodec.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyLogCodec.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import spartrail.model.MalformedMessageException;
 import spartrail.policy.LogOperation;
 import spartrail.policy.PolicyLogSnapshot;
 import spartrail.policy.PolicyVersion;
--- a/policy/src/main/java/spartrail/policy/replication/PolicyMessageCodec.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyMessageCodec.java
@@ -1,5 +1,6 @@
 package spartrail.policy.replication;
 
+import spartrail.model.MalformedMessageException;
 import spartrail.policy.LogOperation;
 import spartrail.policy.PolicyRequest;
 import spartrail.policy.PolicyResponse;
--- a/policy/src/main/java/spartrail/policy/replication/RaftLogStore.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftLogStore.java
@@ -13,6 +13,7 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 import java.util.List;
+import spartrail.model.MalformedMessageException;
 
 /**
  * What a voter must not forget, in a {@link RaftLogFile}. Entries that a snapshot covers are left out when the file is rewritten.
--- a/policy/src/main/java/spartrail/policy/replication/RaftMessageDecoder.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftMessageDecoder.java
@@ -8,6 +8,7 @@
 import io.microraft.model.message.RaftMessage;
 import java.util.ArrayList;
 import java.util.List;
+import spartrail.model.MalformedMessageException;
 
 /** Reads Raft messages as {@link RaftMessageEncoder} writes them. */
 final class RaftMessageDecoder {
--- a/policy/src/main/java/spartrail/policy/replication/RaftMessageKind.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftMessageKind.java
@@ -11,6 +11,7 @@
 import io.microraft.model.message.TriggerLeaderElectionRequest;
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
+import spartrail.model.MalformedMessageException;
 
 /** The kinds of Raft messages, with their number on the wire and their name in {@link CrashPoint}. */
 enum RaftMessageKind {
--- a/policy/src/test/java/spartrail/policy/replication/MessageFormsTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/MessageFormsTest.java
@@ -14,6 +14,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import spartrail.model.MalformedMessageException;
 import spartrail.policy.LogOperation;
 import spartrail.policy.PolicyLog;
 import spartrail.policy.PolicyLogSnapshot;
@@ -72,7 +73,7 @@
     }
 
     @Test
-    void storedPolicyMessagesAreReadAndWrittenAgain() throws IOException {
+    void storedPolicyMessagesAreReadAndWrittenAgain() throws IOException, MalformedMessageException {
         for (Map.Entry<String, String> form :
                 StoredForms.read("policy-messages.txt").entrySet()) {
             PolicyMessage message = PolicyMessageCodec.decode(StoredForms.bytes(form.getValue()));
@@ -291,7 +292,7 @@
     }
 
     @Test
-    void storedRaftMessagesAndLogEntriesAreReadAndWrittenAgain() throws IOException {
+    void storedRaftMessagesAndLogEntriesAreReadAndWrittenAgain() throws IOException, MalformedMessageException {
         for (Map.Entry<String, String> form :
                 StoredForms.read("raft-messages.txt").entrySet()) {
             CborArrayReader in = CborArrayReader.of(StoredForms.bytes(form.getValue()));
