--- a/core/src/main/java/spartrail/endpoint/EndpointRecord.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointRecord.java
@@ -80,6 +80,7 @@
         return address;
     }
 
+    /** The status that follows from all reports. */
     public Status status() {
         return status;
     }
@@ -89,6 +90,7 @@
         return reason;
     }
 
+    /** Since when it has this status. */
     public double statusSinceMs() {
         return statusSinceMs;
     }
--- a/core/src/main/java/spartrail/endpoint/EndpointRegistry.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointRegistry.java
@@ -235,10 +235,12 @@
 
     // For operators and snapshots
 
+    /** All records, the first seen first. */
     public Collection<EndpointRecord> records() {
         return table.all();
     }
 
+    /** All sources that have reported or been restored. */
     public Collection<EndpointSource> sources() {
         return sources.all();
     }
--- a/core/src/main/java/spartrail/endpoint/EndpointSource.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointSource.java
@@ -27,10 +27,12 @@
         this.unavailableSinceMs = nowMs;
     }
 
+    /** The name, unique in a registry. */
     public String name() {
         return name;
     }
 
+    /** What the source may decide. */
     public Kind kind() {
         return kind;
     }
--- a/core/src/main/java/spartrail/json/JsonTree.java
+++ b/core/src/main/java/spartrail/json/JsonTree.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads a JSON value whose form is not known beforehand: maps, lists, numbers, text, flags; where the form has them, bytes. */
+/** Reads a JSON value whose form is not known beforehand: maps, lists, numbers, strings, booleans; where the format has them, bytes. */
 public final class JsonTree {
     private JsonTree() {}
 
-    /** What is wrong with a text that is no JSON, without where it came from. */
+    /** What is wrong with a text that is no JSON, without the source and the place. */
     public static String describe(JsonProcessingException e) {
         return e.getOriginalMessage().replaceAll("\\s*\\(.*", "");
     }
--- a/core/src/main/java/spartrail/subset/SubsetSettings.java
+++ b/core/src/main/java/spartrail/subset/SubsetSettings.java
@@ -7,6 +7,7 @@
  * @param leastZones they lie in so many zones at least, where the shard's live replicas do
  */
 public record SubsetSettings(int replicasPerShard, int leastZones) {
+    /** An IllegalArgumentException names the setting, what was found and what is expected. */
     public SubsetSettings {
         if (replicasPerShard < 1) {
             throw new IllegalArgumentException(
--- a/lab/src/main/java/spartrail/lab/drill/DnsNodeDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/DnsNodeDrill.java
@@ -1,6 +1,7 @@
 package spartrail.lab.drill;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -18,26 +19,26 @@
 import spartrail.lab.rules.RuleChecker;
 
 /**
- * A real front node under load whose servers come from the roll and from DNS. Where they contradict each other: the roll
- * drains a server that DNS goes on naming, then falls silent. In the outage: the roll is silent from the start and nothing is
- * known, so that all servers come from DNS; later the name servers truncate and refuse TCP, then fall silent.
+ * A real front node under load whose endpoints come from discovery and from DNS. Where they isContradiction each other: discovery
+ * drains a server that DNS goes on naming, then falls silent. In the outage: discovery is silent from the start and nothing is
+ * known, so that all endpoints come from DNS; later the name servers truncate and refuse TCP, then fall silent.
  */
 final class DnsNodeDrill implements Drill {
     private static final int SERVERS = 4;
-    private final boolean contradict;
+    private final boolean isContradiction;
 
-    DnsNodeDrill(boolean contradict) {
-        this.contradict = contradict;
+    DnsNodeDrill(boolean isContradiction) {
+        this.isContradiction = isContradiction;
     }
 
     @Override
     public String name() {
-        return contradict ? "dns-contradict" : "dns-outage";
+        return isContradiction ? "dns-contradict" : "dns-outage";
     }
 
     @Override
     public String summary() {
-        return contradict
+        return isContradiction
                 ? "DNS goes on naming a server that the roll drains, and the roll falls silent: no work to it after the grace"
                 : "the roll is silent and all servers come from DNS, whose servers then truncate and fall silent: service goes on";
     }
@@ -53,7 +54,7 @@
 
     @Override
     public void run(long seed, Findings findings) throws Exception {
-        String script = contradict
+        String script = isContradiction
                 ? "[{'atMs':1500,'do':'drain','servers':['s-1']},{'atMs':3500,'do':'roll-silent','lastsMs':60000}]"
                 : "[{'atMs':0,'do':'roll-silent','lastsMs':600000}]";
         FleetPlan plan = FleetPlan.of(parse(
@@ -71,35 +72,35 @@
         Path folder = Files.createTempDirectory("spartrail-drill");
         try (Fleet fleet = new Fleet(plan, checker);
                 DnsServerEmulator nameServer = new DnsServerEmulator(seed)) {
-            members(fleet, nameServer, folder);
-            if (!contradict) {
+            writeSourcesFile(fleet, nameServer, folder);
+            if (!isContradiction) {
                 fleet.play();
             }
             String listen = "127.0.0.1:" + NodeProcess.freePort();
             ObjectNode config = settings.config(0, 1, listen, fleet, seed);
-            if (!contradict) {
+            if (!isContradiction) {
                 config.set("known", Document.JSON.readTree("{\"rev\":0,\"all\":true,\"targets\":[]}"));
             }
             try (NodeProcess node = NodeProcess.start(
                     NodeProcess.ownJar(), config, folder, "n0", settings.memoryMb(), folder.resolve("members.json"))) {
-                // Lifetimes are a second: by then it has heard of all.
-                long asked = nameServer.queries() + 2L * (SERVERS + 2);
-                for (int i = 0; nameServer.queries() < asked && i < 6000; i++) {
+                // TTLs are a second: after two rounds of queries the node knows all servers.
+                long untilQueries = nameServer.queries() + 2L * (SERVERS + 2);
+                for (int i = 0; nameServer.queries() < untilQueries && i < 6000; i++) {
                     Thread.sleep(5);
                 }
                 try (LoadSession session = new LoadSession(
                         DrillPlans.at(load, node.address()), load.arrivals(), load.lastsMs(), checker)) {
-                    if (contradict) {
+                    if (isContradiction) {
                         fleet.play();
                     }
                     for (int i = 0; !session.await(1000) && i < 60; i++) {
-                        if (!contradict && i == 2) {
+                        if (!isContradiction && i == 2) {
                             nameServer.setBehavior(DnsServerEmulator.Behavior.TRUNCATE_AND_REFUSE_TCP);
-                        } else if (!contradict && i == 5) {
+                        } else if (!isContradiction && i == 5) {
                             nameServer.setBehavior(DnsServerEmulator.Behavior.SILENT);
                         }
                     }
-                    judge(findings, session, checker, fleet, node);
+                    check(findings, session, checker, fleet, node);
                 }
             }
         } finally {
@@ -110,7 +111,8 @@
         }
     }
 
-    private void judge(Findings findings, LoadSession session, RuleChecker checker, Fleet fleet, NodeProcess node) {
+    private static void check(
+            Findings findings, LoadSession session, RuleChecker checker, Fleet fleet, NodeProcess node) {
         long whole = session.recorder().count(AttemptResult.WHOLE);
         long all = session.recorder().all();
         checker.verdicts().forEach(verdict -> findings.equal("broken: " + verdict.rule().text, 0L, verdict.broken()));
@@ -123,8 +125,8 @@
         findings.equal("the node is alive", true, node.handle().isAlive());
     }
 
-    /** Every server in DNS, a name for each cell, and the file that tells the node so. */
-    private static void members(Fleet fleet, DnsServerEmulator nameServer, Path folder) throws java.io.IOException {
+    /** Puts every server into DNS, a name for each cell, and writes the node's file of sources. */
+    private static void writeSourcesFile(Fleet fleet, DnsServerEmulator nameServer, Path folder) throws IOException {
         StringBuilder list = new StringBuilder();
         for (int cell = 0; cell < fleet.plan().cells(); cell++) {
             String name = "_books._tcp.c" + cell + ".books.example.org.";
--- a/lab/src/main/java/spartrail/lab/drill/DnsResolverDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/DnsResolverDrill.java
@@ -4,6 +4,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import spartrail.dns.DnsTransport;
 import spartrail.dns.Resolver;
 import spartrail.dns.ResolverSettings;
@@ -18,12 +20,14 @@
 import spartrail.model.Server;
 
 /**
- * Resolver, transport and registry on real sockets, against name servers in trouble. In each trouble twenty servers stay in
- * use, and when it is over the list is fresh again. Only the stand-ins sleep; no verdict hangs on how long anything takes.
+ * Resolver, transport and registry on real sockets, against name servers with faults. Under each fault twenty servers stay in use,
+ * and when it is over the targets are fresh again. Only the emulators are slow; no verdict depends on how long anything takes.
  */
 public final class DnsResolverDrill implements Drill {
     private static final String NAME = "_books._tcp.c0.books.example.org.";
     private static final int TARGETS = 20;
+    private static final int MAX_LOOKS = 24_000;
+    private static final long LOOK_INTERVAL_MS = 5;
     private static final ResolverSettings RESOLVER_SETTINGS =
             new ResolverSettings(300, 3_600_000, 300, 100, 400, 600_000, 100, 4, 16, 512);
     private static final MergeLimits MERGE_LIMITS =
@@ -51,62 +55,41 @@
         }
     }
 
-    /** One trouble. */
+    /** Two name servers that behave like this for a while. */
     static void play(Behavior behavior, long seed, Findings findings) throws Exception {
         NodeClock clock = new NodeClock();
         EndpointRegistry registry = new EndpointRegistry(1, 1, MERGE_LIMITS, any -> true);
         EndpointSource source = registry.source(NAME, EndpointSource.Kind.DNS, clock.nowMs());
-        List<SrvTargets> listings = new CopyOnWriteArrayList<>();
-        int[] least = {Integer.MAX_VALUE};
+        List<SrvTargets> received = new CopyOnWriteArrayList<>();
+        AtomicInteger leastInUse = new AtomicInteger(Integer.MAX_VALUE);
         try (DnsServerEmulator one = new DnsServerEmulator(seed);
                 DnsServerEmulator other = new DnsServerEmulator(seed + 1)) {
-            for (DnsServerEmulator server : List.of(one, other)) {
-                List<String> reports = new ArrayList<>();
-                for (int i = 0; i < TARGETS; i++) {
-                    reports.add("1 SRV 0 5 " + (7000 + i) + " s" + i + ".books.example.org.");
-                    server.setRecords("A", "s" + i + ".books.example.org.", List.of("1 A 127.0.0." + (i + 1)));
-                }
-                server.setRecords("SRV", NAME, reports);
-            }
+            List<DnsServerEmulator> servers = List.of(one, other);
+            servers.forEach(DnsResolverDrill::setRecords);
             Resolver resolver = new Resolver(
                     List.of(one.address(), other.address()),
                     "books.example.org",
                     false,
                     RESOLVER_SETTINGS,
                     new SplittableRandom(seed));
-            try (DnsTransport transport = new DnsTransport(resolver, clock, listing -> {
-                merge(registry, source, listing, clock.nowMs());
+            try (DnsTransport transport = new DnsTransport(resolver, clock, targets -> {
+                merge(registry, source, targets, clock.nowMs());
                 if (registry.records().size() == TARGETS) {
-                    least[0] = Math.min(least[0], inUse(registry));
+                    leastInUse.accumulateAndGet(inUse(registry), Math::min);
                 }
-                listings.add(listing);
+                received.add(targets);
             })) {
                 transport.execute(() -> resolver.follow(NAME, clock.nowMs()));
-                await(listings, 0, false);
-                int before = listings.size();
-                one.setBehavior(behavior);
-                other.setBehavior(behavior);
-                // Until it has been met a number of times, whatever that takes.
-                int asked = one.queries() + other.queries();
-                for (int i = 0; one.queries() + other.queries() < asked + 3 * TARGETS; i++) {
-                    checkLooks(i, "the trouble was not met often enough");
-                }
-                boolean shrank = listings.subList(before, listings.size()).stream()
-                        .anyMatch(listing -> listing.isComplete()
-                                && !listing.isUnavailable()
-                                && listing.targets().size() < TARGETS);
-                one.setBehavior(Behavior.ANSWER);
-                other.setBehavior(Behavior.ANSWER);
-                SrvTargets last = await(
-                        listings,
-                        listings.size(),
-                        !(listings.get(listings.size() - 1).isStale() || shrank));
+                boolean hasShrunk = isShrunkBy(behavior, servers, received);
+                SrvTargets latest = received.get(received.size() - 1);
+                boolean isPresentEnough = !latest.isStale() && !hasShrunk;
+                SrvTargets last = await(received, received.size(), isPresentEnough);
                 boolean saysNone = behavior == Behavior.EMPTY || behavior == Behavior.NXDOMAIN;
-                findings.equal(behavior + ": a whole list that lacks servers", saysNone, shrank);
+                findings.equal(behavior + ": a whole list that lacks servers", saysNone, hasShrunk);
                 findings.least(
                         behavior + ": servers in use, at the least",
                         saysNone ? MERGE_LIMITS.floor() : TARGETS,
-                        least[0]);
+                        leastInUse.get());
                 findings.equal(
                         behavior + ": targets afterwards",
                         TARGETS,
@@ -115,29 +98,60 @@
         }
     }
 
-    /** A fresh whole list that was listings after so many; the present one will do where nothing changed. */
-    private static SrvTargets await(List<SrvTargets> listings, int after, boolean isPresentEnough)
+    private static void setRecords(DnsServerEmulator server) {
+        List<String> lines = new ArrayList<>();
+        for (int i = 0; i < TARGETS; i++) {
+            lines.add("1 SRV 0 5 " + (7000 + i) + " s" + i + ".books.example.org.");
+            server.setRecords("A", "s" + i + ".books.example.org.", List.of("1 A 127.0.0." + (i + 1)));
+        }
+        server.setRecords("SRV", NAME, lines);
+    }
+
+    /** Whether complete targets have lacked servers while the name servers behaved like this; they answer again afterwards. */
+    private static boolean isShrunkBy(Behavior behavior, List<DnsServerEmulator> servers, List<SrvTargets> received)
+            throws InterruptedException {
+        await(received, 0, false);
+        int before = received.size();
+        servers.forEach(server -> server.setBehavior(behavior));
+        // Until the fault has been met a number of times, however long that takes.
+        int untilQueries = queries(servers) + 3 * TARGETS;
+        for (int look = 0; queries(servers) < untilQueries; look++) {
+            pauseBetweenLooks(look, "the trouble was not met often enough");
+        }
+        boolean hasShrunk = received.subList(before, received.size()).stream()
+                .anyMatch(targets -> targets.isComplete()
+                        && !targets.isUnavailable()
+                        && targets.targets().size() < TARGETS);
+        servers.forEach(server -> server.setBehavior(Behavior.ANSWER));
+        return hasShrunk;
+    }
+
+    private static int queries(List<DnsServerEmulator> servers) {
+        return servers.stream().mapToInt(DnsServerEmulator::queries).sum();
+    }
+
+    /** Fresh complete targets received after so many; the present ones are enough where nothing has changed. */
+    private static SrvTargets await(List<SrvTargets> received, int after, boolean isPresentEnough)
             throws InterruptedException {
-        for (int i = 0; ; i++) {
-            if (!listings.isEmpty()) {
-                SrvTargets last = listings.get(listings.size() - 1);
-                if ((listings.size() > after || isPresentEnough)
-                        && last.isComplete()
-                        && !last.isStale()
-                        && last.targets().size() == TARGETS) {
+        for (int look = 0; ; look++) {
+            if (!received.isEmpty()) {
+                SrvTargets last = received.get(received.size() - 1);
+                boolean isNew = received.size() > after || isPresentEnough;
+                boolean isFresh = last.isComplete() && !last.isStale();
+                if (isNew && isFresh && last.targets().size() == TARGETS) {
                     return last;
                 }
             }
-            checkLooks(i, "no fresh whole list came");
+            pauseBetweenLooks(look, "no fresh whole list came");
         }
     }
 
-    /** A look each 5 ms; failure takes minutes does not come any more. */
-    private static void checkLooks(int looks, String failure) throws InterruptedException {
-        if (looks > 24_000) {
+    /** What has not come within some minutes does not come any more. */
+    private static void pauseBetweenLooks(int look, String failure) throws InterruptedException {
+        if (look > MAX_LOOKS) {
             throw new IllegalStateException(failure);
         }
-        Thread.sleep(5);
+        TimeUnit.MILLISECONDS.sleep(LOOK_INTERVAL_MS);
     }
 
     private static int inUse(EndpointRegistry registry) {
@@ -147,16 +161,16 @@
                 .count();
     }
 
-    private static void merge(EndpointRegistry registry, EndpointSource source, SrvTargets listing, double nowMs) {
-        if (listing.isUnavailable() || listing.isStale()) {
+    private static void merge(EndpointRegistry registry, EndpointSource source, SrvTargets targets, double nowMs) {
+        if (targets.isUnavailable() || targets.isStale()) {
             registry.markUnavailable(source, nowMs);
             return;
         }
         List<SourceReport> reports = new ArrayList<>();
-        listing.targets()
+        targets.targets()
                 .forEach(target -> reports.add(new SourceReport(
                         null, target.address(), "a", "dns", 0, Server.State.LIVE, 1, Double.NaN, target.priority())));
-        registry.applyReports(source, listing.isComplete(), reports, listing.ttlMs(), nowMs);
+        registry.applyReports(source, targets.isComplete(), reports, targets.ttlMs(), nowMs);
         registry.takeChanges();
     }
 }
--- a/lab/src/main/java/spartrail/lab/subset/FleetShape.java
+++ b/lab/src/main/java/spartrail/lab/subset/FleetShape.java
@@ -14,6 +14,7 @@
     /** A request may be in flight to a server for so long. */
     static final double MAX_IN_FLIGHT_MS = 1000;
 
+    /** The name of the node of this number. */
     public String node(int number) {
         return region + "node-" + number;
     }
--- a/lab/src/main/java/spartrail/lab/subset/SubsetFigures.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetFigures.java
@@ -19,7 +19,7 @@
 
 /** How evenly each strategy shares the servers, and what a change moves with it. */
 public final class SubsetFigures {
-    /** Shards on which joins, leaves and replacements are tried. */
+    /** Joins, leaves and replacements are tried on so many shards at the most. */
     private static final int MAX_CHANGED_SHARDS = 4;
 
     /**
@@ -38,6 +38,7 @@
             double movedByJoin,
             double movedByLeave,
             double movedByReplacement) {
+        /** How far the most loaded server stands above the mean. */
         public double mostOverMean() {
             return mean == 0 ? 0 : most / mean;
         }
--- a/lab/src/main/java/spartrail/lab/subset/SubsetMutation.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetMutation.java
@@ -81,6 +81,7 @@
         this.factory = factory;
     }
 
+    /** What is wrong, as tables show it. */
     public String summary() {
         return summary;
     }
