--- a/core/src/main/java/spartrail/endpoint/EndpointExplanation.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointExplanation.java
@@ -45,7 +45,7 @@
         if (source.isAvailable()) {
             return "answers";
         }
-        return String.format(Locale.ROOT, "out for %.1f s", (atMs - source.unavailableSinceMs()) / MS_PER_S);
+        return String.format(Locale.ROOT, "unavailable for %.1f s", (atMs - source.unavailableSinceMs()) / MS_PER_S);
     }
 
     private static String absence(SourceEntry entry, double atMs) {
@@ -54,15 +54,15 @@
         }
         return String.format(
                 Locale.ROOT,
-                ", left out for %.1f s by %d answers",
+                ", left unavailable for %.1f s by %d answers",
                 (atMs - entry.absentSinceMs()) / MS_PER_S,
                 entry.absentAnswers());
     }
 
     private static String start(EndpointRecord record) {
         if (Double.isNaN(record.startedMs)) {
-            return "nobody tells; taken for cold from when it was seen";
+            return "not reported; counts as started when it was first seen";
         }
-        return record.startedMs < 0 ? "long ago" : "told";
+        return record.startedMs < 0 ? "long ago" : "reported";
     }
 }
--- a/core/src/main/java/spartrail/endpoint/StatusRules.java
+++ b/core/src/main/java/spartrail/endpoint/StatusRules.java
@@ -9,17 +9,17 @@
  * Which rule decides the status of an endpoint; the first that fits does:
  *
  * <pre>
- *  1 the roll says it drains                               DRAINING  at once, over all others
- *  2 the roll says it is gone, or a whole roll lacks it    GONE      at once, over all others; where a whole roll takes a
- *                                                                    shard below the floor, after rollConfirmMs
- *  3 as 1 or 2, and the roll is out                        the same  a tombstone: other sources cannot lift it, but for one
- *                                                                    that left it out for a whole lifetime and names it again
- *  4 the roll lists it                                     LIVE
- *  5 as 4, and the roll is out for longer than freezeMs    SUSPECT   after suspectMs more GONE, where the floor allows
- *  6 another source names it                               LIVE      or JOINING for a while, if it has come and gone before
- *  7 no source names it any more, the floor allows         GONE
- *  8 the same, the floor does not                          LIVE      until confirmed by answers or time
- *  9 those that name it are out                            LIVE      then SUSPECT, then GONE, as in 5
+ *  1 discovery reports it draining                          DRAINING  at once, over all others
+ *  2 discovery reports it gone, or a complete list of       GONE      at once, over all others; where a complete list takes a
+ *    discovery lacks it                                               shard below the floor, after discoveryConfirmMs
+ *  3 as 1 or 2, and discovery is unavailable                the same  a tombstone: other sources cannot lift it, but for one that
+ *                                                                     left it out for a whole lifetime and names it again
+ *  4 discovery lists it                                     LIVE
+ *  5 as 4, discovery is unavailable for over freezeMs       SUSPECT   after suspectMs more GONE, where the floor allows
+ *  6 another source names it                                LIVE      or JOINING for a while, if it has come and gone before
+ *  7 no source names it any more, the floor allows          GONE
+ *  8 the same, the floor does not                           LIVE      until confirmed by answers or time
+ *  9 the sources that name it are unavailable               LIVE      then SUSPECT, then GONE, as in 5
  * </pre>
  *
  * <p>Cost: by the sources that have reported on the endpoint, and the cells beside its own.
@@ -90,24 +90,24 @@
     /** Null where the other sources decide. */
     private Verdict evaluateByDiscovery(EndpointRecord record, EndpointSource discovery, double nowMs) {
         SourceEntry entry = record.entries.get(discovery);
-        String tombstone = discovery.isAvailable() ? "" : ", a tombstone while the roll is out";
+        String tombstone = discovery.isAvailable() ? "" : ", a tombstone while discovery is unavailable";
         Server.State reported = entry.report().state();
         if (reported == Server.State.DRAINING) {
-            return new Verdict(Status.DRAINING, "1 the roll says it drains" + tombstone, NEVER_MS);
+            return new Verdict(Status.DRAINING, "1 discovery reports it draining" + tombstone, NEVER_MS);
         }
         if (reported == Server.State.GONE || entry.isRemoved()) {
-            return gone(record, "2 the roll says it is gone" + tombstone, nowMs);
+            return gone(record, "2 discovery reports it gone" + tombstone, nowMs);
         }
         if (entry.isAbsent()) {
             return evaluateAbsenceFromDiscovery(record, entry, tombstone, nowMs);
         }
         if (discovery.isAvailable()) {
-            return new Verdict(Status.LIVE, "4 the roll lists it", NEVER_MS);
+            return new Verdict(Status.LIVE, "4 discovery lists it", NEVER_MS);
         }
         if (isNamedByAvailableOther(record)) {
             return null;
         }
-        return frozen(record, lastUnavailableSinceMs(record), "5 the roll listed it and is out", nowMs);
+        return frozen(record, lastUnavailableSinceMs(record), "5 discovery listed it and is unavailable", nowMs);
     }
 
     private Verdict evaluateAbsenceFromDiscovery(
@@ -115,10 +115,13 @@
         double confirmedAtMs = entry.absentSinceMs() + limits.discoveryConfirmMs();
         if (nowMs >= confirmedAtMs || floorAllowsRemoval(record)) {
             entry.markRemoved();
-            return gone(record, "2 a whole roll lacks it" + tombstone, nowMs);
+            return gone(record, "2 a complete list of discovery lacks it" + tombstone, nowMs);
         }
         heldByFloor++;
-        return new Verdict(Status.LIVE, "2 a whole roll lacks it, held for the floor until confirmed", confirmedAtMs);
+        return new Verdict(
+                Status.LIVE,
+                "2 a complete list of discovery lacks it, held for the floor until confirmed",
+                confirmedAtMs);
     }
 
     /** When the last of the sources that name it became unavailable. */
@@ -166,7 +169,7 @@
             return named(record, naming, nowMs);
         }
         if (isNamedByUnavailable) {
-            return frozen(record, unavailableSinceMs, "9 those that name it are out", nowMs);
+            return frozen(record, unavailableSinceMs, "9 the sources that name it are unavailable", nowMs);
         }
         boolean isHeld = isLeftOut && record.isInUse() && !floorAllowsRemoval(record);
         if (isHeld && !areAbsencesConfirmed(record, nowMs)) {
@@ -228,7 +231,8 @@
         double suspectAtMs = unavailableSinceMs + limits.freezeMs();
         if (nowMs < suspectAtMs) {
             boolean isLive = record.isInUse() || record.status() == Status.UNKNOWN;
-            return new Verdict(isLive ? Status.LIVE : record.status(), reason + ", its word still holds", suspectAtMs);
+            return new Verdict(
+                    isLive ? Status.LIVE : record.status(), reason + ", its reports are still valid", suspectAtMs);
         }
         double endAtMs = suspectAtMs + limits.suspectMs();
         if (nowMs < endAtMs) {
--- a/core/src/test/java/spartrail/endpoint/EndpointRegistryTest.java
+++ b/core/src/test/java/spartrail/endpoint/EndpointRegistryTest.java
@@ -20,66 +20,66 @@
     private static final MergeLimits LIMITS = new MergeLimits(1, 1000, 1000, 100, 500, 3, 50, 1000, 5000, 1e9, 100);
     private static final double LIFETIME_MS = 300;
 
-    private static SourceReport roll(int number, Server.State state, double bornMs) {
+    private static SourceReport reported(int number, Server.State state, double bornMs) {
         return new SourceReport("u" + number, "10.0.0." + number + ":1", "a", "k", number % 3, state, 1, bornMs, 0);
     }
 
-    private static SourceReport dns(int number, int tier) {
+    private static SourceReport named(int number, int tier) {
         return new SourceReport(
                 null, "10.0.0." + number + ":1", "a", "k", number % 3, Server.State.LIVE, 1, Double.NaN, tier);
     }
 
-    /** Drives a view and prints what it hands on. */
+    /** Drives a registry and prints what it publishes. */
     private static final class Drive {
-        private final EndpointRegistry view =
+        private final EndpointRegistry registry =
                 new EndpointRegistry(3, 1, LIMITS, endpoint -> !endpoint.startsWith("192."));
-        private final EndpointSource roll = view.source("roll", EndpointSource.Kind.DISCOVERY, 0);
-        private final EndpointSource dns = view.source("dns", EndpointSource.Kind.DNS, 0);
+        private final EndpointSource discovery = registry.source("discovery", EndpointSource.Kind.DISCOVERY, 0);
+        private final EndpointSource dns = registry.source("dns", EndpointSource.Kind.DNS, 0);
         private final StringBuilder seen = new StringBuilder();
 
-        void roll(double ms, SourceReport... lines) {
+        void discovery(double ms, SourceReport... reports) {
             at(ms);
-            view.applyReports(roll, true, List.of(lines), 0, ms);
-            print(ms, "roll " + lines.length);
+            registry.applyReports(discovery, true, List.of(reports), 0, ms);
+            print(ms, "discovery " + reports.length);
         }
 
-        void rollChange(double ms, SourceReport line) {
+        void discoveryChange(double ms, SourceReport line) {
             at(ms);
-            view.applyReports(roll, false, List.of(line), 0, ms);
-            print(ms, "roll " + line.id() + " " + line.state());
+            registry.applyReports(discovery, false, List.of(line), 0, ms);
+            print(ms, "discovery " + line.id() + " " + line.state());
         }
 
-        void dns(double ms, SourceReport... lines) {
+        void dns(double ms, SourceReport... reports) {
             at(ms);
-            view.applyReports(dns, true, List.of(lines), LIFETIME_MS, ms);
-            print(ms, "dns " + lines.length);
+            registry.applyReports(dns, true, List.of(reports), LIFETIME_MS, ms);
+            print(ms, "dns " + reports.length);
         }
 
-        void out(double ms, EndpointSource source) {
+        void unavailable(double ms, EndpointSource source) {
             at(ms);
-            view.markUnavailable(source, ms);
+            registry.markUnavailable(source, ms);
             print(ms, source + " out");
         }
 
         void at(double ms) {
-            while (view.nextMs() <= ms) {
-                double dueMs = view.nextMs();
-                view.advance(dueMs);
+            while (registry.nextMs() <= ms) {
+                double dueMs = registry.nextMs();
+                registry.advance(dueMs);
                 print(dueMs, "time");
             }
         }
 
         private void print(double ms, String what) {
             StringBuilder line = new StringBuilder();
-            for (SourceReport said : view.takeChanges()) {
-                EndpointRecord member = view.find(said.id());
+            for (SourceReport report : registry.takeChanges()) {
+                EndpointRecord record = registry.find(report.id());
                 line.append(String.format(
                         Locale.ROOT,
                         " %s %s%s [%s]",
-                        said.id(),
-                        said.state(),
-                        said.startedMs() >= 0 ? String.format(Locale.ROOT, " born %.0f", said.startedMs()) : "",
-                        member == null ? "forgotten" : member.reason()));
+                        report.id(),
+                        report.state(),
+                        report.startedMs() >= 0 ? String.format(Locale.ROOT, " born %.0f", report.startedMs()) : "",
+                        record == null ? "forgotten" : record.reason()));
             }
             if (line.length() > 0 || !what.equals("time")) {
                 seen.append(String.format(Locale.ROOT, "%6.0f %s:%s%n", ms, what, line));
@@ -88,161 +88,170 @@
     }
 
     @Test
-    void theRollsWordIsLawAndDnsCanOnlyAdd() throws Exception {
+    void discoveryDecidesAndDnsCanOnlyAdd() throws Exception {
         Drive drive = new Drive();
-        drive.roll(0, roll(1, Server.State.LIVE, -1), roll(2, Server.State.LIVE, -1));
+        drive.discovery(0, reported(1, Server.State.LIVE, -1), reported(2, Server.State.LIVE, -1));
         drive.dns(
                 10,
-                dns(1, 0),
-                dns(2, 0),
-                dns(3, 0),
+                named(1, 0),
+                named(2, 0),
+                named(3, 0),
                 new SourceReport(null, "192.0.2.1:1", "a", "k", 0, Server.State.LIVE, 1, Double.NaN, 0));
-        drive.rollChange(20, roll(1, Server.State.DRAINING, -1));
-        drive.dns(30, dns(1, 0), dns(2, 0), dns(3, 0));
-        drive.out(40, drive.roll);
-        drive.dns(50, dns(1, 0), dns(2, 0), dns(3, 0));
-        drive.dns(100, dns(2, 0), dns(3, 0));
-        drive.dns(200, dns(1, 0), dns(2, 0), dns(3, 0));
-        drive.dns(300, dns(2, 0), dns(3, 0));
-        drive.dns(700, dns(1, 0), dns(2, 0), dns(3, 0));
-        drive.roll(800, roll(1, Server.State.DRAINING, -1), roll(2, Server.State.LIVE, -1));
-        drive.roll(900, roll(2, Server.State.LIVE, -1), roll(1, Server.State.LIVE, 890));
-        drive.roll(1000, roll(2, Server.State.LIVE, -1));
+        drive.discoveryChange(20, reported(1, Server.State.DRAINING, -1));
+        drive.dns(30, named(1, 0), named(2, 0), named(3, 0));
+        drive.unavailable(40, drive.discovery);
+        drive.dns(50, named(1, 0), named(2, 0), named(3, 0));
+        drive.dns(100, named(2, 0), named(3, 0));
+        drive.dns(200, named(1, 0), named(2, 0), named(3, 0));
+        drive.dns(300, named(2, 0), named(3, 0));
+        drive.dns(700, named(1, 0), named(2, 0), named(3, 0));
+        drive.discovery(800, reported(1, Server.State.DRAINING, -1), reported(2, Server.State.LIVE, -1));
+        drive.discovery(900, reported(2, Server.State.LIVE, -1), reported(1, Server.State.LIVE, 890));
+        drive.discovery(1000, reported(2, Server.State.LIVE, -1));
         GoldenFile.same("members-law", drive.seen.toString());
     }
 
     @Test
-    void listsThatShrinkAreHeldForTheFloorUntilConfirmed() throws Exception {
+    void listsThatShrinkAreHeldByTheFloorUntilConfirmed() throws Exception {
         Drive drive = new Drive();
-        drive.dns(0, dns(0, 0), dns(3, 0), dns(1, 0));
-        drive.dns(10, dns(0, 0), dns(1, 0));
+        drive.dns(0, named(0, 0), named(3, 0), named(1, 0));
+        drive.dns(10, named(0, 0), named(1, 0));
         drive.dns(20);
         drive.dns(30);
         drive.dns(40);
-        drive.dns(100, dns(0, 0), dns(1, 0));
+        drive.dns(100, named(0, 0), named(1, 0));
         drive.dns(110);
         drive.at(1000);
         GoldenFile.same("members-floor", drive.seen.toString());
     }
 
     @Test
-    void sourcesThatAreOutFreezeThenCountForLess() throws Exception {
+    void reportsOfUnavailableSourcesAreFrozenThenSuspectThenGone() throws Exception {
         Drive drive = new Drive();
-        drive.roll(0, roll(0, Server.State.LIVE, -1), roll(3, Server.State.LIVE, -1), roll(1, Server.State.LIVE, -1));
-        drive.out(100, drive.roll);
+        drive.discovery(
+                0,
+                reported(0, Server.State.LIVE, -1),
+                reported(3, Server.State.LIVE, -1),
+                reported(1, Server.State.LIVE, -1));
+        drive.unavailable(100, drive.discovery);
         drive.at(5000);
         drive.seen
-                .append(EndpointExplanation.of(drive.view.find("u0"), 5000))
-                .append(EndpointExplanation.of(drive.view.find("u3"), 5000));
-        drive.roll(5100, roll(0, Server.State.LIVE, -1), roll(3, Server.State.LIVE, -1));
+                .append(EndpointExplanation.of(drive.registry.find("u0"), 5000))
+                .append(EndpointExplanation.of(drive.registry.find("u3"), 5000));
+        drive.discovery(5100, reported(0, Server.State.LIVE, -1), reported(3, Server.State.LIVE, -1));
         GoldenFile.same("members-out", drive.seen.toString());
     }
 
     @Test
     void flapsWaitLongerAndAreForgotten() throws Exception {
         Drive drive = new Drive();
-        drive.dns(0, dns(0, 0), dns(3, 0));
+        drive.dns(0, named(0, 0), named(3, 0));
         for (int i = 1; i <= 4; i++) {
-            drive.dns(i * 1000, dns(3, 0));
-            drive.dns(i * 1000 + 10, dns(0, 0), dns(3, 0));
+            drive.dns(i * 1000, named(3, 0));
+            drive.dns(i * 1000 + 10, named(0, 0), named(3, 0));
             drive.at(i * 1000 + 990);
         }
-        drive.dns(60_000, dns(3, 0));
-        drive.dns(60_010, dns(0, 0), dns(3, 0));
+        drive.dns(60_000, named(3, 0));
+        drive.dns(60_010, named(0, 0), named(3, 0));
         drive.at(70_000);
         GoldenFile.same("members-flaps", drive.seen.toString());
     }
 
     @Test
-    void whoIsWhoWhenPortsAndAddressesMove() throws Exception {
+    void identityFollowsUidsAndAddressesWhenTheyMove() throws Exception {
         Drive drive = new Drive();
-        drive.dns(0, dns(1, 0));
-        // The roll names the one that DNS knew by its endpoint.
-        drive.roll(10, roll(1, Server.State.LIVE, -1));
+        drive.dns(0, named(1, 0));
+        // Discovery names the one that DNS knew by its address.
+        drive.discovery(10, reported(1, Server.State.LIVE, -1));
         // Another server takes its port.
-        drive.rollChange(20, new SourceReport("u9", "10.0.0.1:1", "a", "k", 1, Server.State.LIVE, 1, 15, 0));
-        drive.rollChange(30, new SourceReport("u1", "10.0.0.7:1", "a", "k", 1, Server.State.LIVE, 1, 25, 0));
+        drive.discoveryChange(20, new SourceReport("u9", "10.0.0.1:1", "a", "k", 1, Server.State.LIVE, 1, 15, 0));
+        drive.discoveryChange(30, new SourceReport("u1", "10.0.0.7:1", "a", "k", 1, Server.State.LIVE, 1, 25, 0));
         // A worse tier stands by until its cell has nobody better.
-        drive.dns(40, dns(1, 0), dns(4, 1));
-        drive.rollChange(50, new SourceReport("u9", null, "a", "k", 1, Server.State.GONE, 1, -1, 0));
-        drive.rollChange(60, new SourceReport("u1", null, "a", "k", 1, Server.State.DRAINING, 1, -1, 0));
+        drive.dns(40, named(1, 0), named(4, 1));
+        drive.discoveryChange(50, new SourceReport("u9", null, "a", "k", 1, Server.State.GONE, 1, -1, 0));
+        drive.discoveryChange(60, new SourceReport("u1", null, "a", "k", 1, Server.State.DRAINING, 1, -1, 0));
         GoldenFile.same("members-identity", drive.seen.toString());
     }
 
     @Test
-    void aSnapshotBringsBackWordsTombstonesAndAges() {
+    void aSnapshotRestoresReportsTombstonesAndAges() {
         Drive drive = new Drive();
-        drive.roll(0, roll(0, Server.State.LIVE, -1), roll(1, Server.State.LIVE, -1), roll(2, Server.State.LIVE, -1));
-        drive.dns(5, dns(0, 0), dns(1, 0), dns(5, 0));
-        drive.rollChange(10, roll(1, Server.State.DRAINING, -1));
-        drive.rollChange(20, new SourceReport("u2", null, "a", "k", 2, Server.State.GONE, 1, -1, 0));
+        drive.discovery(
+                0,
+                reported(0, Server.State.LIVE, -1),
+                reported(1, Server.State.LIVE, -1),
+                reported(2, Server.State.LIVE, -1));
+        drive.dns(5, named(0, 0), named(1, 0), named(5, 0));
+        drive.discoveryChange(10, reported(1, Server.State.DRAINING, -1));
+        drive.discoveryChange(20, new SourceReport("u2", null, "a", "k", 2, Server.State.GONE, 1, -1, 0));
         Drive next = new Drive();
-        next.view.restore(drive.view.snapshot(), 100, 200);
-        next.dns(210, dns(0, 0), dns(1, 0), dns(2, 0), dns(5, 0));
-        assertThat(standings(next.view)).isEqualTo("{10.0.0.5:1=LIVE, u0=LIVE, u1=DRAINING, u2=GONE}");
-        assertThat(next.view.find("10.0.0.5:1").published().startedMs()).isEqualTo(5);
+        next.registry.restore(drive.registry.snapshot(), 100, 200);
+        next.dns(210, named(0, 0), named(1, 0), named(2, 0), named(5, 0));
+        assertThat(standings(next.registry)).isEqualTo("{10.0.0.5:1=LIVE, u0=LIVE, u1=DRAINING, u2=GONE}");
+        assertThat(next.registry.find("10.0.0.5:1").published().startedMs()).isEqualTo(5);
     }
 
-    private static String standings(EndpointRegistry view) {
+    private static String standings(EndpointRegistry registry) {
         Map<String, EndpointRecord.Status> all = new TreeMap<>();
-        view.records().forEach(member -> all.put(member.id(), member.status()));
+        registry.records().forEach(record -> all.put(record.id(), record.status()));
         return all.toString();
     }
 
     @Test
-    void aChangeOfOneLineDoesNotGoOverTheFleet() {
-        EndpointRegistry view = new EndpointRegistry(
+    void aChangeOfOneEndpointIsOneEvaluation() {
+        EndpointRegistry registry = new EndpointRegistry(
                 400, 4, new MergeLimits(1, 1e6, 1e6, 100, 500, 3, 50, 1000, 5000, 5000, 10_000), any -> true);
-        EndpointSource roll = view.source("roll", EndpointSource.Kind.DISCOVERY, 0);
+        EndpointSource discovery = registry.source("discovery", EndpointSource.Kind.DISCOVERY, 0);
         List<SourceReport> all = new ArrayList<>();
         for (int i = 0; i < 2000; i++) {
             all.add(new SourceReport(
                     "u" + i, "10.0." + i / 200 + "." + i % 200 + ":1", "a", "k", i % 400, Server.State.LIVE, 1, -1, 0));
         }
-        view.applyReports(roll, true, all, 0, 0);
-        view.takeChanges();
-        long before = view.counts().evaluations();
-        view.applyReports(
-                roll,
+        registry.applyReports(discovery, true, all, 0, 0);
+        registry.takeChanges();
+        long before = registry.counts().evaluations();
+        registry.applyReports(
+                discovery,
                 false,
                 List.of(new SourceReport("u7", null, "a", "k", 7, Server.State.DRAINING, 1, -1, 0)),
                 0,
                 10);
-        assertThat(view.counts().evaluations() - before).isEqualTo(1);
-        assertThat(view.takeChanges()).hasSize(1);
+        assertThat(registry.counts().evaluations() - before).isEqualTo(1);
+        assertThat(registry.takeChanges()).hasSize(1);
     }
 
     // ---- Any order of events ----
 
-    /** What an onlooker knows who hears what the sources say, and never asks the view how it decides. */
-    private static final class Onlooker {
+    /** What an observer knows who sees what the sources report, and never asks the registry how it decides. */
+    private static final class Observer {
         private static final int SERVERS = 7;
-        private final EndpointRegistry view;
-        private final EndpointSource roll;
+        private final EndpointRegistry registry;
+        private final EndpointSource discovery;
         private final EndpointSource[] dns;
-        private final SplittableRandom chance;
+        private final SplittableRandom random;
         private double nowMs = 100;
-        /** By server: the roll's last word and when; whether it may have been lifted by a source that left it out. */
-        private final Server.State[] rollWord = new Server.State[SERVERS];
+        /** By server: discovery's last report and when; whether it may have been lifted by a source that left it out. */
+        private final Server.State[] discoveryState = new Server.State[SERVERS];
 
-        private final double[] rollWordMs = new double[SERVERS];
+        private final double[] discoveryStateMs = new double[SERVERS];
         private final boolean[][] named = new boolean[2][SERVERS];
         private final double[][] leftOutMs = new double[2][SERVERS];
         private final int[][] leftOutAnswers = new int[2][SERVERS];
         private final boolean[] in = new boolean[3];
         private final double[] outMs = new double[3];
-        private final Set<Integer> handed = new HashSet<>();
+        private final Set<Integer> inUse = new HashSet<>();
         private final double[] firstNamedMs = new double[SERVERS];
         private final double[][] wentMs = new double[SERVERS][4];
         private final int[] went = new int[SERVERS];
         private final boolean[] lifted = new boolean[SERVERS];
 
-        Onlooker(EndpointRegistry view, long seed) {
-            this.view = view;
-            this.chance = new SplittableRandom(seed);
-            this.roll = view.source("roll", EndpointSource.Kind.DISCOVERY, 100);
+        Observer(EndpointRegistry registry, long seed) {
+            this.registry = registry;
+            this.random = new SplittableRandom(seed);
+            this.discovery = registry.source("discovery", EndpointSource.Kind.DISCOVERY, 100);
             this.dns = new EndpointSource[] {
-                view.source("dns0", EndpointSource.Kind.DNS, 100), view.source("dns1", EndpointSource.Kind.DNS, 100)
+                registry.source("dns0", EndpointSource.Kind.DNS, 100),
+                registry.source("dns1", EndpointSource.Kind.DNS, 100)
             };
             java.util.Arrays.fill(firstNamedMs, Double.NaN);
         }
@@ -250,10 +259,10 @@
         /** What broke, or null. */
         String play(int events) {
             for (int i = 0; i < events; i++) {
-                nowMs += chance.nextInt(4) == 0 ? chance.nextDouble(0, 800) : chance.nextDouble(0, 60);
-                while (view.nextMs() <= nowMs) {
-                    double dueMs = view.nextMs();
-                    view.advance(dueMs);
+                nowMs += random.nextInt(4) == 0 ? random.nextDouble(0, 800) : random.nextDouble(0, 60);
+                while (registry.nextMs() <= nowMs) {
+                    double dueMs = registry.nextMs();
+                    registry.advance(dueMs);
                     String broken = check(dueMs, -1);
                     if (broken != null) {
                         return broken;
@@ -268,43 +277,43 @@
         }
 
         private String event() {
-            int kind = chance.nextInt(10);
+            int kind = random.nextInt(10);
             if (kind == 0) {
-                int source = chance.nextInt(3);
+                int source = random.nextInt(3);
                 if (in[source]) {
                     in[source] = false;
                     outMs[source] = nowMs;
                 }
-                view.markUnavailable(source == 2 ? roll : dns[source], nowMs);
+                registry.markUnavailable(source == 2 ? discovery : dns[source], nowMs);
                 return check(nowMs, -1);
             }
             if (kind < 4) {
-                int server = chance.nextInt(SERVERS - 1);
-                Server.State state = Server.State.values()[chance.nextInt(3)];
+                int server = random.nextInt(SERVERS - 1);
+                Server.State state = Server.State.values()[random.nextInt(3)];
                 in[2] = true;
-                if (rollWord[server] == null || rollWord[server] == Server.State.LIVE) {
-                    rollWordMs[server] = nowMs;
+                if (discoveryState[server] == null || discoveryState[server] == Server.State.LIVE) {
+                    discoveryStateMs[server] = nowMs;
                 }
-                rollWord[server] = state;
+                discoveryState[server] = state;
                 lifted[server] = false;
-                view.applyReports(roll, false, List.of(roll(server, state, -1)), 0, nowMs);
+                registry.applyReports(discovery, false, List.of(reported(server, state, -1)), 0, nowMs);
                 return check(nowMs, -1);
             }
-            int source = chance.nextInt(2);
-            List<SourceReport> lines = new ArrayList<>();
-            boolean empty = chance.nextInt(6) == 0;
+            int source = random.nextInt(2);
+            List<SourceReport> reports = new ArrayList<>();
+            boolean empty = random.nextInt(6) == 0;
             in[source] = true;
             for (int server = 0; server < SERVERS; server++) {
-                if (!empty && chance.nextInt(4) != 0) {
+                if (!empty && random.nextInt(4) != 0) {
                     if (named[source][server]
                             && !Double.isNaN(leftOutMs[source][server])
                             && leftOutMs[source][server] > 0) {
-                        mayLift(source, server, Math.max(leftOutMs[source][server], rollWordMs[server]));
+                        mayLift(source, server, Math.max(leftOutMs[source][server], discoveryStateMs[server]));
                     } else if (!named[source][server]) {
                         // Never named by it: it may have been left out all along.
-                        mayLift(source, server, rollWordMs[server]);
+                        mayLift(source, server, discoveryStateMs[server]);
                     }
-                    lines.add(dns(server, 0));
+                    reports.add(named(server, 0));
                     named[source][server] = true;
                     leftOutMs[source][server] = 0;
                     leftOutAnswers[source][server] = 0;
@@ -314,8 +323,8 @@
                     leftOutAnswers[source][server]++;
                 }
             }
-            lines.add(new SourceReport(null, "192.0.2.9:1", "a", "k", 0, Server.State.LIVE, 1, Double.NaN, 0));
-            view.applyReports(dns[source], true, lines, LIFETIME_MS, nowMs);
+            reports.add(new SourceReport(null, "192.0.2.9:1", "a", "k", 0, Server.State.LIVE, 1, Double.NaN, 0));
+            registry.applyReports(dns[source], true, reports, LIFETIME_MS, nowMs);
             return check(nowMs, source);
         }
 
@@ -328,27 +337,27 @@
         /** After each step; {@code whole} is the source whose whole answer has just been taken. */
         private String check(double atMs, int whole) {
             int[] before = shards();
-            Set<Integer> was = new HashSet<>(handed);
-            for (SourceReport said : view.takeChanges()) {
-                if (said.address().startsWith("192.")) {
+            Set<Integer> was = new HashSet<>(inUse);
+            for (SourceReport report : registry.takeChanges()) {
+                if (report.address().startsWith("192.")) {
                     return "an endpoint that is not allowed was handed on";
                 }
-                int server = said.address().charAt("10.0.0.".length()) - '0';
-                if (said.state() == Server.State.LIVE) {
-                    handed.add(server);
-                    if (rollWord[server] == null && said.startedMs() < firstNamedMs[server]) {
-                        return "one whose start nobody told was taken for warm";
+                int server = report.address().charAt("10.0.0.".length()) - '0';
+                if (report.state() == Server.State.LIVE) {
+                    inUse.add(server);
+                    if (discoveryState[server] == null && report.startedMs() < firstNamedMs[server]) {
+                        return "one whose start no source reports was taken for warm";
                     }
                     if (!was.contains(server)
-                            && rollWord[server] == null
+                            && discoveryState[server] == null
                             && went[server] >= 3
                             && atMs - wentMs[server][(went[server] - 3) % 4] < 200
                             && atMs - wentMs[server][(went[server] - 1) % 4] < 20) {
                         return "one that came and went three times was taken back at once";
                     }
-                } else if (handed.remove(server)) {
+                } else if (inUse.remove(server)) {
                     wentMs[server][went[server]++ % 4] = atMs;
-                    if (rollWord[server] == null || rollWord[server] == Server.State.LIVE && !in[2]) {
+                    if (discoveryState[server] == null || discoveryState[server] == Server.State.LIVE && !in[2]) {
                         String early = early(server, atMs);
                         if (early != null) {
                             return early;
@@ -356,9 +365,9 @@
                     }
                 }
             }
-            for (int server : handed) {
-                if (rollWord[server] != null && rollWord[server] != Server.State.LIVE && !lifted[server]) {
-                    return "server " + server + " is in use though the roll's last word was " + rollWord[server];
+            for (int server : inUse) {
+                if (discoveryState[server] != null && discoveryState[server] != Server.State.LIVE && !lifted[server]) {
+                    return "server " + server + " is in use though discovery last reported " + discoveryState[server];
                 }
             }
             return whole < 0 ? null : floor(before, shards(), whole, was);
@@ -373,17 +382,17 @@
                     return "server " + server + " went though dns" + source + " names it";
                 }
             }
-            return rollWord[server] == Server.State.LIVE
+            return discoveryState[server] == Server.State.LIVE
                             && !in[2]
                             && atMs < outMs[2] + LIMITS.freezeMs() + LIMITS.suspectMs() - 1
                             && !lifted[server]
-                    ? "server " + server + " went at once as the roll went out"
+                    ? "server " + server + " went at once as discovery became unavailable"
                     : null;
         }
 
         private int[] shards() {
             int[] count = new int[3];
-            handed.forEach(server -> {
+            inUse.forEach(server -> {
                 count[server % 3]++;
                 count[Math.floorMod(server % 3 - 1, 3)]++;
             });
@@ -396,7 +405,7 @@
                     int held = shard;
                     boolean confirmed = was.stream()
                             .filter(server -> server % 3 == held || Math.floorMod(server % 3 - 1, 3) == held)
-                            .filter(server -> !handed.contains(server))
+                            .filter(server -> !inUse.contains(server))
                             .allMatch(server -> leftOutAnswers[source][server] >= LIMITS.confirmAnswers()
                                     || nowMs - leftOutMs[source][server] >= LIMITS.confirmMs()
                                     || leftOutAnswers[1 - source][server] >= LIMITS.confirmAnswers());
@@ -409,7 +418,7 @@
         }
     }
 
-    private static EndpointRegistry sound() {
+    private static EndpointRegistry withoutFault() {
         return new EndpointRegistry(3, 2, LIMITS, endpoint -> !endpoint.startsWith("192."));
     }
 
@@ -418,9 +427,9 @@
     }
 
     /** The first seed that breaks something and what, or none. */
-    private static String hunt(java.util.function.Supplier<EndpointRegistry> views, int seeds) {
+    private static String findViolation(java.util.function.Supplier<EndpointRegistry> views, int seeds) {
         for (long seed = 1; seed <= seeds; seed++) {
-            String broken = new Onlooker(views.get(), seed).play(60);
+            String broken = new Observer(views.get(), seed).play(60);
             if (broken != null) {
                 return "seed " + seed + ": " + broken;
             }
@@ -428,15 +437,15 @@
         return "none";
     }
 
-    /** A failing seed is played again by {@code new Onlooker(sound(), SEED).play(60)}. */
+    /** A failing seed is played again by {@code new Observer(withoutFault(), SEED).play(60)}. */
     @Test
     void nothingBreaksOverTenThousandSequencesOfEvents() {
-        assertThat(hunt(EndpointRegistryTest::sound, 10_000)).isEqualTo("none");
+        assertThat(findViolation(EndpointRegistryTest::withoutFault, 10_000)).isEqualTo("none");
     }
 
-    /** An onlooker that catches nothing would prove nothing. */
+    /** An observer that catches nothing would prove nothing. */
     @Test
-    void plantedFaultsAreCaught() throws Exception {
+    void mutationsAreCaught() throws Exception {
         Map<String, java.util.function.Supplier<EndpointRegistry>> faults = new HashMap<>();
         Function<MergeLimits, EndpointRegistry> with =
                 bounds -> new EndpointRegistry(3, 2, bounds, endpoint -> !endpoint.startsWith("192."));
@@ -472,7 +481,7 @@
         faults.put("any endpoint allowed", () -> new EndpointRegistry(3, 2, LIMITS, endpoint -> true));
         Map<String, String> caught = new TreeMap<>();
         faults.forEach((name, views) -> caught.put(
-                name, hunt(views, 2000).replaceAll("seed [0-9]+: ", "").replaceAll("[0-9]", "n")));
+                name, findViolation(views, 2000).replaceAll("seed [0-9]+: ", "").replaceAll("[0-9]", "n")));
         GoldenFile.same("members-faults", caught.toString().replace(", ", "\n"));
     }
 }
--- a/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
+++ b/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
@@ -45,7 +45,7 @@
     private final DiscoveryClient.Listener listener;
     private final List<AutoCloseable> providers = new ArrayList<>();
     private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(task -> {
-        Thread thread = new Thread(task, "spartrail-members");
+        Thread thread = new Thread(task, "spartrail-endpoint-sources");
         thread.setDaemon(true);
         return thread;
     });
@@ -66,7 +66,7 @@
         this.clock = clock;
         this.listener = listener;
         this.registry = new EndpointRegistry(cells, replicationFactor, file.limits(), allowed(file, known));
-        this.discovery = registry.source("roll", EndpointSource.Kind.DISCOVERY, clock.nowMs());
+        this.discovery = registry.source("discovery", EndpointSource.Kind.DISCOVERY, clock.nowMs());
         applyFromDiscovery(true, known);
         registry.markUnavailable(discovery, clock.nowMs());
         registry.takeChanges();
@@ -92,7 +92,7 @@
             Map<?, ?> settings = file.section(provider.section());
             if (settings != null) {
                 providers.add(provider.start(settings, this));
-                LOG.log(System.Logger.Level.INFO, "servers also from " + provider.section());
+                LOG.log(System.Logger.Level.INFO, "endpoints also from " + provider.section());
             }
         }
         if (file.section("dns") != null && providers.isEmpty()) {
@@ -223,7 +223,7 @@
 
     private String explainNow(String name) {
         EndpointRecord record = registry.find(name);
-        return record == null ? name + ": nobody knows it\n" : EndpointExplanation.of(record, clock.nowMs());
+        return record == null ? name + ": no source has named it\n" : EndpointExplanation.of(record, clock.nowMs());
     }
 
     /** Ends the sources and the thread. */
