--- a/core/src/main/java/spartrail/model/Layout.java
+++ b/core/src/main/java/spartrail/model/Layout.java
@@ -5,32 +5,38 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Which cells hold which shards: shard s is held by the cells (s + j) mod cells, j from 0 to reach - 1. */
+/** Which cells hold which shards: shard s is held by the cells (s + j) mod cells, j from 0 to replicationFactor - 1. */
 public final class Layout {
     public final List<Shard> shards = new ArrayList<>();
     private final int cells;
-    public final int reach;
+    public final int replicationFactor;
 
-    public Layout(int shardCount, int cells, int reach, Comparator<Part> order) {
+    /** Shards whose queues are in this order. */
+    public Layout(int shardCount, int cells, int replicationFactor, Comparator<Part> order) {
         for (int i = 0; i < shardCount; i++) {
             shards.add(new Shard(i, order));
         }
         this.cells = Math.max(1, cells);
-        this.reach = Math.min(reach, this.cells);
+        this.replicationFactor = Math.min(replicationFactor, this.cells);
     }
 
-    /** Ties shards and servers to each other; only live servers are replicas. */
-    public void tie(Collection<Server> servers) {
+    /** Assigns shards and servers to each other; only live servers are replicas. Walks all servers and their shards. */
+    public void assignReplicas(Collection<Server> servers) {
         shards.forEach(shard -> shard.replicas.clear());
         for (Server server : servers) {
             server.shards.clear();
-            for (int back = 0; back < reach; back++) {
-                for (int at = Math.floorMod(server.cell - back, cells); at < shards.size(); at += cells) {
-                    server.shards.add(shards.get(at));
-                    if (server.state == Server.State.LIVE) {
-                        shards.get(at).replicas.add(server);
-                    }
-                }
+            for (int offset = 0; offset < replicationFactor; offset++) {
+                assignShards(server, Math.floorMod(server.cell - offset, cells));
+            }
+        }
+    }
+
+    private void assignShards(Server server, int firstNumber) {
+        for (int number = firstNumber; number < shards.size(); number += cells) {
+            Shard shard = shards.get(number);
+            server.shards.add(shard);
+            if (server.state == Server.State.LIVE) {
+                shard.replicas.add(server);
             }
         }
     }
--- a/core/src/main/java/spartrail/peers/Peer.java
+++ b/core/src/main/java/spartrail/peers/Peer.java
@@ -23,7 +23,7 @@
 
     private double startEstimatedMs = Double.NaN;
     /** The end of the suspicion, or of the time for which a departed peer is remembered. */
-    TimerQueue.Due timer;
+    TimerQueue.Timer timer;
 
     /** Names of the nodes that suspect it, in the order in which they were heard. */
     final List<String> accusers = new ArrayList<>();
--- a/core/src/main/java/spartrail/peers/Suspicions.java
+++ b/core/src/main/java/spartrail/peers/Suspicions.java
@@ -115,7 +115,7 @@
             if (peer.timer != null) {
                 context.cancel(peer.timer);
                 peer.suspectedSinceMs += pausedMs;
-                peer.timer = context.schedule(peer.timer.atMs() + pausedMs, peer.timer.what());
+                peer.timer = context.schedule(peer.timer.dueMs() + pausedMs, peer.timer.action());
             }
         }
     }
--- a/dns/src/main/java/spartrail/dns/DnsTransport.java
+++ b/dns/src/main/java/spartrail/dns/DnsTransport.java
@@ -67,7 +67,7 @@
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
             task.run();
         }
-        timers.run(loop.nowMs());
+        timers.runDue(loop.nowMs());
         resolver.advance(loop.nowMs());
         sendQueries();
         resolver.takeChangedTargets(loop.nowMs()).forEach(onTargets);
@@ -85,7 +85,7 @@
     }
 
     private void select() throws IOException {
-        double waitMs = Math.min(timers.nextMs(), resolver.nextMs()) - loop.nowMs();
+        double waitMs = Math.min(timers.nextDueMs(), resolver.nextMs()) - loop.nowMs();
         if (waitMs > 0 && tasks.isEmpty()) {
             selector.select((long) Math.ceil(Math.min(MAX_SELECT_MS, waitMs)));
         } else {
--- a/dns/src/main/java/spartrail/dns/TcpConnection.java
+++ b/dns/src/main/java/spartrail/dns/TcpConnection.java
@@ -33,7 +33,7 @@
     private static final int NO_ID = -1;
 
     /** A query in flight and its timeout. */
-    private record InFlight(DnsQuery query, TimerQueue.Due timeout) {}
+    private record InFlight(DnsQuery query, TimerQueue.Timer timeout) {}
 
     private final TransportLoop loop;
     private final InetSocketAddress server;
@@ -45,7 +45,7 @@
     private ByteBuffer input = ByteBuffer.allocate(LENGTH_BYTES);
     private boolean isReadingLength = true;
     private boolean isConnected;
-    private TimerQueue.Due idleTimeout;
+    private TimerQueue.Timer idleTimeout;
 
     /** Begins to connect; an IOException where that is not possible. */
     TcpConnection(TransportLoop loop, InetSocketAddress server, Consumer<TcpConnection> onClosed) throws IOException {
@@ -74,7 +74,7 @@
     }
 
     void send(DnsQuery query) {
-        TimerQueue.Due timeout = loop.timers().add(loop.nowMs() + query.timeoutMs(), () -> onTimeout(query));
+        TimerQueue.Timer timeout = loop.timers().schedule(loop.nowMs() + query.timeoutMs(), () -> onTimeout(query));
         inFlight.put(query.id(), new InFlight(query, timeout));
         int length = query.message().length;
         unwritten.add(ByteBuffer.allocate(LENGTH_BYTES + length)
@@ -158,10 +158,10 @@
         InFlight answered = inFlight.get(id(message));
         if (answered != null && loop.resolver().onResponse(answered.query(), message, server, loop.nowMs())) {
             inFlight.remove(answered.query().id());
-            loop.timers().remove(answered.timeout());
+            loop.timers().cancel(answered.timeout());
         }
         if (inFlight.isEmpty() && idleTimeout == null) {
-            idleTimeout = loop.timers().add(loop.nowMs() + MAX_IDLE_MS, this::onIdle);
+            idleTimeout = loop.timers().schedule(loop.nowMs() + MAX_IDLE_MS, this::onIdle);
         }
     }
 
@@ -182,12 +182,12 @@
     private void close() {
         onClosed.accept(this);
         if (idleTimeout != null) {
-            loop.timers().remove(idleTimeout);
+            loop.timers().cancel(idleTimeout);
         }
         TransportLoop.close(channel);
         List<InFlight> failed = List.copyOf(inFlight.values());
         inFlight.clear();
-        failed.forEach(each -> loop.timers().remove(each.timeout()));
+        failed.forEach(each -> loop.timers().cancel(each.timeout()));
         failed.forEach(each -> loop.resolver().onFailure(each.query(), loop.nowMs()));
     }
 }
--- a/lab/src/main/java/spartrail/lab/load/ClientAttempt.java
+++ b/lab/src/main/java/spartrail/lab/load/ClientAttempt.java
@@ -31,8 +31,8 @@
     LoadPlan.Target target;
 
     private String text;
-    TimerQueue.Due end;
-    TimerQueue.Due leave;
+    TimerQueue.Timer end;
+    TimerQueue.Timer leave;
 
     ClientAttempt(Arrival arrival, ClientSession story, int tryNumber, double intendedMs, double storyMs) {
         this.arrival = arrival;
--- a/node/src/main/java/spartrail/client/ClientRequest.java
+++ b/node/src/main/java/spartrail/client/ClientRequest.java
@@ -10,101 +10,103 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * A request in hand: its client is watched until it has its one answer.
+ * A request in flight: its client is watched until it has its one response. All of it runs on the I/O thread.
  *
  * <pre>
- *            bytes come                              end, reset          answer given
- * WATCHED    kept for the next request, as many as   closed, told as     OVER, written
- *            it may have; then on to SPILT           gone: OVER
- * SPILT      thrown away                             the same            OVER, written as the connection's last
- * OVER       left to whoever reads next              the same            nothing: the first one counts
+ *              bytes come                              end, reset            response given
+ * WATCHED      kept for the next request, as many as   closed, reported as   FINISHED, written
+ *              it may have; then on to DISCARDING      gone: FINISHED
+ * DISCARDING   discarded                               the same              FINISHED, written as the connection's last
+ * FINISHED     left to whoever reads next              the same              nothing: the first one counts
  * </pre>
  */
 public final class ClientRequest {
+    /** As the client gave it. */
     public final String id;
-    private final ClientListener door;
+
+    private final HttpRequestHandler handler;
     private final HttpServerExchange exchange;
     private final HttpServerConnection connection;
     /** When its last byte was read. */
     public final double arrivedMs;
 
-    private boolean over;
-    private boolean spilt;
+    private boolean finished;
+    private boolean discarding;
 
-    ClientRequest(ClientListener door, HttpServerExchange exchange, String id, double arrivedMs) {
-        this.door = door;
+    ClientRequest(HttpRequestHandler handler, HttpServerExchange exchange, String id, double arrivedMs) {
+        this.handler = handler;
         this.exchange = exchange;
         this.connection = (HttpServerConnection) exchange.getConnection();
         this.id = id;
         this.arrivedMs = arrivedMs;
     }
 
-    static StreamConnection channel(HttpServerExchange exchange) {
+    static StreamConnection channelOf(HttpServerExchange exchange) {
         return ((HttpServerConnection) exchange.getConnection()).getChannel();
     }
 
-    /** Whether its client still waits for it; on the I/O thread. */
-    public boolean waited() {
-        return !over;
+    /** Whether its client still waits for a response. */
+    public boolean isClientWaiting() {
+        return !finished;
     }
 
     /**
-     * Reads on while the request is in hand, whatever the client sends. Danger: with no read pending nobody notices that a
-     * client has left, and work goes on for it.
+     * Reads on while the request is in flight, whatever the client sends: with no read pending nobody notices that a client has left,
+     * and work goes on for it.
      */
     void watchClient() {
         StreamSourceConduit source = connection.getOriginalSourceConduit();
-        connection.getChannel().getSourceChannel().setReadListener(channel -> readable(source));
+        connection.getChannel().getSourceChannel().setReadListener(channel -> onReadable(source));
         source.resumeReads();
     }
 
-    private void readable(StreamSourceConduit source) {
-        if (over) {
+    private void onReadable(StreamSourceConduit source) {
+        if (finished) {
             source.suspendReads();
             return;
         }
         try {
-            ByteBuffer buffer = door.buffer();
-            int got = source.read(buffer);
-            if (got < 0) {
-                left();
-            } else if (got > 0) {
-                keep(buffer.flip());
+            ByteBuffer buffer = handler.scratchBuffer();
+            int count = source.read(buffer);
+            if (count < 0) {
+                onDisconnect();
+            } else if (count > 0) {
+                bufferPipelined(buffer.flip());
             }
         } catch (IOException e) {
-            left();
+            onDisconnect();
         }
     }
 
-    private void keep(ByteBuffer ahead) {
+    private void bufferPipelined(ByteBuffer pipelined) {
         PooledByteBuffer before = connection.getExtraBytes();
-        if (spilt || !door.keeps(exchange, ahead.remaining())) {
-            spilt = true;
-        } else if (before instanceof PipelinedRequests kept) {
-            spilt = !kept.add(ahead);
+        if (discarding || !handler.reservePipelined(exchange, pipelined.remaining())) {
+            discarding = true;
+        } else if (before instanceof PipelinedRequests buffered) {
+            discarding = !buffered.append(pipelined);
         } else if (before == null) {
-            connection.setExtraBytes(new PipelinedRequests(ahead));
+            connection.setExtraBytes(new PipelinedRequests(pipelined));
         } else {
-            PipelinedRequests kept = new PipelinedRequests(before.getBuffer());
+            PipelinedRequests buffered = new PipelinedRequests(before.getBuffer());
             before.close();
-            spilt = !kept.add(ahead);
-            connection.setExtraBytes(kept);
+            discarding = !buffered.append(pipelined);
+            connection.setExtraBytes(buffered);
         }
     }
 
-    private void left() {
-        over = true;
+    private void onDisconnect() {
+        finished = true;
         IoUtils.safeClose(connection);
-        door.gone(this);
+        handler.onClientGone(this);
     }
 
-    /** The final answer; the first one counts. */
-    public void answer(ClientResponse reply) {
-        if (over) {
+    /** Gives the final response; the first one counts. */
+    public void respond(ClientResponse response) {
+        if (finished) {
             return;
         }
-        over = true;
+        finished = true;
         connection.getOriginalSourceConduit().suspendReads();
-        door.send(exchange, reply, spilt);
+        handler.sendResponse(exchange, response, discarding);
     }
 }
