--- a/core/src/main/java/spartrail/policy/PolicyFollower.java
+++ b/core/src/main/java/spartrail/policy/PolicyFollower.java
@@ -4,225 +4,248 @@
 import java.util.List;
 import java.util.Map;
 import java.util.random.RandomGenerator;
-import spartrail.policy.PolicyLog.Entry;
-import spartrail.policy.PolicyLog.Stage;
 
 /**
- * What every node does: it asks again and again what holds, says whether it can apply what is proposed, and goes by what it was
- * told until its lease is over.
+ * What every node does: it polls the leader for what is active, says whether it can apply what is proposed, and goes by the
+ * response until its lease expires.
  *
  * <pre>
- *  it was told, by its latest answer     until its lease is over     after that
- *  n holds, nothing or a proposal open   n                           guarded: the stricter of n and the proposal
- *  n holds, n+1 is decided               guarded: the stricter       the same
- *  what it cannot go by holds, or will   guarded, as out of touch    the same
- *  nothing yet                           not ready                   after readyMs guarded by its own settings
+ *  latest response                        until the lease expires    after that
+ *  n is active, nothing or a proposal     n                          joint: the stricter of n and the proposal
+ *      pending
+ *  n is active, n+1 is decided            joint: the stricter        the same
+ *  a version that it cannot apply is      joint, as after expiry     the same
+ *      active or decided
+ *  nothing yet                            not ready                  after startupTimeoutMs its local settings, joint
  * </pre>
  *
  * <ol>
- * <li>A lease counts from when the node asked, by its own monotonic clock.
- * <li>What is older than what was heard last is not taken up.
- * <li>What a node goes by is a {@link PolicyLease}, which says itself when it is over: whoever decides looks at the clock first, so
- *     that a node that stood still finds out before its next decision, not after it.
+ * <li>A lease counts from when the node polled, by its own monotonic clock.
+ * <li>A response that was overtaken by a later one is ignored.
+ * <li>What a node goes by is a {@link PolicyLease}, which knows itself when it expires: whoever decides looks at the clock first,
+ *     so that a paused process finds out before its next decision, not after it.
  * </ol>
  */
 public final class PolicyFollower {
-    private static final int MOST_ASKED = 16;
-    /** Danger: two nodes each of which takes the other one for the leader would have a third ask without pause. */
-    private static final double SOONEST_MS = 100;
+    private static final int MAX_PENDING_POLLS = 16;
 
-    private final String name;
-    private final List<String> deciders;
+    /** Polls are no closer together: two nodes that name each other the leader would make a third poll without pause. */
+    private static final double MIN_POLL_INTERVAL_MS = 100;
+
+    private static final double MIN_POLL_JITTER = 0.9;
+    private static final double POLL_JITTER_RANGE = 0.2;
+
+    /** Of a node that went by no version yet, and by none for certain now. */
+    private static final String LOCAL_LABEL = "0?";
+
+    private final String node;
+    private final List<String> voters;
     private final PolicyTimings times;
-    private final RandomGenerator chance;
-    private final double bornMs;
-    private final Map<Long, Double> asked = new LinkedHashMap<>();
-    private PolicySettings own;
-    private PolicyResponse last;
-    private double leaseMs;
-    private double nextAskMs;
-    private double askedMs = Double.NEGATIVE_INFINITY;
-    private String whom = "";
-    private boolean unanswered;
-    private int turn;
-    private PolicyLease ruling;
-    private long vote;
-    private String no = "";
-    private String unfit = "";
-
-    /** Begins with the node's own settings; {@code deciders} are who can say what holds. */
+    private final RandomGenerator random;
+    private final double startedAtMs;
+    private final Map<Long, Double> pollTimesMs = new LinkedHashMap<>();
+    private PolicySettings localSettings;
+    private PolicyResponse lastResponse;
+    private double leaseEndMs;
+    private double nextPollAtMs;
+    private double lastPollAtMs = Double.NEGATIVE_INFINITY;
+    private String pollTarget = "";
+    private boolean isTargetSilent;
+    private int nextVoter;
+    private PolicyLease lease;
+    private long votedNumber;
+    private String objection = "";
+    private String incompatibility = "";
+
+    /** Begins with the node's local settings; {@code voters} are the nodes of which one leads. */
     public PolicyFollower(
-            String name,
-            List<String> deciders,
-            PolicySettings own,
+            String node,
+            List<String> voters,
+            PolicySettings localSettings,
             PolicyTimings times,
-            RandomGenerator chance,
+            RandomGenerator random,
             double nowMs) {
-        this.name = name;
-        this.deciders = deciders;
-        this.turn = chance.nextInt(Math.max(1, deciders.size()));
-        this.own = own;
+        this.node = node;
+        this.voters = voters;
+        this.nextVoter = random.nextInt(Math.max(1, voters.size()));
+        this.localSettings = localSettings;
         this.times = times;
-        this.chance = chance;
-        this.bornMs = nowMs;
-        this.nextAskMs = nowMs;
+        this.random = random;
+        this.startedAtMs = nowMs;
+        this.nextPollAtMs = nowMs;
     }
 
-    /** The node's own settings are others now. */
+    /** The node's local settings are others now. */
     public void updateLocalSettings(PolicySettings changed) {
-        own = changed;
-        if (last != null) {
-            rule();
+        localSettings = changed;
+        if (lastResponse != null) {
+            updateLease();
         }
     }
 
-    /** When it asks next, or begins to serve by itself. */
+    // ---- Polling ----
+
+    /** When it polls next, or begins to serve by its local settings. */
     public double nextPollAtMs() {
-        return ruling == null ? Math.min(nextAskMs, bornMs + times.startupTimeoutMs()) : nextAskMs;
+        return lease == null ? Math.min(nextPollAtMs, startedAtMs + times.startupTimeoutMs()) : nextPollAtMs;
     }
 
-    /** Something has changed, it is said: it asks then. */
+    /** Something is said to have changed: polls then, if not sooner. */
     public void pollNoLaterThan(double atMs) {
-        nextAskMs = Math.min(nextAskMs, atMs);
+        nextPollAtMs = Math.min(nextPollAtMs, atMs);
     }
 
-    /** Who was asked does not lead, and says who does; or does not know, where that is empty. */
+    /** The poll's target does not lead, and names the leader; an empty name if it knows none. */
     public void onRedirect(String leader, double nowMs) {
-        if (!leader.isEmpty() && !leader.equals(name)) {
-            whom = leader;
-            unanswered = false;
-            pollNoLaterThan(Math.max(nowMs, askedMs + SOONEST_MS));
+        if (!leader.isEmpty() && !leader.equals(node)) {
+            pollTarget = leader;
+            isTargetSilent = false;
+            pollNoLaterThan(Math.max(nowMs, lastPollAtMs + MIN_POLL_INTERVAL_MS));
         }
     }
 
-    /** To whom the latest question goes: whoever answered the one before, or was named; else the next of the deciding nodes. */
+    /** To whom the latest poll goes: the node that answered the one before, or that was named; else the next of the voters. */
     public String pollTarget() {
-        return whom;
+        return pollTarget;
     }
 
-    private void choose() {
-        for (int i = 0; i < deciders.size() && (unanswered || whom.isEmpty() || whom.equals(name)); i++) {
-            whom = deciders.get(turn++ % deciders.size());
-            unanswered = false;
+    private void choosePollTarget() {
+        for (int i = 0; i < voters.size() && needsOtherTarget(); i++) {
+            pollTarget = voters.get(nextVoter++ % voters.size());
+            isTargetSilent = false;
         }
-        unanswered = true;
+        isTargetSilent = true;
+    }
+
+    private boolean needsOtherTarget() {
+        return isTargetSilent || pollTarget.isEmpty() || pollTarget.equals(node);
     }
 
-    /** The question that is due, or null. */
+    /** The poll that is due, or null. */
     public PolicyRequest pollIfDue(double nowMs) {
-        if (ruling == null && nowMs - bornMs >= times.startupTimeoutMs()) {
-            ruling = new PolicyLease("0?", own, true, Double.POSITIVE_INFINITY, null);
+        if (lease == null && nowMs - startedAtMs >= times.startupTimeoutMs()) {
+            lease = new PolicyLease(LOCAL_LABEL, localSettings, true, Double.POSITIVE_INFINITY, null);
         }
-        if (nowMs < nextAskMs) {
+        if (nowMs < nextPollAtMs) {
             return null;
         }
-        choose();
-        askedMs = nowMs;
-        nextAskMs = nowMs + times.pollIntervalMs() * (0.9 + 0.2 * chance.nextDouble());
-        long nonce = chance.nextLong();
-        asked.put(nonce, nowMs);
-        if (asked.size() > MOST_ASKED) {
-            asked.remove(asked.keySet().iterator().next());
+        choosePollTarget();
+        lastPollAtMs = nowMs;
+        double jitter = MIN_POLL_JITTER + POLL_JITTER_RANGE * random.nextDouble();
+        nextPollAtMs = nowMs + times.pollIntervalMs() * jitter;
+        long nonce = random.nextLong();
+        rememberPoll(nonce, nowMs);
+        String activePolicy = lease == null ? "" : lease.activeAt(nowMs).label();
+        return new PolicyRequest(nonce, node, votedNumber, objection, activePolicy);
+    }
+
+    private void rememberPoll(long nonce, double nowMs) {
+        pollTimesMs.put(nonce, nowMs);
+        if (pollTimesMs.size() > MAX_PENDING_POLLS) {
+            pollTimesMs.remove(pollTimesMs.keySet().iterator().next());
         }
-        return new PolicyRequest(
-                nonce,
-                name,
-                vote,
-                no,
-                ruling == null ? "" : ruling.activeAt(nowMs).label());
-    }
-
-    /** An answer has come. */
-    public void onResponse(PolicyResponse told, double nowMs) {
-        Double sinceMs = asked.remove(told.nonce());
-        unanswered &= sinceMs == null;
-        if (sinceMs == null || last != null && told.appliedIndex() < last.appliedIndex()) {
+    }
+
+    /** Takes up a response to a poll. */
+    public void onResponse(PolicyResponse response, double nowMs) {
+        Double polledAtMs = pollTimesMs.remove(response.nonce());
+        if (polledAtMs == null) {
             return;
         }
-        last = told;
-        leaseMs = Math.max(leaseMs, sinceMs + times.leaseMs());
-        rule();
-        if (nowMs >= leaseMs) {
+        isTargetSilent = false;
+        if (lastResponse != null && response.appliedIndex() < lastResponse.appliedIndex()) {
+            return;
+        }
+        lastResponse = response;
+        leaseEndMs = Math.max(leaseEndMs, polledAtMs + times.leaseMs());
+        updateLease();
+        if (nowMs >= leaseEndMs) {
             pollNoLaterThan(nowMs);
         }
     }
 
-    private void rule() {
-        PolicySettings holds;
+    // ---- The lease ----
+
+    private void updateLease() {
+        PolicyVersion active = lastResponse.active();
+        PolicyVersion pending = lastResponse.pending();
+        PolicySettings activeSettings;
         try {
-            holds = own.overriddenBy(PolicySettings.parse(last.active().settings()));
-            unfit = "";
+            activeSettings = settingsWith(active);
+            incompatibility = "";
         } catch (IllegalArgumentException e) {
-            // Its settings do not go with the version that holds: it takes no part until they do.
-            lapse(last.active(), e);
+            // The local settings do not go with the active version: this node takes no part until they do.
+            endLease(active, e);
             return;
         }
-        boolean decided = last.pending() != null && last.pending().stage() == Stage.DECIDED;
-        String named = Long.toString(last.active().number());
-        PolicySettings guarded = holds;
-        if (last.pending() != null) {
+        boolean isDecided = pending != null && pending.stage() == PolicyVersion.Stage.DECIDED;
+        String activeLabel = Long.toString(active.number());
+        String jointLabel = activeLabel;
+        PolicySettings jointSettings = activeSettings;
+        if (pending != null) {
             try {
-                guarded = holds.stricterOf(
-                        own.overriddenBy(PolicySettings.parse(last.pending().settings())));
-                named += "|" + last.pending().number();
+                jointSettings = activeSettings.stricterOf(settingsWith(pending));
+                jointLabel = activeLabel + "|" + pending.number();
             } catch (IllegalArgumentException e) {
-                if (decided) {
-                    // Danger: it was out of touch and nobody waited for its no; a lease on the version before alone
+                if (isDecided) {
+                    // It was out of touch and nobody waited for its objection. A lease on the active version alone
                     // would outlast that version.
-                    lapse(last.pending(), e);
+                    endLease(pending, e);
                     return;
                 }
-                // It says no, so that this will never hold.
-                guarded = holds;
+                // It objects to the proposal, which will therefore never be active.
             }
         }
-        PolicyLease after = new PolicyLease(named + "?", guarded, true, Double.POSITIVE_INFINITY, null);
-        ruling = new PolicyLease(
-                decided ? named : Long.toString(last.active().number()),
-                decided ? guarded : holds,
-                decided,
-                leaseMs,
-                after);
-    }
-
-    /** A version comes that it cannot go by: it is out of touch from now on, or, where it had nothing to go by yet, not ready. */
-    private void lapse(Entry version, IllegalArgumentException why) {
-        unfit = "cannot go by version " + version.number() + ": " + why.getMessage();
-        while (ruling != null && ruling.successor() != null) {
-            ruling = ruling.successor();
+        PolicyLease afterExpiry =
+                new PolicyLease(jointLabel + "?", jointSettings, true, Double.POSITIVE_INFINITY, null);
+        lease = isDecided
+                ? new PolicyLease(jointLabel, jointSettings, true, leaseEndMs, afterExpiry)
+                : new PolicyLease(activeLabel, activeSettings, false, leaseEndMs, afterExpiry);
+    }
+
+    /** A version comes that this node cannot apply: its lease is over, or, where it has none yet, it is not ready. */
+    private void endLease(PolicyVersion version, IllegalArgumentException reason) {
+        incompatibility = "cannot go by version " + version.number() + ": " + reason.getMessage();
+        while (lease != null && lease.successor() != null) {
+            lease = lease.successor();
         }
     }
 
-    /** The proposal that this node has yet to say whether it can apply it, or null. */
-    public Entry proposalToCheck() {
-        Entry open = last == null ? null : last.pending();
-        return open == null || open.stage() != Stage.PROPOSED || vote == open.number() ? null : open;
+    /** What this node goes by; null while it is to decide nothing yet. */
+    public PolicyLease lease() {
+        return lease;
     }
 
-    /** The settings that a proposal would make of this node's own; an IllegalArgumentException where it cannot apply them. */
-    public PolicySettings settingsWith(Entry proposal) {
-        return own.overriddenBy(PolicySettings.parse(proposal.settings()));
+    /** Why it cannot apply the version that is active or decided; empty if it can. */
+    public String incompatibility() {
+        return incompatibility;
     }
 
-    /** It can apply the proposal, or not because of this. The next question, which says so, is due at once. */
-    public void recordVote(long number, String because, double nowMs) {
-        vote = number;
-        no = because;
-        pollNoLaterThan(nowMs);
+    /** The latest response, or null. */
+    public PolicyResponse lastResponse() {
+        return lastResponse;
     }
 
-    /** By what this node decides; null while it is to decide nothing yet. */
-    public PolicyLease lease() {
-        return ruling;
+    // ---- Voting ----
+
+    /** The proposal that this node has yet to vote on, or null. */
+    public PolicyVersion proposalToCheck() {
+        PolicyVersion pending = lastResponse == null ? null : lastResponse.pending();
+        if (pending == null || pending.stage() != PolicyVersion.Stage.PROPOSED || votedNumber == pending.number()) {
+            return null;
+        }
+        return pending;
     }
 
-    /** Why it cannot go by the version that holds; empty if it can. */
-    public String incompatibility() {
-        return unfit;
+    /** The settings that a version makes of the local ones; an IllegalArgumentException where this node cannot apply them. */
+    public PolicySettings settingsWith(PolicyVersion version) {
+        return localSettings.overriddenBy(PolicySettings.parse(version.settings()));
     }
 
-    /** What it was told last, or null. */
-    public PolicyResponse lastResponse() {
-        return last;
+    /** This node can apply the proposal, or not for a reason. The next poll, which says so, is due at once. */
+    public void recordVote(long number, String reasonAgainst, double nowMs) {
+        votedNumber = number;
+        objection = reasonAgainst;
+        pollNoLaterThan(nowMs);
     }
 }
