--- a/node/src/main/java/spartrail/cli/SubsetCommand.java
+++ b/node/src/main/java/spartrail/cli/SubsetCommand.java
@@ -86,9 +86,9 @@
                 deployment.name(),
                 selected,
                 selector.liveServerCount(),
-                deployment.nodes() * selected / (double) Math.max(1, selector.liveServerCount()),
-                deployment.nodes(),
-                selector.nodesPerServer(deployment.nodes()),
+                deployment.frontNodes() * selected / (double) Math.max(1, selector.liveServerCount()),
+                deployment.frontNodes(),
+                selector.nodesPerServer(deployment.frontNodes()),
                 SharingBound.EXCEEDANCE_PROBABILITY);
     }
 }
--- a/node/src/main/java/spartrail/front/DrainSchedule.java
+++ b/node/src/main/java/spartrail/front/DrainSchedule.java
@@ -21,7 +21,8 @@
     static final double FLUSH_TIMEOUT_MS = 50;
 
     static DrainSchedule of(DeploymentFile deployment) {
-        return new DrainSchedule(KILL_GRACE_MS + Math.min(MAX_COUNTED_ROUTE_TIMEOUT_MS, deployment.longestMs()));
+        return new DrainSchedule(
+                KILL_GRACE_MS + Math.min(MAX_COUNTED_ROUTE_TIMEOUT_MS, deployment.longestClientTimeoutMs()));
     }
 
     /** Until then each multiget is answered. */
