--- a/node/src/main/java/spartrail/cli/CommandLine.java
+++ b/node/src/main/java/spartrail/cli/CommandLine.java
@@ -87,7 +87,7 @@
             err.println("spartrail: " + e.getMessage());
             return STATUS_UNUSABLE;
         } catch (Exception e) {
-            // The program's edge: whatever else ended the command is told in one line.
+            // The program's edge: whatever else ended the command is printed in one line.
             err.println("spartrail: " + (e.getMessage() == null ? e : e.getMessage()));
             return STATUS_FAILED;
         }
--- a/node/src/main/java/spartrail/client/ClientConnection.java
+++ b/node/src/main/java/spartrail/client/ClientConnection.java
@@ -9,15 +9,15 @@
  * A client's connection. All of it belongs to the I/O thread. By event and state:
  *
  * <pre>
- *                    bytes come          whole request       answered          shutdown                       too slow, or evicted
+ *                    bytes come          request complete    answered          shutdown                       too slow, or evicted
  * NEW                on to HEAD          -                   -                 stays, what it asks is its     closed
  *                                                                              last; it has just come
  * HEAD               on to BODY, or      on to AWAITING_     400, CLOSING      stays, the same                closed
  *                    still HEAD          RESPONSE
  * BODY               read                on to AWAITING_     400, CLOSING      stays, the same                closed
  *                                        RESPONSE
- * AWAITING_RESPONSE  kept for the next   after the response  IDLE, or HEAD     its response is the last       never before 5 s of a
- *                    request                                 with bytes kept                                  response that is not read
+ * AWAITING_RESPONSE  buffered for the    after the response  IDLE, or HEAD     its response is the last       never before 5 s of a
+ *                    next request                            with bytes ahead                                 response that is not read
  * IDLE               on to HEAD          -                   -                 read once more, then CLOSING   closed, longest unused first
  * CLOSING            discarded           never taken         -                 stays                          closed
  * </pre>
@@ -41,11 +41,11 @@
 
     final StreamSinkConduit sink;
     State state = State.NEW;
-    /** A whole request of it has been read, now or earlier. */
+    /** A complete request of it has been read, now or earlier. */
     boolean hasSentRequest;
     /** What its body, still coming in, may take of the node's memory. */
     long bodyBytes;
-    /** Bytes kept for its next request. */
+    /** Bytes buffered for its next request. */
     long pipelinedBytes;
     /** Closes it where a head or a body that is coming in, or a response that is going out, takes too long. */
     XnioExecutor.Key timeout;
--- a/node/src/main/java/spartrail/client/ClientConnections.java
+++ b/node/src/main/java/spartrail/client/ClientConnections.java
@@ -38,7 +38,7 @@
         this.maxConnections = maxConnections;
     }
 
-    /** Sees that a request begins, which Undertow tells only once its head is complete. */
+    /** Sees that a request begins, which Undertow reports only once its head is complete. */
     private final class RequestStartConduit extends AbstractStreamSourceConduit<StreamSourceConduit> {
         private final ClientConnection client;
 
@@ -79,7 +79,7 @@
 
     /**
      * Closes the connection that is needed least: one that has not asked yet, else the longest unused. In any other order those that
-     * connect and say nothing would turn out the kept connections of those that ask.
+     * connect and send nothing would evict the connections of those that send requests.
      */
     boolean evict() {
         ClientConnection withoutRequest = first(ClientConnection::isEvictableWithoutRequest);
--- a/node/src/main/java/spartrail/client/ClientListener.java
+++ b/node/src/main/java/spartrail/client/ClientListener.java
@@ -29,9 +29,9 @@
 
     private static final int MAX_HEAD_BYTES = 16 * 1024;
     private static final int ACCEPT_BACKLOG = 1024;
-    /** A client that sends no whole request is owed its end within 3 s of connecting; whichever way it dawdles, it has it before. */
+    /** The protocol closes a client without a complete request within 3 s of connecting; all timeouts together stay below that. */
     private static final int FIRST_REQUEST_TIMEOUT_MS = 2000;
-    /** Connections of those that ask are kept; how long they are idle tells only of those that left unseen. */
+    /** Idle connections stay open; this closes those whose clients left without a word. */
     private static final int IDLE_TIMEOUT_MS = 60_000;
 
     private final XnioIoThread io;
--- a/node/src/main/java/spartrail/client/ClientRequest.java
+++ b/node/src/main/java/spartrail/client/ClientRequest.java
@@ -14,8 +14,8 @@
  *
  * <pre>
  *              bytes come                              end, reset            response given
- * WATCHED      kept for the next request, as many as   closed, reported as   FINISHED, written
- *              it may have; then on to DISCARDING      gone: FINISHED
+ * WATCHED      buffered for the next request, up to    closed, reported as   FINISHED, written
+ *              its limit; then on to DISCARDING        gone: FINISHED
  * DISCARDING   discarded                               the same              FINISHED, written as the connection's last
  * FINISHED     left to whoever reads next              the same              nothing: the first one counts
  * </pre>
--- a/node/src/main/java/spartrail/client/ClientResponse.java
+++ b/node/src/main/java/spartrail/client/ClientResponse.java
@@ -54,7 +54,7 @@
         return new ClientResponse(500, null, textBody("failed"));
     }
 
-    /** The request was none; the problem is told in one plain sentence. */
+    /** The request was malformed; the body says in one sentence why. */
     static ClientResponse malformed(int status, String problem) {
         return new ClientResponse(status, null, textBody(problem));
     }
--- a/node/src/main/java/spartrail/client/HttpRequestHandler.java
+++ b/node/src/main/java/spartrail/client/HttpRequestHandler.java
@@ -199,7 +199,7 @@
         return connections.scratchBuffer();
     }
 
-    /** Whether so many bytes may be kept for this client's next request; they are reserved then. */
+    /** Whether so many bytes may be buffered for this client's next request; they are reserved then. */
     boolean reservePipelined(HttpServerExchange exchange, int bytes) {
         return connections.reservePipelined(ClientRequest.channelOf(exchange), bytes);
     }
--- a/node/src/main/java/spartrail/front/DrainSchedule.java
+++ b/node/src/main/java/spartrail/front/DrainSchedule.java
@@ -30,7 +30,7 @@
     }
 
     /**
-     * From then on each response is the last of its connection. A node that was told to end while it started has less time than the
+     * From then on each response is the last of its connection. A node that is terminated while it starts has less time than the
      * schedule reckons with, and nobody was sent to it: it stops at once.
      */
     double closeConnectionsAfterMs(boolean reportedReady) {
--- a/node/src/main/java/spartrail/shard/AttemptListener.java
+++ b/node/src/main/java/spartrail/shard/AttemptListener.java
@@ -2,7 +2,7 @@
 
 import spartrail.model.Attempt;
 
-/** Takes how attempts ended; called on the I/O thread, so it may not wait. */
+/** Is notified of how attempts ended; called on the I/O thread, so it may not wait. */
 public interface AttemptListener {
     /**
      * An attempt has ended; called exactly once for each part.
--- a/node/src/main/java/spartrail/shard/ShardConnection.java
+++ b/node/src/main/java/spartrail/shard/ShardConnection.java
@@ -164,7 +164,7 @@
     /** The part is not waited for any more; a frame that has not begun does not leave. True where the part never left. */
     boolean withdraw(PartRequest part, boolean timedOut) {
         // A connection that no longer leads anywhere says nothing, and would swallow all that comes after. One that
-        // was silent for the whole wait for a part gets no more.
+        // was silent from when a part was queued to its timeout is drained.
         draining |= timedOut && channel != null && lastReadMs < part.queuedMs;
         if (part.stage == PartRequest.Stage.QUEUED) {
             writer.remove(part);
--- a/node/src/main/java/spartrail/shard/ShardPool.java
+++ b/node/src/main/java/spartrail/shard/ShardPool.java
@@ -41,7 +41,7 @@
      *
      * @param partsPerConnection most parts in flight on a connection
      * @param keepAliveMs a server closes a connection that is idle for so long
-     * @param cancelling whether servers are told of parts that are not waited for any more
+     * @param cancelling whether servers are notified of parts that are not waited for any more
      * @param graceMs within this time sends to a server that drains or is gone must cease
      */
     public record Settings(
--- a/node/src/test/java/spartrail/client/ClientListenerTest.java
+++ b/node/src/test/java/spartrail/client/ClientListenerTest.java
@@ -34,7 +34,7 @@
     }
 
     private final XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-    private final BlockingQueue<ClientRequest> asked = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ClientRequest> queries = new LinkedBlockingQueue<>();
 
     ClientListenerTest() throws IOException {}
 
@@ -55,7 +55,7 @@
                 new ClientQueryListener() {
                     @Override
                     public void onQuery(ClientQuery ask, ClientRequest request) {
-                        asked.add(request);
+                        queries.add(request);
                     }
 
                     @Override
@@ -82,7 +82,7 @@
 
     /** The next request that the door has taken; none is a failure, not a wait without end. */
     private ClientRequest nextRequest() throws InterruptedException {
-        ClientRequest next = asked.poll(20, TimeUnit.SECONDS);
+        ClientRequest next = queries.poll(20, TimeUnit.SECONDS);
         assertThat(next).as("a request taken").isNotNull();
         return next;
     }
@@ -93,7 +93,7 @@
 
     private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
     private static final String BODY = "{\"segments\":[{\"segment\":0,\"boost\":1}],\"text\":\"t\"}";
-    private static final String ASK =
+    private static final String QUERY =
             "POST /orders/k HTTP/1.1\r\nHost: x\r\nReq-Id: a\r\nReq-Kind: orders\r\nReq-Deadline: 4\r\n"
                     + "Content-Length: " + BODY.length() + "\r\n\r\n" + BODY;
 
@@ -122,34 +122,34 @@
                 clients[i].getInputStream().read();
             }
         }
-        send(clients[1], ASK.substring(0, 40));
-        send(clients[2], ASK);
+        send(clients[1], QUERY.substring(0, 40));
+        send(clients[2], QUERY);
         Map<String, ClientRequest> taken = new TreeMap<>(Map.of("in hand", nextRequest()));
         io(() -> {});
         Socket[] late = new Socket[1];
         io(() -> {
-            send(clients[0], ASK.replace("Req-Id: a", "Req-Id: crossing"));
+            send(clients[0], QUERY.replace("Req-Id: a", "Req-Id: crossing"));
             late[0] = new Socket(
                     listener.address().getAddress(), listener.address().getPort());
-            send(late[0], ASK.replace("Req-Id: a", "Req-Id: new"));
+            send(late[0], QUERY.replace("Req-Id: a", "Req-Id: new"));
             listener.beginShutdown();
         });
         assertThat(readToEnd(clients[3])).as("resting").isEmpty();
-        send(clients[1], ASK.substring(40));
+        send(clients[1], QUERY.substring(40));
         for (int i = 0; i < 3; i++) {
             ClientRequest next = nextRequest();
             taken.put(next.id, next);
         }
         assertThat(taken.keySet()).containsExactly("a", "crossing", "in hand", "new");
         io(() -> {
-            send(clients[2], ASK.replace("Req-Id: a", "Req-Id: behind"));
+            send(clients[2], QUERY.replace("Req-Id: a", "Req-Id: behind"));
             taken.values().forEach(request -> request.respond(ClientResponse.failure()));
         });
         for (Socket client : List.of(clients[0], clients[1], clients[2], late[0])) {
             assertThat(readToEnd(client)).isEqualTo("HTTP/1.1 500 Internal Server Error failed\n");
             client.close();
         }
-        assertThat(asked)
+        assertThat(queries)
                 .as("read on a connection that could not carry an answer")
                 .isEmpty();
         clients[3].close();
@@ -167,12 +167,12 @@
         Socket client = new Socket();
         client.setReceiveBufferSize(2048);
         client.connect(listener.address());
-        send(client, ASK);
-        ClientRequest inHand = nextRequest();
+        send(client, QUERY);
+        ClientRequest inFlight = nextRequest();
         byte[] value = new byte[16_000_000];
         Arrays.fill(value, (byte) 'v');
         io(() -> {
-            inHand.respond(ClientResponse.success(true, List.of(new ClientResponse.Value(0, value))));
+            inFlight.respond(ClientResponse.success(true, List.of(new ClientResponse.Value(0, value))));
             listener.beginShutdown();
         });
         assertThat(readToEnd(client)).hasSizeGreaterThan(value.length);
@@ -184,19 +184,19 @@
     void bytesThatCameDuringAPauseAreReadBeforeTheirTimeout() throws Exception {
         ClientListener listener = listen(16);
         io(listener::startAccepting);
-        int[] cuts = {0, 60, ASK.length() - 5};
+        int[] cuts = {0, 60, QUERY.length() - 5};
         Socket[] clients = new Socket[cuts.length];
         for (int i = 0; i < cuts.length; i++) {
             clients[i] = new Socket(
                     listener.address().getAddress(), listener.address().getPort());
-            send(clients[i], ASK.substring(0, cuts[i]));
+            send(clients[i], QUERY.substring(0, cuts[i]));
         }
         while (listener.connectionCount() < cuts.length) {
             io(() -> {});
         }
         io(() -> {
             for (int i = 0; i < cuts.length; i++) {
-                send(clients[i], ASK.substring(cuts[i]));
+                send(clients[i], QUERY.substring(cuts[i]));
             }
             for (long untilNs = System.nanoTime() + 2_100_000_000L; System.nanoTime() < untilNs; ) {
                 Thread.onSpinWait();
--- a/node/src/test/java/spartrail/front/FrontNodeClientTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeClientTest.java
@@ -83,11 +83,11 @@
         answerOnly("a");
         start();
         String good = request("a", "1", body(0));
-        StringBuilder told = new StringBuilder();
+        StringBuilder messages = new StringBuilder();
         for (String bad : malformedRequests(good)) {
-            told.append(new Client().send(bad).answer()).append('\n');
+            messages.append(new Client().send(bad).answer()).append('\n');
         }
-        assertThat(told.toString())
+        assertThat(messages.toString())
                 .isEqualTo(
                         """
                 400 close Req-Id is missing or unusable
@@ -128,7 +128,7 @@
         String hidden = request("hidden", "1", body(0));
         String good = request("a", "1", body(0));
         String chunked = good.replaceAll("(?s)Content-Length.*", "Transfer-Encoding: chunked\r\n\r\n");
-        StringBuilder told = new StringBuilder();
+        StringBuilder messages = new StringBuilder();
         for (String bad : List.of(
                 good.replace("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length"),
                 good.replace("Content-Length", "Content-Length: 5\r\nContent-Length"),
@@ -143,11 +143,11 @@
                 chunked + "zz\r\n",
                 chunked + "fffffffffff\r\n")) {
             Client client = new Client().send(bad + hidden);
-            told.append(client.answer().replaceAll("(?s)^([45].. close).*", "$1"))
+            messages.append(client.answer().replaceAll("(?s)^([45].. close).*", "$1"))
                     .append(", ");
             assertThat(client.answer()).isEqualTo("closed");
         }
-        assertThat(told.toString().replaceAll("400 close|closed", "no")).matches("(no, )+");
+        assertThat(messages.toString().replaceAll("400 close|closed", "no")).matches("(no, )+");
         assertThat(new Client().ask("b", 0).answer()).startsWith("200 ");
         assertThat(seen).containsExactly("part b.0");
     }
@@ -156,7 +156,7 @@
     void silentAndHalfSentConnectionsAreClosedWhileARequestInFlightIsKept() throws Exception {
         start();
         answerOnly("b");
-        Client inHand = new Client().ask("a", 0);
+        Client inFlight = new Client().ask("a", 0);
         assertThat(next()).isEqualTo("part a.0");
         String half = request("c", "4", body(0));
         for (Client client : List.of(
@@ -165,8 +165,8 @@
                 new Client().send(half.substring(0, half.length() - 1)))) {
             assertThat(client.answer()).isIn("closed", "400 close ", "408 close ");
         }
-        inHand.socket.setSoTimeout(1);
-        assertThat(catching(inHand)).isEqualTo("still waiting");
+        inFlight.socket.setSoTimeout(1);
+        assertThat(catching(inFlight)).isEqualTo("still waiting");
     }
 
     @Test
@@ -188,7 +188,7 @@
         start("\"sockets\": 1024", "\"sockets\": " + (FileDescriptorLimit.openCount() + 60));
         List<Client> idle = new ArrayList<>();
         answerOnly("b");
-        Client inHand = new Client().ask("a", 0);
+        Client inFlight = new Client().ask("a", 0);
         assertThat(next()).isEqualTo("part a.0");
         for (int i = 0; i < 60; i++) {
             idle.add(new Client());
@@ -196,9 +196,9 @@
         }
         assertThat(idle.get(0).answer()).isEqualTo("closed");
         assertThat(idle.get(59).ask("b", 0).answer()).startsWith("200 ");
-        assertThat(inHand.socket.getInputStream().available()).isZero();
-        inHand.socket.setSoTimeout(1);
-        assertThat(catching(inHand)).isEqualTo("still waiting");
+        assertThat(inFlight.socket.getInputStream().available()).isZero();
+        inFlight.socket.setSoTimeout(1);
+        assertThat(catching(inFlight)).isEqualTo("still waiting");
     }
 
     @Test
@@ -308,9 +308,9 @@
         });
         left.get(20, TimeUnit.SECONDS);
         assertThat(stays.answer()).startsWith("200 ");
-        List<String> told = new ArrayList<>();
-        seen.drainTo(told);
-        assertThat(told.stream().filter(line -> line.startsWith("part c")).count())
+        List<String> messages = new ArrayList<>();
+        seen.drainTo(messages);
+        assertThat(messages.stream().filter(line -> line.startsWith("part c")).count())
                 .as("four at each of four servers")
                 .isLessThanOrEqualTo(16);
     }
--- a/node/src/test/java/spartrail/front/FrontNodeTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeTest.java
@@ -23,7 +23,7 @@
     void appliesChangedSettingsAndKeepsWhatIsInFlight() throws Exception {
         start();
         answerOnly("b");
-        Client inHand = new Client().ask("a", 0);
+        Client inFlight = new Client().ask("a", 0);
         assertThat(next()).isEqualTo("part a.0");
         answerOnly("a", "b", "c");
         assertThat(node.reload(deployment(
@@ -34,7 +34,7 @@
                 .isEmpty();
         assertThat(new Client().ask("b", 1).answer()).startsWith("503");
         // Its copy leaves by the new budget, and what is in hand is answered.
-        assertThat(inHand.answer()).startsWith("200 {\"all_in\":true");
+        assertThat(inFlight.answer()).startsWith("200 {\"all_in\":true");
         assertThat(new Client().ask("c", 1).answer()).startsWith("200 {\"all_in\":true");
         assertThat(node.reload(deployment("\"slabs\": 4", "\"slabs\": 5", "\"open-cap\": 187", "\"open-cap\": 1")))
                 .isEqualTo("slabs: found 5, served 4");
@@ -167,7 +167,7 @@
         while (!unused.send(UP).answer().startsWith("503 ")) {
             // Told to end, but the door has not heard of it yet.
         }
-        Client inHand = new Client().ask("a", 0);
+        Client inFlight = new Client().ask("a", 0);
         ToyFleet.Link link = held.get(20, TimeUnit.SECONDS);
         Client kept = new Client().ask("b", 1);
         assertThat(kept.answer()).startsWith("200 {\"all_in\":true");
@@ -177,7 +177,7 @@
         if (answered) {
             link.answer("a.0", "OK", "late");
         }
-        String last = inHand.answer();
+        String last = inFlight.answer();
         drained.get(20, TimeUnit.SECONDS);
         return last;
     }
--- a/node/src/test/java/spartrail/front/JvmWarmUpTest.java
+++ b/node/src/test/java/spartrail/front/JvmWarmUpTest.java
@@ -17,10 +17,10 @@
     /** A request of the warm-up that is well-formed would reach the servers. */
     @Test
     void warmUpRequestsAreMalformedOnPurpose() throws Exception {
-        Queue<String> asked = new ConcurrentLinkedQueue<>();
+        Queue<String> queries = new ConcurrentLinkedQueue<>();
         HttpServer door = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
         door.createContext("/", exchange -> {
-            asked.add(exchange.getRequestURI() + " "
+            queries.add(exchange.getRequestURI() + " "
                     + new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8)
                             .replaceAll(",\"work.*", ""));
             exchange.getResponseHeaders().add("Connection", "close");
@@ -31,7 +31,7 @@
         DeploymentFile deployment = DeploymentFile.read(Path.of("example/config.json"));
         new JvmWarmUp(new NodeClock(), deployment.known()).run(deployment, door.getAddress());
         door.stop(0);
-        assertThat(asked)
+        assertThat(queries)
                 .isNotEmpty()
                 .allMatch(request -> request.equals("/orders/rehearsal {\"segments\":[{\"segment\":0,\"boost\":0.25"));
     }
--- a/node/src/test/java/spartrail/shard/ShardFrameCodecTest.java
+++ b/node/src/test/java/spartrail/shard/ShardFrameCodecTest.java
@@ -77,15 +77,15 @@
                 new byte[] {0, 0, 0, 0, 'Y'},
                 new byte[] {1, 0, 0, 0, 'Y'},
                 new byte[] {-1, 0, 0, 0, 0});
-        StringBuilder told = new StringBuilder();
+        StringBuilder messages = new StringBuilder();
         for (byte[] frame : frames) {
             ShardFrameCodec.Decoder decoder = new ShardFrameCodec.Decoder();
             decoder.append(ByteBuffer.wrap(frame));
             assertThatThrownBy(decoder::nextResponse)
                     .isInstanceOf(MalformedMessageException.class)
-                    .satisfies(e -> told.append(e.getMessage()).append('\n'));
+                    .satisfies(e -> messages.append(e.getMessage()).append('\n'));
         }
-        assertThat(told.toString())
+        assertThat(messages.toString())
                 .isEqualTo(
                         """
                 a frame of letter 81
