--- a/core/src/test/java/spartrail/GoldenFile.java
+++ b/core/src/test/java/spartrail/GoldenFile.java
@@ -12,6 +12,7 @@
 public final class GoldenFile {
     private GoldenFile() {}
 
+    /** Fails where the text differs from the stored one of this name. */
     public static void same(String name, String seen) throws IOException {
         try (InputStream kept = GoldenFile.class.getResourceAsStream("/traces/" + name + ".txt")) {
             String expected = kept == null
--- a/policy/src/test/java/spartrail/policy/replication/MessageFormsTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/MessageFormsTest.java
@@ -136,6 +136,11 @@
                         .setQuerySequenceNumber(4)
                         .setFlowControlSequenceNumber(5)
                         .build());
+        putElectionMessages(messages, sender);
+        return messages;
+    }
+
+    private static void putElectionMessages(Map<String, RaftMessage> messages, RaftEndpoint sender) {
         messages.put(
                 "PRE-VOTE ASKED",
                 LogEntryCodec.MODEL
@@ -185,7 +190,6 @@
                         .setLastLogTerm(2)
                         .setLastLogIndex(300)
                         .build());
-        return messages;
     }
 
     private static RaftMessage snapshot(SnapshotChunk chunk) {
