--- a/lab/src/main/java/spartrail/lab/cli/NodesModel.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesModel.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 import org.kohsuke.args4j.Option;
 import spartrail.lab.model.PolicyModel;
-import spartrail.lab.model.PolicyModel.Found;
-import spartrail.lab.model.PolicyModel.Left;
+import spartrail.lab.model.PolicyModel.SearchResult;
+import spartrail.lab.model.PolicyModel.Step;
 
 /** Searches the model of policy, whole and with one step left out after the other. */
 final class NodesModel extends Command {
@@ -22,19 +22,19 @@
 
     @Override
     int run(PrintStream out, PrintStream err) {
-        Found whole = PolicyModel.search(nodes, lease, Set.of());
-        out.println(nodes + " nodes, leases of " + lease + " ticks: " + whole.states() + " states, "
-                + (whole.broken().isEmpty() ? "none of them wrong" : "BROKEN: " + whole.broken()));
-        whole.trace().forEach(line -> out.println("  " + line));
-        boolean good = whole.broken().isEmpty();
-        for (Left left : Left.values()) {
-            Found found = PolicyModel.search(nodes, lease, Set.of(left));
-            out.println("without " + left.what + ": "
-                    + (found.broken().isEmpty()
-                            ? "NOT NEEDED, " + found.states() + " states"
-                            : found.broken() + " after " + (found.trace().size() - 1) + " steps"));
-            found.trace().forEach(line -> out.println("  " + line));
-            good &= !found.broken().isEmpty();
+        SearchResult complete = PolicyModel.search(nodes, lease, Set.of());
+        out.println(nodes + " nodes, leases of " + lease + " ticks: " + complete.states() + " states, "
+                + (complete.broken().isEmpty() ? "none of them wrong" : "BROKEN: " + complete.broken()));
+        complete.trace().forEach(line -> out.println("  " + line));
+        boolean good = complete.broken().isEmpty();
+        for (Step step : Step.values()) {
+            SearchResult result = PolicyModel.search(nodes, lease, Set.of(step));
+            out.println("without " + step.description() + ": "
+                    + (result.broken().isEmpty()
+                            ? "NOT NEEDED, " + result.states() + " states"
+                            : result.broken() + " after " + (result.trace().size() - 1) + " steps"));
+            result.trace().forEach(line -> out.println("  " + line));
+            good &= !result.broken().isEmpty();
         }
         return good ? 0 : 1;
     }
--- a/lab/src/main/java/spartrail/lab/model/LongSet.java
+++ b/lab/src/main/java/spartrail/lab/model/LongSet.java
@@ -2,70 +2,76 @@
 
 import java.util.Arrays;
 
-/** Numbers in the order in which they were added, each with one more: a set, a queue and a tree of where states came from. */
+/** Values in the order in which they were added, each with the index of its predecessor: a set, a queue and a search tree. */
 final class LongSet {
-    private static final int FREE = -1;
+    private static final int FREE_SLOT = -1;
+    private static final int INITIAL_CAPACITY = 1 << 16;
+    private static final int INITIAL_SLOTS = 1 << 18;
+    private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
-    private long[] numbers = new long[1 << 16];
-    private int[] from = new int[1 << 16];
-    private int[] places = new int[1 << 18];
+    private long[] values = new long[INITIAL_CAPACITY];
+    private int[] predecessors = new int[INITIAL_CAPACITY];
+    private int[] slots = new int[INITIAL_SLOTS];
     private int count;
 
     LongSet() {
-        Arrays.fill(places, FREE);
+        Arrays.fill(slots, FREE_SLOT);
     }
 
-    /** Adds a number that came from the one at this place; whether it is new. */
-    boolean add(long number, int cameFrom) {
-        int mask = places.length - 1;
-        int at = place(number, mask);
-        while (places[at] != FREE) {
-            if (numbers[places[at]] == number) {
+    /** Adds a value that was reached from the one at this index; whether it is new. */
+    boolean add(long value, int predecessor) {
+        int mask = slots.length - 1;
+        int slot = slot(value, mask);
+        while (slots[slot] != FREE_SLOT) {
+            if (values[slots[slot]] == value) {
                 return false;
             }
-            at = at + 1 & mask;
+            slot = slot + 1 & mask;
         }
-        if (count == numbers.length) {
-            numbers = Arrays.copyOf(numbers, 2 * count);
-            from = Arrays.copyOf(from, 2 * count);
+        if (count == values.length) {
+            values = Arrays.copyOf(values, 2 * count);
+            predecessors = Arrays.copyOf(predecessors, 2 * count);
         }
-        places[at] = count;
-        numbers[count] = number;
-        from[count] = cameFrom;
+        slots[slot] = count;
+        values[count] = value;
+        predecessors[count] = predecessor;
         count++;
-        if (4L * count > 3L * places.length) {
+        if (4L * count > 3L * slots.length) {
             grow();
         }
         return true;
     }
 
-    private static int place(long number, int mask) {
-        long hash = number * 0x9E3779B97F4A7C15L;
+    private static int slot(long value, int mask) {
+        long hash = value * HASH_MULTIPLIER;
         return (int) (hash >>> 32) & mask;
     }
 
     private void grow() {
-        places = new int[2 * places.length];
-        Arrays.fill(places, FREE);
-        int mask = places.length - 1;
+        slots = new int[2 * slots.length];
+        Arrays.fill(slots, FREE_SLOT);
+        int mask = slots.length - 1;
         for (int i = 0; i < count; i++) {
-            int at = place(numbers[i], mask);
-            while (places[at] != FREE) {
-                at = at + 1 & mask;
+            int slot = slot(values[i], mask);
+            while (slots[slot] != FREE_SLOT) {
+                slot = slot + 1 & mask;
             }
-            places[at] = i;
+            slots[slot] = i;
         }
     }
 
+    /** How many values there are. */
     int size() {
         return count;
     }
 
-    long at(int place) {
-        return numbers[place];
+    /** The value that was added as this one, from 0. */
+    long get(int index) {
+        return values[index];
     }
 
-    int from(int place) {
-        return from[place];
+    /** The index of its predecessor. */
+    int predecessor(int index) {
+        return predecessors[index];
     }
 }
