--- a/lab/src/main/java/spartrail/lab/cli/LoadImport.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadImport.java
@@ -41,7 +41,7 @@
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
         TraceImport.Columns named = columns == null
-                ? TraceImport.Columns.usual()
+                ? TraceImport.Columns.ofRecord()
                 : TraceImport.Columns.of(Document.read(columns, "columns"));
         out.println(Document.JSON.writeValueAsString(
                 TraceImport.run(file, trace, named, reorderMs, clamp, squeezeMs, keepDuplicates)));
--- a/lab/src/main/java/spartrail/lab/cli/LoadReplay.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadReplay.java
@@ -58,7 +58,7 @@
         }
         Path scratch = Files.createTempFile("spartrail", ".trace");
         try (TraceReplay replay = new TraceReplay(
-                TraceReplay.trace(file, scratch), speed, loops, share, copies, seed, ClientBehavior.ONCE)) {
+                TraceReplay.traceOrImport(file, scratch), speed, loops, share, copies, seed, ClientBehavior.ONCE)) {
             LoadPlan plan = new LoadPlan(
                     seed,
                     List.of(new LoadPlan.Phase("trace", 1e12, new Rate.Steady(1))),
--- a/lab/src/main/java/spartrail/lab/drill/LoadTraceOrderDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/LoadTraceOrderDrill.java
@@ -77,7 +77,7 @@
             String text = "atMs,opType,key,shards\n" + String.join("\n", inOrder);
             Files.writeString(torn, text.substring(0, text.length() - 6));
             ObjectNode tornCounts =
-                    TraceImport.run(torn, folder.resolve("torn"), TraceImport.Columns.usual(), 50, false, 0, false);
+                    TraceImport.run(torn, folder.resolve("torn"), TraceImport.Columns.ofRecord(), 50, false, 0, false);
             findings.equal(
                     "a torn last line: counted",
                     1L,
@@ -102,7 +102,7 @@
             throws IOException {
         Path csv = folder.resolve("trace.csv");
         Files.writeString(csv, "atMs,opType,key,shards\n" + String.join("\n", lines) + "\n");
-        return TraceImport.run(csv, folder.resolve("trace"), TraceImport.Columns.usual(), windowMs, clamp, 0, false);
+        return TraceImport.run(csv, folder.resolve("trace"), TraceImport.Columns.ofRecord(), windowMs, clamp, 0, false);
     }
 
     private static String refused(Path folder, List<String> lines, double windowMs) throws IOException {
--- a/lab/src/main/java/spartrail/lab/trace/Reorder.java
+++ b/lab/src/main/java/spartrail/lab/trace/Reorder.java
@@ -9,40 +9,40 @@
 import spartrail.lab.file.InvalidInputException;
 
 /**
- * Puts the lines of a trace into order of time, without I/O. Rules, each counted:
+ * Sorts the lines of a trace by time within a window, without I/O. Rules, each counted:
  *
  * <pre>
- * a line that is early by no more than the window      put into its place
- * one that is earlier than that                         refused with its number; with clamp, moved up to where the trace is
- * so many of these in a row                             the clock stepped back: with clamp, all later times are moved on
- * a line that is the same as one within the window      left out, unless duplicates are kept
+ * late by no more than the window                       sorted into its place
+ * later than that                                       an error with its number; with clamp, moved to the window's start
+ * {@link #CLOCK_STEP_AFTER_LINES} of these in a row     the clock was set back: with clamp, all later times are shifted
+ * equal to a line within the window                     dropped, unless duplicates are kept
  * a gap longer than the squeeze                         shortened to it
  * </pre>
  */
 final class Reorder {
     private record Entry(double atMs, long number, TraceLine line) {}
 
-    /** Late lines in a row that make a step of the clock rather than stragglers. */
-    static final int STEP_AFTER = 20;
-    /** Danger: a window of minutes over a busy trace would hold all of it. */
-    static final int MOST_HELD = 500_000;
+    /** More late lines in a row are a clock that was set back rather than stragglers. */
+    static final int CLOCK_STEP_AFTER_LINES = 20;
+    /** Bounds the memory: a window of minutes over a busy trace would buffer all of it. */
+    static final int MAX_BUFFERED_LINES = 500_000;
 
     private final double windowMs;
     private final boolean clamp;
     private final double squeezeMs;
     private final boolean keepDuplicates;
     private final Consumer<TraceLine> out;
-    private final PriorityQueue<Entry> held = new PriorityQueue<>(
+    private final PriorityQueue<Entry> buffered = new PriorityQueue<>(
             (a, b) -> a.atMs() != b.atMs() ? Double.compare(a.atMs(), b.atMs()) : Long.compare(a.number(), b.number()));
-    private final Set<Long> seen = new HashSet<>();
-    private final Deque<double[]> seenWhen = new ArrayDeque<>();
-    private final Deque<Long> seenHash = new ArrayDeque<>();
+    private final Set<Long> seenHashSet = new HashSet<>();
+    private final Deque<double[]> seenTimes = new ArrayDeque<>();
+    private final Deque<Long> seenHashes = new ArrayDeque<>();
     private double newestMs = Double.NEGATIVE_INFINITY;
-    private double releasedMs = Double.NEGATIVE_INFINITY;
-    private double lastOutMs = Double.NaN;
-    private double squeezedMs;
-    private double steppedMs;
-    private int lateInARow;
+    private double lastReleasedMs = Double.NEGATIVE_INFINITY;
+    private double lastEmittedMs = Double.NaN;
+    private double removedGapsMs;
+    private double clockOffsetMs;
+    private int lateLinesInARow;
 
     long sorted;
     long clamped;
@@ -59,16 +59,16 @@
         this.out = out;
     }
 
-    /** A line with its number in the file and a hash of its bytes; {@code place} names the file. */
-    void take(TraceLine line, long number, long hash, String place) {
-        double atMs = line.atMs() + steppedMs;
-        if (!keepDuplicates && !seen.add(hash)) {
+    /** Adds a line with its number in the file and a hash of its bytes; {@code place} names the file. */
+    void add(TraceLine line, long number, long hash, String place) {
+        double atMs = line.atMs() + clockOffsetMs;
+        if (!keepDuplicates && !seenHashSet.add(hash)) {
             duplicates++;
             return;
         }
         if (!keepDuplicates) {
-            seenHash.add(hash);
-            seenWhen.add(new double[] {Math.max(newestMs, atMs)});
+            seenHashes.add(hash);
+            seenTimes.add(new double[] {Math.max(newestMs, atMs)});
         }
         if (atMs < newestMs - windowMs) {
             if (!clamp) {
@@ -81,49 +81,50 @@
                         newestMs - atMs,
                         windowMs));
             }
-            if (++lateInARow >= STEP_AFTER) {
+            if (++lateLinesInARow >= CLOCK_STEP_AFTER_LINES) {
                 steps++;
-                lateInARow = 0;
-                steppedMs += newestMs - atMs;
+                lateLinesInARow = 0;
+                clockOffsetMs += newestMs - atMs;
                 atMs = newestMs;
             } else {
                 clamped++;
-                atMs = Math.max(releasedMs, newestMs - windowMs);
+                atMs = Math.max(lastReleasedMs, newestMs - windowMs);
             }
         } else {
-            lateInARow = 0;
+            lateLinesInARow = 0;
             if (atMs < newestMs) {
                 sorted++;
             }
         }
         newestMs = Math.max(newestMs, atMs);
-        held.add(new Entry(atMs, number, line));
-        if (held.size() > MOST_HELD) {
-            throw new InvalidInputException(place + ":" + number + ": more than " + MOST_HELD
+        buffered.add(new Entry(atMs, number, line));
+        if (buffered.size() > MAX_BUFFERED_LINES) {
+            throw new InvalidInputException(place + ":" + number + ": more than " + MAX_BUFFERED_LINES
                     + " lines within the reorder window of " + windowMs + " ms; give a smaller --reorder-ms");
         }
         release(newestMs - windowMs);
     }
 
     private void release(double untilMs) {
-        while (!held.isEmpty() && held.peek().atMs() <= untilMs) {
-            Entry entry = held.poll();
-            releasedMs = entry.atMs();
-            if (!Double.isNaN(lastOutMs) && squeezeMs > 0 && releasedMs - lastOutMs > squeezeMs) {
+        while (!buffered.isEmpty() && buffered.peek().atMs() <= untilMs) {
+            Entry entry = buffered.poll();
+            lastReleasedMs = entry.atMs();
+            if (!Double.isNaN(lastEmittedMs) && squeezeMs > 0 && lastReleasedMs - lastEmittedMs > squeezeMs) {
                 squeezed++;
-                squeezedMs += releasedMs - lastOutMs - squeezeMs;
+                removedGapsMs += lastReleasedMs - lastEmittedMs - squeezeMs;
             }
-            lastOutMs = releasedMs;
+            lastEmittedMs = lastReleasedMs;
             count++;
-            out.accept(entry.line().at(releasedMs - squeezedMs));
+            out.accept(entry.line().withTime(lastReleasedMs - removedGapsMs));
         }
-        while (!seenWhen.isEmpty() && (seenWhen.peek()[0] < untilMs || seenWhen.size() > MOST_HELD)) {
-            seenWhen.poll();
-            seen.remove(seenHash.poll());
+        while (!seenTimes.isEmpty() && (seenTimes.peek()[0] < untilMs || seenTimes.size() > MAX_BUFFERED_LINES)) {
+            seenTimes.poll();
+            seenHashSet.remove(seenHashes.poll());
         }
     }
 
-    void end() {
+    /** Emits what is still buffered. */
+    void finish() {
         release(Double.POSITIVE_INFINITY);
     }
 }
--- a/lab/src/main/java/spartrail/lab/trace/TraceFile.java
+++ b/lab/src/main/java/spartrail/lab/trace/TraceFile.java
@@ -18,8 +18,8 @@
 import spartrail.lab.file.InvalidInputException;
 
 /**
- * The compact form of a trace: a magic, then records under gzip, then an end with their number, so that a cut file is
- * known for one. Numbers are base-128 with the low bits first; times are differences in microseconds.
+ * The compact file format of a trace: a magic number, then records under gzip, then an end record with their count, so that a truncated
+ * file is detected. Integers are base-128 varints with the low bits first; times are differences in microseconds.
  */
 final class TraceFile {
     static final byte[] MAGIC = {'S', 'P', 'T', 'R', 'A', 'C', 'E', '1'};
@@ -29,6 +29,7 @@
 
     private TraceFile() {}
 
+    /** Writes a trace file. */
     static final class Writer implements AutoCloseable {
         private final DataOutputStream out;
         private final Map<String, Integer> opTypes = new HashMap<>();
@@ -44,32 +45,32 @@
         void write(TraceLine line) throws IOException {
             out.writeByte(line.weights() == null ? LINE : LINE_WEIGHTED);
             long micros = Double.isNaN(lastMs) ? 0 : Math.round(1000 * (line.atMs() - lastMs));
-            // The rounded time is carried on, so that roundings do not add up.
+            // The rounded time is the next base, so that rounding errors do not add up.
             lastMs = Double.isNaN(lastMs) ? line.atMs() : lastMs + micros / 1000.0;
-            number(micros);
+            varint(micros);
             Integer opType = opTypes.get(line.opType());
             if (opType == null) {
-                number(opTypes.size());
+                varint(opTypes.size());
                 opTypes.put(line.opType(), opTypes.size());
                 out.writeUTF(line.opType());
             } else {
-                number(opType);
+                varint(opType);
             }
             out.writeUTF(line.key());
-            number(line.shards().length);
+            varint(line.shards().length);
             for (int i = 0; i < line.shards().length; i++) {
-                number(line.shards()[i]);
+                varint(line.shards()[i]);
                 if (line.weights() != null) {
                     out.writeFloat((float) line.weights()[i]);
                 }
             }
-            number(Math.round(1000 * line.workMs()));
-            number(line.textBytes());
-            number(Math.round(1000 * line.clientMs()));
+            varint(Math.round(1000 * line.workMs()));
+            varint(line.textBytes());
+            varint(Math.round(1000 * line.clientMs()));
             count++;
         }
 
-        private void number(long value) throws IOException {
+        private void varint(long value) throws IOException {
             long rest = Math.max(0, value);
             while (rest >= 128) {
                 out.writeByte((int) (rest & 127 | 128));
@@ -78,7 +79,8 @@
             out.writeByte((int) rest);
         }
 
-        void end() throws IOException {
+        /** Writes the end record. */
+        void finish() throws IOException {
             out.writeByte(END);
             out.writeLong(count);
         }
@@ -89,6 +91,7 @@
         }
     }
 
+    /** Reads a trace file. */
     static final class Reader implements AutoCloseable {
         private final DataInputStream in;
         private final String name;
@@ -116,16 +119,16 @@
                     }
                     return null;
                 }
-                atMs += number() / 1000.0;
-                int opType = (int) number();
+                atMs += varint() / 1000.0;
+                int opType = (int) varint();
                 if (opType == opTypes.size()) {
                     opTypes.add(in.readUTF());
                 }
                 String key = in.readUTF();
-                int[] shards = new int[(int) number()];
+                int[] shards = new int[(int) varint()];
                 double[] weights = kind == LINE_WEIGHTED ? new double[shards.length] : null;
                 for (int i = 0; i < shards.length; i++) {
-                    shards[i] = (int) number();
+                    shards[i] = (int) varint();
                     if (weights != null) {
                         weights[i] = in.readFloat();
                     }
@@ -136,9 +139,9 @@
                         key,
                         shards,
                         weights,
-                        number() / 1000.0,
-                        (int) number(),
-                        number() / 1000.0);
+                        varint() / 1000.0,
+                        (int) varint(),
+                        varint() / 1000.0);
                 count++;
                 return line;
             } catch (EOFException e) {
@@ -146,7 +149,7 @@
             }
         }
 
-        private long number() throws IOException {
+        private long varint() throws IOException {
             long value = 0;
             for (int shift = 0; shift < 63; shift += 7) {
                 int more = in.readByte();
--- a/lab/src/main/java/spartrail/lab/trace/TraceImport.java
+++ b/lab/src/main/java/spartrail/lab/trace/TraceImport.java
@@ -23,15 +23,15 @@
 import spartrail.lab.file.Document;
 import spartrail.lab.file.InvalidInputException;
 
-/** Reads a recorded trace, line by line, into a {@link TraceFile}. */
+/** Imports a recorded trace, CSV or JSON lines, into a {@link TraceFile}. */
 public final class TraceImport {
     /**
-     * What the columns are called and what is known.
+     * Names of the columns, and which op types and shards are known.
      *
      * @param unit of the time: ms, s, us, ns or iso
-     * @param opTypes known ones; empty takes any
-     * @param shards how many there are; 0 takes any
-     * @param skipUnknown leaves out what is unknown instead of refusing the trace
+     * @param opTypes the known ones; empty accepts any
+     * @param shards their number; 0 accepts any
+     * @param skipUnknown skips lines with unknown op types or shards instead of rejecting the trace
      */
     public record Columns(
             String at,
@@ -47,6 +47,7 @@
             int shards,
             boolean skipUnknown,
             double clientDefaultMs) {
+        /** The columns of a document that is valid by the schema {@code columns}. */
         public static Columns of(Document document) {
             JsonNode tree = document.tree;
             JsonNode names = tree.path("columns");
@@ -68,8 +69,8 @@
                     tree.path("clientMs").asDouble(2000));
         }
 
-        /** Our own names, as a front node's record has them. */
-        public static Columns usual() {
+        /** The names in a front node's record. */
+        public static Columns ofRecord() {
             return of(Document.of("columns", Document.JSON.createObjectNode(), "columns"));
         }
     }
@@ -79,8 +80,8 @@
     private final Columns columns;
     private final Reorder reorder;
     private final String name;
-    private long unknown;
-    private long torn;
+    private long skippedLines;
+    private long incompleteLines;
     private long lines;
 
     private TraceImport(Columns columns, Reorder reorder, String name) {
@@ -89,7 +90,7 @@
         this.name = name;
     }
 
-    /** Imports a file; what was odd about it comes back as counts. */
+    /** Imports a file; returns counts of lines, multigets and irregularities. */
     public static ObjectNode run(
             Path from,
             Path to,
@@ -113,8 +114,8 @@
             });
             TraceImport run = new TraceImport(columns, reorder, from.toString());
             run.read(from);
-            reorder.end();
-            writer.end();
+            reorder.finish();
+            writer.finish();
             Files.move(part, to, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
             return run.counts();
         } finally {
@@ -132,8 +133,8 @@
                 .put("clockSteps", reorder.steps)
                 .put("duplicates", reorder.duplicates)
                 .put("gapsSqueezed", reorder.squeezed)
-                .put("unknownLeftOut", unknown)
-                .put("tornLastLine", torn);
+                .put("unknownLeftOut", skippedLines)
+                .put("tornLastLine", incompleteLines);
     }
 
     private void read(Path from) throws IOException {
@@ -153,17 +154,17 @@
                 throw new InvalidInputException(name + ": is empty");
             }
             if (first == '{') {
-                json(reader);
+                readJsonLines(reader);
             } else {
-                csv(reader);
+                readCsv(reader);
             }
         } catch (UncheckedIOException e) {
             throw e.getCause();
         }
     }
 
-    /** Danger: a record that is being written ends anywhere; its last line may be half there. */
-    private void json(BufferedReader reader) throws IOException {
+    /** The last line may be incomplete, as a record that is being written ends anywhere. */
+    private void readJsonLines(BufferedReader reader) throws IOException {
         String line = reader.readLine();
         for (long number = 1; line != null; number++) {
             String next = reader.readLine();
@@ -173,7 +174,7 @@
                     tree = LINES.readTree(line);
                 } catch (JsonProcessingException e) {
                     if (next == null) {
-                        torn++;
+                        incompleteLines++;
                         return;
                     }
                     throw new InvalidInputException(name + ":" + number + ": no JSON object");
@@ -196,7 +197,7 @@
         return text.toString();
     }
 
-    private void csv(BufferedReader reader) throws IOException {
+    private void readCsv(BufferedReader reader) throws IOException {
         CSVFormat format = CSVFormat.DEFAULT
                 .builder()
                 .setHeader()
@@ -219,9 +220,9 @@
                     more = records.hasNext();
                     record = more ? records.next() : null;
                 } catch (UncheckedIOException | IllegalStateException e) {
-                    // An open quote at the end of the file.
+                    // An unclosed quote at the end of the file.
                     more = false;
-                    torn++;
+                    incompleteLines++;
                 }
                 if (before != null) {
                     boolean last = record == null;
@@ -230,7 +231,7 @@
                             throw new InvalidInputException(name + ":" + beforeLine + ": " + before.size()
                                     + " columns, " + parser.getHeaderNames().size() + " are expected");
                         }
-                        torn++;
+                        incompleteLines++;
                     } else {
                         CSVRecord line = before;
                         take(
@@ -257,10 +258,10 @@
         double atMs = time(number, row.get(columns.at()));
         String opType = row.get(columns.opType());
         if (opType.isEmpty()) {
-            throw wrong(number, columns.opType(), "is missing");
+            throw invalid(number, columns.opType(), "is missing");
         }
         if (!columns.opTypes().isEmpty() && !columns.opTypes().contains(opType)) {
-            leaveOut(number, "unknown op type '" + opType + "', known are " + columns.opTypes());
+            skipOrReject(number, "unknown op type '" + opType + "', known are " + columns.opTypes());
             return;
         }
         String[] list = row.get(columns.shardList()).split("[;\\s]+");
@@ -269,13 +270,13 @@
             try {
                 shards[i] = Integer.parseInt(list[i]);
             } catch (NumberFormatException e) {
-                throw wrong(
+                throw invalid(
                         number,
                         columns.shardList(),
                         "found '" + row.get(columns.shardList()) + "', numbers with ; between them are expected");
             }
             if (shards[i] < 0 || columns.shards() > 0 && shards[i] >= columns.shards()) {
-                leaveOut(number, "unknown shard " + shards[i] + ", there are 0 to " + (columns.shards() - 1));
+                skipOrReject(number, "unknown shard " + shards[i] + ", there are 0 to " + (columns.shards() - 1));
                 return;
             }
         }
@@ -284,7 +285,7 @@
         if (!weightList.isEmpty()) {
             String[] words = weightList.split("[;\\s]+");
             if (words.length != shards.length) {
-                throw wrong(number, columns.weights(), words.length + " weights for " + shards.length + " shards");
+                throw invalid(number, columns.weights(), words.length + " weights for " + shards.length + " shards");
             }
             weights = new double[words.length];
             for (int i = 0; i < words.length; i++) {
@@ -293,7 +294,7 @@
         }
         String work = row.get(columns.workMs());
         int semicolon = work.indexOf(';');
-        reorder.take(
+        reorder.add(
                 new TraceLine(
                         atMs,
                         opType,
@@ -308,15 +309,15 @@
                 name);
     }
 
-    private void leaveOut(long number, String why) {
+    private void skipOrReject(long number, String why) {
         if (!columns.skipUnknown()) {
             throw new InvalidInputException(
                     name + ":" + number + ": " + why + "; \"unknown\": \"skip\" in the columns leaves it out");
         }
-        unknown++;
+        skippedLines++;
     }
 
-    private InvalidInputException wrong(long number, String column, String what) {
+    private InvalidInputException invalid(long number, String column, String what) {
         return new InvalidInputException(name + ":" + number + ": column '" + column + "': " + what);
     }
 
@@ -326,13 +327,13 @@
                 Instant at = Instant.parse(text);
                 return at.getEpochSecond() * 1000.0 + at.getNano() / 1e6;
             } catch (DateTimeParseException e) {
-                throw wrong(
+                throw invalid(
                         number, columns.at(), "found '" + text + "', a time such as 2026-06-24T18:00:00Z is expected");
             }
         }
         double value = number(number, columns.at(), text, Double.NaN);
         if (!Double.isFinite(value)) {
-            throw wrong(number, columns.at(), "found '" + text + "', a time in " + columns.unit() + " is expected");
+            throw invalid(number, columns.at(), "found '" + text + "', a time in " + columns.unit() + " is expected");
         }
         return switch (columns.unit()) {
             case "s" -> value * 1000;
@@ -349,7 +350,7 @@
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw wrong(line, column, String.format(Locale.ROOT, "found '%s', a number is expected", text));
+            throw invalid(line, column, String.format(Locale.ROOT, "found '%s', a number is expected", text));
         }
     }
 
--- a/lab/src/main/java/spartrail/lab/trace/TraceLine.java
+++ b/lab/src/main/java/spartrail/lab/trace/TraceLine.java
@@ -1,9 +1,9 @@
 package spartrail.lab.trace;
 
 /**
- * One multiget of a trace. Weights, work and text may be missing: then {@code weights} is null, the others are 0.
+ * One multiget of a trace. Weights, work and text are optional: {@code weights} is null, the others are 0 if absent.
  *
- * @param atMs any clock's milliseconds; only differences count
+ * @param atMs time by any clock; only differences count
  */
 record TraceLine(
         double atMs,
@@ -14,7 +14,7 @@
         double workMs,
         int textBytes,
         double clientMs) {
-    TraceLine at(double ms) {
-        return new TraceLine(ms, opType, key, shards, weights, workMs, textBytes, clientMs);
+    TraceLine withTime(double newAtMs) {
+        return new TraceLine(newAtMs, opType, key, shards, weights, workMs, textBytes, clientMs);
     }
 }
--- a/lab/src/main/java/spartrail/lab/trace/TraceReplay.java
+++ b/lab/src/main/java/spartrail/lab/trace/TraceReplay.java
@@ -15,10 +15,11 @@
 import spartrail.lab.plan.TrafficStream;
 
 /**
- * A trace as arrivals: faster or slower, looped, thinned, multiplied. Of a multiplied trace each copy has keys of its own
- * and comes a little later, as one more client population would; thinned lines are the same ones for the same seed.
+ * Replays a trace as arrivals: scaled in speed, looped, sampled, multiplied. Each copy of a multiplied trace has keys of its own and is
+ * delayed a little, like a further client population; the same seed samples the same lines.
  */
 public final class TraceReplay implements Iterator<Arrival>, AutoCloseable {
+    private static final double RECORD_REORDER_MS = 5000;
     private static final double COPY_SPREAD_MS = 20;
 
     private final Path file;
@@ -27,17 +28,18 @@
     private final double share;
     private final int copies;
     private final TrafficStream stream;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final Deque<Arrival> ready = new ArrayDeque<>();
-    private final java.util.PriorityQueue<Arrival> later = new java.util.PriorityQueue<>(
+    private final java.util.PriorityQueue<Arrival> delayedCopies = new java.util.PriorityQueue<>(
             (a, b) -> a.atMs() != b.atMs() ? Double.compare(a.atMs(), b.atMs()) : Long.compare(a.number(), b.number()));
     private TraceFile.Reader reader;
-    private int loop;
-    private double loopFromMs;
+    private int loopsDone;
+    private double loopStartMs;
     private double lastMs;
     private long number;
     private boolean ended;
 
+    /** Opens the trace; {@code share} of its lines is sampled, {@code copies} of each sampled line are made. */
     public TraceReplay(Path file, double speed, int loops, double share, int copies, long seed, ClientBehavior behavior)
             throws IOException {
         this.file = file;
@@ -45,7 +47,7 @@
         this.loops = loops;
         this.share = share;
         this.copies = copies;
-        this.chance = new SplittableRandom(seed);
+        this.random = new SplittableRandom(seed);
         this.stream = new TrafficStream(
                 "trace",
                 1,
@@ -63,48 +65,49 @@
         fill();
     }
 
-    /** A trace as it is, or a record that is first made one. */
-    public static Path trace(Path file, Path scratch) throws IOException {
+    /** The trace file itself, or one imported to {@code scratch} if {@code file} is a front node's record. */
+    public static Path traceOrImport(Path file, Path scratch) throws IOException {
         try (var in = Files.newInputStream(file)) {
             if (in.read() != '{') {
                 return file;
             }
         }
-        TraceImport.run(file, scratch, TraceImport.Columns.usual(), 5000, false, 0, true);
+        TraceImport.run(file, scratch, TraceImport.Columns.ofRecord(), RECORD_REORDER_MS, false, 0, true);
         return scratch;
     }
 
+    /** The stream that all arrivals belong to. */
     public TrafficStream stream() {
         return stream;
     }
 
     private void fill() {
         try {
-            while (ready.isEmpty() && !(ended && later.isEmpty())) {
+            while (ready.isEmpty() && !(ended && delayedCopies.isEmpty())) {
                 TraceLine line = ended ? null : reader.next();
                 if (line == null) {
                     reader.close();
-                    if (!ended && ++loop < loops) {
-                        loopFromMs = lastMs;
+                    if (!ended && ++loopsDone < loops) {
+                        loopStartMs = lastMs;
                         reader = new TraceFile.Reader(file);
                         continue;
                     }
                     ended = true;
-                    while (!later.isEmpty()) {
-                        ready.add(later.poll());
+                    while (!delayedCopies.isEmpty()) {
+                        ready.add(delayedCopies.poll());
                     }
                     return;
                 }
-                double atMs = loopFromMs + line.atMs() / speed;
+                double atMs = loopStartMs + line.atMs() / speed;
                 lastMs = Math.max(lastMs, atMs);
                 for (int copy = 0; copy < copies; copy++) {
-                    if (share >= 1 || chance.nextDouble() < share) {
-                        double lateMs = copy == 0 ? 0 : chance.nextDouble() * COPY_SPREAD_MS;
-                        later.add(arrival(line, atMs + lateMs, copy));
+                    if (share >= 1 || random.nextDouble() < share) {
+                        double delayMs = copy == 0 ? 0 : random.nextDouble() * COPY_SPREAD_MS;
+                        delayedCopies.add(arrival(line, atMs + delayMs, copy));
                     }
                 }
-                while (!later.isEmpty() && later.peek().atMs() <= atMs) {
-                    ready.add(later.poll());
+                while (!delayedCopies.isEmpty() && delayedCopies.peek().atMs() <= atMs) {
+                    ready.add(delayedCopies.poll());
                 }
             }
         } catch (IOException e) {
@@ -137,7 +140,7 @@
                 Math.max(1, line.textBytes()),
                 line.clientMs(),
                 false,
-                chance.nextLong());
+                random.nextLong());
     }
 
     @Override
--- a/lab/src/main/java/spartrail/lab/trace/package-info.java
+++ b/lab/src/main/java/spartrail/lab/trace/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Recorded traces of multigets: read from CSV, JSON lines or a front node's own record into one compact file, and played
- * back. What is odd about a trace has a stated rule, and is counted; memory does not grow with its length.
+ * Recorded traces of multigets: imported from CSV, JSON lines or a front node's record into one compact file, and replayed. Each
+ * irregularity of a trace has a stated rule and is counted; memory does not grow with the length of the trace.
  */
 package spartrail.lab.trace;
--- a/lab/src/test/java/spartrail/lab/trace/TraceFormTest.java
+++ b/lab/src/test/java/spartrail/lab/trace/TraceFormTest.java
@@ -65,7 +65,7 @@
             for (TraceLine line : read(Files.write(folder.resolve("trace"), kept))) {
                 writer.write(line);
             }
-            writer.end();
+            writer.finish();
         }
         byte[] written = Files.readAllBytes(again);
         assertThat(Arrays.copyOf(written, TraceFile.MAGIC.length))
