--- a/lab/src/main/java/spartrail/lab/trace/TraceImport.java
+++ b/lab/src/main/java/spartrail/lab/trace/TraceImport.java
@@ -264,33 +264,9 @@
             skipOrReject(number, "unknown op type '" + opType + "', known are " + columns.opTypes());
             return;
         }
-        String[] list = row.get(columns.shardList()).split("[;\\s]+");
-        int[] shards = new int[list.length];
-        for (int i = 0; i < list.length; i++) {
-            try {
-                shards[i] = Integer.parseInt(list[i]);
-            } catch (NumberFormatException e) {
-                throw invalid(
-                        number,
-                        columns.shardList(),
-                        "found '" + row.get(columns.shardList()) + "', numbers with ; between them are expected");
-            }
-            if (shards[i] < 0 || columns.shards() > 0 && shards[i] >= columns.shards()) {
-                skipOrReject(number, "unknown shard " + shards[i] + ", there are 0 to " + (columns.shards() - 1));
-                return;
-            }
-        }
-        double[] weights = null;
-        String weightList = row.get(columns.weights());
-        if (!weightList.isEmpty()) {
-            String[] words = weightList.split("[;\\s]+");
-            if (words.length != shards.length) {
-                throw invalid(number, columns.weights(), words.length + " weights for " + shards.length + " shards");
-            }
-            weights = new double[words.length];
-            for (int i = 0; i < words.length; i++) {
-                weights[i] = number(number, columns.weights(), words[i], 0);
-            }
+        int[] shards = shards(number, row.get(columns.shardList()));
+        if (shards == null) {
+            return;
         }
         String work = row.get(columns.workMs());
         int semicolon = work.indexOf(';');
@@ -300,7 +276,7 @@
                         opType,
                         row.get(columns.key()),
                         shards,
-                        weights,
+                        weights(number, row.get(columns.weights()), shards.length),
                         number(number, columns.workMs(), semicolon < 0 ? work : work.substring(0, semicolon), 0),
                         (int) number(number, columns.textBytes(), row.get(columns.textBytes()), 16),
                         number(number, columns.clientMs(), row.get(columns.clientMs()), columns.clientDefaultMs())),
@@ -309,6 +285,41 @@
                 name);
     }
 
+    /** The shards, or null where one is unknown and the line is skipped. */
+    private int[] shards(long number, String list) {
+        String[] words = list.split("[;\\s]+");
+        int[] shards = new int[words.length];
+        for (int i = 0; i < words.length; i++) {
+            try {
+                shards[i] = Integer.parseInt(words[i]);
+            } catch (NumberFormatException e) {
+                throw invalid(
+                        number, columns.shardList(), "found '" + list + "', numbers with ; between them are expected");
+            }
+            if (shards[i] < 0 || columns.shards() > 0 && shards[i] >= columns.shards()) {
+                skipOrReject(number, "unknown shard " + shards[i] + ", there are 0 to " + (columns.shards() - 1));
+                return null;
+            }
+        }
+        return shards;
+    }
+
+    /** The weights, or null where the line has none. */
+    private double[] weights(long number, String list, int shardCount) {
+        if (list.isEmpty()) {
+            return null;
+        }
+        String[] words = list.split("[;\\s]+");
+        if (words.length != shardCount) {
+            throw invalid(number, columns.weights(), words.length + " weights for " + shardCount + " shards");
+        }
+        double[] weights = new double[words.length];
+        for (int i = 0; i < words.length; i++) {
+            weights[i] = number(number, columns.weights(), words[i], 0);
+        }
+        return weights;
+    }
+
     private void skipOrReject(long number, String why) {
         if (!columns.skipUnknown()) {
             throw new InvalidInputException(
--- a/lab/src/test/java/spartrail/lab/trace/TraceTest.java
+++ b/lab/src/test/java/spartrail/lab/trace/TraceTest.java
@@ -5,7 +5,9 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.Locale;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import spartrail.lab.Table;
@@ -14,6 +16,74 @@
 import spartrail.lab.plan.ClientBehavior;
 
 class TraceTest {
+    private static final String HEAD = "atMs,opType,key,shards\n";
+
+    /** A trace, the options of its import, and a name. */
+    private record TraceCase(
+            String name, String text, String columns, double windowMs, boolean clamp, double squeezeMs) {}
+
+    private static final List<TraceCase> CSV_CASES = List.of(
+            new TraceCase("in order", HEAD + "0,o,a,1\n10,o,b,1;2\n", "{}", 5.0, false, 0.0),
+            new TraceCase(
+                    "out of order within the window", HEAD + "0,o,a,1\n10,o,b,1\n6,o,c,1\n", "{}", 5.0, false, 0.0),
+            new TraceCase("beyond the window", HEAD + "0,o,a,1\n10,o,b,1\n4,o,c,1\n", "{}", 5.0, false, 0.0),
+            new TraceCase("beyond it, clamped", HEAD + "0,o,a,1\n10,o,b,1\n4,o,c,1\n", "{}", 5.0, true, 0.0),
+            new TraceCase("doubled", HEAD + "0,o,a,1\n0,o,a,1\n3,o,b,1\n", "{}", 5.0, false, 0.0),
+            new TraceCase("a gap of days", HEAD + "0,o,a,1\n172800000,o,b,1\n", "{}", 5.0, false, 0.0),
+            new TraceCase("a gap of days, squeezed", HEAD + "0,o,a,1\n172800000,o,b,1\n", "{}", 5.0, false, 100.0),
+            new TraceCase("an unknown op type", HEAD + "0,o,a,1\n5,x,b,1\n", "{'opTypes':['o']}", 5.0, false, 0.0),
+            new TraceCase(
+                    "an unknown op type, skipped",
+                    HEAD + "0,o,a,1\n5,x,b,1\n",
+                    "{'opTypes':['o'],'unknown':'skip'}",
+                    5.0,
+                    false,
+                    0.0),
+            new TraceCase("an unknown shard", HEAD + "0,o,a,9\n", "{'shards':4}", 5.0, false, 0.0),
+            new TraceCase("a torn last line", HEAD + "0,o,a,1\n5,o", "{}", 5.0, false, 0.0),
+            new TraceCase("a torn line within", HEAD + "0,o\n5,o,b,1\n", "{}", 5.0, false, 0.0),
+            new TraceCase("no time", HEAD + "noon,o,a,1\n", "{}", 5.0, false, 0.0),
+            new TraceCase("no such column", "when,opType\n0,o\n", "{}", 5.0, false, 0.0),
+            new TraceCase(
+                    "seconds",
+                    "t,opType,key,shards\n1.5,o,a,1\n1.75,o,b,1\n",
+                    "{'unit':'s','columns':{'at':'t'}}",
+                    5.0,
+                    false,
+                    0.0),
+            new TraceCase(
+                    "times of day",
+                    HEAD + "2026-06-24T18:00:00Z,o,a,1\n2026-06-24T18:00:00.250Z,o,b,1\n",
+                    "{'unit':'iso'}",
+                    5.0,
+                    false,
+                    0.0));
+
+    private static final List<TraceCase> JSON_CASES = List.of(
+            new TraceCase(
+                    "JSON lines",
+                    "{\"atMs\":1,\"opType\":\"o\",\"key\":\"a\",\"shards\":[1,2],\"weights\":[0.2,0.8]}\n"
+                            + "{\"atMs\":4,\"opType\":\"o\",\"key\":\"b\",\"shards\":[1]}\n",
+                    "{}",
+                    5.0,
+                    false,
+                    0.0),
+            new TraceCase(
+                    "JSON lines, the last one torn",
+                    "{\"atMs\":1,\"opType\":\"o\",\"key\":\"a\",\"shards\":[1]}\n{\"atMs\":4,\"opT",
+                    "{}",
+                    5.0,
+                    false,
+                    0.0),
+            new TraceCase(
+                    "JSON lines, one in the middle spoilt",
+                    "{\"atMs\":1,\"opT\n{\"atMs\":1,\"opType\":\"o\",\"key\":\"a\",\"shards\":[1]}\n",
+                    "{}",
+                    5.0,
+                    false,
+                    0.0),
+            new TraceCase("nothing", "", "{}", 5.0, false, 0.0));
+
     @TempDir
     private Path folder;
 
@@ -45,85 +115,21 @@
     }
 
     @Test
-    void eachOddityHasItsRule() throws Exception {
-        String head = "atMs,opType,key,shards\n";
+    void eachIrregularityFollowsItsRule() throws Exception {
         StringBuilder seen = new StringBuilder();
-        for (Object[] line : new Object[][] {
-            {"in order", head + "0,o,a,1\n10,o,b,1;2\n", "{}", 5.0, false, 0.0},
-            {"out of order within the window", head + "0,o,a,1\n10,o,b,1\n6,o,c,1\n", "{}", 5.0, false, 0.0},
-            {"beyond the window", head + "0,o,a,1\n10,o,b,1\n4,o,c,1\n", "{}", 5.0, false, 0.0},
-            {"beyond it, clamped", head + "0,o,a,1\n10,o,b,1\n4,o,c,1\n", "{}", 5.0, true, 0.0},
-            {"doubled", head + "0,o,a,1\n0,o,a,1\n3,o,b,1\n", "{}", 5.0, false, 0.0},
-            {"a gap of days", head + "0,o,a,1\n172800000,o,b,1\n", "{}", 5.0, false, 0.0},
-            {"a gap of days, squeezed", head + "0,o,a,1\n172800000,o,b,1\n", "{}", 5.0, false, 100.0},
-            {"an unknown op type", head + "0,o,a,1\n5,x,b,1\n", "{'opTypes':['o']}", 5.0, false, 0.0},
-            {
-                "an unknown op type, skipped",
-                head + "0,o,a,1\n5,x,b,1\n",
-                "{'opTypes':['o'],'unknown':'skip'}",
-                5.0,
-                false,
-                0.0
-            },
-            {"an unknown shard", head + "0,o,a,9\n", "{'shards':4}", 5.0, false, 0.0},
-            {"a torn last line", head + "0,o,a,1\n5,o", "{}", 5.0, false, 0.0},
-            {"a torn line within", head + "0,o\n5,o,b,1\n", "{}", 5.0, false, 0.0},
-            {"no time", head + "noon,o,a,1\n", "{}", 5.0, false, 0.0},
-            {"no such column", "when,opType\n0,o\n", "{}", 5.0, false, 0.0},
-            {
-                "seconds",
-                "t,opType,key,shards\n1.5,o,a,1\n1.75,o,b,1\n",
-                "{'unit':'s','columns':{'at':'t'}}",
-                5.0,
-                false,
-                0.0
-            },
-            {
-                "times of day",
-                head + "2026-06-24T18:00:00Z,o,a,1\n2026-06-24T18:00:00.250Z,o,b,1\n",
-                "{'unit':'iso'}",
-                5.0,
-                false,
-                0.0
-            },
-            {
-                "JSON lines",
-                "{\"atMs\":1,\"opType\":\"o\",\"key\":\"a\",\"shards\":[1,2],\"weights\":[0.2,0.8]}\n"
-                        + "{\"atMs\":4,\"opType\":\"o\",\"key\":\"b\",\"shards\":[1]}\n",
-                "{}",
-                5.0,
-                false,
-                0.0
-            },
-            {
-                "JSON lines, the last one torn",
-                "{\"atMs\":1,\"opType\":\"o\",\"key\":\"a\",\"shards\":[1]}\n{\"atMs\":4,\"opT",
-                "{}",
-                5.0,
-                false,
-                0.0
-            },
-            {
-                "JSON lines, one in the middle spoilt",
-                "{\"atMs\":1,\"opT\n{\"atMs\":1,\"opType\":\"o\",\"key\":\"a\",\"shards\":[1]}\n",
-                "{}",
-                5.0,
-                false,
-                0.0
-            },
-            {"nothing", "", "{}", 5.0, false, 0.0}
-        }) {
-            seen.append(line[0])
+        List<TraceCase> cases =
+                Stream.of(CSV_CASES, JSON_CASES).flatMap(List::stream).toList();
+        for (TraceCase one : cases) {
+            seen.append(one.name())
                     .append(':')
-                    .append(run(
-                            (String) line[1], (String) line[2], (double) line[3], (boolean) line[4], (double) line[5]))
+                    .append(run(one.text(), one.columns(), one.windowMs(), one.clamp(), one.squeezeMs()))
                     .append('\n');
         }
         Table.same("trace-rules", seen.toString());
     }
 
     @Test
-    void aTraceIsPlayedFasterLoopedThinnedMultiplied() throws Exception {
+    void aTraceIsReplayedScaledLoopedSampledMultiplied() throws Exception {
         run("atMs,opType,key,shards\n0,o,a,1\n100,o,b,1\n200,o,c,1\n", "{}", 5, false, 0);
         assertThat(replay(2, 1, 1, 1)).isEqualTo(" a@0 b@50 c@100");
         assertThat(replay(1, 2, 1, 1)).isEqualTo(" a@0 b@100 c@200 a@200 b@300 c@400");
@@ -132,7 +138,7 @@
     }
 
     @Test
-    void aCutTraceIsKnownForOne() throws Exception {
+    void aTruncatedTraceIsDetected() throws Exception {
         StringBuilder text = new StringBuilder("atMs,opType,key,shards\n");
         for (int i = 0; i < 20_000; i++) {
             text.append(i).append(",o,k").append(i * 7919 % 10_007).append(",1\n");
