--- a/node/src/main/java/spartrail/front/EffectiveSettings.java
+++ b/node/src/main/java/spartrail/front/EffectiveSettings.java
@@ -29,21 +29,21 @@
 
     EffectiveSettings(DeploymentFile deployment, List<OpType> opTypes) {
         this.opTypes = opTypes;
-        this.fleetView = FleetView.fromSettings(deployment.nodes());
+        this.fleetView = FleetView.fromSettings(deployment.frontNodes());
         take(deployment);
     }
 
     private void take(DeploymentFile deployment) {
         opTypes.forEach(opType -> opTypesByName.put(opType.name, opType));
-        maxInFlight = deployment.openCap();
-        maxAttempts = deployment.mostSends();
-        configuredNodes = deployment.nodes();
+        maxInFlight = deployment.maxInHand();
+        maxAttempts = deployment.maxAttemptsPerPart();
+        configuredNodes = deployment.frontNodes();
         version = deployment.version();
     }
 
     /** The coordinator goes by these settings from now on. */
     void apply(DeploymentFile changed, Coordinator coordinator) {
-        changed.renew(coordinator, opTypes);
+        changed.applyTo(coordinator, opTypes);
         take(changed);
         fleetView = fleetView.fromPeers() ? fleetView : FleetView.fromSettings(configuredNodes);
     }
