--- a/core/src/main/java/spartrail/peers/PeerChannel.java
+++ b/core/src/main/java/spartrail/peers/PeerChannel.java
@@ -4,54 +4,55 @@
 import java.util.Map;
 
 /**
- * Another subsystem whose messages travel by the same socket as talk among nodes, on a lane of their own. Called on the talk's
- * thread, so none of these may wait.
+ * Another subsystem whose messages travel by the same socket as those among nodes, on a channel of their own. It is called on
+ * the gossip thread, so none of its methods may wait.
  */
 public interface PeerChannel {
-    /** What the lane's frames bear; 0 to 2 are the talk's own. */
+    /** None. */
+    List<PeerChannel> NONE = List.of();
+
+    /** The number that the channel's frames bear; 0 to 2 are the transport's own. */
     int number();
 
-    /** Before anything else: by what it sends. */
-    void begin(Carrier carrier);
+    /** Called before anything else. */
+    void start(Context context);
 
-    /** Bytes of this lane have come from this address. */
-    void heard(String from, byte[] bytes);
+    /** Bytes have come on this channel from that address. */
+    void onMessage(String sender, byte[] bytes);
 
-    /** What is known of the other nodes has changed, or a while has passed. */
-    void seen(MembershipView view);
+    /** The view of the other nodes has changed, or a while has passed. */
+    void onView(MembershipView view);
 
-    /** What a lane may use of the talk, from any thread. */
-    interface Carrier {
-        /** Most bytes that one frame carries. */
-        int MOST_BYTES = 1100;
+    /** What a channel may use of the transport, from any thread. */
+    interface Context {
+        /** Bytes that one frame carries at most. */
+        int MAX_MESSAGE_BYTES = 1100;
 
-        /** This node's name in the fleet, and the fleet's. */
-        String name();
+        /** This node's name in the fleet. */
+        String nodeName();
 
-        String fleet();
+        /** The fleet's name. */
+        String fleetName();
 
         /** Whether whoever sends from there is an operator. */
-        boolean operator(String address);
+        boolean isOperator(String address);
 
-        /** What the peers' file says to this lane, a JSON object by names; empty where it says nothing. */
-        Map<?, ?> told(String part);
+        /** What the peers' file says to this channel, a JSON object by names; empty where it says nothing. */
+        Map<?, ?> section(String name);
 
-        /** May be lost, come late, twice or in another order. */
+        /** Sends bytes; they may be lost, come late, twice or in another order. */
         void send(String address, byte[] bytes);
 
-        /** A line of the history, if one is kept. */
-        void note(String what, Map<String, ?> fields);
+        /** Adds a line to the history, if one is kept; values are texts, numbers and flags. */
+        void recordEvent(String event, Map<String, ?> fields);
 
-        /** The same for text, numbers and flags given as name, value, name, value. */
-        default void note(String what, Object... namesAndValues) {
+        /** The same with the fields given as name, value, name, value. */
+        default void recordEvent(String event, Object... namesAndValues) {
             Map<String, Object> fields = new java.util.LinkedHashMap<>();
             for (int i = 0; i < namesAndValues.length; i += 2) {
                 fields.put((String) namesAndValues[i], namesAndValues[i + 1]);
             }
-            note(what, fields);
+            recordEvent(event, fields);
         }
     }
-
-    /** None. */
-    List<PeerChannel> NONE = List.of();
 }
--- a/lab/src/main/java/spartrail/lab/cli/PeersCommand.java
+++ b/lab/src/main/java/spartrail/lab/cli/PeersCommand.java
@@ -52,22 +52,22 @@
     }
 
     private JsonNode page(DatagramSocket socket, int from) throws IOException {
-        byte[] question = PeerMessageCodec.text(fleet, PeerMessageCodec.QUESTION, "show " + from);
+        byte[] question = PeerMessageCodec.encodeText(fleet, PeerMessageCodec.ADMIN_REQUEST_CHANNEL, "show " + from);
         for (int i = 0; i < TRIES; i++) {
             socket.send(new DatagramPacket(question, question.length, node));
             DatagramPacket reply = new DatagramPacket(new byte[LONGEST], LONGEST);
             try {
                 socket.receive(reply);
                 PeerMessageCodec.Frame frame =
-                        PeerMessageCodec.read(reply.getData(), reply.getLength(), fleet, LONGEST);
+                        PeerMessageCodec.decode(reply.getData(), reply.getLength(), fleet, LONGEST);
                 JsonNode page =
                         Document.JSON.readTree(String.valueOf(frame.values().get(3)));
                 // A late reply to an earlier try is another page.
                 boolean asked = from == 0 ? page.has("name") : !page.has("name");
-                if (frame.lane() == PeerMessageCodec.REPLY && asked) {
+                if (frame.channel() == PeerMessageCodec.ADMIN_RESPONSE_CHANNEL && asked) {
                     return page;
                 }
-            } catch (SocketTimeoutException | PeerMessageCodec.Unusable e) {
+            } catch (SocketTimeoutException | PeerMessageCodec.MalformedDatagramException e) {
                 // Asked once more.
             }
         }
--- a/lab/src/main/java/spartrail/lab/cluster/DatagramFlood.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DatagramFlood.java
@@ -92,7 +92,7 @@
                                 0,
                                 "invented-1"))
                         : List.of();
-                return PeerMessageCodec.peers(
+                return PeerMessageCodec.encode(
                         manner.equals("fleet") ? "another" : fleet,
                         new PeerMessage(
                                 PeerMessage.Kind.PING, from, PeerState.ALIVE, 1000, "n0", number, 0, null, words));
--- a/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
@@ -213,11 +213,11 @@
 
     private String kind(byte[] datagram) {
         try {
-            return PeerMessageCodec.read(datagram, datagram.length, fleet, LONGEST)
+            return PeerMessageCodec.decode(datagram, datagram.length, fleet, LONGEST)
                     .message()
                     .kind()
                     .name();
-        } catch (PeerMessageCodec.Unusable e) {
+        } catch (PeerMessageCodec.MalformedDatagramException e) {
             return "";
         }
     }
--- a/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
+++ b/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
@@ -10,15 +10,15 @@
 
     @Override
     public byte[] encode(byte[] piece) {
-        return PeerMessageCodec.bytes(fleet, PolicyMessageCodec.LANE, piece);
+        return PeerMessageCodec.encodeBytes(fleet, PolicyMessageCodec.LANE, piece);
     }
 
     @Override
     public byte[] decode(byte[] datagram, int length) {
         try {
-            PeerMessageCodec.Frame frame = PeerMessageCodec.read(datagram, length, fleet, LONGEST);
-            return frame.lane() == PolicyMessageCodec.LANE ? frame.bytes() : null;
-        } catch (PeerMessageCodec.Unusable e) {
+            PeerMessageCodec.Frame frame = PeerMessageCodec.decode(datagram, length, fleet, LONGEST);
+            return frame.channel() == PolicyMessageCodec.LANE ? frame.bytes() : null;
+        } catch (PeerMessageCodec.MalformedDatagramException e) {
             return null;
         }
     }
--- a/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
@@ -102,7 +102,7 @@
                 all.stream().mapToLong(Run::ends).sum() / hours,
                 all.stream().mapToDouble(Run::bytes).average().orElse(0),
                 all.stream().mapToDouble(Run::mostBytes).max().orElse(0),
-                SwimMembership.maxMessagesPerSecond(times) * (PeerMessageCodec.MOST_BYTES + HEADS));
+                SwimMembership.maxMessagesPerSecond(times) * (PeerMessageCodec.MAX_FRAME_BYTES + HEADS));
     }
 
     private static double at(List<Double> sorted, double part) {
@@ -120,7 +120,7 @@
             public void sent(int node, PeerMessage message, double worldMs) {
                 super.sent(node, message, worldMs);
                 if (counts[0]) {
-                    int length = PeerMessageCodec.peers("fleet-1", message).length + HEADS;
+                    int length = PeerMessageCodec.encode("fleet-1", message).length + HEADS;
                     bytes[0] += length;
                     ofNode[node] += length;
                 }
--- a/lab/src/test/java/spartrail/lab/cluster/DatagramLinksTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/DatagramLinksTest.java
@@ -78,7 +78,7 @@
     }
 
     private static byte[] message(PeerMessage.Kind kind) {
-        return PeerMessageCodec.peers(
+        return PeerMessageCodec.encode(
                 "rig",
                 new PeerMessage(
                         kind,
--- a/peers/src/main/java/spartrail/peers/transport/GossipNode.java
+++ b/peers/src/main/java/spartrail/peers/transport/GossipNode.java
@@ -96,44 +96,44 @@
                 new Incarnation(NodeClock.unixMs(), chance.nextInt()),
                 0);
         this.peers = new SwimMembership(self, file.seeds, file.times, chance, clock.nowMs());
-        lanes.forEach(lane -> lane.begin(carrier(lane.number())));
+        lanes.forEach(lane -> lane.start(carrier(lane.number())));
         this.thread = new Thread(this, "spartrail-peers");
         thread.setDaemon(true);
         thread.start();
     }
 
     /** Called on other threads, too. */
-    private PeerChannel.Carrier carrier(int lane) {
-        return new PeerChannel.Carrier() {
+    private PeerChannel.Context carrier(int channel) {
+        return new PeerChannel.Context() {
             @Override
-            public String name() {
+            public String nodeName() {
                 return file.name;
             }
 
             @Override
-            public String fleet() {
+            public String fleetName() {
                 return file.fleet;
             }
 
             @Override
-            public boolean operator(String address) {
+            public boolean isOperator(String address) {
                 return file.operators.test(address);
             }
 
             @Override
-            public Map<?, ?> told(String part) {
+            public Map<?, ?> section(String part) {
                 return file.part(part);
             }
 
             @Override
             public void send(String address, byte[] bytes) {
                 if (file.allowed.test(address) || file.operators.test(address)) {
-                    write(PeerMessageCodec.bytes(file.fleet, lane, bytes), PeersFile.socket(address));
+                    write(PeerMessageCodec.encodeBytes(file.fleet, channel, bytes), PeersFile.socket(address));
                 }
             }
 
             @Override
-            public void note(String what, Map<String, ?> fields) {
+            public void recordEvent(String what, Map<String, ?> fields) {
                 if (history != null) {
                     history.note(what, file.name, fields);
                 }
@@ -198,25 +198,25 @@
         }
         try {
             PeerMessageCodec.Frame frame =
-                    PeerMessageCodec.read(in.array(), in.limit(), file.fleet, PeerMessageCodec.MOST_BYTES);
-            if (frame.lane() == PeerMessageCodec.PEERS && file.allowed.test(source)) {
+                    PeerMessageCodec.decode(in.array(), in.limit(), file.fleet, PeerMessageCodec.MAX_FRAME_BYTES);
+            if (frame.channel() == PeerMessageCodec.GOSSIP_CHANNEL && file.allowed.test(source)) {
                 var message = frame.message();
                 if (!file.allowed.test(message.sender().address())) {
                     count("datagrams from addresses not allowed");
                     return true;
                 }
                 peers.onMessage(message, clock.nowMs());
-            } else if (frame.lane() == PeerMessageCodec.QUESTION && file.operators.test(source)) {
+            } else if (frame.channel() == PeerMessageCodec.ADMIN_REQUEST_CHANNEL && file.operators.test(source)) {
                 if (frame.values().get(3) instanceof String question) {
                     MembershipStatusReplies.to(
                             question, peers.view(clock.nowMs()), counts(), file.fleet, page -> write(page, sender));
                 }
-            } else if (lane(frame.lane()) != null) {
-                lane(frame.lane()).heard(source, frame.bytes());
+            } else if (lane(frame.channel()) != null) {
+                lane(frame.channel()).onMessage(source, frame.bytes());
             } else {
                 count("frames of unknown lanes");
             }
-        } catch (PeerMessageCodec.Unusable e) {
+        } catch (PeerMessageCodec.MalformedDatagramException e) {
             count(e.getMessage());
         }
         return true;
@@ -235,10 +235,10 @@
     /** Sends what is to be sent and tells what has changed. */
     private void carryOut() {
         for (OutgoingMessage outgoing : peers.drainMessages()) {
-            byte[] bytes = PeerMessageCodec.peers(file.fleet, outgoing.message());
-            if (bytes.length > PeerMessageCodec.MOST_BYTES || !file.allowed.test(outgoing.address())) {
+            byte[] bytes = PeerMessageCodec.encode(file.fleet, outgoing.message());
+            if (bytes.length > PeerMessageCodec.MAX_FRAME_BYTES || !file.allowed.test(outgoing.address())) {
                 count(
-                        bytes.length > PeerMessageCodec.MOST_BYTES
+                        bytes.length > PeerMessageCodec.MAX_FRAME_BYTES
                                 ? "messages too large to send"
                                 : "addresses not allowed");
                 continue;
@@ -279,7 +279,7 @@
                             : "in doubt: " + view.healthProblem());
         }
         last = view;
-        lanes.forEach(lane -> lane.seen(view));
+        lanes.forEach(lane -> lane.onView(view));
         if (changed) {
             views.accept(view);
         }
--- a/peers/src/main/java/spartrail/peers/transport/MembershipStatusReplies.java
+++ b/peers/src/main/java/spartrail/peers/transport/MembershipStatusReplies.java
@@ -50,7 +50,7 @@
         } catch (IOException e) {
             throw new IllegalStateException("text in memory", e);
         }
-        send.accept(PeerMessageCodec.text(fleet, PeerMessageCodec.REPLY, text.toString()));
+        send.accept(PeerMessageCodec.encodeText(fleet, PeerMessageCodec.ADMIN_RESPONSE_CHANNEL, text.toString()));
     }
 
     private static void head(JsonGenerator out, MembershipView view, Map<String, Long> counts) throws IOException {
--- a/peers/src/main/java/spartrail/peers/transport/PeerMessageCodec.java
+++ b/peers/src/main/java/spartrail/peers/transport/PeerMessageCodec.java
@@ -35,14 +35,14 @@
 public final class PeerMessageCodec {
     public static final int VERSION = 1;
     /** What fits into one datagram on an Ethernet without being cut into pieces. */
-    public static final int MOST_BYTES = 1400;
+    public static final int MAX_FRAME_BYTES = 1400;
     /** A frame's cards and head take at most so much of it where names are of usual length. */
     static final int LEFT_FOR_CARDS = 400;
     /** What the rest of a frame is for. */
-    public static final int PEERS = 0;
+    public static final int GOSSIP_CHANNEL = 0;
 
-    public static final int QUESTION = 1;
-    public static final int REPLY = 2;
+    public static final int ADMIN_REQUEST_CHANNEL = 1;
+    public static final int ADMIN_RESPONSE_CHANNEL = 2;
     private static final int CRC = 4;
 
     private static final CBORFactory CBOR = CBORFactory.builder()
@@ -51,31 +51,31 @@
             .build();
 
     /** A frame that cannot be used, and why. */
-    public static final class Unusable extends Exception {
+    public static final class MalformedDatagramException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Unusable(String why) {
+        MalformedDatagramException(String why) {
             super(why, null, false, false);
         }
     }
 
     /** What a frame holds. */
-    public record Frame(int lane, List<?> values) {
+    public record Frame(int channel, List<?> values) {
         /** The bytes in it, where its lane has such. */
-        public byte[] bytes() throws Unusable {
+        public byte[] bytes() throws MalformedDatagramException {
             if (values.get(3) instanceof byte[] bytes) {
                 return bytes;
             }
-            throw new Unusable("unreadable frames");
+            throw new MalformedDatagramException("unreadable frames");
         }
 
         /** The peers' message in it. */
-        public PeerMessage message() throws Unusable {
+        public PeerMessage message() throws MalformedDatagramException {
             try {
                 List<?> list = (List<?>) values.get(3);
                 int kind = ((Number) list.get(0)).intValue();
                 if (kind < 0 || kind >= PeerMessage.Kind.values().length) {
-                    throw new Unusable("unknown kinds");
+                    throw new MalformedDatagramException("unknown kinds");
                 }
                 List<PeerUpdate> words = new ArrayList<>();
                 for (Object word : (List<?>) list.get(8)) {
@@ -98,7 +98,7 @@
                         list.get(7) == null ? null : card(list.get(7)),
                         words);
             } catch (ClassCastException | IndexOutOfBoundsException | NullPointerException e) {
-                throw new Unusable("unreadable frames");
+                throw new MalformedDatagramException("unreadable frames");
             }
         }
     }
@@ -110,8 +110,8 @@
                 && Integer.parseInt(text.substring(text.indexOf(':') + 1)) < 65_536;
     }
 
-    public static byte[] peers(String fleet, PeerMessage message) {
-        return frame(fleet, PEERS, out -> {
+    public static byte[] encode(String fleet, PeerMessage message) {
+        return frame(fleet, GOSSIP_CHANNEL, out -> {
             out.writeStartArray();
             out.writeNumber(message.kind().ordinal());
             card(out, message.sender());
@@ -140,26 +140,26 @@
     }
 
     /** A question of an operator, or a page of the reply to it. */
-    public static byte[] text(String fleet, int lane, String text) {
-        return frame(fleet, lane, out -> out.writeString(text));
+    public static byte[] encodeText(String fleet, int channel, String text) {
+        return frame(fleet, channel, out -> out.writeString(text));
     }
 
     /** Bytes of another subsystem's lane. */
-    public static byte[] bytes(String fleet, int lane, byte[] bytes) {
-        return frame(fleet, lane, out -> out.writeBinary(bytes));
+    public static byte[] encodeBytes(String fleet, int channel, byte[] bytes) {
+        return frame(fleet, channel, out -> out.writeBinary(bytes));
     }
 
     private interface Writing {
         void to(JsonGenerator out) throws IOException;
     }
 
-    private static byte[] frame(String fleet, int lane, Writing rest) {
+    private static byte[] frame(String fleet, int channel, Writing rest) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(512);
         try (JsonGenerator out = CBOR.createGenerator(bytes)) {
             out.writeStartArray();
             out.writeNumber(VERSION);
             out.writeString(fleet);
-            out.writeNumber(lane);
+            out.writeNumber(channel);
             rest.to(out);
             out.writeEndArray();
         } catch (IOException e) {
@@ -210,27 +210,28 @@
     }
 
     /** Reads a frame of this fleet, whose bytes begin at 0. */
-    public static Frame read(byte[] bytes, int length, String fleet, int mostBytes) throws Unusable {
+    public static Frame decode(byte[] bytes, int length, String fleet, int mostBytes)
+            throws MalformedDatagramException {
         if (length > mostBytes) {
-            throw new Unusable("frames too large");
+            throw new MalformedDatagramException("frames too large");
         }
         if (length <= CRC || ByteBuffer.wrap(bytes).getInt(length - CRC) != crc(bytes, length - CRC)) {
-            throw new Unusable("unreadable frames");
+            throw new MalformedDatagramException("unreadable frames");
         }
         try (JsonParser in = CBOR.createParser(bytes, 0, length - CRC)) {
             if (in.nextToken() == null
                     || !(JsonTree.value(in) instanceof List<?> values)
                     || values.size() < 4
                     || !(values.get(0) instanceof Number)
-                    || !(values.get(2) instanceof Number lane)) {
-                throw new Unusable("unreadable frames");
+                    || !(values.get(2) instanceof Number channel)) {
+                throw new MalformedDatagramException("unreadable frames");
             }
             if (!fleet.equals(values.get(1))) {
-                throw new Unusable("frames of another fleet");
+                throw new MalformedDatagramException("frames of another fleet");
             }
-            return new Frame(lane.intValue(), values);
+            return new Frame(channel.intValue(), values);
         } catch (IOException | RuntimeException e) {
-            throw new Unusable("unreadable frames");
+            throw new MalformedDatagramException("unreadable frames");
         }
     }
 }
--- a/peers/src/main/java/spartrail/peers/transport/PeersFile.java
+++ b/peers/src/main/java/spartrail/peers/transport/PeersFile.java
@@ -132,9 +132,9 @@
                     "/times/answerMs: found " + times.ackTimeoutMs() + " at rounds of " + times.probeIntervalMs()
                             + ", rounds of 10 or more and less for an answer than a round are expected");
         }
-        if (times.maxUpdateBytes() > PeerMessageCodec.MOST_BYTES - PeerMessageCodec.LEFT_FOR_CARDS) {
+        if (times.maxUpdateBytes() > PeerMessageCodec.MAX_FRAME_BYTES - PeerMessageCodec.LEFT_FOR_CARDS) {
             throw new IllegalArgumentException("/times/wordBytes: found " + times.maxUpdateBytes() + ", at most "
-                    + (PeerMessageCodec.MOST_BYTES - PeerMessageCodec.LEFT_FOR_CARDS)
+                    + (PeerMessageCodec.MAX_FRAME_BYTES - PeerMessageCodec.LEFT_FOR_CARDS)
                     + " is expected, as a message is one datagram");
         }
         return times;
--- a/peers/src/test/java/spartrail/peers/transport/DatagramFormTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/DatagramFormTest.java
@@ -54,13 +54,13 @@
 
     private static PeerMessageCodec.Frame frame(String hex) throws Exception {
         byte[] bytes = HexFormat.of().parseHex(hex);
-        return PeerMessageCodec.read(bytes, bytes.length, FLEET, PeerMessageCodec.MOST_BYTES);
+        return PeerMessageCodec.decode(bytes, bytes.length, FLEET, PeerMessageCodec.MAX_FRAME_BYTES);
     }
 
     @Test
     void messagesOfEachKindAreWrittenAsStored() throws Exception {
         List<String> written = new ArrayList<>();
-        messages().forEach((name, message) -> written.add(name + " " + hex(PeerMessageCodec.peers(FLEET, message))));
+        messages().forEach((name, message) -> written.add(name + " " + hex(PeerMessageCodec.encode(FLEET, message))));
         assertThat(written).isEqualTo(StoredForms.lines("datagrams.txt"));
         assertThat(messages().values()).extracting(PeerMessage::kind).containsExactly(PeerMessage.Kind.values());
     }
@@ -79,16 +79,17 @@
     void textsAndBytesOfOtherLanesAreWrittenAndReadAsStored() throws Exception {
         Map<String, String> stored = StoredForms.named("lanes.txt");
         byte[] policy = {0, 1, -1, 127, -128};
-        assertThat(hex(PeerMessageCodec.text(FLEET, PeerMessageCodec.QUESTION, "show 0")))
+        assertThat(hex(PeerMessageCodec.encodeText(FLEET, PeerMessageCodec.ADMIN_REQUEST_CHANNEL, "show 0")))
                 .isEqualTo(stored.get("question"));
-        assertThat(hex(PeerMessageCodec.text(FLEET, PeerMessageCodec.REPLY, "{\"next\":-1}")))
+        assertThat(hex(PeerMessageCodec.encodeText(FLEET, PeerMessageCodec.ADMIN_RESPONSE_CHANNEL, "{\"next\":-1}")))
                 .isEqualTo(stored.get("reply"));
-        assertThat(hex(PeerMessageCodec.bytes(FLEET, POLICY_LANE, policy))).isEqualTo(stored.get("policy"));
+        assertThat(hex(PeerMessageCodec.encodeBytes(FLEET, POLICY_LANE, policy)))
+                .isEqualTo(stored.get("policy"));
 
         assertThat(frame(stored.get("question")).values().get(3)).isEqualTo("show 0");
-        assertThat(frame(stored.get("question")).lane()).isEqualTo(PeerMessageCodec.QUESTION);
-        assertThat(frame(stored.get("reply")).lane()).isEqualTo(PeerMessageCodec.REPLY);
-        assertThat(frame(stored.get("policy")).lane()).isEqualTo(POLICY_LANE);
+        assertThat(frame(stored.get("question")).channel()).isEqualTo(PeerMessageCodec.ADMIN_REQUEST_CHANNEL);
+        assertThat(frame(stored.get("reply")).channel()).isEqualTo(PeerMessageCodec.ADMIN_RESPONSE_CHANNEL);
+        assertThat(frame(stored.get("policy")).channel()).isEqualTo(POLICY_LANE);
         assertThat(frame(stored.get("policy")).bytes()).isEqualTo(policy);
     }
 }
--- a/peers/src/test/java/spartrail/peers/transport/PeerMessageCodecTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/PeerMessageCodecTest.java
@@ -39,22 +39,23 @@
 
     private static String read(byte[] bytes, String fleet) {
         try {
-            return PeerMessageCodec.read(bytes, bytes.length, fleet, PeerMessageCodec.MOST_BYTES)
+            return PeerMessageCodec.decode(bytes, bytes.length, fleet, PeerMessageCodec.MAX_FRAME_BYTES)
                             .message()
                             .equals(MESSAGE)
                     ? "the same"
                     : "another";
-        } catch (PeerMessageCodec.Unusable e) {
+        } catch (PeerMessageCodec.MalformedDatagramException e) {
             return e.getMessage();
         }
     }
 
     @Test
     void aMessageComesOutAsItWentIn() {
-        byte[] bytes = PeerMessageCodec.peers("recife", MESSAGE);
+        byte[] bytes = PeerMessageCodec.encode("recife", MESSAGE);
         assertThat(read(bytes, "recife")).isEqualTo("the same");
         assertThat(read(bytes, "jaboatao")).isEqualTo("frames of another fleet");
-        assertThat(read(new byte[PeerMessageCodec.MOST_BYTES + 1], "recife")).isEqualTo("frames too large");
+        assertThat(read(new byte[PeerMessageCodec.MAX_FRAME_BYTES + 1], "recife"))
+                .isEqualTo("frames too large");
         assertThat(bytes.length).isLessThan(260);
     }
 
@@ -86,19 +87,19 @@
                 nodes.get(i).advance(ms);
                 for (OutgoingMessage outgoing : nodes.get(i).drainMessages()) {
                     int to = Integer.parseInt(outgoing.address().substring(12, 15)) - 100;
-                    most = Math.max(most, PeerMessageCodec.peers(longest, outgoing.message()).length);
+                    most = Math.max(most, PeerMessageCodec.encode(longest, outgoing.message()).length);
                     if (ms < 4000 || i != 7 && to != 7) {
                         nodes.get(to).onMessage(outgoing.message(), ms);
                     }
                 }
             }
         }
-        assertThat(most).isBetween(1000, PeerMessageCodec.MOST_BYTES);
+        assertThat(most).isBetween(1000, PeerMessageCodec.MAX_FRAME_BYTES);
     }
 
     @Test
     void cutOrChangedAtAnyByteItIsDropped() {
-        byte[] bytes = PeerMessageCodec.peers("recife", MESSAGE);
+        byte[] bytes = PeerMessageCodec.encode("recife", MESSAGE);
         for (int i = 0; i < bytes.length; i++) {
             assertThat(read(Arrays.copyOf(bytes, i), "recife"))
                     .as("cut at " + i)
@@ -153,7 +154,7 @@
             out.writeStartArray();
             out.writeNumber(2);
             out.writeString("recife");
-            out.writeNumber(PeerMessageCodec.PEERS);
+            out.writeNumber(PeerMessageCodec.GOSSIP_CHANNEL);
             out.writeStartArray();
             out.writeNumber(kind);
             card(out, true);
@@ -175,7 +176,7 @@
     @Test
     void theNextVersionsNodesCanMixWithThisOnes() throws Exception {
         byte[] ping = next(0);
-        PeerMessage message = PeerMessageCodec.read(ping, ping.length, "recife", PeerMessageCodec.MOST_BYTES)
+        PeerMessage message = PeerMessageCodec.decode(ping, ping.length, "recife", PeerMessageCodec.MAX_FRAME_BYTES)
                 .message();
         assertThat(message.sender()).isEqualTo(ONE);
         assertThat(message.nonce()).isEqualTo(9);
--- a/peers/src/test/java/spartrail/peers/transport/ReplyFormTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/ReplyFormTest.java
@@ -52,10 +52,11 @@
                 question, VIEW, Map.of("bytes sent", 123L, "datagrams received", 45L), FLEET, sent::add);
         List<String> texts = new ArrayList<>();
         for (byte[] bytes : sent) {
-            String text = (String) PeerMessageCodec.read(bytes, bytes.length, FLEET, PeerMessageCodec.MOST_BYTES)
+            String text = (String) PeerMessageCodec.decode(bytes, bytes.length, FLEET, PeerMessageCodec.MAX_FRAME_BYTES)
                     .values()
                     .get(3);
-            assertThat(bytes).isEqualTo(PeerMessageCodec.text(FLEET, PeerMessageCodec.REPLY, text));
+            assertThat(bytes)
+                    .isEqualTo(PeerMessageCodec.encodeText(FLEET, PeerMessageCodec.ADMIN_RESPONSE_CHANNEL, text));
             texts.add(text);
         }
         return texts;
--- a/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
@@ -49,7 +49,7 @@
     private final List<String> there = new ArrayList<>();
     private final CountDownLatch ruled = new CountDownLatch(1);
     private final RandomGenerator chance = RandomGenerator.of("L64X128MixRandom");
-    private Carrier carrier;
+    private Context carrier;
     private PolicyTimings times;
     private List<String> deciders = List.of();
     private PolicyFollower follower;
@@ -77,13 +77,13 @@
     }
 
     @Override
-    public void begin(Carrier by) {
+    public void start(Context by) {
         carrier = by;
-        PolicyConfig said = new PolicyConfig(by.told("policy"));
+        PolicyConfig said = new PolicyConfig(by.section("policy"));
         times = said.times;
         deciders = said.deciders;
-        pieces = new DatagramReassembler(Carrier.MOST_BYTES, chance.nextInt());
-        follower = new PolicyFollower(by.name(), deciders, host.localSettings(), times, chance, host.nowMs());
+        pieces = new DatagramReassembler(Context.MAX_MESSAGE_BYTES, chance.nextInt());
+        follower = new PolicyFollower(by.nodeName(), deciders, host.localSettings(), times, chance, host.nowMs());
         thread = new Thread(this, "spartrail-policy");
         thread.setDaemon(true);
         thread.start();
@@ -92,7 +92,7 @@
     // ---- From other threads ----
 
     @Override
-    public void heard(String from, byte[] piece) {
+    public void onMessage(String from, byte[] piece) {
         if (queue.size() < MOST_QUEUED) {
             queue.add(() -> {
                 byte[] message = pieces.add(from, piece);
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public void seen(MembershipView view) {
+    public void onView(MembershipView view) {
         Map<String, String> known = new HashMap<>();
         List<String> names = new ArrayList<>();
         for (MembershipView.Entry seen : view.peers()) {
@@ -224,7 +224,7 @@
 
     /** Danger: a deciding node that lost its disk would vote a second time; without its log it takes no part in deciding. */
     private void openLog() {
-        if (!deciders.contains(carrier.name())) {
+        if (!deciders.contains(carrier.nodeName())) {
             return;
         }
         try {
@@ -232,10 +232,10 @@
                 throw new IOException(
                         folder + ": holds no log of policy; 'spartrail policy found' makes those of a new set");
             }
-            journal = new RaftLogStore(folder, carrier.fleet(), carrier.name());
+            journal = new RaftLogStore(folder, carrier.fleetName(), carrier.nodeName());
             deciding = new RaftReplica(
-                    carrier.name(),
-                    carrier.fleet(),
+                    carrier.nodeName(),
+                    carrier.fleetName(),
                     journal,
                     times,
                     this,
@@ -243,11 +243,11 @@
                     this::carry,
                     addresses::containsKey,
                     this::changed);
-            carrier.note("decider", "on", true);
+            carrier.recordEvent("decider", "on", true);
         } catch (IOException e) {
             journal = null;
             LOG.log(System.Logger.Level.ERROR, "does not decide about policy: " + e.getMessage());
-            carrier.note("decider", "on", false, "why", e.getMessage());
+            carrier.recordEvent("decider", "on", false, "why", e.getMessage());
         }
     }
 
@@ -258,7 +258,7 @@
             if (leading != deciding.isLeader()) {
                 leading = !leading;
                 LOG.log(System.Logger.Level.INFO, leading ? "leads those that decide about policy" : "leads no longer");
-                carrier.note("leads", "on", leading);
+                carrier.recordEvent("leads", "on", leading);
             }
         }
         PolicyRequest ask = follower.pollIfDue(nowMs);
@@ -282,7 +282,7 @@
         if (!by.equals(name)) {
             name = by;
             LOG.log(System.Logger.Level.INFO, "goes by policy " + by);
-            carrier.note(
+            carrier.recordEvent(
                     "policy",
                     "by",
                     by,
@@ -311,7 +311,7 @@
                         : " " + heard.pending().number() + " " + heard.pending().stage());
         if (!state.equals(told)) {
             told = state;
-            carrier.note(
+            carrier.recordEvent(
                     "told",
                     "holds",
                     heard.active().number(),
@@ -328,7 +328,7 @@
                 () -> {
                     String no = no(open);
                     queue.add(() -> {
-                        carrier.note("vote", "number", open.number(), "no", no);
+                        carrier.recordEvent("vote", "number", open.number(), "no", no);
                         LOG.log(
                                 System.Logger.Level.INFO,
                                 "proposal " + open.number() + ": " + (no.isEmpty() ? "can be applied" : no));
@@ -372,12 +372,12 @@
                     }
                 }
                 case PolicyMessageCodec.ORDER -> {
-                    if (carrier.operator(from)) {
+                    if (carrier.isOperator(from)) {
                         order(from, plain);
                     }
                 }
                 case PolicyMessageCodec.QUESTION -> {
-                    if (carrier.operator(from)) {
+                    if (carrier.isOperator(from)) {
                         asked(from, plain.get(1), (String) plain.get(2));
                     }
                 }
@@ -477,7 +477,7 @@
     }
 
     private String page() {
-        return PolicyStatusPage.of(carrier.name(), given, follower, deciding, addressOfLeader(), host.nowMs());
+        return PolicyStatusPage.of(carrier.nodeName(), given, follower, deciding, addressOfLeader(), host.nowMs());
     }
 
     private void carry(String to, RaftMessage message) {
@@ -487,7 +487,7 @@
     /** The log has moved on: all that are there are to ask anew. */
     private void changed() {
         PolicyLog log = deciding.log();
-        carrier.note(
+        carrier.recordEvent(
                 "log",
                 "holds",
                 log.active().number(),
