--- a/lab/src/main/java/spartrail/lab/cli/PeersCommand.java
+++ b/lab/src/main/java/spartrail/lab/cli/PeersCommand.java
@@ -11,7 +11,9 @@
 import java.net.SocketTimeoutException;
 import spartrail.lab.file.Document;
 import spartrail.lab.file.InvalidInputException;
-import spartrail.peers.transport.PeerMessageCodec;
+import spartrail.peers.transport.DatagramFrame;
+import spartrail.peers.transport.MalformedDatagramException;
+import spartrail.peers.transport.SocketAddresses;
 
 /** Asks a running node what it knows of the others, page by page. */
 final class PeersCommand {
@@ -24,7 +26,7 @@
     private final String fleet;
 
     PeersCommand(String at, String fleet) {
-        if (!PeerMessageCodec.isAddress(at)) {
+        if (!SocketAddresses.isValid(at)) {
             throw new InvalidInputException(
                     "--at: found '" + at + "', the node's address for talk, such as 127.0.0.1:7400, is expected");
         }
@@ -52,22 +54,20 @@
     }
 
     private JsonNode page(DatagramSocket socket, int from) throws IOException {
-        byte[] question = PeerMessageCodec.encodeText(fleet, PeerMessageCodec.ADMIN_REQUEST_CHANNEL, "show " + from);
+        byte[] question = DatagramFrame.encodeText(fleet, DatagramFrame.ADMIN_REQUEST_CHANNEL, "show " + from);
         for (int i = 0; i < TRIES; i++) {
             socket.send(new DatagramPacket(question, question.length, node));
             DatagramPacket reply = new DatagramPacket(new byte[LONGEST], LONGEST);
             try {
                 socket.receive(reply);
-                PeerMessageCodec.Frame frame =
-                        PeerMessageCodec.decode(reply.getData(), reply.getLength(), fleet, LONGEST);
-                JsonNode page =
-                        Document.JSON.readTree(String.valueOf(frame.values().get(3)));
+                DatagramFrame frame = DatagramFrame.decode(reply.getData(), reply.getLength(), fleet, LONGEST);
+                JsonNode page = Document.JSON.readTree(String.valueOf(frame.payload()));
                 // A late reply to an earlier try is another page.
                 boolean asked = from == 0 ? page.has("name") : !page.has("name");
-                if (frame.channel() == PeerMessageCodec.ADMIN_RESPONSE_CHANNEL && asked) {
+                if (frame.channel() == DatagramFrame.ADMIN_RESPONSE_CHANNEL && asked) {
                     return page;
                 }
-            } catch (SocketTimeoutException | PeerMessageCodec.MalformedDatagramException e) {
+            } catch (SocketTimeoutException | MalformedDatagramException e) {
                 // Asked once more.
             }
         }
--- a/lab/src/main/java/spartrail/lab/cli/PolicyAt.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyAt.java
@@ -9,7 +9,7 @@
 import spartrail.lab.file.Document;
 import spartrail.lab.file.InvalidInputException;
 import spartrail.lab.net.AdminFrameCodec;
-import spartrail.peers.transport.PeerMessageCodec;
+import spartrail.peers.transport.SocketAddresses;
 import spartrail.policy.LogOperation;
 import spartrail.policy.replication.AdminClient;
 
@@ -29,7 +29,7 @@
     String fleet;
 
     AdminClient operator() throws IOException {
-        if (!PeerMessageCodec.isAddress(at)) {
+        if (!SocketAddresses.isValid(at)) {
             throw new InvalidInputException(
                     "--at: found '" + at + "', the node's address for talk, such as 127.0.0.1:7400, is expected");
         }
--- a/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
@@ -17,6 +17,9 @@
 import java.util.random.RandomGeneratorFactory;
 import spartrail.model.NodeClock;
 import spartrail.model.TimerQueue;
+import spartrail.peers.PeerMessage;
+import spartrail.peers.transport.DatagramFrame;
+import spartrail.peers.transport.MalformedDatagramException;
 import spartrail.peers.transport.PeerMessageCodec;
 
 /**
@@ -213,15 +216,24 @@
 
     private String kind(byte[] datagram) {
         try {
-            return PeerMessageCodec.decode(datagram, datagram.length, fleet, LONGEST)
-                    .message()
-                    .kind()
-                    .name();
-        } catch (PeerMessageCodec.MalformedDatagramException e) {
+            DatagramFrame frame = DatagramFrame.decode(datagram, datagram.length, fleet, LONGEST);
+            return planText(PeerMessageCodec.decode(frame).kind());
+        } catch (MalformedDatagramException e) {
             return "";
         }
     }
 
+    /** The text that plans have for a kind of message. */
+    static String planText(PeerMessage.Kind kind) {
+        return switch (kind) {
+            case PING -> "PING";
+            case ACK -> "ACK";
+            case PING_REQUEST -> "ASK";
+            case INDIRECT_ACK -> "FOUND";
+            case INDIRECT_NACK -> "NOT_FOUND";
+        };
+    }
+
     private void forward(byte[] datagram, int from, int to) {
         try {
             doors.get(from)
--- a/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
+++ b/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
@@ -1,6 +1,7 @@
 package spartrail.lab.net;
 
-import spartrail.peers.transport.PeerMessageCodec;
+import spartrail.peers.transport.DatagramFrame;
+import spartrail.peers.transport.MalformedDatagramException;
 import spartrail.policy.replication.AdminClient;
 import spartrail.policy.replication.PolicyMessageCodec;
 
@@ -10,15 +11,15 @@
 
     @Override
     public byte[] encode(byte[] piece) {
-        return PeerMessageCodec.encodeBytes(fleet, PolicyMessageCodec.LANE, piece);
+        return DatagramFrame.encodeBytes(fleet, PolicyMessageCodec.LANE, piece);
     }
 
     @Override
     public byte[] decode(byte[] datagram, int length) {
         try {
-            PeerMessageCodec.Frame frame = PeerMessageCodec.decode(datagram, length, fleet, LONGEST);
+            DatagramFrame frame = DatagramFrame.decode(datagram, length, fleet, LONGEST);
             return frame.channel() == PolicyMessageCodec.LANE ? frame.bytes() : null;
-        } catch (PeerMessageCodec.MalformedDatagramException e) {
+        } catch (MalformedDatagramException e) {
             return null;
         }
     }
--- a/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
@@ -10,6 +10,7 @@
 import spartrail.peers.GossipTimings;
 import spartrail.peers.PeerMessage;
 import spartrail.peers.SwimMembership;
+import spartrail.peers.transport.DatagramFrame;
 import spartrail.peers.transport.PeerMessageCodec;
 
 /** How soon fleets of a size know of a crash, how often they err under a fault, and what their talk costs. */
@@ -102,7 +103,7 @@
                 all.stream().mapToLong(Run::ends).sum() / hours,
                 all.stream().mapToDouble(Run::bytes).average().orElse(0),
                 all.stream().mapToDouble(Run::mostBytes).max().orElse(0),
-                SwimMembership.maxMessagesPerSecond(times) * (PeerMessageCodec.MAX_FRAME_BYTES + HEADS));
+                SwimMembership.maxMessagesPerSecond(times) * (DatagramFrame.MAX_BYTES + HEADS));
     }
 
     private static double at(List<Double> sorted, double part) {
--- a/lab/src/test/java/spartrail/lab/cluster/DatagramLinksTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/DatagramLinksTest.java
@@ -12,6 +12,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.Consumer;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import spartrail.peers.Incarnation;
@@ -142,4 +143,11 @@
         assertThat("127.0.0.1:" + packet.getPort()).isEqualTo(links.address(0));
         assertThat(links.bytes(0)).isEqualTo(1);
     }
+
+    /** Plans that exist name kinds of messages by these texts, whatever the constants are called. */
+    @Test
+    void kindsOfMessagesHaveThePlansTexts() {
+        assertThat(Stream.of(PeerMessage.Kind.values()).map(DatagramLinks::planText))
+                .containsExactly("PING", "ACK", "ASK", "FOUND", "NOT_FOUND");
+    }
 }
--- a/peers/src/main/java/spartrail/peers/transport/DatagramPeerTransport.java
+++ b/peers/src/main/java/spartrail/peers/transport/DatagramPeerTransport.java
@@ -8,8 +8,10 @@
 import spartrail.peers.PeerChannel;
 import spartrail.peers.PeerTransport;
 
-/** Talk over datagrams, as the peers' file says. */
+/** Exchanges messages in datagrams, as the peers' file says. */
 public final class DatagramPeerTransport implements PeerTransport {
+    static final String LOGGER = "spartrail.peering";
+
     @Override
     public void check(Path file) {
         PeersFile.read(file);
@@ -17,12 +19,10 @@
 
     @Override
     public Running start(
-            Path file, Path history, long historyBytes, Consumer<MembershipView> views, List<PeerChannel> lanes)
+            Path file, Path history, long maxHistoryBytes, Consumer<MembershipView> views, List<PeerChannel> channels)
             throws IOException {
-        return new GossipNode(
-                PeersFile.read(file),
-                history == null ? null : new MembershipHistory(history, historyBytes),
-                views,
-                lanes);
+        PeersConfig config = PeersFile.read(file);
+        MembershipHistory recorded = history == null ? null : new MembershipHistory(history, maxHistoryBytes);
+        return new GossipNode(config, recorded, views, channels);
     }
 }
--- a/peers/src/main/java/spartrail/peers/transport/GossipNode.java
+++ b/peers/src/main/java/spartrail/peers/transport/GossipNode.java
@@ -2,11 +2,6 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.net.SocketAddress;
-import java.nio.ByteBuffer;
-import java.nio.channels.DatagramChannel;
-import java.nio.channels.SelectionKey;
-import java.nio.channels.Selector;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
@@ -14,7 +9,6 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import spartrail.model.NodeClock;
@@ -23,337 +17,225 @@
 import spartrail.peers.OutgoingMessage;
 import spartrail.peers.PeerChannel;
 import spartrail.peers.PeerDescriptor;
-import spartrail.peers.PeerEvent;
-import spartrail.peers.PeerState;
+import spartrail.peers.PeerMessage;
 import spartrail.peers.PeerTransport;
 import spartrail.peers.SwimMembership;
 
 /**
- * A node's socket for talk and the thread that owns it and its {@link SwimMembership}. Datagrams come in, are read or dropped and
- * counted, and go to the peers; what these want sent goes out. It decides nothing.
+ * A node's gossip thread, which owns its socket and its {@link SwimMembership}. Datagrams are decoded, or dropped and counted,
+ * and given to the membership, to operators' requests or to a channel; messages of the membership are sent, changes of its
+ * view published. It decides nothing about nodes.
  */
 final class GossipNode implements PeerTransport.Running, Runnable {
-    private static final System.Logger LOG = System.getLogger("spartrail.peering");
-    /** Danger: a flood keeps the thread reading while its own rounds are overdue, and it takes itself for standing still. */
-    private static final int MOST_AT_ONCE = 64;
+    private static final System.Logger LOG = System.getLogger(DatagramPeerTransport.LOGGER);
+    /**
+     * Datagrams read before timers run again: a flood would else keep the thread reading while its own rounds are overdue, and
+     * look like a pause of the process.
+     */
+    private static final int MAX_DATAGRAMS_AT_ONCE = 64;
 
-    private static final int LONGEST = 65_536;
-    private static final int RECEIVE_BYTES = 512 * 1024;
-    /** Lines about views in a minute; a flood must not fill the log. */
-    private static final int LINES_A_MINUTE = 120;
+    private static final long MAX_WAIT_MS = 1000;
+    private static final long LEAVE_TIMEOUT_MS = 500;
+    private static final long STOP_TIMEOUT_MS = 2000;
 
-    private static final double MINUTE_MS = 60_000;
-
-    private final PeersFile file;
+    private final PeersConfig config;
     private final MembershipHistory history;
-    private final Consumer<MembershipView> views;
-    private final List<PeerChannel> lanes;
+    private final List<PeerChannel> channels;
     private final NodeClock clock = new NodeClock();
-    private final DatagramChannel channel;
-    private final Selector selector;
-    private final SwimMembership peers;
+    private final GossipSocket socket;
+    private final SwimMembership membership;
+    private final ViewPublisher publisher;
     private final Thread thread;
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final Map<String, Long> dropped = new TreeMap<>();
-    private final ByteBuffer in = ByteBuffer.allocate(LONGEST);
-    private MembershipView last;
-    private PeerDescriptor told;
-    private final AtomicLong sentBytes = new AtomicLong();
-    private final AtomicLong sent = new AtomicLong();
-    private final AtomicLong unsent = new AtomicLong();
-    private long received;
-    private int lines;
-    private double linesFromMs;
-    private volatile boolean ended;
+    private volatile boolean stopped;
 
-    GossipNode(PeersFile file, MembershipHistory history, Consumer<MembershipView> views, List<PeerChannel> lanes)
+    /** Starts the thread; without a history where that is null. */
+    GossipNode(
+            PeersConfig config, MembershipHistory history, Consumer<MembershipView> views, List<PeerChannel> channels)
             throws IOException {
-        this.file = file;
+        this.config = config;
         this.history = history;
-        this.views = views;
-        this.lanes = lanes;
-        this.selector = Selector.open();
-        this.channel = DatagramChannel.open();
-        try {
-            channel.configureBlocking(false);
-            channel.setOption(java.net.StandardSocketOptions.SO_RCVBUF, RECEIVE_BYTES);
-            channel.bind(file.listen);
-            channel.register(selector, SelectionKey.OP_READ);
-        } catch (IOException e) {
-            channel.close();
-            selector.close();
-            throw new IOException("cannot listen on " + file.listen + " for other nodes: " + e.getMessage(), e);
-        }
-        RandomGenerator chance = RandomGenerator.of("L64X128MixRandom");
-        String program = GossipNode.class.getPackage().getImplementationVersion();
-        PeerDescriptor self = new PeerDescriptor(
-                file.name,
-                file.advertise,
-                file.zone,
-                file.weight,
-                program == null ? "" : program,
-                file.settings,
-                new Incarnation(NodeClock.unixMs(), chance.nextInt()),
-                0);
-        this.peers = new SwimMembership(self, file.seeds, file.times, chance, clock.nowMs());
-        lanes.forEach(lane -> lane.start(carrier(lane.number())));
+        this.channels = channels;
+        this.socket = new GossipSocket(config.listen());
+        RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
+        this.membership = new SwimMembership(
+                describeSelf(config, random), config.seeds(), config.timings(), random, clock.nowMs());
+        this.publisher = new ViewPublisher(history, channels, views);
+        channels.forEach(channel -> channel.start(contextOf(channel)));
         this.thread = new Thread(this, "spartrail-peers");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Called on other threads, too. */
-    private PeerChannel.Context carrier(int channel) {
-        return new PeerChannel.Context() {
-            @Override
-            public String nodeName() {
-                return file.name;
-            }
-
-            @Override
-            public String fleetName() {
-                return file.fleet;
-            }
-
-            @Override
-            public boolean isOperator(String address) {
-                return file.operators.test(address);
-            }
-
-            @Override
-            public Map<?, ?> section(String part) {
-                return file.part(part);
-            }
-
-            @Override
-            public void send(String address, byte[] bytes) {
-                if (file.allowed.test(address) || file.operators.test(address)) {
-                    write(PeerMessageCodec.encodeBytes(file.fleet, channel, bytes), PeersFile.socket(address));
-                }
-            }
-
-            @Override
-            public void recordEvent(String what, Map<String, ?> fields) {
-                if (history != null) {
-                    history.note(what, file.name, fields);
-                }
-            }
-        };
+    private static PeerDescriptor describeSelf(PeersConfig config, RandomGenerator random) {
+        String programVersion = GossipNode.class.getPackage().getImplementationVersion();
+        return new PeerDescriptor(
+                config.name(),
+                config.advertise(),
+                config.zone(),
+                config.weight(),
+                programVersion == null ? "" : programVersion,
+                config.settingsVersion(),
+                new Incarnation(NodeClock.unixMs(), random.nextInt()),
+                0);
     }
 
-    private PeerChannel lane(int number) {
-        for (PeerChannel lane : lanes) {
-            if (lane.number() == number) {
-                return lane;
-            }
-        }
-        return null;
+    private PeerChannel.Context contextOf(PeerChannel channel) {
+        return new SocketChannelContext(config, channel.number(), socket, history);
     }
 
     @Override
     public void run() {
         LOG.log(
                 System.Logger.Level.INFO,
-                "talks to other nodes as " + file.name + " on " + file.listen + ", " + file.seeds.size() + " seeds");
-        while (!ended) {
+                "talks to other nodes as " + config.name() + " on " + config.listen() + ", "
+                        + config.seeds().size() + " seeds");
+        while (!stopped) {
             try {
-                long waitMs = (long) Math.ceil(peers.nextMs() - clock.nowMs());
-                if (waitMs <= 0) {
-                    selector.selectNow();
-                } else {
-                    selector.select(Math.min(waitMs, 1000));
-                }
-                selector.selectedKeys().clear();
-                // First what is due: that is how a standstill is seen, before what came meanwhile is read.
-                peers.advance(clock.nowMs());
-                for (int i = 0; i < MOST_AT_ONCE && read(); i++) {
-                    // Until the socket is empty, or others want their turn.
-                }
-                for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
-                    task.run();
-                }
-                carryOut();
+                runOnce();
             } catch (IOException e) {
-                count("datagrams not read");
+                count(DropCounter.READ_FAILED.label());
                 LOG.log(System.Logger.Level.DEBUG, "reading a datagram failed", e);
             } catch (RuntimeException e) {
+                // The rest of this iteration is lost: what was due, or datagrams that the next one reads.
                 LOG.log(System.Logger.Level.ERROR, "exception in the talk among nodes", e);
             }
         }
     }
 
-    private boolean read() throws IOException {
-        in.clear();
-        SocketAddress from = channel.receive(in);
-        if (from == null) {
+    private void runOnce() throws IOException {
+        long waitMs = (long) Math.ceil(membership.nextMs() - clock.nowMs());
+        socket.await(Math.min(waitMs, MAX_WAIT_MS));
+        // Timers first: so a pause of the process is seen before datagrams that came meanwhile are read.
+        membership.advance(clock.nowMs());
+        int datagrams = 0;
+        while (datagrams < MAX_DATAGRAMS_AT_ONCE && receiveNext()) {
+            datagrams++;
+        }
+        for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
+            task.run();
+        }
+        sendAndPublish();
+    }
+
+    // ---- Receiving ----
+
+    /** Returns whether a datagram was there. */
+    private boolean receiveNext() throws IOException {
+        InetSocketAddress sender = socket.receive();
+        if (sender == null) {
             return false;
         }
-        received++;
-        InetSocketAddress sender = (InetSocketAddress) from;
-        String source = sender.getAddress().getHostAddress() + ":" + sender.getPort();
-        in.flip();
-        if (!file.allowed.test(source) && !file.operators.test(source)) {
-            count("datagrams from addresses not allowed");
+        String source = SocketAddresses.format(sender);
+        boolean isNode = config.allowed().test(source);
+        boolean isOperator = config.operators().test(source);
+        if (!isNode && !isOperator) {
+            count(DropCounter.SENDER_NOT_ALLOWED.label());
             return true;
         }
         try {
-            PeerMessageCodec.Frame frame =
-                    PeerMessageCodec.decode(in.array(), in.limit(), file.fleet, PeerMessageCodec.MAX_FRAME_BYTES);
-            if (frame.channel() == PeerMessageCodec.GOSSIP_CHANNEL && file.allowed.test(source)) {
-                var message = frame.message();
-                if (!file.allowed.test(message.sender().address())) {
-                    count("datagrams from addresses not allowed");
-                    return true;
-                }
-                peers.onMessage(message, clock.nowMs());
-            } else if (frame.channel() == PeerMessageCodec.ADMIN_REQUEST_CHANNEL && file.operators.test(source)) {
-                if (frame.values().get(3) instanceof String question) {
-                    MembershipStatusReplies.to(
-                            question, peers.view(clock.nowMs()), counts(), file.fleet, page -> write(page, sender));
-                }
-            } else if (lane(frame.channel()) != null) {
-                lane(frame.channel()).onMessage(source, frame.bytes());
+            DatagramFrame frame = DatagramFrame.decode(
+                    socket.receivedBytes(), socket.receivedLength(), config.fleet(), DatagramFrame.MAX_BYTES);
+            if (frame.channel() == DatagramFrame.GOSSIP_CHANNEL && isNode) {
+                onMessage(PeerMessageCodec.decode(frame));
+            } else if (frame.channel() == DatagramFrame.ADMIN_REQUEST_CHANNEL && isOperator) {
+                onAdminRequest(frame, sender);
             } else {
-                count("frames of unknown lanes");
+                onChannelFrame(frame, source);
             }
-        } catch (PeerMessageCodec.MalformedDatagramException e) {
-            count(e.getMessage());
+        } catch (MalformedDatagramException e) {
+            count(e.problem().label());
         }
         return true;
     }
 
-    private void write(byte[] bytes, InetSocketAddress to) {
-        try {
-            channel.send(ByteBuffer.wrap(bytes), to);
-            sent.incrementAndGet();
-            sentBytes.addAndGet(bytes.length);
-        } catch (IOException e) {
-            unsent.incrementAndGet();
+    private void onMessage(PeerMessage message) {
+        if (config.allowed().test(message.sender().address())) {
+            membership.onMessage(message, clock.nowMs());
+        } else {
+            count(DropCounter.SENDER_NOT_ALLOWED.label());
         }
     }
 
-    /** Sends what is to be sent and tells what has changed. */
-    private void carryOut() {
-        for (OutgoingMessage outgoing : peers.drainMessages()) {
-            byte[] bytes = PeerMessageCodec.encode(file.fleet, outgoing.message());
-            if (bytes.length > PeerMessageCodec.MAX_FRAME_BYTES || !file.allowed.test(outgoing.address())) {
-                count(
-                        bytes.length > PeerMessageCodec.MAX_FRAME_BYTES
-                                ? "messages too large to send"
-                                : "addresses not allowed");
-                continue;
-            }
-            write(bytes, PeersFile.socket(outgoing.address()));
-        }
-        var events = peers.drainEvents();
-        if (events.isEmpty() && last != null && clock.nowMs() - last.atMs() < file.times.probeIntervalMs()) {
-            return;
-        }
-        MembershipView view = peers.view(clock.nowMs());
-        if (history != null
-                && (told == null || !told.incarnation().equals(peers.self().incarnation()))) {
-            history.began(peers.self());
+    private void onAdminRequest(DatagramFrame frame, InetSocketAddress sender) {
+        if (frame.payload() instanceof String request) {
+            MembershipStatusReplies.reply(request, membership.view(clock.nowMs()), counters())
+                    .map(page -> DatagramFrame.encodeText(config.fleet(), DatagramFrame.ADMIN_RESPONSE_CHANNEL, page))
+                    .ifPresent(bytes -> socket.send(bytes, sender));
         }
-        told = peers.self();
-        for (PeerEvent event : events) {
-            if (history != null) {
-                history.changed(view, event);
+    }
+
+    private void onChannelFrame(DatagramFrame frame, String source) throws MalformedDatagramException {
+        for (PeerChannel channel : channels) {
+            if (channel.number() == frame.channel()) {
+                channel.onMessage(source, frame.bytes());
+                return;
             }
-            log(event);
-        }
-        boolean changed = last == null
-                || !events.isEmpty()
-                || !last.healthProblem().equals(view.healthProblem())
-                || last.presentCount() != view.presentCount()
-                || last.minCount() != view.minCount()
-                || last.maxCount() != view.maxCount()
-                || last.state() != view.state();
-        if (changed && history != null) {
-            history.view(view);
-        }
-        if (last != null && !last.healthProblem().equals(view.healthProblem())) {
-            LOG.log(
-                    System.Logger.Level.INFO,
-                    view.healthProblem().isEmpty()
-                            ? "no longer in doubt of itself"
-                            : "in doubt: " + view.healthProblem());
-        }
-        last = view;
-        lanes.forEach(lane -> lane.onView(view));
-        if (changed) {
-            views.accept(view);
         }
+        count(DropCounter.UNKNOWN_CHANNEL.label());
     }
 
-    private void log(PeerEvent event) {
+    // ---- Sending ----
+
+    private void sendAndPublish() {
+        membership.drainMessages().forEach(this::send);
         double nowMs = clock.nowMs();
-        if (nowMs - linesFromMs > MINUTE_MS) {
-            if (lines > LINES_A_MINUTE) {
-                LOG.log(
-                        System.Logger.Level.WARNING,
-                        (lines - LINES_A_MINUTE) + " lines about other nodes were left out");
-            }
-            lines = 0;
-            linesFromMs = nowMs;
+        var events = membership.drainEvents();
+        if (!events.isEmpty() || publisher.isDue(nowMs, config.timings().probeIntervalMs())) {
+            publisher.publish(membership.view(nowMs), membership.self(), events, nowMs);
         }
-        if (lines++ < LINES_A_MINUTE && event.newState() != event.previousState()) {
-            LOG.log(
-                    event.newState() == PeerState.GONE ? System.Logger.Level.WARNING : System.Logger.Level.INFO,
-                    event.descriptor().name()
-                            + " at " + event.descriptor().address() + " is " + event.newState() + " (was "
-                            + event.previousState() + "), by "
-                            + event.reporter() + ": "
-                            + event.reason());
+    }
+
+    private void send(OutgoingMessage outgoing) {
+        byte[] bytes = PeerMessageCodec.encode(config.fleet(), outgoing.message());
+        if (bytes.length > DatagramFrame.MAX_BYTES) {
+            count(DropCounter.MESSAGE_TOO_LARGE.label());
+        } else if (!config.allowed().test(outgoing.address())) {
+            count(DropCounter.RECIPIENT_NOT_ALLOWED.label());
+        } else {
+            socket.send(bytes, SocketAddresses.parse(outgoing.address()));
         }
     }
 
-    private void count(String what) {
-        dropped.merge(what, 1L, Long::sum);
+    private void count(String label) {
+        dropped.merge(label, 1L, Long::sum);
     }
 
-    private Map<String, Long> counts() {
-        Map<String, Long> counts = new TreeMap<>(dropped);
-        counts.put("datagrams received", received);
-        counts.put("datagrams sent", sent.get());
-        counts.put("datagrams not sent", unsent.get());
-        counts.put("bytes sent", sentBytes.get());
+    private Map<String, Long> counters() {
+        Map<String, Long> counters = new TreeMap<>(dropped);
+        socket.addCountersTo(counters);
         if (history != null) {
-            counts.put("history lines left out", history.leftOut());
+            counters.put("history lines left out", history.droppedLines());
         }
-        return counts;
+        return counters;
     }
 
+    // ---- From other threads ----
+
     @Override
     public String reload(Path path) {
-        PeersFile changed = PeersFile.read(path);
-        tasks.add(() -> {
-            peers.setSeeds(changed.seeds);
-            peers.setSettingsVersion(changed.settings);
+        PeersConfig changed = PeersFile.read(path);
+        execute(() -> {
+            membership.setSeeds(changed.seeds());
+            membership.setSettingsVersion(changed.settingsVersion());
         });
-        selector.wakeup();
-        String waiting = "";
-        if (!changed.fleet.equals(file.fleet)
-                || !changed.name.equals(file.name)
-                || !changed.listen.equals(file.listen)
-                || !changed.advertise.equals(file.advertise)
-                || !changed.times.equals(file.times)) {
-            waiting =
-                    "fleet, name, addresses and times wait for the next start; seeds and the version of the settings are taken";
+        if (config.needsRestartFor(changed)) {
+            return "fleet, name, addresses and times wait for the next start; seeds and the version of the settings are taken";
         }
-        return waiting;
+        return "";
     }
 
     @Override
     public void leave() {
-        CountDownLatch told = new CountDownLatch(1);
-        tasks.add(() -> {
-            peers.leave(clock.nowMs());
-            carryOut();
-            told.countDown();
+        CountDownLatch sent = new CountDownLatch(1);
+        execute(() -> {
+            membership.leave(clock.nowMs());
+            sendAndPublish();
+            sent.countDown();
         });
-        selector.wakeup();
         try {
-            if (!told.await(500, TimeUnit.MILLISECONDS)) {
+            if (!sent.await(LEAVE_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
                 LOG.log(System.Logger.Level.WARNING, "other nodes were not told in time that this one ends");
             }
         } catch (InterruptedException e) {
@@ -361,14 +243,18 @@
         }
     }
 
+    private void execute(Runnable task) {
+        tasks.add(task);
+        socket.wakeUp();
+    }
+
     @Override
     public void close() {
-        ended = true;
-        selector.wakeup();
+        stopped = true;
+        socket.wakeUp();
         try {
-            thread.join(2000);
-            channel.close();
-            selector.close();
+            thread.join(STOP_TIMEOUT_MS);
+            socket.close();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
--- a/peers/src/main/java/spartrail/peers/transport/MembershipStatusReplies.java
+++ b/peers/src/main/java/spartrail/peers/transport/MembershipStatusReplies.java
@@ -6,54 +6,46 @@
 import java.io.StringWriter;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Consumer;
+import java.util.Optional;
+import java.util.TreeMap;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 import spartrail.peers.MembershipView;
 
 /**
- * What a running node tells its operators. A question is {@code show FROM}: a reply is one JSON object in one datagram, the
- * view's head, some peers from that number on, and {@code next}, the number to ask for next or -1. So a reply is bounded, and a
- * view of any size can be read.
+ * What a running node replies to its operators. A request is {@code show FROM}; a reply is one JSON object in one datagram: for
+ * 0 the view's head, else some peers from that number on, and {@code next}, the number to ask for next or -1. So a reply is
+ * bounded, and a view of any size can be read. The form never changes, as operators' tools may be of another version.
  */
 final class MembershipStatusReplies {
-    private static final int PEERS_A_PAGE = 4;
+    private static final int PEERS_PER_PAGE = 4;
+    private static final Pattern REQUEST = Pattern.compile("show ([0-9]{1,5}) *");
 
     private MembershipStatusReplies() {}
 
-    static void to(
-            String question, MembershipView view, Map<String, Long> counts, String fleet, Consumer<byte[]> send) {
-        String[] words = question.split(" ");
-        if (words.length != 2 || !words[0].equals("show") || !words[1].matches("[0-9]{1,5}")) {
-            return;
+    /** The reply to a request; empty where it is none that is known. */
+    static Optional<String> reply(String request, MembershipView view, Map<String, Long> transportCounters) {
+        Matcher matcher = REQUEST.matcher(request);
+        if (!matcher.matches()) {
+            return Optional.empty();
         }
-        int from = Integer.parseInt(words[1]);
+        int from = Integer.parseInt(matcher.group(1));
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
             out.writeStartObject();
             if (from == 0) {
-                head(out, view, counts);
+                writeHead(out, view, transportCounters);
             }
-            List<MembershipView.Entry> page = view.peers().stream()
-                    .skip(from)
-                    .limit(from == 0 ? 0 : PEERS_A_PAGE)
-                    .toList();
-            if (from > 0) {
-                page = view.peers().stream().skip(from - 1L).limit(PEERS_A_PAGE).toList();
-            }
-            out.writeArrayFieldStart("peers");
-            for (MembershipView.Entry seen : page) {
-                seen(out, seen, view.atMs());
-            }
-            out.writeEndArray();
-            int next = from == 0 ? 1 : from + page.size();
-            out.writeNumberField("next", next > view.peers().size() ? -1 : next);
+            writePage(out, view, from);
             out.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException("text in memory", e);
+            throw new IllegalStateException("writing to memory failed", e);
         }
-        send.accept(PeerMessageCodec.encodeText(fleet, PeerMessageCodec.ADMIN_RESPONSE_CHANNEL, text.toString()));
+        return Optional.of(text.toString());
     }
 
-    private static void head(JsonGenerator out, MembershipView view, Map<String, Long> counts) throws IOException {
+    private static void writeHead(JsonGenerator out, MembershipView view, Map<String, Long> transportCounters)
+            throws IOException {
         out.writeStringField("name", view.name());
         out.writeStringField("standing", view.state().name());
         out.writeStringField("doubt", view.healthProblem());
@@ -61,36 +53,53 @@
         out.writeNumberField("least", view.minCount());
         out.writeNumberField("most", view.maxCount());
         out.writeObjectFieldStart("counts");
-        for (Map<String, Long> each : List.of(view.counters(), counts)) {
-            for (Map.Entry<String, Long> count : new java.util.TreeMap<>(each).entrySet()) {
-                out.writeNumberField(count.getKey(), count.getValue());
-            }
-        }
+        writeCounters(out, view.counters());
+        writeCounters(out, transportCounters);
         out.writeEndObject();
     }
 
-    private static void seen(JsonGenerator out, MembershipView.Entry seen, double nowMs) throws IOException {
+    private static void writeCounters(JsonGenerator out, Map<String, Long> counters) throws IOException {
+        for (Map.Entry<String, Long> counter : new TreeMap<>(counters).entrySet()) {
+            out.writeNumberField(counter.getKey(), counter.getValue());
+        }
+    }
+
+    /** The page that follows the head is number 1. */
+    private static void writePage(JsonGenerator out, MembershipView view, int from) throws IOException {
+        List<MembershipView.Entry> page = List.of();
+        if (from > 0) {
+            page = view.peers().stream().skip(from - 1L).limit(PEERS_PER_PAGE).toList();
+        }
+        out.writeArrayFieldStart("peers");
+        for (MembershipView.Entry entry : page) {
+            writeEntry(out, entry, view.atMs());
+        }
+        out.writeEndArray();
+        int next = from == 0 ? 1 : from + page.size();
+        out.writeNumberField("next", next > view.peers().size() ? -1 : next);
+    }
+
+    private static void writeEntry(JsonGenerator out, MembershipView.Entry entry, double nowMs) throws IOException {
         out.writeStartObject();
-        out.writeStringField("name", seen.descriptor().name());
-        out.writeStringField("address", seen.descriptor().address());
-        out.writeStringField("zone", seen.descriptor().zone());
-        out.writeNumberField("weight", seen.descriptor().weight());
-        out.writeStringField("program", seen.descriptor().programVersion());
-        out.writeStringField("settings", seen.descriptor().settingsVersion());
-        out.writeNumberField("startMs", seen.descriptor().incarnation().startMs());
-        out.writeNumberField("turn", seen.descriptor().refutations());
-        out.writeStringField("standing", seen.state().name());
-        out.writeNumberField("sinceMs", Math.round(nowMs - seen.stateSinceMs()));
-        out.writeStringField("from", seen.reporter());
-        out.writeStringField("sure", confidenceText(seen.confidence()));
-        if (!Double.isNaN(seen.lastAckMs())) {
-            out.writeNumberField("heardMs", Math.round(nowMs - seen.lastAckMs()));
+        out.writeStringField("name", entry.descriptor().name());
+        out.writeStringField("address", entry.descriptor().address());
+        out.writeStringField("zone", entry.descriptor().zone());
+        out.writeNumberField("weight", entry.descriptor().weight());
+        out.writeStringField("program", entry.descriptor().programVersion());
+        out.writeStringField("settings", entry.descriptor().settingsVersion());
+        out.writeNumberField("startMs", entry.descriptor().incarnation().startMs());
+        out.writeNumberField("turn", entry.descriptor().refutations());
+        out.writeStringField("standing", entry.state().name());
+        out.writeNumberField("sinceMs", Math.round(nowMs - entry.stateSinceMs()));
+        out.writeStringField("from", entry.reporter());
+        out.writeStringField("sure", confidenceText(entry.confidence()));
+        if (!Double.isNaN(entry.lastAckMs())) {
+            out.writeNumberField("heardMs", Math.round(nowMs - entry.lastAckMs()));
         }
-        out.writeStringField("why", seen.reason());
+        out.writeStringField("why", entry.reason());
         out.writeEndObject();
     }
 
-    /** The texts that operators' tools of earlier versions read. */
     private static String confidenceText(MembershipView.Confidence confidence) {
         return switch (confidence) {
             case DIRECT -> "HEARD";
--- a/peers/src/test/java/spartrail/peers/transport/DatagramFormTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/DatagramFormTest.java
@@ -52,9 +52,9 @@
         return HexFormat.of().formatHex(bytes);
     }
 
-    private static PeerMessageCodec.Frame frame(String hex) throws Exception {
+    private static DatagramFrame frame(String hex) throws Exception {
         byte[] bytes = HexFormat.of().parseHex(hex);
-        return PeerMessageCodec.decode(bytes, bytes.length, FLEET, PeerMessageCodec.MAX_FRAME_BYTES);
+        return DatagramFrame.decode(bytes, bytes.length, FLEET, DatagramFrame.MAX_BYTES);
     }
 
     @Test
@@ -70,7 +70,7 @@
         Map<String, PeerMessage> read = new LinkedHashMap<>();
         for (Map.Entry<String, String> stored :
                 StoredForms.named("datagrams.txt").entrySet()) {
-            read.put(stored.getKey(), frame(stored.getValue()).message());
+            read.put(stored.getKey(), PeerMessageCodec.decode(frame(stored.getValue())));
         }
         assertThat(read).isEqualTo(messages());
     }
@@ -79,16 +79,15 @@
     void textsAndBytesOfOtherLanesAreWrittenAndReadAsStored() throws Exception {
         Map<String, String> stored = StoredForms.named("lanes.txt");
         byte[] policy = {0, 1, -1, 127, -128};
-        assertThat(hex(PeerMessageCodec.encodeText(FLEET, PeerMessageCodec.ADMIN_REQUEST_CHANNEL, "show 0")))
+        assertThat(hex(DatagramFrame.encodeText(FLEET, DatagramFrame.ADMIN_REQUEST_CHANNEL, "show 0")))
                 .isEqualTo(stored.get("question"));
-        assertThat(hex(PeerMessageCodec.encodeText(FLEET, PeerMessageCodec.ADMIN_RESPONSE_CHANNEL, "{\"next\":-1}")))
+        assertThat(hex(DatagramFrame.encodeText(FLEET, DatagramFrame.ADMIN_RESPONSE_CHANNEL, "{\"next\":-1}")))
                 .isEqualTo(stored.get("reply"));
-        assertThat(hex(PeerMessageCodec.encodeBytes(FLEET, POLICY_LANE, policy)))
-                .isEqualTo(stored.get("policy"));
+        assertThat(hex(DatagramFrame.encodeBytes(FLEET, POLICY_LANE, policy))).isEqualTo(stored.get("policy"));
 
-        assertThat(frame(stored.get("question")).values().get(3)).isEqualTo("show 0");
-        assertThat(frame(stored.get("question")).channel()).isEqualTo(PeerMessageCodec.ADMIN_REQUEST_CHANNEL);
-        assertThat(frame(stored.get("reply")).channel()).isEqualTo(PeerMessageCodec.ADMIN_RESPONSE_CHANNEL);
+        assertThat(frame(stored.get("question")).payload()).isEqualTo("show 0");
+        assertThat(frame(stored.get("question")).channel()).isEqualTo(DatagramFrame.ADMIN_REQUEST_CHANNEL);
+        assertThat(frame(stored.get("reply")).channel()).isEqualTo(DatagramFrame.ADMIN_RESPONSE_CHANNEL);
         assertThat(frame(stored.get("policy")).channel()).isEqualTo(POLICY_LANE);
         assertThat(frame(stored.get("policy")).bytes()).isEqualTo(policy);
     }
--- a/peers/src/test/java/spartrail/peers/transport/GossipNodeTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/GossipNodeTest.java
@@ -84,13 +84,12 @@
     private String ask(String fleet, String question) throws Exception {
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             socket.setSoTimeout(20_000);
-            byte[] bytes = PeerMessageCodec.encodeText(fleet, PeerMessageCodec.ADMIN_REQUEST_CHANNEL, question);
+            byte[] bytes = DatagramFrame.encodeText(fleet, DatagramFrame.ADMIN_REQUEST_CHANNEL, question);
             socket.send(new DatagramPacket(bytes, bytes.length, InetAddress.getLoopbackAddress(), ports[0]));
             DatagramPacket reply = new DatagramPacket(new byte[65_536], 65_536);
             socket.receive(reply);
-            return (String) PeerMessageCodec.decode(reply.getData(), reply.getLength(), fleet, 65_536)
-                    .values()
-                    .get(3);
+            return (String) DatagramFrame.decode(reply.getData(), reply.getLength(), fleet, 65_536)
+                    .payload();
         }
     }
 
@@ -141,9 +140,9 @@
             for (byte[] bytes : List.of(
                     new byte[3],
                     new byte[5000],
-                    PeerMessageCodec.encodeText("jaboatao", PeerMessageCodec.GOSSIP_CHANNEL, "x"),
-                    PeerMessageCodec.encodeText("recife", 9, "x"),
-                    PeerMessageCodec.encodeText("recife", PeerMessageCodec.GOSSIP_CHANNEL, "x"))) {
+                    DatagramFrame.encodeText("jaboatao", DatagramFrame.GOSSIP_CHANNEL, "x"),
+                    DatagramFrame.encodeText("recife", 9, "x"),
+                    DatagramFrame.encodeText("recife", DatagramFrame.GOSSIP_CHANNEL, "x"))) {
                 socket.send(new DatagramPacket(bytes, bytes.length, InetAddress.getLoopbackAddress(), ports[0]));
             }
         }
--- a/peers/src/test/java/spartrail/peers/transport/HistoryFormTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/HistoryFormTest.java
@@ -37,21 +37,21 @@
     void eachKindOfLineIsWrittenAsStored() throws Exception {
         Path file = folder.resolve("n1.history");
         try (MembershipHistory history = new MembershipHistory(file, 1 << 20)) {
-            history.began(SELF);
+            history.recordIncarnation(SELF);
             PeerState was = null;
             for (PeerState standing : PeerState.values()) {
-                history.changed(view(standing, ""), event(was, standing, "it runs late, by 40 ms on average"));
-                history.view(view(standing, "it gets no answers"));
+                history.recordChange(view(standing, ""), event(was, standing, "it runs late, by 40 ms on average"));
+                history.recordView(view(standing, "it gets no answers"));
                 was = standing;
             }
-            history.changed(view(PeerState.ALIVE, ""), event(was, null, ""));
-            history.view(view(PeerState.ALIVE, ""));
+            history.recordChange(view(PeerState.ALIVE, ""), event(was, null, ""));
+            history.recordView(view(PeerState.ALIVE, ""));
             Map<String, Object> fields = new LinkedHashMap<>();
             fields.put("text", "a \"quoted\" text");
             fields.put("number", 7L);
             fields.put("decimal", 0.5);
             fields.put("flag", true);
-            history.note("leads", "n1", fields);
+            history.recordChannelEvent("leads", "n1", fields);
         }
         List<String> written = Files.readAllLines(file).stream()
                 .map(line -> line.replaceFirst("^\\{\"ns\":-?[0-9]+,", "{\"ns\":0,"))
--- a/peers/src/test/java/spartrail/peers/transport/PeerMessageCodecTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/PeerMessageCodecTest.java
@@ -37,14 +37,14 @@
             OTHER,
             List.of(new PeerUpdate(OTHER, PeerState.SUSPECT, 17.25, "n3"), new PeerUpdate(ONE, PeerState.LEFT, 0, "")));
 
+    private static PeerMessage decode(byte[] bytes, String fleet) throws MalformedDatagramException {
+        return PeerMessageCodec.decode(DatagramFrame.decode(bytes, bytes.length, fleet, DatagramFrame.MAX_BYTES));
+    }
+
     private static String read(byte[] bytes, String fleet) {
         try {
-            return PeerMessageCodec.decode(bytes, bytes.length, fleet, PeerMessageCodec.MAX_FRAME_BYTES)
-                            .message()
-                            .equals(MESSAGE)
-                    ? "the same"
-                    : "another";
-        } catch (PeerMessageCodec.MalformedDatagramException e) {
+            return decode(bytes, fleet).equals(MESSAGE) ? "the same" : "another";
+        } catch (MalformedDatagramException e) {
             return e.getMessage();
         }
     }
@@ -54,8 +54,7 @@
         byte[] bytes = PeerMessageCodec.encode("recife", MESSAGE);
         assertThat(read(bytes, "recife")).isEqualTo("the same");
         assertThat(read(bytes, "jaboatao")).isEqualTo("frames of another fleet");
-        assertThat(read(new byte[PeerMessageCodec.MAX_FRAME_BYTES + 1], "recife"))
-                .isEqualTo("frames too large");
+        assertThat(read(new byte[DatagramFrame.MAX_BYTES + 1], "recife")).isEqualTo("frames too large");
         assertThat(bytes.length).isLessThan(260);
     }
 
@@ -94,7 +93,7 @@
                 }
             }
         }
-        assertThat(most).isBetween(1000, PeerMessageCodec.MAX_FRAME_BYTES);
+        assertThat(most).isBetween(1000, DatagramFrame.MAX_BYTES);
     }
 
     @Test
@@ -154,7 +153,7 @@
             out.writeStartArray();
             out.writeNumber(2);
             out.writeString("recife");
-            out.writeNumber(PeerMessageCodec.GOSSIP_CHANNEL);
+            out.writeNumber(DatagramFrame.GOSSIP_CHANNEL);
             out.writeStartArray();
             out.writeNumber(kind);
             card(out, true);
@@ -176,8 +175,7 @@
     @Test
     void theNextVersionsNodesCanMixWithThisOnes() throws Exception {
         byte[] ping = next(0);
-        PeerMessage message = PeerMessageCodec.decode(ping, ping.length, "recife", PeerMessageCodec.MAX_FRAME_BYTES)
-                .message();
+        PeerMessage message = decode(ping, "recife");
         assertThat(message.sender()).isEqualTo(ONE);
         assertThat(message.nonce()).isEqualTo(9);
         assertThat(read(next(12), "recife")).isEqualTo("unknown kinds");
--- a/peers/src/test/java/spartrail/peers/transport/ReplyFormTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/ReplyFormTest.java
@@ -2,9 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import spartrail.peers.Incarnation;
 import spartrail.peers.MembershipView;
@@ -15,8 +17,6 @@
 
 /** Replies to operators keep the form in which earlier versions wrote them: an operator's tool may be of another version. */
 class ReplyFormTest {
-    private static final String FLEET = "recife";
-
     private static Entry seen(int number, PeerState standing, Confidence sure, double heardMs) {
         PeerDescriptor card = new PeerDescriptor(
                 "n" + number,
@@ -46,35 +46,23 @@
                     seen(5, PeerState.LEFT, Confidence.REPORTED, 500)),
             Map.of("refuted", 2L, "stood still", 1L));
 
-    private static List<String> replies(String question) throws Exception {
-        List<byte[]> sent = new ArrayList<>();
-        MembershipStatusReplies.to(
-                question, VIEW, Map.of("bytes sent", 123L, "datagrams received", 45L), FLEET, sent::add);
-        List<String> texts = new ArrayList<>();
-        for (byte[] bytes : sent) {
-            String text = (String) PeerMessageCodec.decode(bytes, bytes.length, FLEET, PeerMessageCodec.MAX_FRAME_BYTES)
-                    .values()
-                    .get(3);
-            assertThat(bytes)
-                    .isEqualTo(PeerMessageCodec.encodeText(FLEET, PeerMessageCodec.ADMIN_RESPONSE_CHANNEL, text));
-            texts.add(text);
-        }
-        return texts;
+    private static Optional<String> reply(String request) {
+        return MembershipStatusReplies.reply(request, VIEW, Map.of("bytes sent", 123L, "datagrams received", 45L));
     }
 
     @Test
-    void eachPageIsWrittenAsStored() throws Exception {
+    void eachPageIsWrittenAsStored() throws IOException {
         List<String> written = new ArrayList<>();
         for (String question : List.of("show 0", "show 1", "show 5", "show 6")) {
-            written.addAll(replies(question));
+            written.add(reply(question).orElseThrow());
         }
         assertThat(written).isEqualTo(StoredForms.lines("replies.jsonl"));
     }
 
     @Test
-    void otherQuestionsHaveNoReply() throws Exception {
+    void otherQuestionsHaveNoReply() {
         for (String question : List.of("", "show", "show -1", "show 100000", "show 0 1", "list 0")) {
-            assertThat(replies(question)).as(question).isEmpty();
+            assertThat(reply(question)).as(question).isEmpty();
         }
     }
 }
