--- a/lab/src/main/java/spartrail/lab/scale/ListBenchmark.java
+++ b/lab/src/main/java/spartrail/lab/scale/ListBenchmark.java
@@ -13,6 +13,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import spartrail.endpoint.EndpointList;
+import spartrail.endpoint.EndpointListDecoder;
 import spartrail.model.Server;
 import spartrail.subset.SubsetFilter;
 
@@ -39,25 +40,25 @@
         whole = HollowServers.list(servers, HollowNode.SHARDS, HollowNode.ZONES);
         body = HollowServers.json(whole).getBytes(StandardCharsets.UTF_8);
         filter = HollowNode.filter(replicas);
-        filter.own(whole, 0);
+        filter.toSubset(whole, 0);
     }
 
     @Benchmark
     public Object decode() throws IOException {
-        return EndpointList.decode(body);
+        return EndpointListDecoder.decode(body);
     }
 
     @Benchmark
     public Object subsetOfWholeList() {
         SubsetFilter fresh = HollowNode.filter(replicas);
-        return fresh.own(whole, 0);
+        return fresh.toSubset(whole, 0);
     }
 
     @Benchmark
     public Object subsetAfterOneChange() {
         draining = !draining;
         Server.State state = draining ? Server.State.DRAINING : Server.State.LIVE;
-        return filter.own(
+        return filter.toSubset(
                 new EndpointList(
                         2,
                         false,
--- a/peers/src/main/java/spartrail/peers/transport/DatagramFrame.java
+++ b/peers/src/main/java/spartrail/peers/transport/DatagramFrame.java
@@ -113,7 +113,7 @@
 
     private static Object parse(byte[] bytes, int length) throws MalformedDatagramException {
         try (JsonParser in = CBOR.createParser(bytes, 0, length)) {
-            return in.nextToken() == null ? null : JsonTree.value(in);
+            return in.nextToken() == null ? null : JsonTree.readValue(in);
         } catch (IOException | RuntimeException e) {
             // The parser throws exceptions of any kind on bytes that are no CBOR.
             throw new MalformedDatagramException(Problem.UNREADABLE);
--- a/peers/src/main/java/spartrail/peers/transport/PeersFile.java
+++ b/peers/src/main/java/spartrail/peers/transport/PeersFile.java
@@ -60,13 +60,13 @@
             throw new InvalidPeersFileException("cannot read " + path, e);
         }
         try (JsonParser parser = new JsonFactory().createParser(text)) {
-            if (parser.nextToken() == null || !(JsonTree.value(parser) instanceof Map<?, ?> tree)) {
+            if (parser.nextToken() == null || !(JsonTree.readValue(parser) instanceof Map<?, ?> tree)) {
                 throw new InvalidPeersFileException("a JSON object is expected");
             }
             return config(new JsonFields(tree, "", FIELDS));
         } catch (JsonProcessingException e) {
             throw new InvalidPeersFileException(
-                    path + ":" + e.getLocation().getLineNr() + ": no JSON: " + JsonTree.fault(e), e);
+                    path + ":" + e.getLocation().getLineNr() + ": no JSON: " + JsonTree.describe(e), e);
         } catch (IllegalArgumentException | IOException e) {
             throw new InvalidPeersFileException(path + ": " + e.getMessage(), e);
         }
