--- a/peers/src/main/java/spartrail/peers/transport/DatagramPeerTransport.java
+++ b/peers/src/main/java/spartrail/peers/transport/DatagramPeerTransport.java
@@ -10,8 +10,6 @@
 
 /** Exchanges messages in datagrams, as the peers' file says. */
 public final class DatagramPeerTransport implements PeerTransport {
-    static final String LOGGER = "spartrail.peering";
-
     @Override
     public void check(Path file) {
         PeersFile.read(file);
--- a/peers/src/main/java/spartrail/peers/transport/GossipNode.java
+++ b/peers/src/main/java/spartrail/peers/transport/GossipNode.java
@@ -27,7 +27,7 @@
  * view published. It decides nothing about nodes.
  */
 final class GossipNode implements PeerTransport.Running, Runnable {
-    private static final System.Logger LOG = System.getLogger(DatagramPeerTransport.LOGGER);
+    private static final System.Logger LOG = System.getLogger("spartrail.peering");
     /**
      * Datagrams read before timers run again: a flood would else keep the thread reading while its own rounds are overdue, and
      * look like a pause of the process.
--- a/peers/src/main/java/spartrail/peers/transport/HistoryFile.java
+++ b/peers/src/main/java/spartrail/peers/transport/HistoryFile.java
@@ -11,7 +11,7 @@
 
 /** Lines appended to a file by a thread of its own. A disk that stalls costs lines, which are counted, never a caller's time. */
 final class HistoryFile implements AutoCloseable {
-    private static final System.Logger LOG = System.getLogger(DatagramPeerTransport.LOGGER);
+    private static final System.Logger LOG = System.getLogger("spartrail.peering");
     private static final int MAX_WAITING_LINES = 4096;
     private static final long POLL_MS = 100;
     private static final long CLOSE_TIMEOUT_MS = 2000;
--- a/peers/src/main/java/spartrail/peers/transport/ViewPublisher.java
+++ b/peers/src/main/java/spartrail/peers/transport/ViewPublisher.java
@@ -10,7 +10,7 @@
 
 /** Tells the history, the log, the channels and the node of changes of the view. Called on the gossip thread. */
 final class ViewPublisher {
-    private static final System.Logger LOG = System.getLogger(DatagramPeerTransport.LOGGER);
+    private static final System.Logger LOG = System.getLogger("spartrail.peering");
     /** A flood of changes must not fill the log. */
     private static final int MAX_LINES_PER_MINUTE = 120;
 
