--- a/core/src/test/java/spartrail/peers/SwimMembershipTest.java
+++ b/core/src/test/java/spartrail/peers/SwimMembershipTest.java
@@ -13,7 +13,7 @@
 /** A few nodes on a perfect wire that takes no time; what a fault must not do is shown by the lab's virtual network. */
 class SwimMembershipTest {
     private final Map<String, SwimMembership> nodes = new HashMap<>();
-    private final Map<String, Integer> sent = new HashMap<>();
+    private final Map<String, Integer> sentByAddress = new HashMap<>();
     private double nowMs;
     /** Whether a message passes, by the addresses of both sides. */
     private BiPredicate<String, String> passes = (from, to) -> true;
@@ -44,7 +44,7 @@
 
     private void deliver(String address) {
         for (OutgoingMessage outgoing : nodes.get(address).drainMessages()) {
-            sent.merge(address, 1, Integer::sum);
+            sentByAddress.merge(address, 1, Integer::sum);
             SwimMembership to = nodes.get(outgoing.address());
             if (to != null && passes.test(address, outgoing.address())) {
                 to.onMessage(outgoing.message(), nowMs);
@@ -53,8 +53,8 @@
         }
     }
 
-    private String seen(int by) {
-        MembershipView view = nodes.get(address(by)).view(nowMs);
+    private String describeView(int viewer) {
+        MembershipView view = nodes.get(address(viewer)).view(nowMs);
         StringBuilder text =
                 new StringBuilder(view.presentCount() + " of " + view.minCount() + " to " + view.maxCount() + ":");
         view.peers().forEach(each -> text.append(' ')
@@ -64,34 +64,34 @@
         return text + (view.healthProblem().isEmpty() ? "" : " (" + view.healthProblem() + ")");
     }
 
-    private void four() {
+    private void startFourNodes() {
         for (int i = 1; i <= 4; i++) {
             start(i, "n" + i, 1000 + i);
         }
         run(3000);
-        assertThat(seen(4)).isEqualTo("4 of 4 to 4: n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE");
+        assertThat(describeView(4)).isEqualTo("4 of 4 to 4: n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE");
     }
 
     @Test
-    void oneThatIsKilledIsSuspectThenGoneAndItsNextLifeOutranksThat() {
-        four();
+    void killedNodeIsSuspectThenGoneAndItsNextIncarnationOutranksThat() {
+        startFourNodes();
         nodes.remove(address(3));
         run(2000);
-        assertThat(seen(1)).isEqualTo("4 of 3 to 4: n1=ALIVE n2=ALIVE n3=SUSPECT n4=ALIVE");
+        assertThat(describeView(1)).isEqualTo("4 of 3 to 4: n1=ALIVE n2=ALIVE n3=SUSPECT n4=ALIVE");
         run(4500);
-        assertThat(seen(1)).isEqualTo("3 of 3 to 4: n1=ALIVE n2=ALIVE n3=GONE n4=ALIVE");
+        assertThat(describeView(1)).isEqualTo("3 of 3 to 4: n1=ALIVE n2=ALIVE n3=GONE n4=ALIVE");
         start(3, "n3", 2000);
         run(2000);
-        assertThat(seen(1)).isEqualTo("4 of 4 to 4: n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE");
+        assertThat(describeView(1)).isEqualTo("4 of 4 to 4: n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE");
         nodes.get(address(3)).leave(nowMs);
         deliver(address(3));
         nodes.remove(address(3));
-        assertThat(seen(1)).isEqualTo("3 of 3 to 3: n1=ALIVE n2=ALIVE n3=LEFT n4=ALIVE");
+        assertThat(describeView(1)).isEqualTo("3 of 3 to 3: n1=ALIVE n2=ALIVE n3=LEFT n4=ALIVE");
     }
 
     @Test
-    void namesSwappedBetweenTwoMachinesArePlacedAnew() {
-        four();
+    void namesSwappedBetweenTwoMachinesMoveToTheirNewAddresses() {
+        startFourNodes();
         nodes.remove(address(3));
         nodes.remove(address(4));
         run(300);
@@ -99,7 +99,7 @@
         // This machine's clock is behind: its life looks older than the former one of that name.
         start(4, "n3", 900);
         run(20_000);
-        assertThat(seen(1)).isEqualTo("4 of 4 to 4: n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE");
+        assertThat(describeView(1)).isEqualTo("4 of 4 to 4: n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE");
         assertThat(nodes.get(address(1)).view(nowMs).peers().stream()
                         .map(each -> each.descriptor().address())
                         .toList())
@@ -107,25 +107,25 @@
     }
 
     @Test
-    void ofTwoProcessesWithOneNameTheLaterOneCountsUntilItIsOver() {
-        four();
+    void laterOfTwoProcessesWithOneNameKeepsItUntilItEnds() {
+        startFourNodes();
         start(5, "n3", 5000);
         run(20_000);
-        assertThat(seen(1)).isEqualTo("4 of 4 to 4: n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE");
-        assertThat(seen(3)).endsWith("(another process has the name, from " + address(5) + ")");
+        assertThat(describeView(1)).isEqualTo("4 of 4 to 4: n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE");
+        assertThat(describeView(3)).endsWith("(another process has the name, from " + address(5) + ")");
         // It knows of the other process of its name, which may be there.
-        assertThat(seen(5)).isEqualTo(seen(1).replace("to 4", "to 5"));
+        assertThat(describeView(5)).isEqualTo(describeView(1).replace("to 4", "to 5"));
         nodes.remove(address(5));
         run(25_000);
-        assertThat(seen(3)).isEqualTo("4 of 4 to 4: n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE");
+        assertThat(describeView(3)).isEqualTo("4 of 4 to 4: n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE");
         assertThat(nodes.get(address(1)).view(nowMs).peers().get(2).descriptor().address())
                 .isEqualTo(address(3));
     }
 
     @Test
-    void anHourOldMessageOutOfAHealedCutChangesNothing() {
-        four();
-        List<PeerMessage> held = new ArrayList<>();
+    void hourOldMessagesFromAHealedPartitionChangeNothing() {
+        startFourNodes();
+        List<PeerMessage> delayed = new ArrayList<>();
         passes = (from, to) -> !to.equals(address(4)) && !from.equals(address(4));
         for (double endMs = nowMs + 8000; nowMs < endMs; nowMs += 10) {
             for (int i = 1; i <= 4; i++) {
@@ -135,30 +135,30 @@
                     if (passes.test(address(i), outgoing.address())) {
                         nodes.get(outgoing.address()).onMessage(outgoing.message(), nowMs);
                     } else if (i == 4 || outgoing.address().equals(address(4))) {
-                        held.add(outgoing.message());
+                        delayed.add(outgoing.message());
                     }
                 }
             }
         }
         passes = (from, to) -> true;
         run(3_600_000);
-        String before = seen(1) + seen(4);
+        String before = describeView(1) + describeView(4);
         assertThat(before).doesNotContain("GONE").doesNotContain("SUSPECT");
-        assertThat(held).anyMatch(message -> message.updates().stream()
+        assertThat(delayed).anyMatch(message -> message.updates().stream()
                 .anyMatch(word -> !word.state().equals(PeerState.ALIVE)));
         nodes.get(address(1)).drainEvents();
-        held.forEach(message -> nodes.get(address(1)).onMessage(message, nowMs));
-        held.forEach(message -> nodes.get(address(4)).onMessage(message, nowMs));
-        assertThat(seen(1) + seen(4)).isEqualTo(before);
+        delayed.forEach(message -> nodes.get(address(1)).onMessage(message, nowMs));
+        delayed.forEach(message -> nodes.get(address(4)).onMessage(message, nowMs));
+        assertThat(describeView(1) + describeView(4)).isEqualTo(before);
         assertThat(nodes.get(address(1)).drainEvents()).isEmpty();
         assertThat(nodes.get(address(1)).view(nowMs).counters()).containsKey("stale messages");
     }
 
     @Test
-    void inventedNamesTakeNoMemoryBeyondTheBoundAndNoPlaceInTheView() {
-        four();
+    void inventedNamesAreBoundedAndStayOutOfTheView() {
+        startFourNodes();
         SwimMembership node = nodes.get(address(1));
-        sent.clear();
+        sentByAddress.clear();
         for (int i = 0; i < 20_000; i++) {
             nowMs += 0.5;
             PeerDescriptor invented = new PeerDescriptor(
@@ -184,11 +184,11 @@
                 deliver(address(each));
             }
         }
-        assertThat(seen(1))
+        assertThat(describeView(1))
                 .startsWith("4 of 4 to ")
                 .contains("n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE")
                 .doesNotContain("x");
         assertThat(node.view(nowMs).maxCount()).isLessThanOrEqualTo(4 + 64);
-        assertThat(sent.get(address(1)) / 10.0).isLessThan(SwimMembership.maxMessagesPerSecond(GossipTimings.DEFAULT));
+        assertThat(sentByAddress.get(address(1)) / 10.0).isLessThan(SwimMembership.maxMessagesPerSecond(GossipTimings.DEFAULT));
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/NodesJudge.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesJudge.java
@@ -36,7 +36,7 @@
             throw new InvalidInputException(file + ": is no history: " + e.getMessage());
         }
         PeersRules rules = new HistoryChecker(nodes).read(lines, settled);
-        out.println(lines.size() + " lines, " + rules.asked() + " changes of views judged, "
+        out.println(lines.size() + " lines, " + rules.judgedChanges() + " changes of views judged, "
                 + rules.breaches().size() + " breaches");
         rules.breaches().forEach(breach -> out.println("BROKEN " + breach));
         return rules.breaches().isEmpty() ? 0 : 1;
--- a/lab/src/main/java/spartrail/lab/cli/NodesRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesRun.java
@@ -62,7 +62,7 @@
                             + verdict.examples()));
             outcome.notTaken()
                     .forEach(step -> broken.add("step " + step + " was not taken: what it waits for was not seen"));
-            out.println(lines.size() + " lines of history, " + rules.asked() + " changes of views judged");
+            out.println(lines.size() + " lines of history, " + rules.judgedChanges() + " changes of views judged");
             outcome.nodes().forEach(out::println);
             broken.forEach(line -> out.println("BROKEN " + line));
             if (store != null) {
--- a/lab/src/main/java/spartrail/lab/cluster/HistoryChecker.java
+++ b/lab/src/main/java/spartrail/lab/cluster/HistoryChecker.java
@@ -63,7 +63,7 @@
             }
         }
         if (settled) {
-            rules.settled(lastMs);
+            rules.checkAgreement(lastMs);
         }
         return rules;
     }
@@ -86,20 +86,20 @@
                     has.put(node, machine);
                     holds.remove(machine);
                     lives.remove(node);
-                    rules.started(node);
+                    rules.onStart(node);
                     asked.remove(node);
                 }
-                case "killed" -> rules.ended(node, asked.containsKey(node), lastMs);
+                case "killed" -> rules.onEnd(node, asked.containsKey(node), lastMs);
                     // It serves on while it drains; others may hold it for left as soon as it says so.
                 case "asked to end" -> {
                     asked.put(node, true);
-                    rules.ended(node, true, lastMs);
+                    rules.onEnd(node, true, lastMs);
                 }
                 default -> {}
             }
         }
         if (!HARMLESS.contains(line.what())) {
-            rules.faulted(lastMs);
+            rules.onFault(lastMs);
         }
     }
 
@@ -112,11 +112,11 @@
         }
         if (has.getOrDefault(node, machine) != machine) {
             // The other process of the name is over, and this one takes part again.
-            rules.resumed(node, holds.getOrDefault(machine, Map.of()));
+            rules.onResume(node, holds.getOrDefault(machine, Map.of()));
         }
         has.put(node, machine);
         lives.put(node, life);
-        rules.lives(node, life);
+        rules.onIncarnation(node, life);
     }
 
     private static PeersRules.KnownPeer held(JsonNode tree) {
@@ -159,9 +159,9 @@
                                     + tree.get("of").asText() + " for "
                                     + tree.get("is").asText() + ", which does not exist");
                 } else if (other != viewer && tree.get("is").isNull()) {
-                    rules.forgotten(viewer, other);
+                    rules.onForgotten(viewer, other);
                 } else if (other != viewer) {
-                    rules.changed(new PeersRules.Change(
+                    rules.onChange(new PeersRules.Change(
                             lastMs,
                             viewer,
                             other,
--- a/lab/src/main/java/spartrail/lab/rules/PeersRules.java
+++ b/lab/src/main/java/spartrail/lab/rules/PeersRules.java
@@ -35,81 +35,81 @@
     private final int size;
     private final List<Breach> breaches = new ArrayList<>();
     private final List<Map<Integer, KnownPeer>> held = new ArrayList<>();
-    private final Incarnation[] lives;
-    private final boolean[] runs;
-    private final boolean[] said;
+    private final Incarnation[] incarnations;
+    private final boolean[] running;
+    private final boolean[] announcedLeaving;
     private final double[] endedMs;
-    private final boolean[] deaf;
-    private final List<Double> knownMs = new ArrayList<>();
-    private final Map<Integer, Integer> falseEnds = new TreeMap<>();
+    private final boolean[] withoutMessages;
+    private final List<Double> detectionTimesMs = new ArrayList<>();
+    private final Map<Integer, Integer> falseRemovals = new TreeMap<>();
     private double firstFaultMs = Double.POSITIVE_INFINITY;
-    private long asked;
+    private long judgedChanges;
     private long falseSuspicions;
-    private long suspicionsInFault;
-    private long goneThoughSaid;
+    private long falseSuspicionsInFault;
+    private long goneAfterLeaving;
 
     public PeersRules(int size) {
         this.size = size;
-        this.lives = new Incarnation[size];
-        this.runs = new boolean[size];
-        this.said = new boolean[size];
+        this.incarnations = new Incarnation[size];
+        this.running = new boolean[size];
+        this.announcedLeaving = new boolean[size];
         this.endedMs = new double[size];
-        this.deaf = new boolean[size];
+        this.withoutMessages = new boolean[size];
         for (int i = 0; i < size; i++) {
             held.add(new HashMap<>());
         }
     }
 
     /** A process has started: it holds nothing of anybody. */
-    public void started(int node) {
-        runs[node] = true;
-        said[node] = false;
+    public void onStart(int node) {
+        running[node] = true;
+        announcedLeaving[node] = false;
         held.get(node).clear();
-        deaf[node] = false;
-        lives[node] = null;
+        withoutMessages[node] = false;
+        incarnations[node] = null;
     }
 
     /** A process that ran all along takes part again; it holds this. */
-    public void resumed(int node, Map<Integer, KnownPeer> holds) {
-        started(node);
+    public void onResume(int node, Map<Integer, KnownPeer> holds) {
+        onStart(node);
         held.get(node).putAll(holds);
     }
 
     /** The life by which it goes. */
-    public void lives(int node, Incarnation life) {
-        lives[node] = life;
+    public void onIncarnation(int node, Incarnation incarnation) {
+        incarnations[node] = incarnation;
     }
 
     /** A process has ended, and said so before, or not. */
-    public void ended(int node, boolean saidSo, double atMs) {
-        if (runs[node]) {
-            runs[node] = false;
-            said[node] = saidSo;
+    public void onEnd(int node, boolean announced, double atMs) {
+        if (running[node]) {
+            running[node] = false;
+            announcedLeaving[node] = announced;
             endedMs[node] = atMs;
         }
     }
 
     /** A node goes on that stood still for long: until it has heard something it can judge nobody. */
-    public void woke(int node) {
-        deaf[node] = true;
+    public void onWake(int node) {
+        withoutMessages[node] = true;
     }
 
-    public void heard(int node) {
-        deaf[node] = false;
+    public void onMessage(int node) {
+        withoutMessages[node] = false;
     }
 
     /** Something is wrong from now on, so that verdicts may err for a while. */
-    public void faulted(double atMs) {
+    public void onFault(double atMs) {
         firstFaultMs = Math.min(firstFaultMs, atMs);
     }
 
     /** A node has forgotten another one. */
-    public void forgotten(int viewer, int other) {
+    public void onForgotten(int viewer, int other) {
         held.get(viewer).remove(other);
     }
 
-    public void changed(Change change) {
-        asked++;
+    public void onChange(Change change) {
+        judgedChanges++;
         int other = change.subject();
         String names = "n" + change.viewer() + " holds n" + other + " for "
                 + change.known().state();
@@ -123,25 +123,25 @@
                 && !change.healthProblem().isEmpty()) {
             breach(change.atMs(), "4 no verdict in doubt", names + " while in doubt: " + change.healthProblem());
         }
-        if (change.ownVerdict() && (is == PeerState.SUSPECT || is == PeerState.GONE) && deaf[change.viewer()]) {
+        if (change.ownVerdict() && (is == PeerState.SUSPECT || is == PeerState.GONE) && withoutMessages[change.viewer()]) {
             breach(change.atMs(), "4 no verdict in doubt", names + ", having stood still and heard nothing since");
         }
-        boolean current = change.known().incarnation().equals(lives[other]);
-        if (is == PeerState.LEFT && current && !said[other]) {
+        boolean current = change.known().incarnation().equals(incarnations[other]);
+        if (is == PeerState.LEFT && current && !announcedLeaving[other]) {
             breach(change.atMs(), "2 only its own word", names + ", and it has not said so");
         }
-        if (change.ownVerdict() && is == PeerState.SUSPECT && current && runs[other]) {
+        if (change.ownVerdict() && is == PeerState.SUSPECT && current && running[other]) {
             falseSuspicions++;
-            suspicionsInFault += change.atMs() >= firstFaultMs ? 1 : 0;
+            falseSuspicionsInFault += change.atMs() >= firstFaultMs ? 1 : 0;
         }
-        goneThoughSaid += is == PeerState.GONE && current && !runs[other] && said[other] ? 1 : 0;
-        if (!is.isPresent() && current && runs[other]) {
-            falseEnds.merge(other, 1, Integer::sum);
+        goneAfterLeaving += is == PeerState.GONE && current && !running[other] && announcedLeaving[other] ? 1 : 0;
+        if (!is.isPresent() && current && running[other]) {
+            falseRemovals.merge(other, 1, Integer::sum);
             if (change.atMs() < firstFaultMs) {
                 breach(change.atMs(), "no false end", names + ", and nothing is wrong");
             }
         } else if (!is.isPresent() && current) {
-            knownMs.add(change.atMs() - endedMs[other]);
+            detectionTimesMs.add(change.atMs() - endedMs[other]);
         }
     }
 
@@ -153,19 +153,19 @@
     }
 
     /** Time enough has passed since the last fault: all that run hold all that run for alive, and nobody else for there. */
-    public void settled(double atMs) {
+    public void checkAgreement(double atMs) {
         int running = 0;
         for (boolean each : runs) {
             running += each ? 1 : 0;
         }
         for (int viewer = 0; viewer < size && running > 1; viewer++) {
-            for (int other = 0; runs[viewer] && other < size; other++) {
+            for (int other = 0; running[viewer] && other < size; other++) {
                 KnownPeer of = held.get(viewer).get(other);
-                boolean current = of != null && of.incarnation().equals(lives[other]);
-                if (other != viewer && runs[other] && (!current || of.state() != PeerState.ALIVE)) {
+                boolean current = of != null && of.incarnation().equals(incarnations[other]);
+                if (other != viewer && running[other] && (!current || of.state() != PeerState.ALIVE)) {
                     breach(atMs, "views agree", "n" + viewer + " holds n" + other + " for " + of + ", and it runs");
                 } else if (other != viewer
-                        && !runs[other]
+                        && !running[other]
                         && of != null
                         && of.state().isPresent()) {
                     breach(
@@ -175,7 +175,7 @@
                 }
             }
         }
-        asked++;
+        judgedChanges++;
     }
 
     public void breach(double atMs, String rule, String what) {
@@ -185,13 +185,13 @@
     }
 
     /** How long a node took to hold one that had ended for over: one figure for each of both. */
-    public List<Double> knownMs() {
-        return knownMs;
+    public List<Double> detectionTimesMs() {
+        return detectionTimesMs;
     }
 
     /** How often a node that ran was held for over, by node, over all viewers. */
-    public Map<Integer, Integer> falseEnds() {
-        return falseEnds;
+    public Map<Integer, Integer> falseRemovals() {
+        return falseRemovals;
     }
 
     /** How often a node suspected, by its own verdict, one that ran. */
@@ -200,22 +200,22 @@
     }
 
     /** The same from the first fault on: a rush of starts may overwhelm a seed for a moment before. */
-    public long suspicionsInFault() {
-        return suspicionsInFault;
+    public long falseSuspicionsInFault() {
+        return falseSuspicionsInFault;
     }
 
     /** How often one was held for gone that had said that it leaves. */
-    public long goneThoughSaid() {
-        return goneThoughSaid;
+    public long goneAfterLeaving() {
+        return goneAfterLeaving;
     }
 
     /** How many changes were judged: a verdict on none is worth nothing. */
-    public long asked() {
-        return asked;
+    public long judgedChanges() {
+        return judgedChanges;
     }
 
-    public boolean runs(int node) {
-        return runs[node];
+    public boolean isRunning(int node) {
+        return running[node];
     }
 
     public List<Breach> breaches() {
--- a/lab/src/main/java/spartrail/lab/simulation/Exploration.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Exploration.java
@@ -37,7 +37,7 @@
                     PeersScenario trial = PeersScenario.drawn(seed, least, most);
                     PeersScenario.Outcome outcome = trial.play(GossipTimings.DEFAULT, false);
                     messages.addAndGet(outcome.messages());
-                    changes.addAndGet(outcome.scene().rules().asked());
+                    changes.addAndGet(outcome.scene().rules().judgedChanges());
                     if (!outcome.breaches().isEmpty()) {
                         found.put(
                                 seed,
--- a/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
@@ -78,7 +78,7 @@
             "a tenth takes 25 ms a step",
             "a tenth stands still for 1 s in 5");
 
-    private record Run(List<Double> knownMs, long suspicions, long ends, double bytes, double mostBytes) {}
+    private record Run(List<Double> detectionTimesMs, long suspicions, long ends, double bytes, double mostBytes) {}
 
     /** So many runs, each from a seed of its own. */
     public static Row of(int size, String fault, int runs, GossipTimings times) {
@@ -87,7 +87,7 @@
                 .mapToObj(seed -> run(size, fault, seed, times))
                 .toList();
         List<Double> known = new ArrayList<>();
-        all.forEach(run -> known.addAll(run.knownMs()));
+        all.forEach(run -> known.addAll(run.detectionTimesMs()));
         Collections.sort(known);
         double hours = runs * LASTS_MS / 3_600_000 * size;
         return new Row(
@@ -142,9 +142,9 @@
             most = Math.max(most, each);
         }
         return new Run(
-                scene.rules().knownMs(),
+                scene.rules().detectionTimesMs(),
                 scene.rules().falseSuspicions(),
-                scene.rules().falseEnds().values().stream()
+                scene.rules().falseRemovals().values().stream()
                         .mapToInt(each -> each)
                         .sum(),
                 bytes[0] * 1000.0 / LASTS_MS / size,
--- a/lab/src/main/java/spartrail/lab/simulation/PeersScenario.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersScenario.java
@@ -172,27 +172,27 @@
         world.run(endMs + CALM_MS);
         scene.calmEnded(CALM_MS);
         if (faults.stream().allMatch(PeersScenario::onePair)
-                && (!scene.rules().falseEnds().isEmpty() || scene.rules().suspicionsInFault() > 0)) {
+                && (!scene.rules().falseRemovals().isEmpty() || scene.rules().falseSuspicionsInFault() > 0)) {
             scene.rules()
                     .breach(
                             endMs,
                             "helpers find it",
                             "suspected or held for gone though only single links were cut: "
-                                    + scene.rules().falseEnds() + ", suspicions "
-                                    + scene.rules().suspicionsInFault());
+                                    + scene.rules().falseRemovals() + ", suspicions "
+                                    + scene.rules().falseSuspicionsInFault());
         }
         if (faults.size() == size
                 && faults.stream().allMatch(fault -> fault.lastsMs() == ALONE_MS)
-                && !scene.rules().falseEnds().isEmpty()) {
+                && !scene.rules().falseRemovals().isEmpty()) {
             scene.rules()
                     .breach(
                             endMs,
                             "alone it ends nobody",
-                            "nodes all alone held for gone " + scene.rules().falseEnds());
+                            "nodes all alone held for gone " + scene.rules().falseRemovals());
         }
         if (faults.size() == 1
                 && faults.get(0).kind() == Fault.Kind.LEAVE
-                && scene.rules().goneThoughSaid() > 0) {
+                && scene.rules().goneAfterLeaving() > 0) {
             scene.rules().breach(endMs, "leaving is told", "held for gone, and it had said that it leaves");
         }
         return new Outcome(List.copyOf(scene.rules().breaches()), world.hash(), world.messages(), scene, endMs);
--- a/lab/src/main/java/spartrail/lab/simulation/PeersSimulation.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersSimulation.java
@@ -124,10 +124,10 @@
     public SimulatedNode<PeerMessage> start(
             int node, int startNumber, String address, double nodeMs, RandomGenerator chance) {
         Incarnation life = new Incarnation(Math.round(nodeMs), chance.nextInt());
-        rules.started(node);
+        rules.onStart(node);
         suspectedMs.get(node).clear();
         askedMs.get(node).clear();
-        rules.lives(node, life);
+        rules.onIncarnation(node, life);
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < Math.min(seeds, size); i++) {
             addresses.add(SimulatedNetwork.address(i));
@@ -140,7 +140,7 @@
                         chance,
                         nodeMs),
                 planted,
-                () -> rules.heard(node));
+                () -> rules.onMessage(node));
     }
 
     @Override
@@ -169,18 +169,18 @@
 
     @Override
     public void faulted(Fault fault, boolean ends, double worldMs) {
-        rules.faulted(worldMs);
+        rules.onFault(worldMs);
         log(fault + (ends ? " ends" : ""));
         if (ends
                 && fault.kind() == Fault.Kind.STALL
                 && fault.lastsMs() > 2 * times.pauseThresholdMs() + times.probeIntervalMs()) {
-            fault.nodes().forEach(rules::woke);
+            fault.nodes().forEach(rules::onWake);
         }
         if (!ends
                 && (fault.kind() == Fault.Kind.CRASH
                         || fault.kind() == Fault.Kind.LEAVE
                         || fault.kind() == Fault.Kind.SET_BACK)) {
-            fault.nodes().forEach(node -> rules.ended(node, fault.kind() == Fault.Kind.LEAVE, worldMs));
+            fault.nodes().forEach(node -> rules.onEnd(node, fault.kind() == Fault.Kind.LEAVE, worldMs));
         }
     }
 
@@ -193,7 +193,7 @@
     @Override
     public void stepped(int node, SimulatedNode<PeerMessage> guest, double worldMs, double nodeMs) {
         SwimMembership peers = ((PeersGuest) guest).peers;
-        rules.lives(node, peers.self().incarnation());
+        rules.onIncarnation(node, peers.self().incarnation());
         for (PeerEvent event : peers.drainEvents()) {
             if (logs) {
                 log("n" + node + " holds " + event.descriptor().name() + " " + event.newState() + " (was "
@@ -207,9 +207,9 @@
                 suspectedMs.get(node).remove(event.descriptor().name());
             }
             if (other != node && event.newState() == null) {
-                rules.forgotten(node, other);
+                rules.onForgotten(node, other);
             } else if (other != node) {
-                rules.changed(new PeersRules.Change(
+                rules.onChange(new PeersRules.Change(
                         worldMs,
                         node,
                         other,
@@ -233,7 +233,7 @@
         }
     }
 
-    /** Danger: a suspect that is asked by nobody hears of the suspicion too late to refute it. */
+    /** A suspect that nobody probes would hear of the suspicion too late to refute it. */
     private void suspectsAsked(int node, double worldMs) {
         suspectedMs.get(node).forEach((other, sinceMs) -> {
             double silentMs = worldMs - Math.max(sinceMs, askedMs.get(node).getOrDefault(other, 0.0));
@@ -257,7 +257,7 @@
     public void calmEnded(double lastedMs) {
         double running = 0;
         for (int node = 0; node < size; node++) {
-            running += rules.runs(node) ? 1 : 0;
+            running += rules.isRunning(node) ? 1 : 0;
         }
         // A round is a question and its answer; every other one asks one of the lost, too, and tells it how it is held.
         double most = running * lastedMs / 1000 * 4 * 1000 / times.probeIntervalMs() + 10;
@@ -274,13 +274,13 @@
 
     /** All that run hold the same, and what is true; called when no fault has been for as long as that may take. */
     public void settled() {
-        rules.settled(world.nowMs());
+        rules.checkAgreement(world.nowMs());
         int running = 0;
         for (int node = 0; node < size; node++) {
-            running += rules.runs(node) ? 1 : 0;
+            running += rules.isRunning(node) ? 1 : 0;
         }
         for (int node = 0; node < size && running > 1; node++) {
-            String doubt = rules.runs(node)
+            String doubt = rules.isRunning(node)
                     ? ((PeersGuest) world.guest(node))
                             .peers
                             .view(world.clock(node))
--- a/lab/src/main/java/spartrail/lab/simulation/SimulatedNetwork.java
+++ b/lab/src/main/java/spartrail/lab/simulation/SimulatedNetwork.java
@@ -251,7 +251,7 @@
     }
 
     private void plan(Node node) {
-        // Danger: a due time that is rounded down finds nothing due and comes again without end.
+        // Rounded up: a due time that is rounded down would find nothing due and come again without end.
         double dueMs = Math.max(node.world(node.guest.nextMs()), nowMs) + ROUNDED_MS;
         if (dueMs < node.plannedMs) {
             node.plannedMs = dueMs;
--- a/lab/src/test/java/spartrail/lab/cluster/SeveralProcessesTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/SeveralProcessesTest.java
@@ -43,7 +43,7 @@
         PeersRules rules = new HistoryChecker(5).read(outcome.history().inOrder(), false);
         assertThat(outcome.notTaken()).isEmpty();
         assertThat(rules.breaches()).isEmpty();
-        assertThat(rules.knownMs()).hasSizeGreaterThanOrEqualTo(6);
+        assertThat(rules.detectionTimesMs()).hasSizeGreaterThanOrEqualTo(6);
     }
 
     @Test
--- a/peers/src/test/java/spartrail/peers/transport/GossipNodeTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/GossipNodeTest.java
@@ -81,7 +81,7 @@
         running.forEach(PeerTransport.Running::close);
     }
 
-    private String ask(String fleet, String question) throws Exception {
+    private String adminRequest(String fleet, String question) throws Exception {
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             socket.setSoTimeout(20_000);
             byte[] bytes = DatagramFrame.encodeText(fleet, DatagramFrame.ADMIN_REQUEST_CHANNEL, question);
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void twoNodesMeetTellEachOtherOfTheirSettingsAndOfTheirEnd() throws Exception {
+    void nodesExchangePresenceSettingsAndLeaving() throws Exception {
         start(0);
         PeerTransport.Running other = start(1);
         await(0, view -> view.presentCount() == 2 && view.minCount() == 2);
@@ -102,12 +102,12 @@
         assertThat(other.reload(file(1, ",\"settings\":\"v8\""))).isEmpty();
         await(0, view -> view.peers().stream()
                 .anyMatch(each -> each.descriptor().settingsVersion().equals("v8")));
-        assertThat(ask("recife", "show 0"))
+        assertThat(adminRequest("recife", "show 0"))
                 .startsWith(
                         "{\"name\":\"n0\",\"standing\":\"ALIVE\",\"doubt\":\"\",\"there\":2,\"least\":2,\"most\":2,")
                 .contains("\"datagrams received\":")
                 .endsWith("\"peers\":[],\"next\":1}");
-        assertThat(ask("recife", "show 1"))
+        assertThat(adminRequest("recife", "show 1"))
                 .contains("\"name\":\"n0\"")
                 .contains("\"name\":\"n1\"")
                 .contains("\"settings\":\"v8\"")
@@ -124,7 +124,7 @@
     /** A disk that is full costs the history and nothing else. */
     @Test
     @EnabledOnOs(OS.LINUX)
-    void aHistoryThatCannotBeWrittenCostsNoTalk() throws Exception {
+    void unwritableHistoryDoesNotStopGossip() throws Exception {
         running.add(new DatagramPeerTransport()
                 .start(file(0, ""), Path.of("/dev/full"), 1 << 20, views.get(0)::add, PeerChannel.NONE));
         start(1);
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void whatStrangersSendIsDroppedAndCounted() throws Exception {
+    void datagramsOfStrangersAreDroppedAndCounted() throws Exception {
         start(0);
         await(0, view -> view.state() == PeerState.ALIVE);
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
@@ -146,7 +146,7 @@
                 socket.send(new DatagramPacket(bytes, bytes.length, InetAddress.getLoopbackAddress(), ports[0]));
             }
         }
-        assertThat(ask("recife", "show 0"))
+        assertThat(adminRequest("recife", "show 0"))
                 .contains(
                         "\"frames of another fleet\":1",
                         "\"frames of unknown lanes\":1",
--- a/peers/src/test/java/spartrail/peers/transport/PeerMessageCodecTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/PeerMessageCodecTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void aMessageComesOutAsItWentIn() {
+    void messageSurvivesEncodingAndDecoding() {
         byte[] bytes = PeerMessageCodec.encode("recife", MESSAGE);
         assertThat(read(bytes, "recife")).isEqualTo("the same");
         assertThat(read(bytes, "jaboatao")).isEqualTo("frames of another fleet");
@@ -60,7 +60,7 @@
 
     /** Names and texts as long as they may be: what the peers want sent must fit into a datagram. */
     @Test
-    void theLongestMessagesFitIntoADatagram() {
+    void longestMessagesFitIntoADatagram() {
         String longest = "x".repeat(60);
         List<SwimMembership> nodes = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void cutOrChangedAtAnyByteItIsDropped() {
+    void truncatedOrCorruptedDatagramIsDropped() {
         byte[] bytes = PeerMessageCodec.encode("recife", MESSAGE);
         for (int i = 0; i < bytes.length; i++) {
             assertThat(read(Arrays.copyOf(bytes, i), "recife"))
@@ -113,14 +113,14 @@
         }
     }
 
-    private interface Part {
-        void to(JsonGenerator out) throws Exception;
+    private interface FrameWriter {
+        void write(JsonGenerator out) throws Exception;
     }
 
-    private static byte[] frame(Part part) throws Exception {
+    private static byte[] frame(FrameWriter part) throws Exception {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = new CBORFactory().createGenerator(bytes)) {
-            part.to(out);
+            part.write(out);
         }
         CRC32C crc = new CRC32C();
         crc.update(bytes.toByteArray());
@@ -130,7 +130,7 @@
                 .array();
     }
 
-    private static void card(JsonGenerator out, boolean more) throws Exception {
+    private static void writeDescriptor(JsonGenerator out, boolean more) throws Exception {
         out.writeStartArray();
         for (String text : List.of("n1", "10.0.0.1:7400", "a")) {
             out.writeString(text);
@@ -148,7 +148,7 @@
     }
 
     /** A ping as the next version may write it: further values at each array's end, or a kind that this one does not know. */
-    private static byte[] next(int kind) throws Exception {
+    private static byte[] pingOfLaterVersion(int kind) throws Exception {
         return frame(out -> {
             out.writeStartArray();
             out.writeNumber(2);
@@ -156,7 +156,7 @@
             out.writeNumber(DatagramFrame.GOSSIP_CHANNEL);
             out.writeStartArray();
             out.writeNumber(kind);
-            card(out, true);
+            writeDescriptor(out, true);
             out.writeNumber(1);
             out.writeNumber(10);
             out.writeString("n2");
@@ -173,18 +173,18 @@
     }
 
     @Test
-    void theNextVersionsNodesCanMixWithThisOnes() throws Exception {
-        byte[] ping = next(0);
+    void fieldsAndKindsOfLaterVersionsAreTolerated() throws Exception {
+        byte[] ping = pingOfLaterVersion(0);
         PeerMessage message = decode(ping, "recife");
         assertThat(message.sender()).isEqualTo(ONE);
         assertThat(message.nonce()).isEqualTo(9);
-        assertThat(read(next(12), "recife")).isEqualTo("unknown kinds");
+        assertThat(read(pingOfLaterVersion(12), "recife")).isEqualTo("unknown kinds");
     }
 
     @Test
-    void whatIsNoMessageIsDropped() throws Exception {
-        StringBuilder told = new StringBuilder();
-        for (Part part : List.<Part>of(
+    void datagramsThatAreNoMessagesAreDropped() throws Exception {
+        StringBuilder outcomes = new StringBuilder();
+        for (FrameWriter part : List.<FrameWriter>of(
                 out -> out.writeString("x"),
                 out -> {
                     out.writeStartArray();
@@ -198,8 +198,8 @@
                     out.writeString("no list");
                     out.writeEndArray();
                 })) {
-            told.append(read(frame(part), "recife")).append(", ");
+            outcomes.append(read(frame(part), "recife")).append(", ");
         }
-        assertThat(told.toString()).isEqualTo("unreadable frames, unreadable frames, unreadable frames, ");
+        assertThat(outcomes.toString()).isEqualTo("unreadable frames, unreadable frames, unreadable frames, ");
     }
 }
--- a/peers/src/test/java/spartrail/peers/transport/PeersFileTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/PeersFileTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void whatIsWrongIsSaidInOneLineWithItsPlace() throws IOException {
+    void errorsNameTheFieldInOneLine() throws IOException {
         assertThat(check(GOOD)
                         + check("{\n'")
                         + check("[]")
