--- a/lab/src/main/java/spartrail/lab/drill/PeersDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/PeersDrill.java
@@ -59,8 +59,11 @@
     }
 
     static List<Drill> all() {
-        return List.of(
-                new PeersDrill(
+        return List.of(crash(), stall(), partition(), oneWayLinks(), restart(), nameConflicts(), flood());
+    }
+
+    private static Drill crash() {
+        return new PeersDrill(
                         "peers-crash",
                         "two of seven nodes are killed, a third one the moment it is suspected that one is: all know",
                         26_000,
@@ -71,9 +74,12 @@
                             findings.equal(
                                     "ends told of nodes that ran",
                                     "{}",
-                                    rules.falseEnds().toString());
-                        }),
-                new PeersDrill(
+                                    rules.falseRemovals().toString());
+                        });
+    }
+
+    private static Drill stall() {
+        return new PeersDrill(
                         "peers-stall",
                         "a node stands still for 30 s, later another one gets 0.05 of a core for 20 s",
                         75_000,
@@ -90,16 +96,19 @@
                             findings.most(
                                     "n6, slow: times that one of six others held it for gone in 20 s",
                                     6,
-                                    rules.falseEnds().getOrDefault(6, 0));
+                                    rules.falseRemovals().getOrDefault(6, 0));
                             findings.equal(
                                     "ends told of nodes neither stopped nor slow",
                                     0,
-                                    rules.falseEnds().entrySet().stream()
+                                    rules.falseRemovals().entrySet().stream()
                                             .filter(each -> each.getKey() != 2 && each.getKey() != 6)
                                             .mapToInt(each -> each.getValue())
                                             .sum());
-                        }),
-                new PeersDrill(
+                        });
+    }
+
+    private static Drill partition() {
+        return new PeersDrill(
                         "peers-partition",
                         "three against four, then each alone, then three groups that overlap: views heal",
                         65_000,
@@ -117,8 +126,11 @@
                                     "ends by verdicts of nodes that were all alone",
                                     0L,
                                     verdictsWithin(lines, 26_000 + 6000, 34_000));
-                        }),
-                new PeersDrill(
+                        });
+    }
+
+    private static Drill oneWayLinks() {
+        return new PeersDrill(
                         "peers-oneway",
                         "links that carry one way only: nobody is held for gone who can be reached by a helper",
                         40_000,
@@ -129,7 +141,7 @@
                             findings.equal(
                                     "ends told of n0 to n5",
                                     0,
-                                    rules.falseEnds().entrySet().stream()
+                                    rules.falseRemovals().entrySet().stream()
                                             .filter(each -> each.getKey() != 6)
                                             .mapToInt(each -> each.getValue())
                                             .sum());
@@ -137,9 +149,12 @@
                             findings.least(
                                     "n6, mute: held for gone by so many others",
                                     6,
-                                    rules.falseEnds().getOrDefault(6, 0));
-                        }),
-                new PeersDrill(
+                                    rules.falseRemovals().getOrDefault(6, 0));
+                        });
+    }
+
+    private static Drill restart() {
+        return new PeersDrill(
                         10,
                         "peers-restart",
                         "seven of ten are killed at once and start again within a second; one leaves; one flaps twice",
@@ -156,13 +171,16 @@
                             findings.equal(
                                     "ends told of lives that ran",
                                     "{}",
-                                    rules.falseEnds().toString());
+                                    rules.falseRemovals().toString());
                             findings.most(
                                     "time until all nine others knew that n2 leaves, in ms",
                                     2000,
                                     leftMs(lines, "n2", 9));
-                        }),
-                new PeersDrill(
+                        });
+    }
+
+    private static Drill nameConflicts() {
+        return new PeersDrill(
                         "peers-names",
                         "two machines swap names, two processes bear one name, clocks are set back and run wrong",
                         75_000,
@@ -180,7 +198,7 @@
                             findings.equal(
                                     "ends told of lives that ran",
                                     "{}",
-                                    rules.falseEnds().toString());
+                                    rules.falseRemovals().toString());
                             findings.least(
                                     "times that the earlier of two processes said that it takes no part",
                                     1,
@@ -203,8 +221,11 @@
                                             .map(Line::node)
                                             .distinct()
                                             .count());
-                        }),
-                new PeersDrill(
+                        });
+    }
+
+    private static Drill flood() {
+        return new PeersDrill(
                         "peers-flood",
                         "4,000 datagrams a second from a stranger, and links that cut, flip, double and mix up",
                         35_000,
@@ -216,7 +237,7 @@
                             findings.equal(
                                     "ends told of nodes that ran",
                                     "{}",
-                                    rules.falseEnds().toString());
+                                    rules.falseRemovals().toString());
                             findings.most(
                                     "messages a second a node, on average while flooded",
                                     SwimMembership.maxMessagesPerSecond(GossipTimings.DEFAULT),
@@ -226,7 +247,7 @@
                                                     .max()
                                                     .orElse(0)
                                             / 35);
-                        }));
+                        });
     }
 
     private static String alone(double atMs, double lastsMs) {
@@ -281,7 +302,7 @@
             List<Line> lines = outcome.history().inOrder();
             PeersRules rules = new HistoryChecker(nodes).read(lines, true);
             findings.equal("steps that were not taken", "[]", outcome.notTaken().toString());
-            findings.least("changes of views that were judged", 20, rules.asked());
+            findings.least("changes of views that were judged", 20, rules.judgedChanges());
             findings.equal("rules of peers broken", "[]", rules.breaches().toString());
             wants.judge(findings, lines, rules, outcome);
             findings.note(
@@ -354,7 +375,7 @@
     // ---- What histories tell ----
 
     private static void known(Findings findings, PeersRules rules, int least) {
-        List<Double> known = new ArrayList<>(rules.knownMs());
+        List<Double> known = new ArrayList<>(rules.detectionTimesMs());
         Collections.sort(known);
         findings.least("times that a crash came to be known", least, known.size());
         if (!known.isEmpty()) {
