--- a/core/src/main/java/spartrail/model/Multiget.java
+++ b/core/src/main/java/spartrail/model/Multiget.java
@@ -5,13 +5,14 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a client asked for: an answer put together from parts. A front end may extend it by what it needs. */
+/** A request of a client, answered from parts. A front end may extend it by what it needs. */
 public class Multiget {
     /** How a multiget was answered. */
     public enum Answer {
-        WHOLE,
+        COMPLETE,
         PARTIAL,
-        PUSHED_BACK,
+        /** Given up where a retry by the client is harmless. */
+        REJECTED,
         FAILED
     }
 
@@ -22,38 +23,45 @@
     public OpType opType;
     public String tenant;
     public String key;
+    /** Whether the client marks it as a retry. */
     public boolean clientRetry;
+
     public boolean write;
     public double arrivedMs;
-    public double clientLeftMs;
+    public double clientTimeLeftMs;
     public double costMs;
     public List<Part> parts = new ArrayList<>();
 
-    /** Place in every queue: the deadline window, then the rank. */
-    public long window;
+    /** Key in every queue: the deadline window, then the rank. */
+    public long deadlineWindow;
 
     public int rank;
-    /** When the latency budget and the client's time end. */
-    public double budgetAtMs;
+    /** When its latency objective is missed. */
+    public double objectiveDeadlineMs;
+
+    /** When the client stops waiting. */
+    public double clientDeadlineMs;
 
-    public double clientAtMs;
     public double answeredWeight;
     /** Parts that are neither answered nor abandoned, and their weight. */
     public int openParts;
 
     public double openWeight;
-    /** Shards with a held part of it. */
-    public final Set<Shard> heldAt = new HashSet<>();
-    /** Its sends that have had no outcome yet. */
-    public int sendsOut;
-    /** Servers that broke the connection of one of its sends. */
-    public final Set<Server> brokeAt = new HashSet<>();
+    /** Shards with a queued part of it. */
+    public final Set<Shard> queuedAt = new HashSet<>();
+    /** Its attempts that have had no outcome yet. */
+    public int attemptsInFlight;
+    /** Servers that reset the connection of one of its attempts since a part was last answered. */
+    public final Set<Server> connectionsResetBy = new HashSet<>();
     /** Nothing more of it is sent until one of its parts is answered. */
-    public boolean tasting;
-    /** What is due for it while it is in hand. */
-    public final List<TimerQueue.Due> dues = new ArrayList<>();
+    public boolean awaitingFirstAnswer;
+    /** Timers that are cancelled when it is finished. */
+    public final List<TimerQueue.Timer> timers = new ArrayList<>();
+
+    /** Whether its final answer is decided or its client has gone. */
+    public boolean finished;
 
-    public boolean over;
     public Answer answer;
-    public double comebackMs;
+    /** The Retry-After of a rejection; 0 for none. */
+    public double retryAfterMs;
 }
--- a/dns/src/main/java/spartrail/dns/CacheEntry.java
+++ b/dns/src/main/java/spartrail/dns/CacheEntry.java
@@ -30,7 +30,7 @@
 
     double sentMs;
     /** When it is refreshed, or null. */
-    TimerQueue.Due refresh;
+    TimerQueue.Timer refresh;
 
     private final Name name;
     private final int type;
--- a/dns/src/main/java/spartrail/dns/Resolver.java
+++ b/dns/src/main/java/spartrail/dns/Resolver.java
@@ -111,14 +111,14 @@
     /** Does what is due by now. */
     public void advance(double atMs) {
         nowMs = atMs;
-        timers.run(atMs);
+        timers.runDue(atMs);
         // The records of a service may have become too old meanwhile.
         touched.addAll(services.values());
     }
 
     /** When {@link #advance} has something to do next. */
     public double nextMs() {
-        return timers.nextMs();
+        return timers.nextDueMs();
     }
 
     /** The queries that are to be sent now. */
@@ -146,7 +146,7 @@
 
     private void scheduleRefresh(CacheEntry entry, double atMs) {
         cancelRefresh(entry);
-        entry.refresh = timers.add(atMs, () -> {
+        entry.refresh = timers.schedule(atMs, () -> {
             entry.refresh = null;
             refreshOrForget(entry);
         });
@@ -162,7 +162,7 @@
 
     private void cancelRefresh(CacheEntry entry) {
         if (entry.refresh != null) {
-            timers.remove(entry.refresh);
+            timers.cancel(entry.refresh);
             entry.refresh = null;
         }
     }
--- a/dns/src/main/java/spartrail/dns/UdpExchange.java
+++ b/dns/src/main/java/spartrail/dns/UdpExchange.java
@@ -17,7 +17,7 @@
     private final TransportLoop loop;
     private final DnsQuery query;
     private final DatagramChannel channel;
-    private final TimerQueue.Due timeout;
+    private final TimerQueue.Timer timeout;
 
     /** Sends the query; an IOException where that is not possible. */
     static void start(TransportLoop loop, DnsQuery query) throws IOException {
@@ -34,7 +34,7 @@
             channel.close();
             throw e;
         }
-        this.timeout = loop.timers().add(loop.nowMs() + query.timeoutMs(), this::onTimeout);
+        this.timeout = loop.timers().schedule(loop.nowMs() + query.timeoutMs(), this::onTimeout);
     }
 
     private void send() throws IOException {
@@ -78,7 +78,7 @@
     }
 
     private void close() {
-        loop.timers().remove(timeout);
+        loop.timers().cancel(timeout);
         TransportLoop.close(channel);
     }
 }
--- a/dns/src/test/java/spartrail/dns/DnsZone.java
+++ b/dns/src/test/java/spartrail/dns/DnsZone.java
@@ -82,17 +82,17 @@
             Behavior behavior = behaviors.getOrDefault(query.server(), Behavior.ANSWER);
             boolean[] isOver = new boolean[1];
             if (query.isTcp() && refusesTcp) {
-                wire.add(nowMs + ROUND_TRIP_MS, () -> resolver.onFailure(query, nowMs));
+                wire.schedule(nowMs + ROUND_TRIP_MS, () -> resolver.onFailure(query, nowMs));
                 continue;
             }
-            wire.add(nowMs + query.timeoutMs(), () -> {
+            wire.schedule(nowMs + query.timeoutMs(), () -> {
                 if (!isOver[0]) {
                     resolver.onTimeout(query, nowMs);
                 }
             });
             if (behavior != Behavior.SILENT) {
                 double roundTripMs = behavior == Behavior.LATE ? query.timeoutMs() + 50 : ROUND_TRIP_MS;
-                wire.add(nowMs + roundTripMs, () -> isOver[0] |= respond(query, behavior));
+                wire.schedule(nowMs + roundTripMs, () -> isOver[0] |= respond(query, behavior));
             }
         }
         maxInFlight = Math.max(maxInFlight, resolver.inFlight());
@@ -178,9 +178,9 @@
     /** Goes on to this time and prints what the lists become. */
     void until(double ms) {
         print();
-        while (Math.min(wire.nextMs(), resolver.nextMs()) <= ms) {
-            nowMs = Math.min(wire.nextMs(), resolver.nextMs());
-            wire.run(nowMs);
+        while (Math.min(wire.nextDueMs(), resolver.nextMs()) <= ms) {
+            nowMs = Math.min(wire.nextDueMs(), resolver.nextMs());
+            wire.runDue(nowMs);
             resolver.advance(nowMs);
             sendQueries();
             print();
