--- a/core/src/test/java/spartrail/peers/SwimMembershipTest.java
+++ b/core/src/test/java/spartrail/peers/SwimMembershipTest.java
@@ -189,6 +189,7 @@
                 .contains("n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE")
                 .doesNotContain("x");
         assertThat(node.view(nowMs).maxCount()).isLessThanOrEqualTo(4 + 64);
-        assertThat(sentByAddress.get(address(1)) / 10.0).isLessThan(SwimMembership.maxMessagesPerSecond(GossipTimings.DEFAULT));
+        assertThat(sentByAddress.get(address(1)) / 10.0)
+                .isLessThan(SwimMembership.maxMessagesPerSecond(GossipTimings.DEFAULT));
     }
 }
--- a/lab/src/main/java/spartrail/lab/drill/PeersDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/PeersDrill.java
@@ -64,190 +64,181 @@
 
     private static Drill crash() {
         return new PeersDrill(
-                        "peers-crash",
-                        "two of seven nodes are killed, a third one the moment it is suspected that one is: all know",
-                        26_000,
-                        "{'name':'two','when':{'atMs':2000},'do':'kill','nodes':['n3','n5']},"
-                                + "{'name':'third','when':{'seen':{'node':'any','of':'n3','is':'SUSPECT'}},'do':'kill','nodes':['n4']}",
-                        (findings, lines, rules, outcome) -> {
-                            known(findings, rules, 4 * 3);
-                            findings.equal(
-                                    "ends told of nodes that ran",
-                                    "{}",
-                                    rules.falseRemovals().toString());
-                        });
+                "peers-crash",
+                "two of seven nodes are killed, a third one the moment it is suspected that one is: all know",
+                26_000,
+                "{'name':'two','when':{'atMs':2000},'do':'kill','nodes':['n3','n5']},"
+                        + "{'name':'third','when':{'seen':{'node':'any','of':'n3','is':'SUSPECT'}},'do':'kill','nodes':['n4']}",
+                (findings, lines, rules, outcome) -> {
+                    known(findings, rules, 4 * 3);
+                    findings.equal(
+                            "ends told of nodes that ran",
+                            "{}",
+                            rules.falseRemovals().toString());
+                });
     }
 
     private static Drill stall() {
         return new PeersDrill(
-                        "peers-stall",
-                        "a node stands still for 30 s, later another one gets 0.05 of a core for 20 s",
-                        75_000,
-                        "{'name':'stop','when':{'atMs':2000},'do':'stop','nodes':['n2'],'lastsMs':30000},"
-                                + "{'name':'slow','when':{'atMs':40000},'do':'slow','nodes':['n6'],'share':0.05,'lastsMs':20000}",
-                        (findings, lines, rules, outcome) -> {
-                            findings.equal("n2, waking: ends by its own verdict", 0L, verdicts(lines, "n2", "GONE"));
-                            findings.least("n2, waking: times it said that it doubts itself", 1, doubts(lines, "n2"));
-                            findings.equal(
-                                    "n6, while slow: ends by its own verdict", 0L, since(lines, 40_000, "n6", "GONE"));
-                            findings.note(
-                                    "n6, while slow: suspicions by its own verdict",
-                                    String.valueOf(since(lines, 40_000, "n6", "SUSPECT")));
-                            findings.most(
-                                    "n6, slow: times that one of six others held it for gone in 20 s",
-                                    6,
-                                    rules.falseRemovals().getOrDefault(6, 0));
-                            findings.equal(
-                                    "ends told of nodes neither stopped nor slow",
-                                    0,
-                                    rules.falseRemovals().entrySet().stream()
-                                            .filter(each -> each.getKey() != 2 && each.getKey() != 6)
-                                            .mapToInt(each -> each.getValue())
-                                            .sum());
-                        });
+                "peers-stall",
+                "a node stands still for 30 s, later another one gets 0.05 of a core for 20 s",
+                75_000,
+                "{'name':'stop','when':{'atMs':2000},'do':'stop','nodes':['n2'],'lastsMs':30000},"
+                        + "{'name':'slow','when':{'atMs':40000},'do':'slow','nodes':['n6'],'share':0.05,'lastsMs':20000}",
+                (findings, lines, rules, outcome) -> {
+                    findings.equal("n2, waking: ends by its own verdict", 0L, verdicts(lines, "n2", "GONE"));
+                    findings.least("n2, waking: times it said that it doubts itself", 1, doubts(lines, "n2"));
+                    findings.equal("n6, while slow: ends by its own verdict", 0L, since(lines, 40_000, "n6", "GONE"));
+                    findings.note(
+                            "n6, while slow: suspicions by its own verdict",
+                            String.valueOf(since(lines, 40_000, "n6", "SUSPECT")));
+                    findings.most(
+                            "n6, slow: times that one of six others held it for gone in 20 s",
+                            6,
+                            rules.falseRemovals().getOrDefault(6, 0));
+                    findings.equal(
+                            "ends told of nodes neither stopped nor slow",
+                            0,
+                            rules.falseRemovals().entrySet().stream()
+                                    .filter(each -> each.getKey() != 2 && each.getKey() != 6)
+                                    .mapToInt(each -> each.getValue())
+                                    .sum());
+                });
     }
 
     private static Drill partition() {
         return new PeersDrill(
-                        "peers-partition",
-                        "three against four, then each alone, then three groups that overlap: views heal",
-                        65_000,
-                        "{'name':'halves','when':{'atMs':2000},'do':'cut','nodes':['n0','n1','n2'],"
-                                + "'others':['n3','n4','n5','n6'],'lastsMs':12000},"
-                                + alone(26_000, 8000)
-                                + "{'name':'left','when':{'atMs':45000},'do':'cut','nodes':['n0','n1'],'others':['n4','n5','n6'],'lastsMs':6000},"
-                                + "{'name':'right','when':{'atMs':45000},'do':'cut','nodes':['n2'],'others':['n6'],'lastsMs':6000}",
-                        (findings, lines, rules, outcome) -> {
-                            findings.least(
-                                    "nodes that held the other half for gone while cut (of 7)",
-                                    7,
-                                    holders(lines, 2000, 15_000));
-                            findings.equal(
-                                    "ends by verdicts of nodes that were all alone",
-                                    0L,
-                                    verdictsWithin(lines, 26_000 + 6000, 34_000));
-                        });
+                "peers-partition",
+                "three against four, then each alone, then three groups that overlap: views heal",
+                65_000,
+                "{'name':'halves','when':{'atMs':2000},'do':'cut','nodes':['n0','n1','n2'],"
+                        + "'others':['n3','n4','n5','n6'],'lastsMs':12000},"
+                        + alone(26_000, 8000)
+                        + "{'name':'left','when':{'atMs':45000},'do':'cut','nodes':['n0','n1'],'others':['n4','n5','n6'],'lastsMs':6000},"
+                        + "{'name':'right','when':{'atMs':45000},'do':'cut','nodes':['n2'],'others':['n6'],'lastsMs':6000}",
+                (findings, lines, rules, outcome) -> {
+                    findings.least(
+                            "nodes that held the other half for gone while cut (of 7)",
+                            7,
+                            holders(lines, 2000, 15_000));
+                    findings.equal(
+                            "ends by verdicts of nodes that were all alone",
+                            0L,
+                            verdictsWithin(lines, 26_000 + 6000, 34_000));
+                });
     }
 
     private static Drill oneWayLinks() {
         return new PeersDrill(
-                        "peers-oneway",
-                        "links that carry one way only: nobody is held for gone who can be reached by a helper",
-                        40_000,
-                        "{'name':'one','when':{'atMs':2000},'do':'one-way','nodes':['n0'],'others':['n1'],'lastsMs':10000},"
-                                + "{'name':'pair','when':{'atMs':2000},'do':'cut','nodes':['n3'],'others':['n4'],'lastsMs':10000},"
-                                + "{'name':'mute','when':{'atMs':16000},'do':'one-way','nodes':['n6'],'lastsMs':10000}",
-                        (findings, lines, rules, outcome) -> {
-                            findings.equal(
-                                    "ends told of n0 to n5",
-                                    0,
-                                    rules.falseRemovals().entrySet().stream()
-                                            .filter(each -> each.getKey() != 6)
-                                            .mapToInt(each -> each.getValue())
-                                            .sum());
-                            findings.equal("n6, mute: ends by its own verdict", 0L, verdicts(lines, "n6", "GONE"));
-                            findings.least(
-                                    "n6, mute: held for gone by so many others",
-                                    6,
-                                    rules.falseRemovals().getOrDefault(6, 0));
-                        });
+                "peers-oneway",
+                "links that carry one way only: nobody is held for gone who can be reached by a helper",
+                40_000,
+                "{'name':'one','when':{'atMs':2000},'do':'one-way','nodes':['n0'],'others':['n1'],'lastsMs':10000},"
+                        + "{'name':'pair','when':{'atMs':2000},'do':'cut','nodes':['n3'],'others':['n4'],'lastsMs':10000},"
+                        + "{'name':'mute','when':{'atMs':16000},'do':'one-way','nodes':['n6'],'lastsMs':10000}",
+                (findings, lines, rules, outcome) -> {
+                    findings.equal(
+                            "ends told of n0 to n5",
+                            0,
+                            rules.falseRemovals().entrySet().stream()
+                                    .filter(each -> each.getKey() != 6)
+                                    .mapToInt(each -> each.getValue())
+                                    .sum());
+                    findings.equal("n6, mute: ends by its own verdict", 0L, verdicts(lines, "n6", "GONE"));
+                    findings.least(
+                            "n6, mute: held for gone by so many others",
+                            6,
+                            rules.falseRemovals().getOrDefault(6, 0));
+                });
     }
 
     private static Drill restart() {
         return new PeersDrill(
-                        10,
-                        "peers-restart",
-                        "seven of ten are killed at once and start again within a second; one leaves; one flaps twice",
-                        55_000,
-                        "{'name':'seven','when':{'atMs':2000},'do':'kill','nodes':" + SEVEN + "},"
-                                + "{'name':'again','when':{'step':'seven','afterMs':200},'do':'start','nodes':" + SEVEN
-                                + "},"
-                                + "{'name':'leaves','when':{'atMs':18000},'do':'terminate','nodes':['n2']},"
-                                + "{'name':'flap','when':{'atMs':26000},'do':'kill','nodes':['n6']},"
-                                + "{'name':'back','when':{'step':'flap','afterMs':300},'do':'start','nodes':['n6']},"
-                                + "{'name':'flap2','when':{'atMs':34000},'do':'kill','nodes':['n6']},"
-                                + "{'name':'back2','when':{'step':'flap2','afterMs':300},'do':'start','nodes':['n6']}",
-                        (findings, lines, rules, outcome) -> {
-                            findings.equal(
-                                    "ends told of lives that ran",
-                                    "{}",
-                                    rules.falseRemovals().toString());
-                            findings.most(
-                                    "time until all nine others knew that n2 leaves, in ms",
-                                    2000,
-                                    leftMs(lines, "n2", 9));
-                        });
+                10,
+                "peers-restart",
+                "seven of ten are killed at once and start again within a second; one leaves; one flaps twice",
+                55_000,
+                "{'name':'seven','when':{'atMs':2000},'do':'kill','nodes':" + SEVEN + "},"
+                        + "{'name':'again','when':{'step':'seven','afterMs':200},'do':'start','nodes':" + SEVEN
+                        + "},"
+                        + "{'name':'leaves','when':{'atMs':18000},'do':'terminate','nodes':['n2']},"
+                        + "{'name':'flap','when':{'atMs':26000},'do':'kill','nodes':['n6']},"
+                        + "{'name':'back','when':{'step':'flap','afterMs':300},'do':'start','nodes':['n6']},"
+                        + "{'name':'flap2','when':{'atMs':34000},'do':'kill','nodes':['n6']},"
+                        + "{'name':'back2','when':{'step':'flap2','afterMs':300},'do':'start','nodes':['n6']}",
+                (findings, lines, rules, outcome) -> {
+                    findings.equal(
+                            "ends told of lives that ran",
+                            "{}",
+                            rules.falseRemovals().toString());
+                    findings.most(
+                            "time until all nine others knew that n2 leaves, in ms", 2000, leftMs(lines, "n2", 9));
+                });
     }
 
     private static Drill nameConflicts() {
         return new PeersDrill(
-                        "peers-names",
-                        "two machines swap names, two processes bear one name, clocks are set back and run wrong",
-                        75_000,
-                        "{'name':'swapped','when':{'atMs':2000},'do':'kill','nodes':['n1','n4']},"
-                                + "{'name':'swap','when':{'step':'swapped','afterMs':300},'do':'start','nodes':['n1','n4'],'as':['n4','n1']},"
-                                + "{'name':'n2','when':{'atMs':12000},'do':'kill','nodes':['n2']},"
-                                + "{'name':'second','when':{'step':'n2','afterMs':300},'do':'start','nodes':['n2'],'as':['n3']},"
-                                + "{'name':'clocks','when':{'atMs':24000},'do':'kill','nodes':['n5','n6']},"
-                                + "{'name':'back','when':{'step':'clocks','afterMs':300},'do':'start','nodes':['n5'],"
-                                + "'clock':{'aheadMs':-3600000,'pace':0.99}},"
-                                + "{'name':'ahead','when':{'step':'clocks','afterMs':300},'do':'start','nodes':['n6'],"
-                                + "'clock':{'aheadMs':60000,'pace':1.02}},"
-                                + "{'name':'alone','when':{'atMs':36000},'do':'kill','nodes':['n2']}",
-                        (findings, lines, rules, outcome) -> {
-                            findings.equal(
-                                    "ends told of lives that ran",
-                                    "{}",
-                                    rules.falseRemovals().toString());
-                            findings.least(
-                                    "times that the earlier of two processes said that it takes no part",
-                                    1,
-                                    steppedBack(lines, 3).size());
-                            findings.equal("its own verdicts while it took no part", 0L, steppedBackVerdicts(lines, 3));
-                            findings.least(
-                                    "nodes that held the earlier one for there again once the later one was killed (of 5)",
-                                    5,
-                                    lines.stream()
-                                            .filter(line -> line.ns() - startNs(lines) > 36_000e6
-                                                    && line.what().equals("standing")
-                                                    && line.tree()
-                                                            .get("of")
-                                                            .asText()
-                                                            .equals("n3")
-                                                    && line.tree()
-                                                            .get("is")
-                                                            .asText()
-                                                            .equals("ALIVE"))
-                                            .map(Line::node)
-                                            .distinct()
-                                            .count());
-                        });
+                "peers-names",
+                "two machines swap names, two processes bear one name, clocks are set back and run wrong",
+                75_000,
+                "{'name':'swapped','when':{'atMs':2000},'do':'kill','nodes':['n1','n4']},"
+                        + "{'name':'swap','when':{'step':'swapped','afterMs':300},'do':'start','nodes':['n1','n4'],'as':['n4','n1']},"
+                        + "{'name':'n2','when':{'atMs':12000},'do':'kill','nodes':['n2']},"
+                        + "{'name':'second','when':{'step':'n2','afterMs':300},'do':'start','nodes':['n2'],'as':['n3']},"
+                        + "{'name':'clocks','when':{'atMs':24000},'do':'kill','nodes':['n5','n6']},"
+                        + "{'name':'back','when':{'step':'clocks','afterMs':300},'do':'start','nodes':['n5'],"
+                        + "'clock':{'aheadMs':-3600000,'pace':0.99}},"
+                        + "{'name':'ahead','when':{'step':'clocks','afterMs':300},'do':'start','nodes':['n6'],"
+                        + "'clock':{'aheadMs':60000,'pace':1.02}},"
+                        + "{'name':'alone','when':{'atMs':36000},'do':'kill','nodes':['n2']}",
+                (findings, lines, rules, outcome) -> {
+                    findings.equal(
+                            "ends told of lives that ran",
+                            "{}",
+                            rules.falseRemovals().toString());
+                    findings.least(
+                            "times that the earlier of two processes said that it takes no part",
+                            1,
+                            steppedBack(lines, 3).size());
+                    findings.equal("its own verdicts while it took no part", 0L, steppedBackVerdicts(lines, 3));
+                    findings.least(
+                            "nodes that held the earlier one for there again once the later one was killed (of 5)",
+                            5,
+                            lines.stream()
+                                    .filter(line -> line.ns() - startNs(lines) > 36_000e6
+                                            && line.what().equals("standing")
+                                            && line.tree().get("of").asText().equals("n3")
+                                            && line.tree().get("is").asText().equals("ALIVE"))
+                                    .map(Line::node)
+                                    .distinct()
+                                    .count());
+                });
     }
 
     private static Drill flood() {
         return new PeersDrill(
-                        "peers-flood",
-                        "4,000 datagrams a second from a stranger, and links that cut, flip, double and mix up",
-                        35_000,
-                        "{'name':'flood','when':{'atMs':2000},'do':'flood','nodes':['n0','n1','n2','n3','n4','n5','n6'],"
-                                + "'perS':4000,'manner':'all','lastsMs':15000},"
-                                + "{'name':'links','when':{'atMs':2000},'do':'link','nodes':['n0','n1','n2','n3','n4','n5','n6'],"
-                                + "'others':['n0','n1','n2','n3','n4','n5','n6'],'jitterMs':150,'twice':0.3,'flipped':0.05,'loss':0.02,'lastsMs':15000}",
-                        (findings, lines, rules, outcome) -> {
-                            findings.equal(
-                                    "ends told of nodes that ran",
-                                    "{}",
-                                    rules.falseRemovals().toString());
-                            findings.most(
-                                    "messages a second a node, on average while flooded",
-                                    SwimMembership.maxMessagesPerSecond(GossipTimings.DEFAULT),
-                                    outcome.nodes().stream()
-                                                    .mapToDouble(node -> node.get("sentMessages")
-                                                            .asDouble())
-                                                    .max()
-                                                    .orElse(0)
-                                            / 35);
-                        });
+                "peers-flood",
+                "4,000 datagrams a second from a stranger, and links that cut, flip, double and mix up",
+                35_000,
+                "{'name':'flood','when':{'atMs':2000},'do':'flood','nodes':['n0','n1','n2','n3','n4','n5','n6'],"
+                        + "'perS':4000,'manner':'all','lastsMs':15000},"
+                        + "{'name':'links','when':{'atMs':2000},'do':'link','nodes':['n0','n1','n2','n3','n4','n5','n6'],"
+                        + "'others':['n0','n1','n2','n3','n4','n5','n6'],'jitterMs':150,'twice':0.3,'flipped':0.05,'loss':0.02,'lastsMs':15000}",
+                (findings, lines, rules, outcome) -> {
+                    findings.equal(
+                            "ends told of nodes that ran",
+                            "{}",
+                            rules.falseRemovals().toString());
+                    findings.most(
+                            "messages a second a node, on average while flooded",
+                            SwimMembership.maxMessagesPerSecond(GossipTimings.DEFAULT),
+                            outcome.nodes().stream()
+                                            .mapToDouble(node ->
+                                                    node.get("sentMessages").asDouble())
+                                            .max()
+                                            .orElse(0)
+                                    / 35);
+                });
     }
 
     private static String alone(double atMs, double lastsMs) {
--- a/lab/src/main/java/spartrail/lab/rules/PeersRules.java
+++ b/lab/src/main/java/spartrail/lab/rules/PeersRules.java
@@ -123,7 +123,9 @@
                 && !change.healthProblem().isEmpty()) {
             breach(change.atMs(), "4 no verdict in doubt", names + " while in doubt: " + change.healthProblem());
         }
-        if (change.ownVerdict() && (is == PeerState.SUSPECT || is == PeerState.GONE) && withoutMessages[change.viewer()]) {
+        if (change.ownVerdict()
+                && (is == PeerState.SUSPECT || is == PeerState.GONE)
+                && withoutMessages[change.viewer()]) {
             breach(change.atMs(), "4 no verdict in doubt", names + ", having stood still and heard nothing since");
         }
         boolean current = change.known().incarnation().equals(incarnations[other]);
@@ -154,11 +156,11 @@
 
     /** Time enough has passed since the last fault: all that run hold all that run for alive, and nobody else for there. */
     public void checkAgreement(double atMs) {
-        int running = 0;
-        for (boolean each : runs) {
-            running += each ? 1 : 0;
+        int runningCount = 0;
+        for (boolean each : running) {
+            runningCount += each ? 1 : 0;
         }
-        for (int viewer = 0; viewer < size && running > 1; viewer++) {
+        for (int viewer = 0; viewer < size && runningCount > 1; viewer++) {
             for (int other = 0; running[viewer] && other < size; other++) {
                 KnownPeer of = held.get(viewer).get(other);
                 boolean current = of != null && of.incarnation().equals(incarnations[other]);
--- a/lab/src/test/java/spartrail/lab/cluster/HistoryFormTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/HistoryFormTest.java
@@ -88,8 +88,8 @@
                         lines,
                         List.of(new PolicyRules.Taken(
                                 lines.get(lines.size() - 1).ns(), 0, 1, "5")));
-        assertThat(peers.judgedChanges() + " asked\n" + peers.breaches() + "\n" + peers.detectionTimesMs() + "\n" + policy.judged()
-                        + " judged\n" + policy.breaches() + "\n")
+        assertThat(peers.judgedChanges() + " asked\n" + peers.breaches() + "\n" + peers.detectionTimesMs() + "\n"
+                        + policy.judged() + " judged\n" + policy.breaches() + "\n")
                 .isEqualTo(text("history-judged.txt"));
     }
 }
