--- a/core/src/main/java/spartrail/peers/PeerChannel.java
+++ b/core/src/main/java/spartrail/peers/PeerChannel.java
@@ -45,14 +45,5 @@
 
         /** Adds a line to the history, if one is kept; values are texts, numbers and flags. */
         void recordEvent(String event, Map<String, ?> fields);
-
-        /** The same with the fields given as name, value, name, value. */
-        default void recordEvent(String event, Object... namesAndValues) {
-            Map<String, Object> fields = new java.util.LinkedHashMap<>();
-            for (int i = 0; i < namesAndValues.length; i += 2) {
-                fields.put((String) namesAndValues[i], namesAndValues[i + 1]);
-            }
-            recordEvent(event, fields);
-        }
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/LoadPlanned.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadPlanned.java
@@ -35,7 +35,7 @@
         LoadPlan plan = LoadPlan.read(file);
         Iterator<Arrival> arrivals = plan.arrivals();
         int bins = 60;
-        double lastsMs = plan.lastsMs();
+        double lastsMs = plan.durationMs();
         long[] counts = new long[bins];
         long all = 0;
         for (; all < most && arrivals.hasNext(); all++) {
@@ -49,9 +49,9 @@
                         .put("opType", arrival.opType())
                         .put("key", arrival.key())
                         .put("workMs", arrival.workMs())
-                        .put("hintMs", arrival.hintMs())
+                        .put("hintMs", arrival.costHintMs())
                         .put("textBytes", arrival.textBytes())
-                        .put("clientMs", arrival.clientMs());
+                        .put("clientMs", arrival.timeoutMs());
                 line.set("shards", Document.JSON.valueToTree(arrival.shards()));
                 out.println(Document.JSON.writeValueAsString(line));
             } else if (list) {
--- a/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
+++ b/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
@@ -5,20 +5,24 @@
 import spartrail.policy.replication.AdminClient;
 import spartrail.policy.replication.PolicyMessageCodec;
 
-/** Orders and questions about policy in the frames of talk. */
+/**
+ * Encodes administrators' requests about policy as frames of the gossip protocol.
+ *
+ * @param fleet name of the fleet that the frames are for
+ */
 public record AdminFrameCodec(String fleet) implements AdminClient.FrameCodec {
-    private static final int LONGEST = 65_536;
+    private static final int MAX_DATAGRAM_BYTES = 65_536;
 
     @Override
     public byte[] encode(byte[] piece) {
-        return DatagramFrame.encodeBytes(fleet, PolicyMessageCodec.LANE, piece);
+        return DatagramFrame.encodeBytes(fleet, PolicyMessageCodec.CHANNEL, piece);
     }
 
     @Override
     public byte[] decode(byte[] datagram, int length) {
         try {
-            DatagramFrame frame = DatagramFrame.decode(datagram, length, fleet, LONGEST);
-            return frame.channel() == PolicyMessageCodec.LANE ? frame.bytes() : null;
+            DatagramFrame frame = DatagramFrame.decode(datagram, length, fleet, MAX_DATAGRAM_BYTES);
+            return frame.channel() == PolicyMessageCodec.CHANNEL ? frame.bytes() : null;
         } catch (MalformedDatagramException e) {
             return null;
         }
--- a/node/src/main/java/spartrail/cli/ServeCommand.java
+++ b/node/src/main/java/spartrail/cli/ServeCommand.java
@@ -15,11 +15,14 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** Serves clients as a front node, until it is told to end; then it drains. */
+/** Serves clients as a front node until SIGTERM; then it drains. */
 public final class ServeCommand implements Command {
     private static final System.Logger LOG = System.getLogger("spartrail.cli");
-    /** Held, or its level would be forgotten. */
-    private Logger quiet;
+    private static final String CONFIG_VARIABLE = "BALANCER_CONFIG";
+    private static final long BYTES_PER_MB = 1024L * 1024;
+
+    /** Referenced, or the JVM would collect the logger and its level with it. */
+    private Logger xnioLogger;
 
     @Option(name = "--config", metaVar = "FILE", usage = "the node's configuration; else BALANCER_CONFIG names it")
     private Path config;
@@ -43,78 +46,94 @@
     private Path state;
 
     @Option(name = "--record", metaVar = "FILE", usage = "keep a line for each multiget taken, to replay it elsewhere")
-    private Path record;
+    private Path recordFile;
 
     @Option(
             name = "--record-mb",
             metaVar = "N",
             usage = "the record, and the history, end at so many megabytes (default 64)")
-    private int recordMb = 64;
+    private int maxRecordMb = 64;
 
     @Override
     public int run(PrintStream out, PrintStream err) throws Exception {
-        String named = System.getenv("BALANCER_CONFIG");
-        if (config == null && (named == null || named.isEmpty())) {
-            throw new IllegalArgumentException("no configuration: give --config or BALANCER_CONFIG");
-        }
-        quiet = Logger.getLogger("org.xnio");
-        quiet.setLevel(Level.WARNING);
-        Path path = config == null ? Path.of(named) : config;
-        CountDownLatch over = new CountDownLatch(1);
-        AtomicReference<FrontNode> served = new AtomicReference<>();
+        Path path = configurationFile();
+        xnioLogger = Logger.getLogger("org.xnio");
+        xnioLogger.setLevel(Level.WARNING);
+        CountDownLatch ended = new CountDownLatch(1);
+        AtomicReference<FrontNode> startedNode = new AtomicReference<>();
         synchronized (ServeCommand.class) {
-            // Danger: a JVM that nobody told otherwise ends on SIGHUP, with all that it has in hand. Danger: a signal
-            // that comes between the word that the node is ready and what listens for it ends it the same way; so both
-            // come first, and wait for the start.
-            if (Signal.handle(new Signal("HUP"), signal -> reload(served, path)) == SignalHandler.SIG_IGN) {
-                // Danger: a JVM leaves a signal ignored that was so at its start, as below nohup, and no word is said
-                // when one comes.
-                LOG.log(
-                        System.Logger.Level.WARNING,
-                        "SIGHUP is ignored, as it was by whoever started this process:"
-                                + " a new configuration is taken at the next start only");
-            }
-            FrontNode node = new FrontNode(DeploymentFile.read(path));
-            if (members != null) {
-                node.members(EndpointSourcesFile.read(members));
-            }
-            if (peers != null) {
-                node.peers(peers, history, recordMb * 1024L * 1024);
-            }
-            if (state != null) {
-                node.policy(state);
-            }
-            MultigetRecord kept = record == null ? null : record();
-            node.record(kept);
-            // Danger: the log opens with its first line, and of a process that ends by then nothing would ever be read.
+            // Before the node reports ready, as a JVM without a handler ends on a signal with all that it has in
+            // flight. Both
+            // handlers wait for the start.
+            handleReloadSignal(startedNode, path);
+            FrontNode node = createNode(path);
+            MultigetRecord record = recordFile == null ? null : openRecord();
+            node.setRecord(record);
+            // The log opens with its first line, and of a process that ends by then nothing would ever be read.
             LOG.log(System.Logger.Level.INFO, "starts by " + path);
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
                             () -> {
-                                node.ending();
-                                end(served, kept);
-                                over.countDown();
+                                node.beginTermination();
+                                drainAndClose(startedNode, record);
+                                ended.countDown();
                             },
                             "spartrail-drain"));
             node.start();
-            served.set(node);
+            startedNode.set(node);
         }
-        over.await();
+        ended.await();
         return 0;
     }
 
+    private Path configurationFile() {
+        if (config != null) {
+            return config;
+        }
+        String fromEnvironment = System.getenv(CONFIG_VARIABLE);
+        if (fromEnvironment == null || fromEnvironment.isEmpty()) {
+            throw new IllegalArgumentException("no configuration: give --config or " + CONFIG_VARIABLE);
+        }
+        return Path.of(fromEnvironment);
+    }
+
+    private static void handleReloadSignal(AtomicReference<FrontNode> startedNode, Path path) {
+        SignalHandler previous = Signal.handle(new Signal("HUP"), signal -> reloadConfiguration(startedNode, path));
+        if (previous == SignalHandler.SIG_IGN) {
+            // A JVM leaves a signal ignored that was so at its start, as below nohup, and is silent when one comes.
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "SIGHUP is ignored, as it was by whoever started this process:"
+                            + " a new configuration is taken at the next start only");
+        }
+    }
+
+    private FrontNode createNode(Path path) throws IOException {
+        FrontNode node = new FrontNode(DeploymentFile.read(path));
+        if (members != null) {
+            node.setEndpointSources(EndpointSourcesFile.read(members));
+        }
+        if (peers != null) {
+            node.enablePeers(peers, history, maxRecordMb * BYTES_PER_MB);
+        }
+        if (state != null) {
+            node.enablePolicy(state);
+        }
+        return node;
+    }
+
     /** Waits for the start, and does nothing where it failed; a SIGHUP is taken meanwhile. */
-    private static void end(AtomicReference<FrontNode> served, MultigetRecord kept) {
+    private static void drainAndClose(AtomicReference<FrontNode> startedNode, MultigetRecord record) {
         FrontNode node;
         synchronized (ServeCommand.class) {
-            node = served.get();
+            node = startedNode.get();
         }
         try {
             if (node != null) {
                 node.drain();
                 node.close();
-                if (kept != null) {
-                    kept.close();
+                if (record != null) {
+                    record.close();
                 }
             }
         } catch (InterruptedException e) {
@@ -122,28 +141,31 @@
         }
     }
 
-    private MultigetRecord record() {
-        if (recordMb < 1) {
-            throw new IllegalArgumentException("--record-mb: found " + recordMb + ", 1 or more is expected");
+    private MultigetRecord openRecord() {
+        if (maxRecordMb < 1) {
+            throw new IllegalArgumentException("--record-mb: found " + maxRecordMb + ", 1 or more is expected");
         }
         try {
-            return new MultigetRecord(record, recordMb * 1024L * 1024);
+            return new MultigetRecord(recordFile, maxRecordMb * BYTES_PER_MB);
         } catch (IOException e) {
-            throw new IllegalArgumentException("cannot write the record " + record, e);
+            throw new IllegalArgumentException("cannot write the record " + recordFile, e);
         }
     }
 
     /** One at a time and none before the start, so that of two signals the later one's reading counts. */
-    private static synchronized void reload(AtomicReference<FrontNode> served, Path path) {
-        if (served.get() == null) {
+    private static synchronized void reloadConfiguration(AtomicReference<FrontNode> startedNode, Path path) {
+        if (startedNode.get() == null) {
             return;
         }
         try {
-            String waiting = served.get().reload(DeploymentFile.read(path));
-            LOG.log(
-                    waiting.isEmpty() ? System.Logger.Level.INFO : System.Logger.Level.WARNING,
-                    "configuration read again"
-                            + (waiting.isEmpty() ? "" : ", its settings wait for the next start: " + waiting));
+            String waiting = startedNode.get().reload(DeploymentFile.read(path));
+            if (waiting.isEmpty()) {
+                LOG.log(System.Logger.Level.INFO, "configuration read again");
+            } else {
+                LOG.log(
+                        System.Logger.Level.WARNING,
+                        "configuration read again, its settings wait for the next start: " + waiting);
+            }
         } catch (IOException | RuntimeException e) {
             LOG.log(System.Logger.Level.WARNING, "configuration not taken, the one before stays: " + e.getMessage());
         }
--- a/node/src/main/java/spartrail/shard/ShardFrameCodec.java
+++ b/node/src/main/java/spartrail/shard/ShardFrameCodec.java
@@ -7,66 +7,62 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.regex.Pattern;
+import spartrail.model.MalformedMessageException;
 
-/** The frames between front nodes and index servers: a length, a letter, the rest. */
+/**
+ * The frames between front nodes and index servers: four bytes of length, counted from behind them, one of type, the payload. Types sent
+ * are {@code R} (a batch of parts) and {@code A} (a part is cancelled); received are {@code Y} (a part's response) and {@code N} (the
+ * server could not read a frame).
+ */
 final class ShardFrameCodec {
-    /** A server's answer for one part. */
-    record Answer(String id, End end, byte[] value) {}
+    /** A server's response for one part. */
+    record PartResponse(String id, Status status, byte[] value) {}
 
     /** How a server says that a part ended. */
-    enum End {
+    enum Status {
         OK,
         ERROR,
         REJECTED
     }
 
-    /** A frame that the protocol does not know. */
-    static final class Garbled extends Exception {
-        private static final long serialVersionUID = 1;
+    /** A value goes into a client's response, and no response is longer than this. */
+    static final int MAX_FRAME_BYTES = 64 * 1024;
 
-        Garbled(String what) {
-            super(what);
-        }
-    }
-
-    /** A value goes into a client's answer, and no answer is longer than this. */
-    static final int LONGEST = 64 * 1024;
-
-    private static final int HEAD = 5;
-    private static final Pattern SCORE = Pattern.compile("[0-9]{1,20}");
+    private static final int HEADER_BYTES = 5;
+    private static final Pattern SCORE_FORMAT = Pattern.compile("[0-9]{1,20}");
 
     private ShardFrameCodec() {}
 
-    /** One call: each part a line and its text. */
-    static ByteBuffer call(List<PartRequest> parts, double nowMs) {
-        ByteArrayOutputStream rest = new ByteArrayOutputStream();
+    /** A batch: each part a line and its text. */
+    static ByteBuffer encodeBatch(List<PartRequest> parts, double nowMs) {
+        ByteArrayOutputStream payload = new ByteArrayOutputStream();
         for (PartRequest part : parts) {
-            long waitMs = Math.max(1, (long) (part.untilMs - nowMs));
-            byte[] line = (part.id + ' ' + part.shard + " d=" + waitMs + ' ' + part.text.length + '\n')
+            long remainingMs = Math.max(1, (long) (part.answerByMs - nowMs));
+            byte[] line = (part.id + ' ' + part.shard + " d=" + remainingMs + ' ' + part.text.length + '\n')
                     .getBytes(StandardCharsets.US_ASCII);
-            rest.writeBytes(line);
-            rest.writeBytes(part.text);
+            payload.writeBytes(line);
+            payload.writeBytes(part.text);
         }
-        return frame('R', rest.toByteArray());
+        return encodeFrame('R', payload.toByteArray());
     }
 
-    /** A part is given up. */
-    static ByteBuffer giveUp(String id) {
-        return frame('A', id.getBytes(StandardCharsets.US_ASCII));
+    /** A part is not waited for any more. */
+    static ByteBuffer encodeCancellation(String id) {
+        return encodeFrame('A', id.getBytes(StandardCharsets.US_ASCII));
     }
 
-    static ByteBuffer frame(char letter, byte[] rest) {
-        ByteBuffer frame = ByteBuffer.allocate(HEAD + rest.length);
-        return frame.putInt(1 + rest.length).put((byte) letter).put(rest).flip();
+    static ByteBuffer encodeFrame(char type, byte[] payload) {
+        ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + payload.length);
+        return frame.putInt(1 + payload.length).put((byte) type).put(payload).flip();
     }
 
-    /** Takes bytes as they come and tells where frames end. */
-    static final class Reader {
+    /** Takes bytes as they come and finds where frames end. */
+    static final class Decoder {
         private byte[] bytes = new byte[512];
         private int from;
         private int to;
 
-        void take(ByteBuffer in) {
+        void append(ByteBuffer in) {
             int more = in.remaining();
             if (from > 0) {
                 System.arraycopy(bytes, from, bytes, 0, to - from);
@@ -80,65 +76,67 @@
             to += more;
         }
 
-        /** A frame has begun and is not there whole. */
-        boolean partial() {
+        /** A frame has begun and is not complete. */
+        boolean hasPartialFrame() {
             return to > from;
         }
 
         /**
-         * The next answer that is there whole, or null. A probe's answer is as unusable as any other that nobody
-         * here asks for. Danger: memory for a frame is taken as its bytes come, never as it announces.
+         * The next response that is complete, or null. A health check's response is as malformed as any other that nobody here asks for.
+         * Memory for a frame is taken as its bytes come, never as it announces.
          */
-        Answer next() throws Garbled {
-            if (to - from < HEAD) {
+        PartResponse nextResponse() throws MalformedMessageException {
+            if (to - from < HEADER_BYTES) {
                 return null;
             }
             int length = ByteBuffer.wrap(bytes, from, 4).getInt();
-            char letter = (char) (bytes[from + 4] & 0xff);
-            if (length < 1 || length > LONGEST) {
-                throw new Garbled("a frame of length " + length);
+            char type = (char) (bytes[from + 4] & 0xff);
+            if (length < 1 || length > MAX_FRAME_BYTES) {
+                throw new MalformedMessageException("a frame of length " + length);
             }
-            if (letter != 'Y' && letter != 'N') {
-                throw new Garbled("a frame of letter " + (int) letter);
+            if (type != 'Y' && type != 'N') {
+                throw new MalformedMessageException("a frame of letter " + (int) type);
             }
             if (to - from < 4 + length) {
                 return null;
             }
-            int start = from + HEAD;
+            int start = from + HEADER_BYTES;
             int end = from + 4 + length;
             from = end;
-            if (letter == 'N') {
-                throw new Garbled("N: "
+            if (type == 'N') {
+                throw new MalformedMessageException("N: "
                         + new String(bytes, start, Math.min(100, end - start), StandardCharsets.US_ASCII)
                                 .replaceAll("[^ -~]", "?"));
             }
-            return answer(start, end);
+            return decodeResponse(start, end);
         }
 
-        private Answer answer(int start, int end) throws Garbled {
-            int lf = start;
-            while (lf < end && bytes[lf] != '\n') {
-                lf++;
+        private PartResponse decodeResponse(int start, int end) throws MalformedMessageException {
+            int lineEnd = start;
+            while (lineEnd < end && bytes[lineEnd] != '\n') {
+                lineEnd++;
             }
-            // What is wrong with a load report alone spoils no answer: nothing here goes by it.
-            String[] words = new String(bytes, start, lf - start, StandardCharsets.US_ASCII).split(" ", 4);
-            if (lf == end || words.length < 4 || !SCORE.matcher(words[2]).matches()) {
-                throw new Garbled("an answer without its line");
+            // What is wrong with a load report alone makes no response malformed: nothing here goes by it.
+            String[] words = new String(bytes, start, lineEnd - start, StandardCharsets.US_ASCII).split(" ", 4);
+            if (lineEnd == end
+                    || words.length < 4
+                    || !SCORE_FORMAT.matcher(words[2]).matches()) {
+                throw new MalformedMessageException("an answer without its line");
             }
-            End how =
+            Status status =
                     switch (words[1]) {
-                        case "OK" -> End.OK;
-                        case "ERROR" -> End.ERROR;
-                        case "REJECTED" -> End.REJECTED;
-                        default -> throw new Garbled("an answer of an unknown end");
+                        case "OK" -> Status.OK;
+                        case "ERROR" -> Status.ERROR;
+                        case "REJECTED" -> Status.REJECTED;
+                        default -> throw new MalformedMessageException("an answer of an unknown end");
                     };
             try {
-                // Danger: what is no text would reach the client as another value than the server made.
-                StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes, lf + 1, end - lf - 1));
+                // What is no text would reach the client as another value than the server made.
+                StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes, lineEnd + 1, end - lineEnd - 1));
             } catch (CharacterCodingException e) {
-                throw new Garbled("a value that is no text");
+                throw new MalformedMessageException("a value that is no text", e);
             }
-            return new Answer(words[0], how, Arrays.copyOfRange(bytes, lf + 1, end));
+            return new PartResponse(words[0], status, Arrays.copyOfRange(bytes, lineEnd + 1, end));
         }
     }
 }
