--- a/core/src/test/java/spartrail/GoldenFile.java
+++ b/core/src/test/java/spartrail/GoldenFile.java
@@ -12,6 +12,7 @@
 public final class GoldenFile {
     private GoldenFile() {}
 
+    /** Fails where the text is not that of the file; what was seen is kept beside the build for a look at the difference. */
     public static void same(String name, String seen) throws IOException {
         try (InputStream kept = GoldenFile.class.getResourceAsStream("/traces/" + name + ".txt")) {
             String expected = kept == null
