--- a/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
+++ b/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
@@ -1,6 +1,7 @@
 package spartrail.lab.net;
 
-import spartrail.peers.transport.PeerMessageCodec;
+import spartrail.peers.transport.DatagramFrame;
+import spartrail.peers.transport.MalformedDatagramException;
 import spartrail.policy.replication.AdminClient;
 import spartrail.policy.replication.PolicyMessageCodec;
 
@@ -14,15 +15,15 @@
 
     @Override
     public byte[] encode(byte[] piece) {
-        return PeerMessageCodec.bytes(fleet, PolicyMessageCodec.CHANNEL, piece);
+        return DatagramFrame.encodeBytes(fleet, PolicyMessageCodec.CHANNEL, piece);
     }
 
     @Override
     public byte[] decode(byte[] datagram, int length) {
         try {
-            PeerMessageCodec.Frame frame = PeerMessageCodec.read(datagram, length, fleet, MAX_DATAGRAM_BYTES);
-            return frame.lane() == PolicyMessageCodec.CHANNEL ? frame.bytes() : null;
-        } catch (PeerMessageCodec.Unusable e) {
+            DatagramFrame frame = DatagramFrame.decode(datagram, length, fleet, MAX_DATAGRAM_BYTES);
+            return frame.channel() == PolicyMessageCodec.CHANNEL ? frame.bytes() : null;
+        } catch (MalformedDatagramException e) {
             return null;
         }
     }
