--- a/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
@@ -10,6 +10,7 @@
 import spartrail.peers.GossipTimings;
 import spartrail.peers.PeerMessage;
 import spartrail.peers.SwimMembership;
+import spartrail.peers.transport.DatagramFrame;
 import spartrail.peers.transport.PeerMessageCodec;
 
 /** How soon fleets of a size know of a crash, how often they err under a fault, and what their talk costs. */
@@ -77,7 +78,7 @@
             "a tenth takes 25 ms a step",
             "a tenth stands still for 1 s in 5");
 
-    private record Run(List<Double> knownMs, long suspicions, long ends, double bytes, double mostBytes) {}
+    private record Run(List<Double> detectionTimesMs, long suspicions, long ends, double bytes, double mostBytes) {}
 
     /** So many runs, each from a seed of its own. */
     public static Row of(int size, String fault, int runs, GossipTimings times) {
@@ -86,7 +87,7 @@
                 .mapToObj(seed -> run(size, fault, seed, times))
                 .toList();
         List<Double> known = new ArrayList<>();
-        all.forEach(run -> known.addAll(run.knownMs()));
+        all.forEach(run -> known.addAll(run.detectionTimesMs()));
         Collections.sort(known);
         double hours = runs * LASTS_MS / 3_600_000 * size;
         return new Row(
@@ -102,7 +103,7 @@
                 all.stream().mapToLong(Run::ends).sum() / hours,
                 all.stream().mapToDouble(Run::bytes).average().orElse(0),
                 all.stream().mapToDouble(Run::mostBytes).max().orElse(0),
-                SwimMembership.maxMessagesPerSecond(times) * (PeerMessageCodec.MOST_BYTES + HEADS));
+                SwimMembership.maxMessagesPerSecond(times) * (DatagramFrame.MAX_BYTES + HEADS));
     }
 
     private static double at(List<Double> sorted, double part) {
@@ -120,7 +121,7 @@
             public void sent(int node, PeerMessage message, double worldMs) {
                 super.sent(node, message, worldMs);
                 if (counts[0]) {
-                    int length = PeerMessageCodec.peers("fleet-1", message).length + HEADS;
+                    int length = PeerMessageCodec.encode("fleet-1", message).length + HEADS;
                     bytes[0] += length;
                     ofNode[node] += length;
                 }
@@ -141,9 +142,9 @@
             most = Math.max(most, each);
         }
         return new Run(
-                scene.rules().knownMs(),
+                scene.rules().detectionTimesMs(),
                 scene.rules().falseSuspicions(),
-                scene.rules().falseEnds().values().stream()
+                scene.rules().falseRemovals().values().stream()
                         .mapToInt(each -> each)
                         .sum(),
                 bytes[0] * 1000.0 / LASTS_MS / size,
--- a/peers/src/test/java/spartrail/peers/transport/DatagramFormTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/DatagramFormTest.java
@@ -52,15 +52,15 @@
         return HexFormat.of().formatHex(bytes);
     }
 
-    private static PeerMessageCodec.Frame frame(String hex) throws Exception {
+    private static DatagramFrame frame(String hex) throws Exception {
         byte[] bytes = HexFormat.of().parseHex(hex);
-        return PeerMessageCodec.read(bytes, bytes.length, FLEET, PeerMessageCodec.MOST_BYTES);
+        return DatagramFrame.decode(bytes, bytes.length, FLEET, DatagramFrame.MAX_BYTES);
     }
 
     @Test
     void messagesOfEachKindAreWrittenAsStored() throws Exception {
         List<String> written = new ArrayList<>();
-        messages().forEach((name, message) -> written.add(name + " " + hex(PeerMessageCodec.peers(FLEET, message))));
+        messages().forEach((name, message) -> written.add(name + " " + hex(PeerMessageCodec.encode(FLEET, message))));
         assertThat(written).isEqualTo(StoredForms.lines("datagrams.txt"));
         assertThat(messages().values()).extracting(PeerMessage::kind).containsExactly(PeerMessage.Kind.values());
     }
@@ -70,7 +70,7 @@
         Map<String, PeerMessage> read = new LinkedHashMap<>();
         for (Map.Entry<String, String> stored :
                 StoredForms.named("datagrams.txt").entrySet()) {
-            read.put(stored.getKey(), frame(stored.getValue()).message());
+            read.put(stored.getKey(), PeerMessageCodec.decode(frame(stored.getValue())));
         }
         assertThat(read).isEqualTo(messages());
     }
@@ -79,16 +79,16 @@
     void textsAndBytesOfOtherLanesAreWrittenAndReadAsStored() throws Exception {
         Map<String, String> stored = StoredForms.named("lanes.txt");
         byte[] policy = {0, 1, -1, 127, -128};
-        assertThat(hex(PeerMessageCodec.text(FLEET, PeerMessageCodec.QUESTION, "show 0")))
+        assertThat(hex(DatagramFrame.encodeText(FLEET, DatagramFrame.ADMIN_REQUEST_CHANNEL, "show 0")))
                 .isEqualTo(stored.get("question"));
-        assertThat(hex(PeerMessageCodec.text(FLEET, PeerMessageCodec.REPLY, "{\"next\":-1}")))
+        assertThat(hex(DatagramFrame.encodeText(FLEET, DatagramFrame.ADMIN_RESPONSE_CHANNEL, "{\"next\":-1}")))
                 .isEqualTo(stored.get("reply"));
-        assertThat(hex(PeerMessageCodec.bytes(FLEET, POLICY_LANE, policy))).isEqualTo(stored.get("policy"));
+        assertThat(hex(DatagramFrame.encodeBytes(FLEET, POLICY_LANE, policy))).isEqualTo(stored.get("policy"));
 
-        assertThat(frame(stored.get("question")).values().get(3)).isEqualTo("show 0");
-        assertThat(frame(stored.get("question")).lane()).isEqualTo(PeerMessageCodec.QUESTION);
-        assertThat(frame(stored.get("reply")).lane()).isEqualTo(PeerMessageCodec.REPLY);
-        assertThat(frame(stored.get("policy")).lane()).isEqualTo(POLICY_LANE);
+        assertThat(frame(stored.get("question")).payload()).isEqualTo("show 0");
+        assertThat(frame(stored.get("question")).channel()).isEqualTo(DatagramFrame.ADMIN_REQUEST_CHANNEL);
+        assertThat(frame(stored.get("reply")).channel()).isEqualTo(DatagramFrame.ADMIN_RESPONSE_CHANNEL);
+        assertThat(frame(stored.get("policy")).channel()).isEqualTo(POLICY_LANE);
         assertThat(frame(stored.get("policy")).bytes()).isEqualTo(policy);
     }
 }
--- a/peers/src/test/java/spartrail/peers/transport/PeerMessageCodecTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/PeerMessageCodecTest.java
@@ -37,30 +37,30 @@
             OTHER,
             List.of(new PeerUpdate(OTHER, PeerState.SUSPECT, 17.25, "n3"), new PeerUpdate(ONE, PeerState.LEFT, 0, "")));
 
+    private static PeerMessage decode(byte[] bytes, String fleet) throws MalformedDatagramException {
+        return PeerMessageCodec.decode(DatagramFrame.decode(bytes, bytes.length, fleet, DatagramFrame.MAX_BYTES));
+    }
+
     private static String read(byte[] bytes, String fleet) {
         try {
-            return PeerMessageCodec.read(bytes, bytes.length, fleet, PeerMessageCodec.MOST_BYTES)
-                            .message()
-                            .equals(MESSAGE)
-                    ? "the same"
-                    : "another";
-        } catch (PeerMessageCodec.Unusable e) {
+            return decode(bytes, fleet).equals(MESSAGE) ? "the same" : "another";
+        } catch (MalformedDatagramException e) {
             return e.getMessage();
         }
     }
 
     @Test
-    void aMessageComesOutAsItWentIn() {
-        byte[] bytes = PeerMessageCodec.peers("recife", MESSAGE);
+    void messageSurvivesEncodingAndDecoding() {
+        byte[] bytes = PeerMessageCodec.encode("recife", MESSAGE);
         assertThat(read(bytes, "recife")).isEqualTo("the same");
         assertThat(read(bytes, "jaboatao")).isEqualTo("frames of another fleet");
-        assertThat(read(new byte[PeerMessageCodec.MOST_BYTES + 1], "recife")).isEqualTo("frames too large");
+        assertThat(read(new byte[DatagramFrame.MAX_BYTES + 1], "recife")).isEqualTo("frames too large");
         assertThat(bytes.length).isLessThan(260);
     }
 
     /** Names and texts as long as they may be: what the peers want sent must fit into a datagram. */
     @Test
-    void theLongestMessagesFitIntoADatagram() {
+    void longestMessagesFitIntoADatagram() {
         String longest = "x".repeat(60);
         List<SwimMembership> nodes = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
@@ -86,19 +86,19 @@
                 nodes.get(i).advance(ms);
                 for (OutgoingMessage outgoing : nodes.get(i).drainMessages()) {
                     int to = Integer.parseInt(outgoing.address().substring(12, 15)) - 100;
-                    most = Math.max(most, PeerMessageCodec.peers(longest, outgoing.message()).length);
+                    most = Math.max(most, PeerMessageCodec.encode(longest, outgoing.message()).length);
                     if (ms < 4000 || i != 7 && to != 7) {
                         nodes.get(to).onMessage(outgoing.message(), ms);
                     }
                 }
             }
         }
-        assertThat(most).isBetween(1000, PeerMessageCodec.MOST_BYTES);
+        assertThat(most).isBetween(1000, DatagramFrame.MAX_BYTES);
     }
 
     @Test
-    void cutOrChangedAtAnyByteItIsDropped() {
-        byte[] bytes = PeerMessageCodec.peers("recife", MESSAGE);
+    void truncatedOrCorruptedDatagramIsDropped() {
+        byte[] bytes = PeerMessageCodec.encode("recife", MESSAGE);
         for (int i = 0; i < bytes.length; i++) {
             assertThat(read(Arrays.copyOf(bytes, i), "recife"))
                     .as("cut at " + i)
@@ -113,14 +113,14 @@
         }
     }
 
-    private interface Part {
-        void to(JsonGenerator out) throws Exception;
+    private interface FrameWriter {
+        void write(JsonGenerator out) throws Exception;
     }
 
-    private static byte[] frame(Part part) throws Exception {
+    private static byte[] frame(FrameWriter part) throws Exception {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = new CBORFactory().createGenerator(bytes)) {
-            part.to(out);
+            part.write(out);
         }
         CRC32C crc = new CRC32C();
         crc.update(bytes.toByteArray());
@@ -130,7 +130,7 @@
                 .array();
     }
 
-    private static void card(JsonGenerator out, boolean more) throws Exception {
+    private static void writeDescriptor(JsonGenerator out, boolean more) throws Exception {
         out.writeStartArray();
         for (String text : List.of("n1", "10.0.0.1:7400", "a")) {
             out.writeString(text);
@@ -148,15 +148,15 @@
     }
 
     /** A ping as the next version may write it: further values at each array's end, or a kind that this one does not know. */
-    private static byte[] next(int kind) throws Exception {
+    private static byte[] pingOfLaterVersion(int kind) throws Exception {
         return frame(out -> {
             out.writeStartArray();
             out.writeNumber(2);
             out.writeString("recife");
-            out.writeNumber(PeerMessageCodec.PEERS);
+            out.writeNumber(DatagramFrame.GOSSIP_CHANNEL);
             out.writeStartArray();
             out.writeNumber(kind);
-            card(out, true);
+            writeDescriptor(out, true);
             out.writeNumber(1);
             out.writeNumber(10);
             out.writeString("n2");
@@ -173,19 +173,18 @@
     }
 
     @Test
-    void theNextVersionsNodesCanMixWithThisOnes() throws Exception {
-        byte[] ping = next(0);
-        PeerMessage message = PeerMessageCodec.read(ping, ping.length, "recife", PeerMessageCodec.MOST_BYTES)
-                .message();
+    void fieldsAndKindsOfLaterVersionsAreTolerated() throws Exception {
+        byte[] ping = pingOfLaterVersion(0);
+        PeerMessage message = decode(ping, "recife");
         assertThat(message.sender()).isEqualTo(ONE);
         assertThat(message.nonce()).isEqualTo(9);
-        assertThat(read(next(12), "recife")).isEqualTo("unknown kinds");
+        assertThat(read(pingOfLaterVersion(12), "recife")).isEqualTo("unknown kinds");
     }
 
     @Test
-    void whatIsNoMessageIsDropped() throws Exception {
-        StringBuilder told = new StringBuilder();
-        for (Part part : List.<Part>of(
+    void datagramsThatAreNoMessagesAreDropped() throws Exception {
+        StringBuilder outcomes = new StringBuilder();
+        for (FrameWriter part : List.<FrameWriter>of(
                 out -> out.writeString("x"),
                 out -> {
                     out.writeStartArray();
@@ -199,8 +198,8 @@
                     out.writeString("no list");
                     out.writeEndArray();
                 })) {
-            told.append(read(frame(part), "recife")).append(", ");
+            outcomes.append(read(frame(part), "recife")).append(", ");
         }
-        assertThat(told.toString()).isEqualTo("unreadable frames, unreadable frames, unreadable frames, ");
+        assertThat(outcomes.toString()).isEqualTo("unreadable frames, unreadable frames, unreadable frames, ");
     }
 }
--- a/policy/src/main/java/spartrail/policy/replication/MessageSender.java
+++ b/policy/src/main/java/spartrail/policy/replication/MessageSender.java
@@ -1,15 +1,15 @@
 package spartrail.policy.replication;
 
 import java.util.List;
-import spartrail.peers.PeerChannel.Carrier;
+import spartrail.peers.PeerChannel.Context;
 
 /** Sends messages about policy to nodes and operators, in pieces that fit into datagrams. They may be lost. */
 final class MessageSender {
-    private final Carrier carrier;
+    private final Context channel;
     private final DatagramSplitter splitter;
 
-    MessageSender(Carrier carrier, DatagramSplitter splitter) {
-        this.carrier = carrier;
+    MessageSender(Context channel, DatagramSplitter splitter) {
+        this.channel = channel;
         this.splitter = splitter;
     }
 
@@ -21,7 +21,7 @@
         String subject = crashPointName(message);
         CrashPoint.before(CrashPoint.Activity.SENDING, subject);
         List<byte[]> pieces = splitter.split(PolicyMessageCodec.encode(message));
-        pieces.forEach(piece -> carrier.send(address, piece));
+        pieces.forEach(piece -> channel.send(address, piece));
         CrashPoint.after(CrashPoint.Activity.SENDING, subject);
     }
 
--- a/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
@@ -38,7 +38,7 @@
     private final CountDownLatch firstLease = new CountDownLatch(1);
     private final RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
     private final DatagramReassembler reassembler = new DatagramReassembler();
-    private Carrier carrier;
+    private Context channel;
     private PolicyTimings times;
     private List<String> voters = List.of();
     private PolicyFollower follower;
@@ -67,14 +67,14 @@
     }
 
     @Override
-    public void begin(Carrier by) {
-        carrier = by;
-        PolicyConfig config = PolicyConfig.of(by.told("policy"));
+    public void start(Context by) {
+        channel = by;
+        PolicyConfig config = PolicyConfig.of(by.section("policy"));
         times = config.times();
         voters = config.voters();
-        sender = new MessageSender(by, new DatagramSplitter(Carrier.MOST_BYTES, random.nextInt()));
+        sender = new MessageSender(by, new DatagramSplitter(Context.MAX_MESSAGE_BYTES, random.nextInt()));
         history = new PolicyHistory(by);
-        follower = new PolicyFollower(by.name(), voters, host.localSettings(), times, random, host.nowMs());
+        follower = new PolicyFollower(by.nodeName(), voters, host.localSettings(), times, random, host.nowMs());
         checker = new ProposalChecker(host, follower);
         adminRequests = new AdminRequestHandler(new AdminNode(), follower, checker, sender);
         thread.start();
@@ -83,17 +83,17 @@
     // ---- From other threads ----
 
     @Override
-    public void heard(String from, byte[] piece) {
+    public void onMessage(String from, byte[] piece) {
         thread.submitMessage(() -> {
             byte[] message = reassembler.add(from, piece);
             if (message != null) {
-                onMessage(from, message);
+                onCompleteMessage(from, message);
             }
         });
     }
 
     @Override
-    public void seen(MembershipView view) {
+    public void onView(MembershipView view) {
         Map<String, String> known = new HashMap<>();
         List<String> live = new ArrayList<>();
         for (MembershipView.Entry entry : view.peers()) {
@@ -130,7 +130,7 @@
     private final class Work implements PolicyThread.Work {
         @Override
         public void begin() {
-            if (voters.contains(carrier.name())) {
+            if (voters.contains(channel.nodeName())) {
                 startReplica();
             }
         }
@@ -165,10 +165,10 @@
                 throw new IOException(
                         folder + ": holds no log of policy; 'spartrail policy found' makes those of a new set");
             }
-            store = new RaftLogStore(folder, carrier.fleet(), carrier.name());
+            store = new RaftLogStore(folder, channel.fleetName(), channel.nodeName());
             replica = new RaftReplica(
-                    carrier.name(),
-                    carrier.fleet(),
+                    channel.nodeName(),
+                    channel.fleetName(),
                     store,
                     times,
                     thread,
@@ -283,7 +283,7 @@
 
     // ---- Messages ----
 
-    private void onMessage(String from, byte[] bytes) {
+    private void onCompleteMessage(String from, byte[] bytes) {
         try {
             PolicyMessage message = PolicyMessageCodec.decode(bytes);
             if (message != null) {
@@ -305,9 +305,9 @@
             follower.pollNoLaterThan(host.nowMs());
         } else if (message instanceof PolicyMessage.Raft raft && replica != null) {
             replica.onMessage(raft.message());
-        } else if (message instanceof PolicyMessage.AdminCommand command && carrier.operator(from)) {
+        } else if (message instanceof PolicyMessage.AdminCommand command && channel.isOperator(from)) {
             adminRequests.onCommand(from, command.operation());
-        } else if (message instanceof PolicyMessage.AdminQuery query && carrier.operator(from)) {
+        } else if (message instanceof PolicyMessage.AdminQuery query && channel.isOperator(from)) {
             adminRequests.onQuery(from, query);
         }
     }
@@ -363,7 +363,8 @@
 
         @Override
         public String statusPage() {
-            return PolicyStatusPage.of(carrier.name(), givenLease, follower, replica, leaderAddress(), host.nowMs());
+            return PolicyStatusPage.of(
+                    channel.nodeName(), givenLease, follower, replica, leaderAddress(), host.nowMs());
         }
 
         @Override
--- a/policy/src/main/java/spartrail/policy/replication/PolicyHistory.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyHistory.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import spartrail.peers.PeerChannel.Carrier;
+import spartrail.peers.PeerChannel.Context;
 import spartrail.policy.PolicyLease;
 import spartrail.policy.PolicyLog;
 import spartrail.policy.PolicyResponse;
@@ -11,10 +11,10 @@
 
 /** The lines about policy in a node's history, which drills read. Their words are those of the first version of the form. */
 final class PolicyHistory {
-    private final Carrier carrier;
+    private final Context channel;
 
-    PolicyHistory(Carrier carrier) {
-        this.carrier = carrier;
+    PolicyHistory(Context channel) {
+        this.channel = channel;
     }
 
     /** This node votes on the log. */
@@ -81,6 +81,6 @@
     }
 
     private void note(String event, Map<String, Object> fields) {
-        carrier.note(event, fields);
+        channel.recordEvent(event, fields);
     }
 }
