--- a/lab/src/main/java/spartrail/lab/cli/LoadSpeed.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadSpeed.java
@@ -63,7 +63,7 @@
                 perS));
         double[] laterMs = new double[1];
         try (NullResponder responder = new NullResponder(0, (number, atMs) -> atMs + laterMs[0])) {
-            // Danger: a responder that still compiles answers late, connections pile up, and that is what would be
+            // Warms the responder up: one that still compiles answers late, connections pile up, and that would be
             // measured.
             try (LoadSession warm = new LoadSession(
                     DrillPlans.at(warming, responder.address()),
--- a/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
@@ -159,7 +159,7 @@
         if (source == null) {
             return false;
         }
-        // Danger: what was sent after a trouble was set would pass by the one before it.
+        // Applies changed faults first: otherwise a datagram sent after a change would be handled by the fault before it.
         settle();
         in.flip();
         byte[] datagram = new byte[in.remaining()];
--- a/lab/src/main/java/spartrail/lab/drill/LoadDelayDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/LoadDelayDrill.java
@@ -54,7 +54,7 @@
             Recorder measured = null;
             int unfit = -1;
             double stoodMs = Double.POSITIVE_INFINITY;
-            // Danger: p99 is the slowest of the usual ones here, so that one standstill of the machine is the verdict.
+            // A single pause of the machine would decide the verdict, as p99 is the slowest ordinary answer here: such a run is repeated.
             while (stoodMs > FIT_MS && ++unfit < MOST_RUNS) {
                 try (LoadSession session = new LoadSession(
                         DrillPlans.at(loopback(seed), responder.address()),
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Danger: sides that still compile, or have connections to open, add delays that no script knows of. */
+    /** A plan that warms both sides up first: compiling and connecting would add delays that the script does not have. */
     private static LoadPlan loopback(long seed) {
         return DrillPlans.parse(
                 "{'seed':" + seed + ",'gaps':{'kind':'even'},'lagBoundMs':50,'connections':{'most':4000},"
--- a/lab/src/main/java/spartrail/lab/experiment/ExperimentStore.java
+++ b/lab/src/main/java/spartrail/lab/experiment/ExperimentStore.java
@@ -36,7 +36,7 @@
                 || !Files.isDirectory(file.toAbsolutePath().getParent())) {
             throw new InvalidInputException(file + ": there is no such folder");
         }
-        // Danger: with its usual delay a run that was completed half a second before a kill would be lost.
+        // With the default write delay a run that was completed half a second before a kill would be lost.
         connection = DriverManager.getConnection(
                 "jdbc:h2:file:" + file.toAbsolutePath() + ";DB_CLOSE_ON_EXIT=FALSE;WRITE_DELAY=0", "", "");
         try (Statement statement = connection.createStatement()) {
--- a/lab/src/main/java/spartrail/lab/experiment/NodeProcess.java
+++ b/lab/src/main/java/spartrail/lab/experiment/NodeProcess.java
@@ -67,8 +67,8 @@
     }
 
     /**
-     * A port that is free now. Danger: one that the system gives to whoever connects may be taken while its node is down; these are
-     * below those.
+     * A port that is free now, below the ephemeral range: one of that range could be given to a connecting socket while its node is
+     * down.
      */
     public static int freePort() throws IOException {
         for (int i = 0; i < PORT_TRIES; i++) {
--- a/lab/src/main/java/spartrail/lab/fleet/ServerModel.java
+++ b/lab/src/main/java/spartrail/lab/fleet/ServerModel.java
@@ -49,7 +49,7 @@
     }
 
     private static final double WARMTH_STEP_MS = 50;
-    /** Danger: a step below what a time in milliseconds since 1970 can hold would never end. */
+    /** A step below the resolution of a double of milliseconds since 1970 would never advance the time. */
     private static final double LEAST_STEP_MS = 0.001;
 
     private final ServerProfile traits;
--- a/lab/src/main/java/spartrail/lab/load/HttpClientTransport.java
+++ b/lab/src/main/java/spartrail/lab/load/HttpClientTransport.java
@@ -37,7 +37,7 @@
         plan();
     }
 
-    /** Danger: one entry for each call would fill the timetable; there is one, and it is moved. */
+    /** Moves the one timer of the generator; a timer for each call would fill the queue. */
     private void plan() {
         double nextMs = generator.nextMs();
         if (due != null && due.dueMs() <= nextMs && due.dueMs() > loop.nowMs()) {
--- a/lab/src/main/java/spartrail/lab/load/LoadGenerator.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadGenerator.java
@@ -223,7 +223,7 @@
         ask.conn = conn;
         ask.target = conn.target;
         ask.sentMs = nowMs;
-        // Danger: on sockets its parts can reach servers before the next line here is run.
+        // Before the call below, as on sockets its parts can reach servers before that call returns.
         watcher.sent(ask, nowMs);
         sockets.send(conn, ask, ask.leftMs(nowMs));
     }
--- a/lab/src/main/java/spartrail/lab/load/LoadSession.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadSession.java
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Plays the plan's beginning on a virtual clock first. Danger: a generator that still compiles is tens of
-     * milliseconds late in its first second, which would make a short run unfit.
+     * Warms up the JVM by playing the start of the plan on a virtual clock: without it the generator would be tens of milliseconds late
+     * in its first second, which would make a short run unfit.
      */
     private static void rehearse(LoadPlan plan) {
         long untilNs = System.nanoTime() + REHEARSED_NS;
--- a/lab/src/main/java/spartrail/lab/scale/ScaleTests.java
+++ b/lab/src/main/java/spartrail/lab/scale/ScaleTests.java
@@ -39,7 +39,7 @@
     ScaleTests(int replicasPerShard, Benchmarks.Effort effort) {
         this.replicas = replicasPerShard;
         this.effort = effort;
-        // Danger: JOL cannot weigh records and lambdas of this JVM without it; it is read once.
+        // JOL cannot measure records and lambdas of this JVM without it, and reads it once.
         System.setProperty("jol.magicFieldOffset", "true");
     }
 
--- a/node/src/main/java/spartrail/endpoint/sources/package-info.java
+++ b/node/src/main/java/spartrail/endpoint/sources/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Servers from more sources than the roll. Nothing of it is loaded unless a members' file is given. The view is owned by one
- * thread of this package; the roll's watch and other sources hand in what they hear, the loop gets the lines that changed.
+ * Endpoints from more sources than the discovery agent. Nothing of it is loaded unless a file of sources is given ({@code --members}).
+ * The registry is owned by one thread of this package; the discovery watch and the other sources report to it, and the event loop
+ * receives the lines that changed. No decision is made here: merging is {@code spartrail.endpoint.EndpointRegistry}'s.
  */
 package spartrail.endpoint.sources;
