--- a/lab/src/main/java/spartrail/lab/Main.java
+++ b/lab/src/main/java/spartrail/lab/Main.java
@@ -6,6 +6,7 @@
 public final class Main {
     private Main() {}
 
+    /** Runs the sub-command that the arguments name and exits with its status. */
     public static void main(String[] args) {
         System.exit(LabCommandLine.run(args, System.out, System.err));
     }
--- a/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
@@ -159,7 +159,8 @@
         if (source == null) {
             return false;
         }
-        // Applies changed faults first: otherwise a datagram sent after a change would be handled by the fault before it.
+        // Applies changed faults first: otherwise a datagram sent after a change would be handled by the fault before
+        // it.
         settle();
         in.flip();
         byte[] datagram = new byte[in.remaining()];
--- a/lab/src/main/java/spartrail/lab/drill/LoadDelayDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/LoadDelayDrill.java
@@ -54,7 +54,8 @@
             Recorder measured = null;
             int unfit = -1;
             double stoodMs = Double.POSITIVE_INFINITY;
-            // A single pause of the machine would decide the verdict, as p99 is the slowest ordinary answer here: such a run is repeated.
+            // A single pause of the machine would decide the verdict, as p99 is the slowest ordinary answer here: such
+            // a run is repeated.
             while (stoodMs > FIT_MS && ++unfit < MOST_RUNS) {
                 try (LoadSession session = new LoadSession(
                         DrillPlans.at(loopback(seed), responder.address()),
--- a/lab/src/main/java/spartrail/lab/fleet/FaultyFrontNode.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FaultyFrontNode.java
@@ -187,7 +187,8 @@
         if (value != null) {
             asked.values.put(Integer.parseInt(partId.substring(dot + 1)), fault == Fault.CHANGES_VALUES ? "0" : value);
         } else if (fault == Fault.COPIES) {
-            // A busy server rejects some copies; a front node that then leaves the part out would break more rules than the
+            // A busy server rejects some copies; a front node that then leaves the part out would break more rules than
+            // the
             // one that is meant.
             if (asked.turnedAway.merge(Integer.parseInt(partId.substring(dot + 1)), 1, Integer::sum) > COPIES) {
                 open.remove(id);
--- a/lab/src/main/java/spartrail/lab/scale/Benchmarks.java
+++ b/lab/src/main/java/spartrail/lab/scale/Benchmarks.java
@@ -10,9 +10,9 @@
 import org.openjdk.jmh.runner.options.TimeValue;
 import org.openjdk.jmh.runner.options.VerboseMode;
 
-/** Runs one method of a benchmark class by JMH, in a process of its own with the collector and compiler that a front node has. */
+/** Runs one method of a benchmark class by JMH in a forked JVM with the collector and compiler of a front node. */
 final class Benchmarks {
-    /** How thorough a run is; the quick form is for tests of the tests. */
+    /** Length of a run; the quick one is for tests of the scale tests. */
     enum Effort {
         FULL(1, 2, 3, 1000),
         QUICK(0, 1, 1, 50);
@@ -32,7 +32,7 @@
 
     private Benchmarks() {}
 
-    /** Microseconds of one call, on average. */
+    /** Mean time of one call in microseconds. */
     static double microseconds(Class<?> benchmark, String method, Map<String, Integer> parameters, Effort effort)
             throws RunnerException {
         ChainedOptionsBuilder options = new OptionsBuilder()
--- a/lab/src/main/java/spartrail/lab/scale/Fit.java
+++ b/lab/src/main/java/spartrail/lab/scale/Fit.java
@@ -4,15 +4,20 @@
 import java.util.Locale;
 import java.util.function.DoubleUnaryOperator;
 
-/** A curve through measured points: a line or a power, whichever leaves the smaller relative residuals; points that are all 0 show none. */
-public record Fit(String formula, DoubleUnaryOperator at, List<Double> residuals, boolean seen) {
+/**
+ * A curve through measured points: a line or a power, whichever leaves the smaller relative residuals.
+ *
+ * @param at the fitted figure at a size
+ * @param hasNonzeroPoint false if all points are 0: then there is no curve
+ */
+public record Fit(String formula, DoubleUnaryOperator at, List<Double> residuals, boolean hasNonzeroPoint) {
     /** A measured figure at a size. */
     public record Point(double size, double figure) {}
 
-    /** Where a point lies further off than this the figure does not follow the curve, and nothing is extrapolated. */
-    private static final double MOST_RESIDUAL = 0.25;
+    /** If a point is further off than this, the figure does not follow the curve and nothing is extrapolated. */
+    private static final double MAX_RESIDUAL = 0.25;
 
-    /** Needs two points or more of different sizes. */
+    /** The better curve through two or more points of different sizes. */
     public static Fit of(List<Point> points) {
         Fit line = line(points);
         boolean positive = points.stream().allMatch(point -> point.figure > 0);
@@ -20,9 +25,9 @@
         return power.error() < line.error() ? power : line;
     }
 
-    /** Whether every point lies near the curve, and there is one to see. */
+    /** Whether every point is near the curve. */
     public boolean holds() {
-        return seen && residuals.stream().allMatch(residual -> Math.abs(residual) <= MOST_RESIDUAL);
+        return hasNonzeroPoint && residuals.stream().allMatch(residual -> Math.abs(residual) <= MAX_RESIDUAL);
     }
 
     /** Root of the mean square of the residuals. */
@@ -33,7 +38,7 @@
                 .orElse(0));
     }
 
-    /** Weighted by the inverse square of the figure: the small sizes count as much as the large ones. */
+    /** Weighted by the inverse square of the figure, so that small sizes count as much as large ones. */
     private static Fit line(List<Point> points) {
         double[] line = regression(points, false);
         return fit(
--- a/lab/src/main/java/spartrail/lab/scale/HollowNode.java
+++ b/lab/src/main/java/spartrail/lab/scale/HollowNode.java
@@ -17,14 +17,16 @@
 import spartrail.subset.SubsetSelector;
 import spartrail.subset.SubsetSettings;
 
-/** A front node's decisions without its sockets: the real module, and the real subset where one is asked for. */
+/** A front node's decisions without its sockets: the real coordinator, and the real subset filter if one is configured. */
 public final class HollowNode {
     /** Shards of the target; a query goes to one server of each. */
     public static final int SHARDS = 250;
 
+    /** Zones of the target. */
     public static final int ZONES = 32;
+
     private static final int LEAST_ZONES = 2;
-    /** Changes of state of one server by turns, so that each is one. */
+    /** The server that drains and returns alternately, so that each call is a change. */
     private static final String CHANGED = "s-7";
 
     private static final int CHANGED_NUMBER = 7;
@@ -38,7 +40,7 @@
     private long multigets;
     private boolean draining;
 
-    /** Subsets of so many replicas of each shard; 0 for all of them. */
+    /** A node that uses this many replicas of each shard; 0 for all of them. */
     public HollowNode(int servers, int replicasPerShard) {
         filter = replicasPerShard == 0 ? null : filter(replicasPerShard);
         coordinator = new WindowCoordinator(new Random(1), List.of(opType))
@@ -47,7 +49,7 @@
                 .attempts(3, true, true)
                 .slowStart(0.2, 10_000, 2, 1000)
                 .retryAfter(true, 1000);
-        wholeList(HollowServers.list(servers, SHARDS, ZONES));
+        applyList(HollowServers.list(servers, SHARDS, ZONES));
     }
 
     /** The subset of one node at the target's layout. */
@@ -73,33 +75,34 @@
         return opType;
     }
 
-    /** What JOL weighs. */
+    /** The object whose memory JOL measures. */
     public Object module() {
         return coordinator;
     }
 
-    public Decisions wholeList(EndpointList list) {
+    /** Applies an endpoint list or a change of one. */
+    public Decisions applyList(EndpointList list) {
         EndpointList own = filter == null ? list : filter.toSubset(list, nowMs);
         return coordinator.onEndpointUpdate(own.toServers(CLOCK), own.isComplete(), true, nowMs);
     }
 
-    /** One server drains, or is back. */
-    public Decisions oneChange() {
+    /** One server drains, or returns. */
+    public Decisions applyOneChange() {
         draining = !draining;
         Server.State state = draining ? Server.State.DRAINING : Server.State.LIVE;
         EndpointList change = new EndpointList(
                 2, false, List.of(HollowServers.endpoint(CHANGED, CHANGED_NUMBER, SHARDS, ZONES, state, 0)));
-        return wholeList(change);
+        return applyList(change);
     }
 
-    /** The next tick of the module, with nothing in hand. */
-    public Decisions idleTick() {
+    /** The next tick of the coordinator, with nothing in flight. */
+    public Decisions tickWhileIdle() {
         nowMs += coordinator.timeToNextTimerMs(nowMs);
         return coordinator.onTimer(nowMs);
     }
 
-    /** A query over so many shards: placed, all its parts answered. */
-    public int query(int parts) {
+    /** Places a query over this many shards and answers all its parts; returns the number of attempts. */
+    public int runQuery(int parts) {
         nowMs += 1;
         Multiget multiget = new Multiget();
         multiget.id = multigets++;
@@ -116,16 +119,16 @@
         }
         Decisions placed = coordinator.place(multiget, nowMs);
         int answered = 0;
-        List<Attempt> sends = List.copyOf(placed.attempts);
+        List<Attempt> attempts = List.copyOf(placed.attempts);
         nowMs += opType.latency.meanLatencyMs;
-        while (!sends.isEmpty()) {
+        while (!attempts.isEmpty()) {
             List<Attempt> further = new ArrayList<>();
-            for (Attempt send : sends) {
-                further.addAll(
-                        coordinator.onOutcome(send, Attempt.Outcome.ANSWERED, nowMs - send.sentMs, nowMs).attempts);
+            for (Attempt attempt : attempts) {
+                further.addAll(coordinator.onOutcome(attempt, Attempt.Outcome.ANSWERED, nowMs - attempt.sentMs, nowMs)
+                        .attempts);
                 answered++;
             }
-            sends = further;
+            attempts = further;
         }
         return answered;
     }
--- a/lab/src/main/java/spartrail/lab/scale/HollowServers.java
+++ b/lab/src/main/java/spartrail/lab/scale/HollowServers.java
@@ -7,23 +7,23 @@
 import spartrail.endpoint.EndpointList.Endpoint;
 import spartrail.model.Server;
 
-/** Lists of index servers of any size, without sockets: shards in turn, then zones in turn. */
+/** Endpoint lists of any size, without servers: shards are assigned round-robin, then zones. */
 public final class HollowServers {
     private HollowServers() {}
 
-    /** The server of this number. */
+    /** The endpoint of this number. */
     public static Endpoint endpoint(int number, int shards, int zones) {
         return endpoint("s-" + number, number, shards, zones, Server.State.LIVE, 0);
     }
 
-    /** A server that stands in the place of this number. */
+    /** An endpoint with the shard and zone of this number. */
     public static Endpoint endpoint(String id, int number, int shards, int zones, Server.State state, long bootMs) {
         InetSocketAddress address =
                 new InetSocketAddress("10." + (number >> 16) + "." + (number >> 8 & 255) + "." + (number & 255), 7000);
         return new Endpoint(id, address, "zone-" + number / shards % zones, "std", number % shards, state, 1, bootMs);
     }
 
-    /** All of them, as discovery's first answer. */
+    /** The complete list, as discovery's first response. */
     public static EndpointList list(int servers, int shards, int zones) {
         List<Endpoint> lines = new ArrayList<>(servers);
         for (int number = 0; number < servers; number++) {
@@ -32,7 +32,7 @@
         return new EndpointList(1, true, lines);
     }
 
-    /** The same list in the form in which discovery sends it. */
+    /** The list as discovery sends it. */
     public static String json(EndpointList list) {
         StringBuilder text = new StringBuilder("{\"rev\":")
                 .append(list.version())
--- a/lab/src/main/java/spartrail/lab/scale/ModuleBenchmark.java
+++ b/lab/src/main/java/spartrail/lab/scale/ModuleBenchmark.java
@@ -37,21 +37,21 @@
 
     @Benchmark
     public Object wholeList() {
-        return node.wholeList(whole);
+        return node.applyList(whole);
     }
 
     @Benchmark
     public Object oneChange() {
-        return node.oneChange();
+        return node.applyOneChange();
     }
 
     @Benchmark
     public Object idleTick() {
-        return node.idleTick();
+        return node.tickWhileIdle();
     }
 
     @Benchmark
     public int query() {
-        return node.query(parts);
+        return node.runQuery(parts);
     }
 }
--- a/lab/src/main/java/spartrail/lab/scale/ScaleResult.java
+++ b/lab/src/main/java/spartrail/lab/scale/ScaleResult.java
@@ -6,9 +6,9 @@
 import java.util.Locale;
 import spartrail.lab.file.Document;
 
-/** What a scale test has measured. */
+/** The points of a scale test and their fit. */
 public record ScaleResult(ScaleTest test, int replicasPerShard, List<Fit.Point> points, Fit fit) {
-    /** The figure at the target: measured where that size was run, else by the fit; NaN where no fit holds. */
+    /** The figure at the target: measured if that size was run, otherwise by the fit; NaN if no fit holds. */
     public double atTarget() {
         return points.stream()
                 .filter(point -> point.size() == test.target())
@@ -17,10 +17,12 @@
                 .orElseGet(() -> fit.holds() ? fit.at().applyAsDouble(test.target()) : Double.NaN);
     }
 
+    /** The largest size that was run. */
     public double largestRun() {
         return points.stream().mapToDouble(Fit.Point::size).max().orElse(0);
     }
 
+    /** Prints the points as a Markdown table, and the fit. */
     public void print(PrintStream out) {
         out.printf(
                 Locale.ROOT,
@@ -53,6 +55,7 @@
                 Locale.ROOT, "%.4g %s (%s; largest size run %.0f).", atTarget(), test.unit(), how, largestRun());
     }
 
+    /** The result as JSON. */
     public ObjectNode json() {
         ObjectNode node = Document.JSON
                 .createObjectNode()
--- a/lab/src/main/java/spartrail/lab/scale/ScaleTest.java
+++ b/lab/src/main/java/spartrail/lab/scale/ScaleTest.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * One figure that grows with one size.
+ * A figure measured as a function of one size.
  *
  * @param size what is counted
  * @param unit of the figure
- * @param sizes measured where none are asked for
- * @param target size of the fleet that the system has to carry
+ * @param sizes the default sizes
+ * @param target size of the deployment that the system has to support
  */
 public record ScaleTest(
         String name,
@@ -20,6 +20,7 @@
         Measurement measurement) {
     /** Measures the figure at one size. */
     public interface Measurement {
+        /** The figure at this size. */
         double at(int size) throws Exception;
     }
 }
--- a/lab/src/main/java/spartrail/lab/scale/ScaleTests.java
+++ b/lab/src/main/java/spartrail/lab/scale/ScaleTests.java
@@ -6,6 +6,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.stream.Stream;
 import org.openjdk.jol.info.GraphLayout;
 import spartrail.endpoint.EndpointListDecoder;
 import spartrail.lab.file.InvalidInputException;
@@ -21,7 +22,7 @@
     private static final int TARGET_SERVERS = 62_000;
     private static final int TARGET_NODES = 3900;
     private static final int TARGET_PARTS = 250;
-    /** Where the number of parts is the size, and no subsets are asked for. */
+    /** Servers where the size is the number of parts. */
     private static final int SERVERS_OF_PARTS = 16_000;
 
     private static final int PEER_RUNS = 2;
@@ -43,12 +44,12 @@
         System.setProperty("jol.magicFieldOffset", "true");
     }
 
-    /** Subsets of so many replicas of each shard; 0 for none. */
+    /** All tests, with subsets of this many replicas of each shard; 0 for none. */
     public static List<ScaleTest> all(int replicasPerShard) {
         return new ScaleTests(replicasPerShard, Benchmarks.Effort.FULL).list();
     }
 
-    /** Those of these names, which share what they measure together. */
+    /** The tests of these names; they share simulated runs. */
     public static List<ScaleTest> named(List<String> names, int replicasPerShard) {
         List<ScaleTest> all = all(replicasPerShard);
         return names.stream().map(name -> named(name, all)).toList();
@@ -63,6 +64,12 @@
     }
 
     List<ScaleTest> list() {
+        return Stream.of(moduleTests(), listTests(), peersTests())
+                .flatMap(List::stream)
+                .toList();
+    }
+
+    private List<ScaleTest> moduleTests() {
         return List.of(
                 servers("module-heap", "memory of the decision module", "MB", this::moduleHeap),
                 servers(
@@ -92,7 +99,11 @@
                         "us",
                         PARTS,
                         TARGET_PARTS,
-                        parts -> module("query", SERVERS_OF_PARTS, parts)),
+                        parts -> module("query", SERVERS_OF_PARTS, parts)));
+    }
+
+    private List<ScaleTest> listTests() {
+        return List.of(
                 servers(
                         "list-bytes",
                         "discovery's whole list as it is sent",
@@ -114,7 +125,11 @@
                         "the subset after a change of one server",
                         "us",
                         size -> list("subsetAfterOneChange", size)),
-                servers("subset-heap", "memory of the subset, its spares included", "MB", this::subsetHeap),
+                servers("subset-heap", "memory of the subset, its spares included", "MB", this::subsetHeap));
+    }
+
+    private List<ScaleTest> peersTests() {
+        return List.of(
                 nodes(
                         "peers-bytes-calm",
                         "bytes a second of a node's talk, no fault",
@@ -187,7 +202,7 @@
         return peersRuns.computeIfAbsent(nodes + " " + fault, run -> PeersRun.of(nodes, fault));
     }
 
-    /** What the talk of so many nodes costs, and the share of a core that each takes, the virtual network's own work included. */
+    /** Cost of gossip among nodes, and the share of a core for each, including the simulated network's own work. */
     private record PeersRun(PeersFigures.Row row, double processorPercent) {
         static PeersRun of(int nodes, String fault) {
             var system = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
--- a/lab/src/test/java/spartrail/lab/Forms.java
+++ b/lab/src/test/java/spartrail/lab/Forms.java
@@ -8,12 +8,14 @@
 public final class Forms {
     private Forms() {}
 
+    /** The bytes of the file of this name. */
     public static byte[] bytes(String name) throws IOException {
         try (InputStream kept = Forms.class.getResourceAsStream("/forms/" + name)) {
             return kept.readAllBytes();
         }
     }
 
+    /** The text of the file of this name. */
     public static String text(String name) throws IOException {
         return new String(bytes(name), StandardCharsets.UTF_8);
     }
--- a/lab/src/test/java/spartrail/lab/Table.java
+++ b/lab/src/test/java/spartrail/lab/Table.java
@@ -12,12 +12,12 @@
 public final class Table {
     private Table() {}
 
+    /** Fails unless {@code seen} is the table of this name; what was seen is left in {@code lab/target/seen}. */
     public static void same(String name, String seen) throws IOException {
         try (InputStream kept = Table.class.getResourceAsStream("/expected/" + name + ".txt")) {
             String expected = kept == null
                     ? "there is no " + name + ".txt"
                     : new String(kept.readAllBytes(), StandardCharsets.UTF_8);
-            // What was seen lies there for whoever has to look at a difference.
             Path folder = Files.createDirectories(Path.of("lab/target/seen"));
             Files.writeString(folder.resolve(name + ".txt"), seen.strip() + "\n");
             assertThat(seen.strip()).as(name).isEqualTo(expected.strip());
--- a/node/src/test/java/example/ToyFleet.java
+++ b/node/src/test/java/example/ToyFleet.java
@@ -18,33 +18,34 @@
 import java.util.stream.Collectors;
 
 /**
- * A toy fleet on the loopback: index servers that answer at once, and the discovery that lists them. Run it
- * with {@code java example/ToyFleet.java}; it serves until it is ended. Tests start it on ports that the
- * system gives and change its manners.
+ * A toy fleet on loopback: index servers that answer at once, and the discovery agent that lists them. Run it with
+ * {@code java example/ToyFleet.java}; it serves until it is stopped. Tests start it on free ports and change its servers' behavior.
  */
 public final class ToyFleet implements AutoCloseable {
-    /** How a toy server behaves. */
-    public interface Manner {
-        /** A part has come; by default it is answered with the shard and the text. */
+    /** Behavior of a toy server; by default each part is answered with its shard and text. */
+    public interface ServerBehavior {
+        /** A part was received. */
         default void part(Link link, String id, int shard, String text) throws IOException {
             link.answer(id, "OK", shard + ":" + text);
         }
 
-        /** A part is given up. */
+        /** A part was cancelled. */
         default void givenUp(Link link, String id) throws IOException {}
 
+        /** A connection was accepted. */
         default void opened(Link link) throws IOException {}
 
+        /** A connection was closed by the front node. */
         default void closed(Link link) throws IOException {}
     }
 
-    /** One index server: its name, its cell, where it listens. */
+    /** One index server. */
     public static final class Toy {
         public final String uid;
         public final int cell;
         public volatile String state = "SERVING";
         public volatile long bootMs;
-        public volatile Manner manner = new Manner() {};
+        public volatile ServerBehavior behavior = new ServerBehavior() {};
         final ServerSocket listening;
 
         Toy(int cell, int port) throws IOException {
@@ -53,6 +54,7 @@
             this.listening = new ServerSocket(port, 64, InetAddress.getByName("127.0.0.1"));
         }
 
+        /** Its address as host:port. */
         public String endpoint() {
             return "127.0.0.1:" + listening.getLocalPort();
         }
@@ -68,10 +70,12 @@
             this.socket = socket;
         }
 
+        /** Sends an answer frame for a part. */
         public void answer(String id, String end, String value) throws IOException {
             frame('Y', id + " " + end + " 1 -\n" + value);
         }
 
+        /** Sends a frame. */
         public synchronized void frame(char letter, String rest) throws IOException {
             byte[] bytes = rest.getBytes(StandardCharsets.UTF_8);
             byte[] frame = new byte[5 + bytes.length];
@@ -84,17 +88,19 @@
             raw(frame);
         }
 
+        /** Sends bytes as they are. */
         public synchronized void raw(byte[] bytes) throws IOException {
             socket.getOutputStream().write(bytes);
         }
 
+        /** Closes the connection. */
         public void close() throws IOException {
             socket.close();
         }
     }
 
     public final List<Toy> servers = new ArrayList<>();
-    /** Discovery that is silent takes requests and answers none. */
+    /** Whether discovery accepts requests and answers none. */
     public volatile boolean silent;
 
     private final HttpServer discovery;
@@ -112,7 +118,7 @@
     private boolean called;
     private boolean closed;
 
-    /** Servers on ports from this one on, or on any free ones where it is 0. */
+    /** Servers on consecutive ports from {@code firstPort}, or on free ports if it is 0. */
     public ToyFleet(int count, int firstPort, int discoveryPort) throws IOException {
         for (int cell = 0; cell < count; cell++) {
             Toy toy = new Toy(cell, firstPort == 0 ? 0 : firstPort + cell);
@@ -125,11 +131,12 @@
         discovery.start();
     }
 
+    /** The address of discovery as host:port. */
     public String discoveryEndpoint() {
         return "127.0.0.1:" + discovery.getAddress().getPort();
     }
 
-    /** The list in discovery's form. */
+    /** The endpoint list as discovery sends it. */
     public synchronized String hosts() {
         return "{\"rev\":" + version + ",\"all\":true,\"targets\":["
                 + servers.stream()
@@ -142,22 +149,22 @@
                 + "]}";
     }
 
-    /** Tells a change of a server's state, and whatever changed before. */
-    public synchronized void tell(Toy toy, String state) {
+    /** Publishes a change of a server's state, and whatever changed before. */
+    public synchronized void publish(Toy toy, String state) {
         toy.state = state;
         version++;
         notifyAll();
     }
 
-    /** Waits until the present list has been written to a front node, and where asked also until it was read there. */
-    public synchronized void awaitTold(boolean read) throws InterruptedException {
+    /** Waits until the current list was written to a front node, and with {@code read} until the node has polled past it. */
+    public synchronized void awaitPublished(boolean read) throws InterruptedException {
         while ((read ? askedFrom : written) < version) {
             wait(20_000);
         }
     }
 
-    /** Waits until a front node has asked for the list. */
-    public synchronized void awaitCalled() throws InterruptedException {
+    /** Waits until a front node has polled. */
+    public synchronized void awaitPolled() throws InterruptedException {
         while (!called) {
             wait(20_000);
         }
@@ -211,20 +218,20 @@
                 threads.execute(() -> serve(new Link(toy, socket)));
             }
         } catch (IOException e) {
-            // The listening socket is closed: this server is no more.
+            // The listening socket is closed: this server was killed.
         }
     }
 
     private void serve(Link link) {
         try (Socket socket = link.socket) {
-            link.toy.manner.opened(link);
+            link.toy.behavior.opened(link);
             DataInputStream in = new DataInputStream(socket.getInputStream());
             while (true) {
                 byte[] frame = new byte[in.readInt()];
                 in.readFully(frame);
                 switch (frame[0]) {
                     case 'R' -> parts(link, frame);
-                    case 'A' -> link.toy.manner.givenUp(
+                    case 'A' -> link.toy.behavior.givenUp(
                             link, new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
                     case 'G', 'T' -> link.frame((char) frame[0], frame[0] == 'G' ? "OK" : "-");
                     default -> {
@@ -240,7 +247,7 @@
 
     private static void closed(Link link) {
         try {
-            link.toy.manner.closed(link);
+            link.toy.behavior.closed(link);
         } catch (IOException e) {
             // It is closed all the same.
         }
@@ -257,11 +264,11 @@
             int length = Integer.parseInt(words[3]);
             String text = new String(frame, lf + 1, length, StandardCharsets.UTF_8);
             at = lf + 1 + length;
-            link.toy.manner.part(link, words[0], Integer.parseInt(words[1]), text);
+            link.toy.behavior.part(link, words[0], Integer.parseInt(words[1]), text);
         }
     }
 
-    /** Ends a server: its connections are reset and new ones refused. */
+    /** Kills a server: its connections are reset and new ones refused. */
     public void kill(Toy toy) throws IOException {
         toy.listening.close();
         synchronized (open) {
--- a/node/src/test/java/spartrail/cli/SignalsTest.java
+++ b/node/src/test/java/spartrail/cli/SignalsTest.java
@@ -123,7 +123,7 @@
     @Test
     void repeatedSignalsAndUnusableFilesLeaveRequestsInFlightAnswered() throws Exception {
         CompletableFuture<ToyFleet.Link> held = new CompletableFuture<>();
-        fleet.servers.forEach(toy -> toy.manner = new ToyFleet.Manner() {
+        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
             @Override
             public void part(ToyFleet.Link link, String id, int shard, String text) {
                 held.complete(link);
@@ -173,7 +173,7 @@
     void aNodeTerminatedBeforeDiscoveryAnswersEnds() throws Exception {
         fleet.silent = true;
         serve("");
-        fleet.awaitCalled();
+        fleet.awaitPolled();
         signal("TERM");
         assertThat(awaitLine("drained")).isEqualTo("spartrail.front: drained");
         assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
@@ -211,7 +211,7 @@
         serve("ulimit -n " + DESCRIPTORS + "; ");
         int port = Integer.parseInt(awaitLine("serving on").replaceAll(".*:(\\d+), 4 servers known", "$1"));
         fleet.silent = true;
-        fleet.tell(fleet.servers.get(0), "SERVING");
+        fleet.publish(fleet.servers.get(0), "SERVING");
         assertThat(awaitLine("cannot be had")).contains("no answer in time");
         List<Socket> idle = new ArrayList<>();
         try {
@@ -226,10 +226,10 @@
             assertThat(descriptorsHeld())
                     .as("some are left to discovery and to servers")
                     .isLessThan(DESCRIPTORS);
-            fleet.tell(fleet.servers.get(0), "DRAINING");
+            fleet.publish(fleet.servers.get(0), "DRAINING");
             long reachableNs = System.nanoTime();
             fleet.silent = false;
-            fleet.awaitTold(true);
+            fleet.awaitPublished(true);
             assertThat(System.nanoTime() - reachableNs).isLessThan(6_000_000_000L);
         } finally {
             for (Socket socket : idle) {
--- a/node/src/test/java/spartrail/front/FrontNodeClientTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeClientTest.java
@@ -19,7 +19,7 @@
     void servesSequentialRequestsWithValuesAsTheServersGaveThem() throws Exception {
         start();
         Client client = new Client();
-        fleet.servers.forEach(toy -> toy.manner = new ToyFleet.Manner() {
+        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
             @Override
             public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
                 link.answer(id, "OK", "\"é\n" + shard + text);
@@ -255,7 +255,7 @@
     @Test
     void anAttemptThatBreaksAfterItsClientLeftIsNotRetried() throws Exception {
         start();
-        fleet.servers.forEach(toy -> toy.manner = new ToyFleet.Manner() {
+        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
             @Override
             public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
                 seen.add("part " + id);
@@ -319,7 +319,7 @@
     void aClientThatPipelinesTooMuchGetsACompleteLastResponse() throws Exception {
         start();
         CompletableFuture<ToyFleet.Link> held = new CompletableFuture<>();
-        fleet.servers.forEach(toy -> toy.manner = new ToyFleet.Manner() {
+        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
             @Override
             public void part(ToyFleet.Link link, String id, int shard, String text) {
                 held.complete(link);
--- a/node/src/test/java/spartrail/front/FrontNodeEndpointTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeEndpointTest.java
@@ -47,7 +47,7 @@
                     return decided;
                 });
         start("\"stop-sending-within\": 0.5", "\"stop-sending-within\": 0");
-        fleet.servers.forEach(toy -> toy.manner = new ToyFleet.Manner() {
+        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
             @Override
             public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
                 seen.add(toy.uid);
@@ -67,8 +67,8 @@
 
     private void drain(ToyFleet.Toy toy, boolean read) {
         try {
-            fleet.tell(toy, "DRAINING");
-            fleet.awaitTold(read);
+            fleet.publish(toy, "DRAINING");
+            fleet.awaitPublished(read);
             // The pause itself: longer than what is known of the sockets may be old.
             new CountDownLatch(1).await(100, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
@@ -101,7 +101,7 @@
         fleet.silent = true;
         answerOnly("a");
         ToyFleet.Toy old = fleet.servers.get(draining);
-        old.manner = new ToyFleet.Manner() {
+        old.behavior = new ToyFleet.ServerBehavior() {
             @Override
             public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
                 seen.add("sent to the old one");
@@ -110,14 +110,14 @@
         };
         CompletableFuture<String> early = CompletableFuture.supplyAsync(() -> {
             try {
-                fleet.awaitCalled();
+                fleet.awaitPolled();
                 Client client = new Client().ask("a", 0);
                 // One that went by the old list would have sent it by then; one that waits is not heard of.
                 String sent = seen.poll(100, TimeUnit.MILLISECONDS);
                 if (sent != null) {
                     seen.add("before discovery was heard: " + sent);
                 }
-                fleet.tell(old, "DRAINING");
+                fleet.publish(old, "DRAINING");
                 fleet.silent = false;
                 return client.answer();
             } catch (IOException | InterruptedException e) {
@@ -133,7 +133,7 @@
     void aPartIsRetriedElsewhereWhenItsServerDiesOrSendsMalformedFrames() throws Exception {
         start();
         fleet.kill(fleet.servers.get(0));
-        fleet.servers.get(2).manner = new ToyFleet.Manner() {
+        fleet.servers.get(2).behavior = new ToyFleet.ServerBehavior() {
             @Override
             public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
                 link.raw(new byte[] {0, 0, 0, 1, 'Q'});
@@ -151,14 +151,14 @@
         answerOnly("a", "b", "c", "d");
         assertThat(new Client().ask("a", 0).answer()).startsWith("200 ");
         assertThat(next()).isEqualTo("part a.0");
-        fleet.tell(fleet.servers.get(0), "DRAINING");
+        fleet.publish(fleet.servers.get(0), "DRAINING");
         fleet.silent = false;
-        ToyFleet.Manner manner = fleet.servers.get(0).manner;
-        fleet.servers.get(0).manner = new ToyFleet.Manner() {
+        ToyFleet.ServerBehavior behavior = fleet.servers.get(0).behavior;
+        fleet.servers.get(0).behavior = new ToyFleet.ServerBehavior() {
             @Override
             public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
                 seen.add("still sent to");
-                manner.part(link, id, shard, text);
+                behavior.part(link, id, shard, text);
             }
         };
         // Once the change is told, all of a burst goes round the draining server.
@@ -191,7 +191,7 @@
                 Integer.parseInt(order.selectedReplicas(0).get(0).substring(2)));
         ToyFleet.Toy second = fleet.servers.get(2 - first.cell);
         CompletableFuture<ToyFleet.Link> held = new CompletableFuture<>();
-        fleet.servers.forEach(toy -> toy.manner = new ToyFleet.Manner() {
+        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
             @Override
             public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
                 seen.add(id + " at " + toy.uid);
@@ -202,20 +202,20 @@
                 }
             }
         });
-        fleet.tell(first, "DELETED");
+        fleet.publish(first, "DELETED");
         start(subset);
         Client waiting = new Client().ask("held", 0);
         assertThat(next()).isEqualTo("held.0 at " + second.uid);
-        fleet.tell(first, "SERVING");
-        fleet.awaitTold(true);
+        fleet.publish(first, "SERVING");
+        fleet.awaitPublished(true);
         for (String id : List.of("a", "b", "c")) {
             assertThat(new Client().ask(id, 0).answer()).startsWith("200 ");
             assertThat(next()).isEqualTo(id + ".0 at " + first.uid);
         }
         held.get(20, TimeUnit.SECONDS).answer("held.0", "OK", "t");
         assertThat(waiting.answer()).startsWith("200 {\"all_in\":true");
-        fleet.tell(first, "DRAINING");
-        fleet.awaitTold(true);
+        fleet.publish(first, "DRAINING");
+        fleet.awaitPublished(true);
         assertThat(new Client().ask("d", 0).answer()).startsWith("200 ");
         assertThat(next()).isEqualTo("d.0 at " + second.uid);
     }
--- a/node/src/test/java/spartrail/front/FrontNodeFixture.java
+++ b/node/src/test/java/spartrail/front/FrontNodeFixture.java
@@ -134,7 +134,7 @@
 
     /** Servers that take parts and tell of them, and answer those whose id begins with one of these. */
     void answerOnly(String... answered) {
-        fleet.servers.forEach(toy -> toy.manner = new ToyFleet.Manner() {
+        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
             @Override
             public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
                 seen.add("part " + id);
--- a/node/src/test/java/spartrail/front/FrontNodeTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeTest.java
@@ -46,7 +46,7 @@
     void changedSettingsHoldForOpenConnectionsAndForTheDrain() throws Exception {
         // By this it would be closed after five minutes, long after the test has failed.
         start("\"keepalive\": 30.0", "\"keepalive\": 600.0");
-        fleet.servers.forEach(toy -> toy.manner = new ToyFleet.Manner() {
+        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
             @Override
             public void closed(ToyFleet.Link link) {
                 seen.add("closed unused");
@@ -145,7 +145,7 @@
     private String drained(boolean answered) throws Exception {
         start();
         CompletableFuture<ToyFleet.Link> held = new CompletableFuture<>();
-        fleet.servers.forEach(toy -> toy.manner = new ToyFleet.Manner() {
+        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
             @Override
             public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
                 if (id.startsWith("a")) {
--- a/node/src/test/java/spartrail/shard/ShardConnectionTest.java
+++ b/node/src/test/java/spartrail/shard/ShardConnectionTest.java
@@ -38,7 +38,7 @@
     @Test
     void completelyWrittenPartsAreResetByABrokenConnection() throws Exception {
         pool(100, 1000, 60_000);
-        InetSocketAddress address = toy(new ToyFleet.Manner() {
+        InetSocketAddress address = toy(new ToyFleet.ServerBehavior() {
             @Override
             public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
                 if (id.equals("2.0")) {
@@ -220,7 +220,7 @@
     private String spoilt(byte[] bytes) throws Exception {
         pool(100, 50, 60_000);
         CountDownLatch both = new CountDownLatch(2);
-        InetSocketAddress address = toy(new ToyFleet.Manner() {
+        InetSocketAddress address = toy(new ToyFleet.ServerBehavior() {
             @Override
             public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
                 both.countDown();
--- a/node/src/test/java/spartrail/shard/ShardPoolFixture.java
+++ b/node/src/test/java/spartrail/shard/ShardPoolFixture.java
@@ -116,15 +116,15 @@
     }
 
     /** A server that does as told with each part, and tells what it sees. */
-    InetSocketAddress toy(ToyFleet.Manner manner) throws IOException {
+    InetSocketAddress toy(ToyFleet.ServerBehavior behavior) throws IOException {
         ToyFleet fleet = new ToyFleet(1, 0, 0);
         opened.add(fleet);
-        fleet.servers.get(0).manner = manner;
+        fleet.servers.get(0).behavior = behavior;
         return EndpointAddress.parse(fleet.servers.get(0).endpoint());
     }
 
     /** Answers, and tells on which connection each part came. */
-    class Linking implements ToyFleet.Manner {
+    class Linking implements ToyFleet.ServerBehavior {
         @Override
         public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
             links.add(link);
@@ -132,7 +132,7 @@
         }
     }
 
-    class Silent implements ToyFleet.Manner {
+    class Silent implements ToyFleet.ServerBehavior {
         @Override
         public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
             seen.add("server: part " + id);
