--- a/dns/src/main/java/spartrail/dns/DnsTransport.java
+++ b/dns/src/main/java/spartrail/dns/DnsTransport.java
@@ -17,6 +17,8 @@
  * Carries out what a {@link Resolver} asks, on a thread of its own: a fresh UDP socket for each query, and one TCP connection for
  * each name server, kept for the next query. It decides nothing. Queries in flight are bounded by the resolver, so sockets are, too.
  */
+// close() waits for its thread and passes an interrupt on.
+@SuppressWarnings("try")
 public final class DnsTransport implements Runnable, AutoCloseable {
     private static final System.Logger LOG = System.getLogger("spartrail.dns");
     private static final double MAX_SELECT_MS = 1000;
