--- a/core/src/main/java/spartrail/peers/Dissemination.java
+++ b/core/src/main/java/spartrail/peers/Dissemination.java
@@ -156,10 +156,10 @@
 
     /** This node itself where it suspects the peer, else the first one that does; empty where nobody does. */
     private String accuserToName(Peer peer) {
-        if (peer.state != PeerState.SUSPECT || peer.accusers.isEmpty()) {
+        if (peer.state != PeerState.SUSPECT || peer.suspectingPeers.isEmpty()) {
             return "";
         }
-        return peer.accusers.contains(local.name()) ? local.name() : peer.accusers.get(0);
+        return peer.suspectingPeers.contains(local.name()) ? local.name() : peer.suspectingPeers.get(0);
     }
 
     // ---- Reconciliation ----
--- a/core/src/main/java/spartrail/peers/FailureDetector.java
+++ b/core/src/main/java/spartrail/peers/FailureDetector.java
@@ -178,8 +178,8 @@
      * with long rounds, a suspect would else hear of the suspicion too late to refute it. Walks over all peers.
      */
     void probeSuspects() {
-        List<String> suspects =
-                table.sortedNames(peer -> peer.state == PeerState.SUSPECT && peer.accusers.contains(local.name()));
+        List<String> suspects = table.sortedNames(
+                peer -> peer.state == PeerState.SUSPECT && peer.suspectingPeers.contains(local.name()));
         context.shuffle(suspects);
         for (String name : suspects.subList(0, Math.min(SUSPECTS_PER_INTERVAL, suspects.size()))) {
             probe(table.get(name));
--- a/core/src/main/java/spartrail/peers/Peer.java
+++ b/core/src/main/java/spartrail/peers/Peer.java
@@ -26,7 +26,7 @@
     TimerQueue.Timer timer;
 
     /** Names of the nodes that suspect it, in the order in which they were heard. */
-    final List<String> accusers = new ArrayList<>();
+    final List<String> suspectingPeers = new ArrayList<>();
 
     double suspectedSinceMs;
     /** This node itself has probed it since its state changed. */
@@ -91,7 +91,8 @@
 
     /** The most bytes that an update on it takes in a message. */
     int maxEncodedBytes() {
-        int accuserBytes = accusers.isEmpty() ? 0 : accusers.get(0).length();
-        return descriptor.maxEncodedBytes() + accuserBytes;
+        int suspectingPeerBytes =
+                suspectingPeers.isEmpty() ? 0 : suspectingPeers.get(0).length();
+        return descriptor.maxEncodedBytes() + suspectingPeerBytes;
     }
 }
--- a/core/src/main/java/spartrail/peers/PeerUpdate.java
+++ b/core/src/main/java/spartrail/peers/PeerUpdate.java
@@ -7,7 +7,7 @@
  * @param incarnationAgeMs how old that incarnation is by the clock of the node that says so; 0 where it doesn't know
  * @param accuser who suspects the node, where it is suspected; else empty
  */
-public record PeerUpdate(PeerDescriptor descriptor, PeerState state, double incarnationAgeMs, String accuser) {
+public record PeerUpdate(PeerDescriptor descriptor, PeerState state, double incarnationAgeMs, String suspectingPeer) {
     /** Above 0 where the first descriptor and state outrank the second. */
     static int comparePrecedence(
             PeerDescriptor descriptor, PeerState state, PeerDescriptor other, PeerState otherState) {
--- a/core/src/main/java/spartrail/peers/StateTransitions.java
+++ b/core/src/main/java/spartrail/peers/StateTransitions.java
@@ -67,7 +67,7 @@
             context.cancel(peer.timer);
             peer.timer = null;
         }
-        peer.accusers.clear();
+        peer.suspectingPeers.clear();
         peer.probedSinceChange = false;
     }
 
--- a/core/src/main/java/spartrail/peers/Suspicions.java
+++ b/core/src/main/java/spartrail/peers/Suspicions.java
@@ -39,33 +39,34 @@
     }
 
     /** That node, this one or another, accuses the peer of not answering. */
-    void accuse(Peer peer, String accuser, String reason) {
-        if (!peer.state.isPresent() || accuser.isEmpty() || peer.accusers.contains(accuser)) {
+    void accuse(Peer peer, String suspectingPeer, String reason) {
+        if (!peer.state.isPresent() || suspectingPeer.isEmpty() || peer.suspectingPeers.contains(suspectingPeer)) {
             return;
         }
         if (peer.state != PeerState.SUSPECT) {
             transitions.apply(peer.descriptor, PeerState.SUSPECT, local.name(), 0, reason);
         }
-        if (peer.accusers.isEmpty()) {
+        if (peer.suspectingPeers.isEmpty()) {
             peer.suspectedSinceMs = context.nowMs();
         }
-        if (peer.accusers.size() < MAX_CONFIRMATIONS + 1) {
-            peer.accusers.add(accuser);
+        if (peer.suspectingPeers.size() < MAX_CONFIRMATIONS + 1) {
+            peer.suspectingPeers.add(suspectingPeer);
             dissemination.enqueue(peer, Math.min(peer.transmissions, 1));
         }
         if (peer.timer != null) {
             context.cancel(peer.timer);
         }
-        double deadlineMs = peer.suspectedSinceMs + timeToRefuteMs(peer.accusers.size());
+        double deadlineMs = peer.suspectedSinceMs + timeToRefuteMs(peer.suspectingPeers.size());
         peer.timer = context.schedule(Math.max(context.nowMs(), deadlineMs), () -> onTimeout(peer));
     }
 
-    private double timeToRefuteMs(int accusers) {
+    private double timeToRefuteMs(int suspectingPeers) {
         int presentCount = table.presentCount();
         double minMs = context.times().minSuspicionMs(presentCount);
         double maxMs = MAX_SUSPICION_FACTOR * minMs;
         int expectedConfirmations = Math.min(MAX_CONFIRMATIONS, Math.max(0, presentCount - 3));
-        double confirmed = expectedConfirmations == 0 ? 1 : Math.log(accusers) / Math.log(expectedConfirmations + 1);
+        double confirmed =
+                expectedConfirmations == 0 ? 1 : Math.log(suspectingPeers) / Math.log(expectedConfirmations + 1);
         return Math.max(minMs, maxMs - (maxMs - minMs) * confirmed);
     }
 
@@ -83,14 +84,14 @@
             extendByOneInterval(peer);
             return;
         }
-        String accusers = String.join(", ", peer.accusers);
+        String suspectingPeers = String.join(", ", peer.suspectingPeers);
         long suspectedMs = Math.round(context.nowMs() - peer.suspectedSinceMs);
         transitions.apply(
                 peer.descriptor,
                 PeerState.GONE,
                 local.name(),
                 0,
-                "accused by " + accusers + ", and it did not refute that in " + suspectedMs + " ms");
+                "accused by " + suspectingPeers + ", and it did not refute that in " + suspectedMs + " ms");
     }
 
     private void extendByOneInterval(Peer peer) {
@@ -102,7 +103,7 @@
     void restartAll() {
         for (Peer peer : table.all()) {
             if (peer.state == PeerState.SUSPECT) {
-                peer.accusers.clear();
+                peer.suspectingPeers.clear();
                 peer.suspectedSinceMs = context.nowMs();
                 accuse(peer, local.name(), peer.reason);
             }
--- a/core/src/main/java/spartrail/peers/UpdateHandler.java
+++ b/core/src/main/java/spartrail/peers/UpdateHandler.java
@@ -52,23 +52,23 @@
             // A departed peer that all have forgotten would else be passed on without end.
             return;
         }
-        String accusation = "accused by " + update.accuser();
+        String accusation = "accused by " + update.suspectingPeer();
         if (known != null && confirmsSuspicion(update, known)) {
-            suspicions.accuse(known, update.accuser(), accusation);
+            suspicions.accuse(known, update.suspectingPeer(), accusation);
         }
         transitions.apply(
                 descriptor,
                 update.state(),
                 reporter,
                 update.incarnationAgeMs(),
-                update.accuser().isEmpty() ? "told" : accusation);
+                update.suspectingPeer().isEmpty() ? "told" : accusation);
         Peer peer = table.get(descriptor.name());
         if (peer == null || !peer.isIn(descriptor.incarnation())) {
             return;
         }
         peer.learnAge(update.incarnationAgeMs(), context.nowMs());
-        if (update.state() == PeerState.SUSPECT && peer.state == PeerState.SUSPECT && peer.accusers.isEmpty()) {
-            suspicions.accuse(peer, update.accuser(), accusation);
+        if (update.state() == PeerState.SUSPECT && peer.state == PeerState.SUSPECT && peer.suspectingPeers.isEmpty()) {
+            suspicions.accuse(peer, update.suspectingPeer(), accusation);
         }
     }
 
@@ -106,7 +106,12 @@
         local.refute(update.descriptor().refutations());
         // The poorer its health the rarer its own rounds, and a refutation that comes too late is none.
         dissemination.startReconciliation();
-        String accuser = update.accuser().isEmpty() ? reporter : update.accuser();
-        events.record(local.descriptor(), update.state(), local.state(), reporter, "refuted what " + accuser + " said");
+        String suspectingPeer = update.suspectingPeer().isEmpty() ? reporter : update.suspectingPeer();
+        events.record(
+                local.descriptor(),
+                update.state(),
+                local.state(),
+                reporter,
+                "refuted what " + suspectingPeer + " said");
     }
 }
--- a/core/src/main/java/spartrail/policy/PolicySettings.java
+++ b/core/src/main/java/spartrail/policy/PolicySettings.java
@@ -186,10 +186,10 @@
     }
 
     private void checkBudget(String opType) {
-        double budgetMs = number(OP_TYPES + opType + BUDGET);
+        double latencyObjectiveMs = number(OP_TYPES + opType + BUDGET);
         double timeoutMs = number(OP_TYPES + opType + TIMEOUT);
-        if (budgetMs > timeoutMs) {
-            throw new IllegalArgumentException(OP_TYPES + opType + BUDGET + ": found " + budgetMs
+        if (latencyObjectiveMs > timeoutMs) {
+            throw new IllegalArgumentException(OP_TYPES + opType + BUDGET + ": found " + latencyObjectiveMs
                     + ", no more than timeoutMs, " + timeoutMs + ", is expected");
         }
     }
--- a/core/src/main/java/spartrail/policy/SettingRule.java
+++ b/core/src/main/java/spartrail/policy/SettingRule.java
@@ -54,7 +54,7 @@
     }
 
     private static Object checkedNumber(String field, Object value, double least, double most, String expected) {
-        double number = value instanceof Number given ? given.doubleValue() : Double.NaN;
+        double number = value instanceof Number parsed ? parsed.doubleValue() : Double.NaN;
         boolean isValid = number >= least && number <= most && !Double.isInfinite(number);
         if (!isValid) {
             throw unexpected(field, value, expected);
--- a/lab/src/main/java/spartrail/lab/plan/Rate.java
+++ b/lab/src/main/java/spartrail/lab/plan/Rate.java
@@ -84,8 +84,8 @@
 
         @Override
         public double expectedUntil(double ms, double lastsMs) {
-            double turn = 2 * Math.PI / periodMs;
-            return (meanPerS * ms + swingPerS / turn * (1 - Math.cos(turn * ms))) / 1000;
+            double radiansPerMs = 2 * Math.PI / periodMs;
+            return (meanPerS * ms + swingPerS / radiansPerMs * (1 - Math.cos(radiansPerMs * ms))) / 1000;
         }
     }
 
--- a/peers/src/main/java/spartrail/peers/transport/PeerMessageCodec.java
+++ b/peers/src/main/java/spartrail/peers/transport/PeerMessageCodec.java
@@ -58,7 +58,7 @@
         write(out, update.descriptor());
         out.writeNumber(update.state().ordinal());
         out.writeNumber(update.incarnationAgeMs());
-        out.writeString(update.accuser());
+        out.writeString(update.suspectingPeer());
         out.writeEndArray();
     }
 
