--- a/core/src/main/java/spartrail/peers/AnswerRateLimiter.java
+++ b/core/src/main/java/spartrail/peers/AnswerRateLimiter.java
@@ -14,7 +14,7 @@
 
     AnswerRateLimiter(MembershipContext context) {
         this.context = context;
-        this.maxTokens = context.times().maxAnswersPerSecond();
+        this.maxTokens = context.timings().maxAnswersPerSecond();
         this.maxUnknownTokens = maxTokens / 2;
         this.tokens = maxTokens;
         this.unknownTokens = maxUnknownTokens;
--- a/core/src/main/java/spartrail/peers/ContactList.java
+++ b/core/src/main/java/spartrail/peers/ContactList.java
@@ -59,7 +59,7 @@
     }
 
     /** Asks those whose time has come, and returns whether none had to wait for the next interval. */
-    boolean probeDue() {
+    boolean probeDueContacts() {
         int remaining = CONTACTS_PER_INTERVAL;
         for (Contact contact : List.copyOf(contacts.values())) {
             if (remaining == 0) {
@@ -82,7 +82,7 @@
         contact.attempts++;
         contact.nonce = context.random().nextLong();
         int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, contact.attempts - 1);
-        double backoffMs = context.times().probeIntervalMs() * Math.min(MAX_BACKOFF_INTERVALS, 1 << doublings);
+        double backoffMs = context.timings().probeIntervalMs() * Math.min(MAX_BACKOFF_INTERVALS, 1 << doublings);
         contact.nextAttemptMs =
                 context.nowMs() + backoffMs * (0.5 + context.random().nextDouble());
         outbox.send(contact.address, Kind.PING, "", contact.nonce, null, List.of());
--- a/core/src/main/java/spartrail/peers/Dissemination.java
+++ b/core/src/main/java/spartrail/peers/Dissemination.java
@@ -98,7 +98,7 @@
     private int bytesForUpdates(PeerDescriptor target) {
         int localExcess = Math.max(0, local.descriptor().maxEncodedBytes() - USUAL_DESCRIPTOR_BYTES);
         int targetBytes = target == null ? 0 : target.maxEncodedBytes();
-        return context.times().maxUpdateBytes() - localExcess - targetBytes;
+        return context.timings().maxUpdateBytes() - localExcess - targetBytes;
     }
 
     private void addChanged(Deque<Peer> queue, Peer recipient, UpdateBatch batch, List<Peer> handled) {
@@ -151,11 +151,12 @@
 
     /** What this node says of a peer. */
     PeerUpdate toUpdate(Peer peer) {
-        return new PeerUpdate(peer.descriptor, peer.state, peer.incarnationAgeMs(context.nowMs()), accuserToName(peer));
+        return new PeerUpdate(
+                peer.descriptor, peer.state, peer.incarnationAgeMs(context.nowMs()), suspectingPeerToReport(peer));
     }
 
     /** This node itself where it suspects the peer, else the first one that does; empty where nobody does. */
-    private String accuserToName(Peer peer) {
+    private String suspectingPeerToReport(Peer peer) {
         if (peer.state != PeerState.SUSPECT || peer.suspectingPeers.isEmpty()) {
             return "";
         }
@@ -173,7 +174,7 @@
                     this::reconcile);
         }
         reconcileUntilMs =
-                context.nowMs() + RECONCILIATION_INTERVALS * context.times().probeIntervalMs();
+                context.nowMs() + RECONCILIATION_INTERVALS * context.timings().probeIntervalMs();
     }
 
     private void reconcile() {
@@ -188,6 +189,6 @@
     }
 
     private double reconciliationIntervalMs() {
-        return context.times().probeIntervalMs() / RECONCILIATION_PROBES_PER_INTERVAL;
+        return context.timings().probeIntervalMs() / RECONCILIATION_PROBES_PER_INTERVAL;
     }
 }
--- a/core/src/main/java/spartrail/peers/FailureDetector.java
+++ b/core/src/main/java/spartrail/peers/FailureDetector.java
@@ -76,7 +76,7 @@
         finishProbe();
         rounds++;
         double jitter = 0.9 + 0.2 * context.random().nextDouble();
-        return context.times().probeIntervalMs() * health.timeoutFactor() * jitter;
+        return context.timings().probeIntervalMs() * health.timeoutFactor() * jitter;
     }
 
     /** Probes the next peer in a round that lasts so long. */
@@ -88,7 +88,7 @@
         Probe probe = new Probe(target, context.random().nextLong());
         currentProbe = probe;
         ping(target, probe.nonce);
-        double timeoutMs = Math.min(context.times().ackTimeoutMs() * health.timeoutFactor(), 0.8 * intervalMs);
+        double timeoutMs = Math.min(context.timings().ackTimeoutMs() * health.timeoutFactor(), 0.8 * intervalMs);
         context.schedule(context.nowMs() + timeoutMs, () -> requestIndirectProbes(probe));
     }
 
@@ -136,9 +136,9 @@
         // that is slow itself would take others for dead.
         health.worsen(probe.relays - probe.nacks);
         Peer peer = table.get(probe.target.descriptor.name());
-        if (peer == probe.target && peer.isIn(probe.incarnation) && health.mayAccuse()) {
-            long intervalMs = Math.round(context.times().probeIntervalMs());
-            suspicions.accuse(
+        if (peer == probe.target && peer.hasIncarnation(probe.incarnation) && health.maySuspect()) {
+            long intervalMs = Math.round(context.timings().probeIntervalMs());
+            suspicions.suspect(
                     peer,
                     local.name(),
                     "no answer in a round of " + intervalMs + " ms, " + probe.nacks + " of " + probe.relays
--- a/core/src/main/java/spartrail/peers/IndirectProbeRelay.java
+++ b/core/src/main/java/spartrail/peers/IndirectProbeRelay.java
@@ -47,7 +47,7 @@
         probes.put(nonce, new IndirectProbe(message.sender().address(), message.nonce(), target));
         List<PeerUpdate> updates = dissemination.selectFor(table.get(target.name()));
         outbox.send(target.address(), Kind.PING, target.name(), nonce, null, updates);
-        context.schedule(context.nowMs() + context.times().ackTimeoutMs(), () -> onTimeout(nonce));
+        context.schedule(context.nowMs() + context.timings().ackTimeoutMs(), () -> onTimeout(nonce));
     }
 
     private void onTimeout(long nonce) {
--- a/core/src/main/java/spartrail/peers/LocalHealth.java
+++ b/core/src/main/java/spartrail/peers/LocalHealth.java
@@ -44,7 +44,7 @@
     }
 
     /** Why this node trusts its own view less; empty where it doesn't. */
-    String problem() {
+    String describeProblem() {
         if (nameConflict.isNameLost()) {
             return "another process has the name, from " + nameConflict.ownerAddress();
         }
@@ -64,7 +64,7 @@
     }
 
     /** Whether it may suspect others and end suspicions. */
-    boolean mayAccuse() {
+    boolean maySuspect() {
         return !nameConflict.isNameLost()
                 && !isAwaitingAcksAfterPause()
                 && !isCutOff()
@@ -87,7 +87,7 @@
         return !hasSeenEqualDigest
                 && table.hasPresentPeers()
                 && context.nowMs() - local.startedMs()
-                        < BOOTSTRAP_ROUNDS * context.times().probeIntervalMs();
+                        < BOOTSTRAP_ROUNDS * context.timings().probeIntervalMs();
     }
 
     /** Intervals and timeouts are so many times as long. */
--- a/core/src/main/java/spartrail/peers/MembershipContext.java
+++ b/core/src/main/java/spartrail/peers/MembershipContext.java
@@ -9,20 +9,20 @@
 
 /** What all parts of one node's membership share: settings, random numbers, timers, the present time and counters. */
 final class MembershipContext {
-    private final GossipTimings times;
+    private final GossipTimings timings;
     private final RandomGenerator random;
     private final TimerQueue timers = new TimerQueue();
     private final Map<String, Long> counters = new TreeMap<>();
     private double nowMs;
 
-    MembershipContext(GossipTimings times, RandomGenerator random, double nowMs) {
-        this.times = times;
+    MembershipContext(GossipTimings timings, RandomGenerator random, double nowMs) {
+        this.timings = timings;
         this.random = random;
         this.nowMs = nowMs;
     }
 
-    GossipTimings times() {
-        return times;
+    GossipTimings timings() {
+        return timings;
     }
 
     RandomGenerator random() {
--- a/core/src/main/java/spartrail/peers/PauseDetector.java
+++ b/core/src/main/java/spartrail/peers/PauseDetector.java
@@ -11,12 +11,12 @@
 
     private static final double LATENESS_SMOOTHING = 0.1;
 
-    private final GossipTimings times;
+    private final GossipTimings timings;
     private double expectedMs;
     private double meanLatenessMs;
 
-    PauseDetector(GossipTimings times, double nowMs) {
-        this.times = times;
+    PauseDetector(GossipTimings timings, double nowMs) {
+        this.timings = timings;
         this.expectedMs = nowMs;
     }
 
@@ -26,7 +26,7 @@
     }
 
     boolean isPause(double latenessMs) {
-        return latenessMs > times.pauseThresholdMs();
+        return latenessMs > timings.pauseThresholdMs();
     }
 
     /** The process is expected to run next at that time at the latest. */
@@ -40,7 +40,7 @@
     }
 
     void recordLateness(double latenessMs) {
-        meanLatenessMs += LATENESS_SMOOTHING * (Math.min(latenessMs, times.ackTimeoutMs()) - meanLatenessMs);
+        meanLatenessMs += LATENESS_SMOOTHING * (Math.min(latenessMs, timings.ackTimeoutMs()) - meanLatenessMs);
     }
 
     double meanLatenessMs() {
@@ -48,6 +48,6 @@
     }
 
     boolean isRunningLate() {
-        return meanLatenessMs > MAX_LATENESS_RATIO * times.ackTimeoutMs();
+        return meanLatenessMs > MAX_LATENESS_RATIO * timings.ackTimeoutMs();
     }
 }
--- a/core/src/main/java/spartrail/peers/Peer.java
+++ b/core/src/main/java/spartrail/peers/Peer.java
@@ -47,7 +47,7 @@
         this.descriptor = descriptor;
     }
 
-    boolean isIn(Incarnation incarnation) {
+    boolean hasIncarnation(Incarnation incarnation) {
         return descriptor.incarnation().equals(incarnation);
     }
 
--- a/core/src/main/java/spartrail/peers/PeerTable.java
+++ b/core/src/main/java/spartrail/peers/PeerTable.java
@@ -30,7 +30,7 @@
         return peers.get(name);
     }
 
-    Collection<Peer> all() {
+    Collection<Peer> peers() {
         return peers.values();
     }
 
--- a/core/src/main/java/spartrail/peers/StateTransitions.java
+++ b/core/src/main/java/spartrail/peers/StateTransitions.java
@@ -32,7 +32,7 @@
         }
         PeerState previousState = peer == null ? null : peer.state;
         if (peer == null) {
-            if (table.size() >= context.times().maxPeers() && !evictOldestDeparted()) {
+            if (table.size() >= context.timings().maxPeers() && !evictOldestDeparted()) {
                 context.increment(MembershipCounter.PEERS_REJECTED);
                 return;
             }
@@ -40,7 +40,7 @@
             table.add(peer);
             probeOrder.insert(descriptor.name());
         }
-        boolean isSameIncarnation = peer.isIn(descriptor.incarnation());
+        boolean isSameIncarnation = peer.hasIncarnation(descriptor.incarnation());
         if (!isSameIncarnation) {
             peer.resetIncarnation();
         }
@@ -72,7 +72,7 @@
     }
 
     private void forgetLater(Peer peer) {
-        double untilMs = context.nowMs() + context.times().departedRetentionMs();
+        double untilMs = context.nowMs() + context.timings().departedRetentionMs();
         peer.timer = context.schedule(untilMs, () -> forget(peer));
     }
 
--- a/core/src/main/java/spartrail/peers/Suspicions.java
+++ b/core/src/main/java/spartrail/peers/Suspicions.java
@@ -39,7 +39,7 @@
     }
 
     /** That node, this one or another, accuses the peer of not answering. */
-    void accuse(Peer peer, String suspectingPeer, String reason) {
+    void suspect(Peer peer, String suspectingPeer, String reason) {
         if (!peer.state.isPresent() || suspectingPeer.isEmpty() || peer.suspectingPeers.contains(suspectingPeer)) {
             return;
         }
@@ -62,7 +62,7 @@
 
     private double timeToRefuteMs(int suspectingPeers) {
         int presentCount = table.presentCount();
-        double minMs = context.times().minSuspicionMs(presentCount);
+        double minMs = context.timings().minSuspicionMs(presentCount);
         double maxMs = MAX_SUSPICION_FACTOR * minMs;
         int expectedConfirmations = Math.min(MAX_CONFIRMATIONS, Math.max(0, presentCount - 3));
         double confirmed =
@@ -72,7 +72,7 @@
 
     private void onTimeout(Peer peer) {
         peer.timer = null;
-        if (!health.mayAccuse()) {
+        if (!health.maySuspect()) {
             extendByOneInterval(peer);
             return;
         }
@@ -95,24 +95,24 @@
     }
 
     private void extendByOneInterval(Peer peer) {
-        double untilMs = context.nowMs() + context.times().probeIntervalMs();
+        double untilMs = context.nowMs() + context.timings().probeIntervalMs();
         peer.timer = context.schedule(untilMs, () -> onTimeout(peer));
     }
 
     /** All suspicions begin anew with this node as their only accuser. */
     void restartAll() {
-        for (Peer peer : table.all()) {
+        for (Peer peer : table.peers()) {
             if (peer.state == PeerState.SUSPECT) {
                 peer.suspectingPeers.clear();
                 peer.suspectedSinceMs = context.nowMs();
-                accuse(peer, local.name(), peer.reason);
+                suspect(peer, local.name(), peer.reason);
             }
         }
     }
 
     /** This process paused, so nobody could reach it: all timers of suspicions and departed peers end so much later. */
     void postponeAll(double pausedMs) {
-        for (Peer peer : table.all()) {
+        for (Peer peer : table.peers()) {
             if (peer.timer != null) {
                 context.cancel(peer.timer);
                 peer.suspectedSinceMs += pausedMs;
--- a/core/src/main/java/spartrail/peers/SwimMembership.java
+++ b/core/src/main/java/spartrail/peers/SwimMembership.java
@@ -64,11 +64,15 @@
 
     /** Starts an incarnation of a node. Seeds are addresses to ask who is there; the own one among them is passed over. */
     public SwimMembership(
-            PeerDescriptor descriptor, List<String> seeds, GossipTimings times, RandomGenerator random, double nowMs) {
-        context = new MembershipContext(times, random, nowMs);
+            PeerDescriptor descriptor,
+            List<String> seeds,
+            GossipTimings timings,
+            RandomGenerator random,
+            double nowMs) {
+        context = new MembershipContext(timings, random, nowMs);
         local = new LocalPeer(descriptor, context);
         table = new PeerTable(context);
-        pauseDetector = new PauseDetector(times, nowMs);
+        pauseDetector = new PauseDetector(timings, nowMs);
         events = new EventLog(context, this::healthProblem);
         outbox = new Outbox(context, local, table);
         rateLimiter = new AnswerRateLimiter(context);
@@ -87,11 +91,11 @@
         viewBuilder = new ViewBuilder(context, local, table, contacts, health);
         setSeeds(seeds);
         context.schedule(nowMs, this::runRound);
-        context.schedule(nowMs + times.probeIntervalMs() * random.nextDouble(), this::probeSuspects);
+        context.schedule(nowMs + timings.probeIntervalMs() * random.nextDouble(), this::probeSuspects);
     }
 
     private String healthProblem() {
-        return health.problem();
+        return health.describeProblem();
     }
 
     private void probe(Peer peer) {
@@ -116,7 +120,7 @@
      * suspects, departed peers, and further ones while views differ (a round is at least nine tenths of its length); and what
      * others ask of it: an answer, or the two messages of an indirect probe.
      */
-    public static double maxMessagesPerSecond(GossipTimings times) {
+    public static double maxMessagesPerSecond(GossipTimings timings) {
         int target = 1;
         int departed = 1;
         int perInterval = target
@@ -125,7 +129,7 @@
                 + FailureDetector.SUSPECTS_PER_INTERVAL
                 + departed
                 + Dissemination.RECONCILIATION_PROBES_PER_INTERVAL;
-        return perInterval * 1000 / (0.9 * times.probeIntervalMs()) + 2.0 * times.maxAnswersPerSecond();
+        return perInterval * 1000 / (0.9 * timings.probeIntervalMs()) + 2.0 * timings.maxAnswersPerSecond();
     }
 
     // ---- Time ----
@@ -148,7 +152,7 @@
         if (latenessMs >= 0) {
             boolean wasRunningLate = pauseDetector.isRunningLate();
             pauseDetector.recordLateness(latenessMs);
-            if (wasRunningLate && health.mayAccuse()) {
+            if (wasRunningLate && health.maySuspect()) {
                 suspicions.restartAll();
             }
         }
@@ -175,7 +179,7 @@
         if (local.hasLeft()) {
             return;
         }
-        if (contacts.probeDue()) {
+        if (contacts.probeDueContacts()) {
             nameConflict.onRound();
         }
         if (nameConflict.isNameLost()) {
@@ -186,7 +190,7 @@
     }
 
     private void probeSuspects() {
-        context.schedule(context.nowMs() + context.times().probeIntervalMs(), this::probeSuspects);
+        context.schedule(context.nowMs() + context.timings().probeIntervalMs(), this::probeSuspects);
         if (!local.hasLeft() && !nameConflict.isNameLost()) {
             failureDetector.probeSuspects();
         }
@@ -221,7 +225,7 @@
     private void onPeerMessage(PeerMessage message, boolean isFreshAck) {
         Peer sender = table.get(message.sender().name());
         boolean isSameIncarnation =
-                sender != null && sender.isIn(message.sender().incarnation());
+                sender != null && sender.hasIncarnation(message.sender().incarnation());
         if (isSameIncarnation && message.state() == PeerState.LEFT) {
             // However old the message is and whatever is held of its sender: an incarnation that has left stays so.
             applySender(message, "it says so");
@@ -247,7 +251,8 @@
 
     private boolean isStale(PeerMessage message, Peer sender) {
         double nowMs = context.nowMs();
-        double maxDelayMs = context.times().maxMessageDelayMs() + MAX_CLOCK_DRIFT * sender.sinceStartEstimateMs(nowMs);
+        double maxDelayMs =
+                context.timings().maxMessageDelayMs() + MAX_CLOCK_DRIFT * sender.sinceStartEstimateMs(nowMs);
         return sender.messageDelayMs(message.incarnationAgeMs(), nowMs) > maxDelayMs;
     }
 
@@ -341,7 +346,7 @@
         }
         applySender(message, "it answers");
         Peer peer = table.get(sender.name());
-        if (peer != null && peer.isIn(sender.incarnation())) {
+        if (peer != null && peer.hasIncarnation(sender.incarnation())) {
             peer.onAck(message.incarnationAgeMs(), context.nowMs());
             onAck(peer, message.nonce());
         }
@@ -414,7 +419,7 @@
     }
 
     /** What this node knows of all nodes, itself included. */
-    public MembershipView view(double atMs) {
+    public MembershipView buildView(double atMs) {
         return viewBuilder.build(atMs);
     }
 }
--- a/core/src/main/java/spartrail/peers/UpdateHandler.java
+++ b/core/src/main/java/spartrail/peers/UpdateHandler.java
@@ -54,7 +54,7 @@
         }
         String accusation = "accused by " + update.suspectingPeer();
         if (known != null && confirmsSuspicion(update, known)) {
-            suspicions.accuse(known, update.suspectingPeer(), accusation);
+            suspicions.suspect(known, update.suspectingPeer(), accusation);
         }
         transitions.apply(
                 descriptor,
@@ -63,19 +63,19 @@
                 update.incarnationAgeMs(),
                 update.suspectingPeer().isEmpty() ? "told" : accusation);
         Peer peer = table.get(descriptor.name());
-        if (peer == null || !peer.isIn(descriptor.incarnation())) {
+        if (peer == null || !peer.hasIncarnation(descriptor.incarnation())) {
             return;
         }
         peer.learnAge(update.incarnationAgeMs(), context.nowMs());
         if (update.state() == PeerState.SUSPECT && peer.state == PeerState.SUSPECT && peer.suspectingPeers.isEmpty()) {
-            suspicions.accuse(peer, update.suspectingPeer(), accusation);
+            suspicions.suspect(peer, update.suspectingPeer(), accusation);
         }
     }
 
     private static boolean confirmsSuspicion(PeerUpdate update, Peer peer) {
         return update.state() == PeerState.SUSPECT
                 && peer.state == PeerState.SUSPECT
-                && peer.isIn(update.descriptor().incarnation())
+                && peer.hasIncarnation(update.descriptor().incarnation())
                 && peer.descriptor.refutations() == update.descriptor().refutations();
     }
 
--- a/core/src/main/java/spartrail/peers/ViewBuilder.java
+++ b/core/src/main/java/spartrail/peers/ViewBuilder.java
@@ -28,14 +28,14 @@
     }
 
     MembershipView build(double atMs) {
-        String healthProblem = health.problem();
+        String healthProblem = health.describeProblem();
         boolean isHealthy = healthProblem.isEmpty();
         List<Entry> entries = new ArrayList<>();
-        entries.add(localEntry(atMs));
+        entries.add(buildLocalEntry(atMs));
         int minCount = 1;
         int maxCount = 1;
-        for (Peer peer : table.all()) {
-            entries.add(entry(peer, isHealthy, atMs));
+        for (Peer peer : table.peers()) {
+            entries.add(buildEntry(peer, isHealthy, atMs));
             if (peer.state == PeerState.ALIVE && isHealthy) {
                 minCount++;
             }
@@ -56,7 +56,7 @@
                 context.counters());
     }
 
-    private Entry localEntry(double atMs) {
+    private Entry buildLocalEntry(double atMs) {
         return new Entry(
                 local.descriptor(),
                 local.state(),
@@ -67,23 +67,23 @@
                 "this node");
     }
 
-    private Entry entry(Peer peer, boolean isHealthy, double atMs) {
+    private Entry buildEntry(Peer peer, boolean isHealthy, double atMs) {
         return new Entry(
                 peer.descriptor,
                 peer.state,
                 peer.stateSinceMs,
                 peer.reporter,
-                confidence(peer, isHealthy, atMs),
+                assessConfidence(peer, isHealthy, atMs),
                 peer.lastAckMs,
                 peer.reason);
     }
 
-    private Confidence confidence(Peer peer, boolean isHealthy, double atMs) {
+    private Confidence assessConfidence(Peer peer, boolean isHealthy, double atMs) {
         if (peer.state == PeerState.SUSPECT || !isHealthy) {
             return Confidence.LOW;
         }
         double freshMs =
-                FRESH_ROUNDS * context.times().probeIntervalMs() * Math.max(MIN_PEERS_FOR_FRESHNESS, table.size());
+                FRESH_ROUNDS * context.timings().probeIntervalMs() * Math.max(MIN_PEERS_FOR_FRESHNESS, table.size());
         return atMs - peer.lastAckMs < freshMs ? Confidence.DIRECT : Confidence.REPORTED;
     }
 }
--- a/core/src/test/java/spartrail/peers/SwimMembershipTest.java
+++ b/core/src/test/java/spartrail/peers/SwimMembershipTest.java
@@ -54,7 +54,7 @@
     }
 
     private String describeView(int viewer) {
-        MembershipView view = nodes.get(address(viewer)).view(nowMs);
+        MembershipView view = nodes.get(address(viewer)).buildView(nowMs);
         StringBuilder text =
                 new StringBuilder(view.presentCount() + " of " + view.minCount() + " to " + view.maxCount() + ":");
         view.peers().forEach(each -> text.append(' ')
@@ -100,7 +100,7 @@
         start(4, "n3", 900);
         run(20_000);
         assertThat(describeView(1)).isEqualTo("4 of 4 to 4: n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE");
-        assertThat(nodes.get(address(1)).view(nowMs).peers().stream()
+        assertThat(nodes.get(address(1)).buildView(nowMs).peers().stream()
                         .map(each -> each.descriptor().address())
                         .toList())
                 .containsExactly(address(1), address(2), address(4), address(3));
@@ -118,7 +118,12 @@
         nodes.remove(address(5));
         run(25_000);
         assertThat(describeView(3)).isEqualTo("4 of 4 to 4: n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE");
-        assertThat(nodes.get(address(1)).view(nowMs).peers().get(2).descriptor().address())
+        assertThat(nodes.get(address(1))
+                        .buildView(nowMs)
+                        .peers()
+                        .get(2)
+                        .descriptor()
+                        .address())
                 .isEqualTo(address(3));
     }
 
@@ -151,7 +156,7 @@
         delayed.forEach(message -> nodes.get(address(4)).onMessage(message, nowMs));
         assertThat(describeView(1) + describeView(4)).isEqualTo(before);
         assertThat(nodes.get(address(1)).drainEvents()).isEmpty();
-        assertThat(nodes.get(address(1)).view(nowMs).counters()).containsKey("stale messages");
+        assertThat(nodes.get(address(1)).buildView(nowMs).counters()).containsKey("stale messages");
     }
 
     @Test
@@ -188,7 +193,7 @@
                 .startsWith("4 of 4 to ")
                 .contains("n1=ALIVE n2=ALIVE n3=ALIVE n4=ALIVE")
                 .doesNotContain("x");
-        assertThat(node.view(nowMs).maxCount()).isLessThanOrEqualTo(4 + 64);
+        assertThat(node.buildView(nowMs).maxCount()).isLessThanOrEqualTo(4 + 64);
         assertThat(sentByAddress.get(address(1)) / 10.0)
                 .isLessThan(SwimMembership.maxMessagesPerSecond(GossipTimings.DEFAULT));
     }
--- a/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
+++ b/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
@@ -22,7 +22,7 @@
     public byte[] decode(byte[] datagram, int length) {
         try {
             DatagramFrame frame = DatagramFrame.decode(datagram, length, fleet, MAX_DATAGRAM_BYTES);
-            return frame.channel() == PolicyMessageCodec.CHANNEL ? frame.bytes() : null;
+            return frame.channel() == PolicyMessageCodec.CHANNEL ? frame.payloadBytes() : null;
         } catch (MalformedDatagramException e) {
             return null;
         }
--- a/lab/src/main/java/spartrail/lab/simulation/Mutations.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Mutations.java
@@ -43,17 +43,17 @@
             new Plant(
                     "peers/Suspicions",
                     "a node in doubt ends suspicions",
-                    "if (!health.mayAccuse()) {",
+                    "if (!health.maySuspect()) {",
                     "if (false) {"),
             new Plant(
                     "peers/FailureDetector",
                     "a node in doubt suspects",
-                    "peer.isIn(probe.incarnation) && health.mayAccuse()) {",
-                    "peer.isIn(probe.incarnation)) {"),
+                    "peer.hasIncarnation(probe.incarnation) && health.maySuspect()) {",
+                    "peer.hasIncarnation(probe.incarnation)) {"),
             new Plant(
                     "peers/PauseDetector",
                     "a standstill is not noticed",
-                    "return latenessMs > times.pauseThresholdMs();",
+                    "return latenessMs > timings.pauseThresholdMs();",
                     "return latenessMs > 1e12;"),
             new Plant(
                     "peers/UpdateHandler",
--- a/lab/src/main/java/spartrail/lab/simulation/PeersSimulation.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersSimulation.java
@@ -222,7 +222,7 @@
             }
         }
         if (!suspectedMs.get(node).isEmpty() && peers.nextMs() > nodeMs) {
-            MembershipView view = peers.view(nodeMs);
+            MembershipView view = peers.buildView(nodeMs);
             if (view.state() != PeerState.LEFT
                     && view.peers().stream()
                                     .filter(seen -> seen.state() == PeerState.SUSPECT)
@@ -283,7 +283,7 @@
             String doubt = rules.isRunning(node)
                     ? ((PeersGuest) world.guest(node))
                             .peers
-                            .view(world.clock(node))
+                            .buildView(world.clock(node))
                             .healthProblem()
                     : "";
             if (!doubt.isEmpty()) {
--- a/peers/src/main/java/spartrail/peers/transport/DatagramFrame.java
+++ b/peers/src/main/java/spartrail/peers/transport/DatagramFrame.java
@@ -121,7 +121,7 @@
     }
 
     /** The payload of a channel whose payload is bytes. */
-    public byte[] bytes() throws MalformedDatagramException {
+    public byte[] payloadBytes() throws MalformedDatagramException {
         if (payload instanceof byte[] bytes) {
             return bytes;
         }
--- a/peers/src/main/java/spartrail/peers/transport/GossipNode.java
+++ b/peers/src/main/java/spartrail/peers/transport/GossipNode.java
@@ -160,7 +160,7 @@
 
     private void onAdminRequest(DatagramFrame frame, InetSocketAddress sender) {
         if (frame.payload() instanceof String request) {
-            MembershipStatusReplies.reply(request, membership.view(clock.nowMs()), counters())
+            MembershipStatusReplies.reply(request, membership.buildView(clock.nowMs()), counters())
                     .map(page -> DatagramFrame.encodeText(config.fleet(), DatagramFrame.ADMIN_RESPONSE_CHANNEL, page))
                     .ifPresent(bytes -> socket.send(bytes, sender));
         }
@@ -169,7 +169,7 @@
     private void onChannelFrame(DatagramFrame frame, String source) throws MalformedDatagramException {
         for (PeerChannel channel : channels) {
             if (channel.number() == frame.channel()) {
-                channel.onMessage(source, frame.bytes());
+                channel.onMessage(source, frame.payloadBytes());
                 return;
             }
         }
@@ -183,7 +183,7 @@
         double nowMs = clock.nowMs();
         var events = membership.drainEvents();
         if (!events.isEmpty() || publisher.isDue(nowMs, config.timings().probeIntervalMs())) {
-            publisher.publish(membership.view(nowMs), membership.self(), events, nowMs);
+            publisher.publish(membership.buildView(nowMs), membership.self(), events, nowMs);
         }
     }
 
--- a/peers/src/test/java/spartrail/peers/transport/DatagramFormTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/DatagramFormTest.java
@@ -89,6 +89,6 @@
         assertThat(frame(stored.get("question")).channel()).isEqualTo(DatagramFrame.ADMIN_REQUEST_CHANNEL);
         assertThat(frame(stored.get("reply")).channel()).isEqualTo(DatagramFrame.ADMIN_RESPONSE_CHANNEL);
         assertThat(frame(stored.get("policy")).channel()).isEqualTo(POLICY_LANE);
-        assertThat(frame(stored.get("policy")).bytes()).isEqualTo(policy);
+        assertThat(frame(stored.get("policy")).payloadBytes()).isEqualTo(policy);
     }
 }
