--- a/core/src/main/java/spartrail/policy/LogOperation.java
+++ b/core/src/main/java/spartrail/policy/LogOperation.java
@@ -37,7 +37,7 @@
     }
 
     /** What a new leader appends first. */
-    public static final LogOperation OF_NEW_TERM = new LogOperation(Kind.NEW_TERM, 0, "", "", "");
+    public static final LogOperation NEW_TERM_OPERATION = new LogOperation(Kind.NEW_TERM, 0, "", "", "");
 
     /** A leader's operation on a proposal. */
     static LogOperation ofLeader(Kind kind, long proposalNumber) {
--- a/core/src/main/java/spartrail/policy/PolicyService.java
+++ b/core/src/main/java/spartrail/policy/PolicyService.java
@@ -22,7 +22,7 @@
         PolicySettings localSettings();
 
         /** Tries settings out apart from all that is served; why the node cannot apply them, or empty. */
-        String rehearse(PolicySettings settings);
+        String dryRun(PolicySettings settings);
 
         /** The node goes by this lease from now on. */
         void apply(PolicyLease lease);
--- a/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
@@ -149,7 +149,7 @@
     /** Every point at which a process may be lost, once each. */
     private static PolicyDrill kill() {
         Script script = new Script();
-        List<String> points = CrashPoint.all();
+        List<String> points = CrashPoint.allNames();
         for (int i = 0; i < points.size(); i++) {
             String point = points.get(i);
             String called = point.replaceAll("^(before|after) [a-z]+ ", "");
--- a/lab/src/main/java/spartrail/lab/simulation/PolicySimulation.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PolicySimulation.java
@@ -361,7 +361,7 @@
             }
         }
         maybe.clear();
-        commit(LogOperation.OF_NEW_TERM);
+        commit(LogOperation.NEW_TERM_OPERATION);
         world.wake(leading);
     }
 
--- a/policy/src/main/java/spartrail/policy/replication/AdminRequestHandler.java
+++ b/policy/src/main/java/spartrail/policy/replication/AdminRequestHandler.java
@@ -58,7 +58,7 @@
             dryRun(from, request.token(), query.substring(CHECK_QUERY_PREFIX.length()));
         } else if (query.equals(SHOW_QUERY)) {
             reply(from, request.token(), node.statusPage());
-        } else if (CrashPoint.all().contains(query) && CrashPoint.arm(query)) {
+        } else if (CrashPoint.allNames().contains(query) && CrashPoint.arm(query)) {
             reply(from, request.token(), ARMED_REPLY);
         } else {
             reply(from, request.token(), UNKNOWN_REPLY);
--- a/policy/src/main/java/spartrail/policy/replication/CrashPoint.java
+++ b/policy/src/main/java/spartrail/policy/replication/CrashPoint.java
@@ -48,14 +48,14 @@
     private CrashPoint() {}
 
     /** The names of all points. */
-    public static List<String> all() {
+    public static List<String> allNames() {
         List<String> points = new ArrayList<>();
-        points.addAll(all(BEFORE));
-        points.addAll(all(AFTER));
+        points.addAll(namesFor(BEFORE));
+        points.addAll(namesFor(AFTER));
         return points;
     }
 
-    private static List<String> all(String side) {
+    private static List<String> namesFor(String side) {
         List<String> points = new ArrayList<>();
         for (PolicyMessage.Kind kind : PolicyMessage.Kind.values()) {
             if (!WITHOUT_POINT.contains(kind)) {
--- a/policy/src/main/java/spartrail/policy/replication/ProposalChecker.java
+++ b/policy/src/main/java/spartrail/policy/replication/ProposalChecker.java
@@ -46,13 +46,13 @@
     private String objection(PolicyVersion proposal) {
         try {
             PolicySettings proposed = follower.settingsWith(proposal);
-            String objection = host.rehearse(proposed);
+            String objection = host.dryRun(proposed);
             if (!objection.isEmpty()) {
                 return objection;
             }
             PolicySettings active =
                     follower.settingsWith(follower.lastResponse().active());
-            return host.rehearse(active.stricterOf(proposed));
+            return host.dryRun(active.stricterOf(proposed));
         } catch (RuntimeException | Error e) {
             // Whatever a rehearsal breaks with is a reason to refuse the proposal.
             return String.valueOf(e.getMessage());
--- a/policy/src/main/java/spartrail/policy/replication/RaftReplica.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftReplica.java
@@ -153,7 +153,7 @@
 
     @Override
     public Object getNewTermOperation() {
-        return LogOperation.OF_NEW_TERM;
+        return LogOperation.NEW_TERM_OPERATION;
     }
 
     @Override
--- a/policy/src/test/java/spartrail/policy/replication/MessageFormsTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/MessageFormsTest.java
@@ -222,7 +222,7 @@
     /** The state of a log that has seen a proposal of each outcome, as a snapshot holds it. */
     private static PolicyLogSnapshot logState() {
         PolicyLog log = new PolicyLog();
-        log.apply(1, LogOperation.OF_NEW_TERM);
+        log.apply(1, LogOperation.NEW_TERM_OPERATION);
         log.apply(2, new LogOperation(LogOperation.Kind.PROPOSE, 0, "{\"sends\":{\"most\":3}}", "ana", "t1"));
         log.apply(3, new LogOperation(LogOperation.Kind.DECIDE, 1, "", "", ""));
         log.apply(4, new LogOperation(LogOperation.Kind.HOLD, 1, "", "", ""));
@@ -330,7 +330,7 @@
     @Test
     void crashPointsKeepTheirNames() throws IOException {
         Map<String, String> seen = new LinkedHashMap<>();
-        for (String point : CrashPoint.all()) {
+        for (String point : CrashPoint.allNames()) {
             seen.put(String.valueOf(seen.size()), point);
         }
         StoredForms.writeSeen("crash-points.txt", seen);
