--- a/core/src/main/java/spartrail/endpoint/EndpointRegistry.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointRegistry.java
@@ -68,7 +68,7 @@
     }
 
     /** The source of this name; a new one counts as unavailable until it reports. */
-    public EndpointSource source(String name, EndpointSource.Kind kind, double atMs) {
+    public EndpointSource getOrCreateSource(String name, EndpointSource.Kind kind, double atMs) {
         return sources.getOrCreate(name, kind, atMs);
     }
 
@@ -185,7 +185,7 @@
     }
 
     /** When {@link #advance} has something to do next. */
-    public double nextMs() {
+    public double nextDueMs() {
         return timers.nextDueMs();
     }
 
@@ -292,7 +292,7 @@
     }
 
     private EndpointRecord restore(SnapshotEntry kept, double savedMs) {
-        EndpointSource source = source(kept.source(), kept.kind(), savedMs);
+        EndpointSource source = getOrCreateSource(kept.source(), kept.kind(), savedMs);
         source.restoreUnavailability(savedMs);
         EndpointRecord record = table.findById(kept.id());
         if (record == null) {
--- a/core/src/test/java/spartrail/endpoint/EndpointRegistryTest.java
+++ b/core/src/test/java/spartrail/endpoint/EndpointRegistryTest.java
@@ -33,8 +33,9 @@
     private static final class Drive {
         private final EndpointRegistry registry =
                 new EndpointRegistry(3, 1, LIMITS, endpoint -> !endpoint.startsWith("192."));
-        private final EndpointSource discovery = registry.source("discovery", EndpointSource.Kind.DISCOVERY, 0);
-        private final EndpointSource dns = registry.source("dns", EndpointSource.Kind.DNS, 0);
+        private final EndpointSource discovery =
+                registry.getOrCreateSource("discovery", EndpointSource.Kind.DISCOVERY, 0);
+        private final EndpointSource dns = registry.getOrCreateSource("dns", EndpointSource.Kind.DNS, 0);
         private final StringBuilder seen = new StringBuilder();
 
         void discovery(double ms, SourceReport... reports) {
@@ -62,8 +63,8 @@
         }
 
         void at(double ms) {
-            while (registry.nextMs() <= ms) {
-                double dueMs = registry.nextMs();
+            while (registry.nextDueMs() <= ms) {
+                double dueMs = registry.nextDueMs();
                 registry.advance(dueMs);
                 print(dueMs, "time");
             }
@@ -201,7 +202,7 @@
     void aChangeOfOneEndpointIsOneEvaluation() {
         EndpointRegistry registry = new EndpointRegistry(
                 400, 4, new MergeLimits(1, 1e6, 1e6, 100, 500, 3, 50, 1000, 5000, 5000, 10_000), any -> true);
-        EndpointSource discovery = registry.source("discovery", EndpointSource.Kind.DISCOVERY, 0);
+        EndpointSource discovery = registry.getOrCreateSource("discovery", EndpointSource.Kind.DISCOVERY, 0);
         List<SourceReport> all = new ArrayList<>();
         for (int i = 0; i < 2000; i++) {
             all.add(new SourceReport(
@@ -248,10 +249,10 @@
         Observer(EndpointRegistry registry, long seed) {
             this.registry = registry;
             this.random = new SplittableRandom(seed);
-            this.discovery = registry.source("discovery", EndpointSource.Kind.DISCOVERY, 100);
+            this.discovery = registry.getOrCreateSource("discovery", EndpointSource.Kind.DISCOVERY, 100);
             this.dns = new EndpointSource[] {
-                registry.source("dns0", EndpointSource.Kind.DNS, 100),
-                registry.source("dns1", EndpointSource.Kind.DNS, 100)
+                registry.getOrCreateSource("dns0", EndpointSource.Kind.DNS, 100),
+                registry.getOrCreateSource("dns1", EndpointSource.Kind.DNS, 100)
             };
             java.util.Arrays.fill(firstNamedMs, Double.NaN);
         }
@@ -260,8 +261,8 @@
         String play(int events) {
             for (int i = 0; i < events; i++) {
                 nowMs += random.nextInt(4) == 0 ? random.nextDouble(0, 800) : random.nextDouble(0, 60);
-                while (registry.nextMs() <= nowMs) {
-                    double dueMs = registry.nextMs();
+                while (registry.nextDueMs() <= nowMs) {
+                    double dueMs = registry.nextDueMs();
                     registry.advance(dueMs);
                     String broken = check(dueMs, -1);
                     if (broken != null) {
--- a/lab/src/main/java/spartrail/lab/drill/DnsResolverDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/DnsResolverDrill.java
@@ -59,7 +59,7 @@
     static void play(Behavior behavior, long seed, Findings findings) throws Exception {
         NodeClock clock = new NodeClock();
         EndpointRegistry registry = new EndpointRegistry(1, 1, MERGE_LIMITS, any -> true);
-        EndpointSource source = registry.source(NAME, EndpointSource.Kind.DNS, clock.nowMs());
+        EndpointSource source = registry.getOrCreateSource(NAME, EndpointSource.Kind.DNS, clock.nowMs());
         List<SrvTargets> received = new CopyOnWriteArrayList<>();
         AtomicInteger leastInUse = new AtomicInteger(Integer.MAX_VALUE);
         try (DnsServerEmulator one = new DnsServerEmulator(seed);
--- a/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
+++ b/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
@@ -66,7 +66,7 @@
         this.clock = clock;
         this.listener = listener;
         this.registry = new EndpointRegistry(cells, replicationFactor, file.limits(), allowed(file, known));
-        this.discovery = registry.source("discovery", EndpointSource.Kind.DISCOVERY, clock.nowMs());
+        this.discovery = registry.getOrCreateSource("discovery", EndpointSource.Kind.DISCOVERY, clock.nowMs());
         applyFromDiscovery(true, known);
         registry.markUnavailable(discovery, clock.nowMs());
         registry.takeChanges();
@@ -127,7 +127,7 @@
             double lifetimeMs) {
         executor.execute(() -> {
             double nowMs = clock.nowMs();
-            EndpointSource from = registry.source(source, kind, nowMs);
+            EndpointSource from = registry.getOrCreateSource(source, kind, nowMs);
             registry.applyReports(from, isComplete, reports, lifetimeMs, nowMs);
             publish(false);
         });
@@ -137,7 +137,7 @@
     public void onUnavailable(String source, EndpointSource.Kind kind) {
         executor.execute(() -> {
             double nowMs = clock.nowMs();
-            registry.markUnavailable(registry.source(source, kind, nowMs), nowMs);
+            registry.markUnavailable(registry.getOrCreateSource(source, kind, nowMs), nowMs);
             publish(false);
         });
     }
@@ -209,7 +209,7 @@
             nextAdvance.cancel(false);
             nextAdvance = null;
         }
-        double waitMs = registry.nextMs() - clock.nowMs();
+        double waitMs = registry.nextDueMs() - clock.nowMs();
         if (waitMs <= MAX_WAIT_MS) {
             long delayMs = Math.max(1, (long) Math.ceil(waitMs));
             nextAdvance = executor.schedule(() -> publish(false), delayMs, TimeUnit.MILLISECONDS);
