--- a/node/src/main/java/spartrail/config/CoordinatorSettings.java
+++ b/node/src/main/java/spartrail/config/CoordinatorSettings.java
@@ -16,7 +16,7 @@
     private CoordinatorSettings() {}
 
     /** The op types of the settings, with no latency statistics yet. */
-    public static List<OpType> opTypes(Map<?, ?> settings) {
+    public static List<OpType> parseOpTypes(Map<?, ?> settings) {
         List<OpType> opTypes = new ArrayList<>();
         Map<?, ?> layout = section(settings, "family-info");
         if (list(requiredValue(settings, "classes", "")).isEmpty()) {
@@ -62,7 +62,7 @@
     }
 
     /** A configured coordinator of these op types, whose random draws come from the seed. */
-    public static Coordinator coordinator(long seed, Map<?, ?> settings, List<OpType> opTypes) {
+    public static Coordinator createCoordinator(long seed, Map<?, ?> settings, List<OpType> opTypes) {
         Map<?, ?> layout = section(settings, "family-info");
         return configure(
                 new WindowCoordinator(new Random(seed), opTypes)
--- a/node/src/main/java/spartrail/config/DeploymentFile.java
+++ b/node/src/main/java/spartrail/config/DeploymentFile.java
@@ -134,12 +134,12 @@
 
     /** The op types, with no latency statistics yet. */
     public List<OpType> opTypes() {
-        return CoordinatorSettings.opTypes(settings);
+        return CoordinatorSettings.parseOpTypes(settings);
     }
 
     /** A configured coordinator of these op types. */
     public Coordinator coordinator(List<OpType> opTypes) {
-        return CoordinatorSettings.coordinator(seed(), settings, opTypes);
+        return CoordinatorSettings.createCoordinator(seed(), settings, opTypes);
     }
 
     /**
--- a/node/src/main/java/spartrail/sim/SimNode.java
+++ b/node/src/main/java/spartrail/sim/SimNode.java
@@ -95,9 +95,9 @@
         }
         if (name.equals("POWER_ON")) {
             Map<?, ?> info = (Map<?, ?>) event.get(2);
-            List<OpType> known = CoordinatorSettings.opTypes(info);
+            List<OpType> known = CoordinatorSettings.parseOpTypes(info);
             known.forEach(opType -> opTypes.put(opType.name, opType));
-            coordinator = CoordinatorSettings.coordinator(((Number) event.get(1)).longValue(), info, known);
+            coordinator = CoordinatorSettings.createCoordinator(((Number) event.get(1)).longValue(), info, known);
         }
         if (coordinator == null) {
             return;
