--- a/core/src/main/java/spartrail/peers/AnswerRateLimiter.java
+++ b/core/src/main/java/spartrail/peers/AnswerRateLimiter.java
@@ -1,8 +1,9 @@
 package spartrail.peers;
 
 /**
- * Two token buckets for what this node sends because others ask it: one for all, and half of that for nodes that it doesn't
- * know. Without them a flood of requests would make this node send without bound, and starve the nodes that it knows.
+ * Limits the messages that this node sends on the request of other nodes, by two token buckets: one for all requests,
+ * and one of half that rate for requests from unknown nodes. Without the limits a flood of requests would make this
+ * node send without bound and delay its answers to known nodes.
  */
 final class AnswerRateLimiter {
     private final MembershipContext context;
@@ -21,7 +22,7 @@
         this.refilledMs = context.nowMs();
     }
 
-    /** Takes a token, if there is one; else that is counted. */
+    /** Takes a token; returns false and counts the rejected answer if no token is left. */
     boolean tryAcquire(boolean requesterKnown) {
         refill();
         if (tokens < 1 || !requesterKnown && unknownTokens < 1) {
--- a/core/src/main/java/spartrail/peers/ContactList.java
+++ b/core/src/main/java/spartrail/peers/ContactList.java
@@ -6,12 +6,13 @@
 import spartrail.peers.PeerMessage.Kind;
 
 /**
- * Addresses at which this node asks who is there: seeds for ever, with a backoff while nobody answers, and addresses that it
- * met in messages a few times. Bounded, because invented names would else fill the memory and push out the seeds. Each
- * interval walks over all contacts, at most {@value #MAX_CONTACTS}, and for seeds over the peers.
+ * Addresses that this node probes without knowing which node listens there. Seeds are probed forever, with a backoff
+ * while they do not answer; addresses learned from messages are probed {@value #MAX_ATTEMPTS} times. The list is
+ * bounded, because messages with forged names would otherwise fill the memory and displace the seeds. Each interval
+ * iterates over all contacts, at most {@value #MAX_CONTACTS}, and for each seed over all peers.
  */
 final class ContactList {
-    /** Contacts that are asked in one probe interval. */
+    /** Maximum number of contacts that are probed in one probe interval. */
     static final int CONTACTS_PER_INTERVAL = 4;
 
     private static final int MAX_CONTACTS = 64;
@@ -19,7 +20,7 @@
     private static final int MAX_BACKOFF_INTERVALS = 16;
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
-    /** An address that is asked who is there. */
+    /** An address to probe, with the state of its backoff. */
     private static final class Contact {
         private final String address;
         private final boolean seed;
@@ -46,7 +47,7 @@
         this.outbox = outbox;
     }
 
-    /** Replaces the seeds; the own address among them is passed over. */
+    /** Replaces the seeds; this node's own address is skipped. */
     void setSeeds(List<String> addresses) {
         contacts.values().removeIf(contact -> contact.seed && !addresses.contains(contact.address));
         for (String address : addresses) {
@@ -58,7 +59,7 @@
         }
     }
 
-    /** Asks those whose time has come, and returns whether none had to wait for the next interval. */
+    /** Probes the contacts that are due; returns false if some of them have to wait for the next interval. */
     boolean probeDueContacts() {
         int remaining = CONTACTS_PER_INTERVAL;
         for (Contact contact : List.copyOf(contacts.values())) {
@@ -88,7 +89,7 @@
         outbox.send(contact.address, Kind.PING, "", contact.nonce, null, List.of());
     }
 
-    /** Notes an address that is to be asked, and returns whether it is new and there was room for it. */
+    /** Adds an address to probe; returns false if it is already listed or the list is full. */
     boolean add(String address) {
         if (contacts.containsKey(address)) {
             return false;
@@ -105,7 +106,7 @@
         probe(contacts.get(address));
     }
 
-    /** Somebody answers with that nonce; returns whether a contact had been asked with it. */
+    /** Handles an acknowledgement; returns whether its nonce belongs to the last probe of a contact. */
     boolean acceptAck(long nonce) {
         for (Contact contact : contacts.values()) {
             if (contact.attempts > 0 && contact.nonce == nonce) {
@@ -119,7 +120,7 @@
         return false;
     }
 
-    /** Addresses at which nobody is known who could be there. */
+    /** Number of contacts whose address belongs to no known peer. */
     int unknownCount() {
         return (int) contacts.values().stream()
                 .filter(contact -> !table.hasPeerAt(contact.address))
--- a/core/src/main/java/spartrail/peers/Dissemination.java
+++ b/core/src/main/java/spartrail/peers/Dissemination.java
@@ -7,20 +7,20 @@
 import java.util.function.Consumer;
 
 /**
- * Which updates ride on which message. A change of a peer is sent a number of times that grows with the logarithm of the
- * fleet; what that misses is found by digests. Once two views are known to differ, messages carry the rest of the view in
- * turns as well, and for a while this node sends more of them, so that a hundred that start at once know each other in
- * seconds.
+ * Selects the updates that are piggybacked on each message. A change of a peer is transmitted a number of times that
+ * grows with the logarithm of the fleet size; nodes that miss it notice by comparing view digests. Once two views are
+ * known to differ, messages also carry the rest of the view in rotation, and for a while this node sends additional
+ * probes, so that a hundred nodes that start at once know each other within seconds.
  */
 final class Dissemination {
-    /** Messages beside the probes that are sent in one probe interval while views differ. */
+    /** Additional probes that are sent in one probe interval while views differ. */
     static final int RECONCILIATION_PROBES_PER_INTERVAL = 5;
 
     private static final int RETRANSMIT_MULTIPLIER = 4;
     private static final int RECONCILIATION_INTERVALS = 4;
-    /** While it knows fewer alive peers a node that has just started asks only the seeds. */
+    /** A node that has just started probes only its seeds until it knows this many alive peers. */
     private static final int MIN_ALIVE_TO_RECONCILE = 8;
-    /** What a descriptor usually takes in a message; what this node's takes beyond that is left for updates no more. */
+    /** Usual size of an encoded descriptor; the excess of this node's own descriptor reduces the space for updates. */
     private static final int USUAL_DESCRIPTOR_BYTES = 100;
 
     private final MembershipContext context;
@@ -29,11 +29,16 @@
     private final NameConflict nameConflict;
     private final LocalHealth health;
     private final Consumer<Peer> probe;
-    /** Peers that have changed: first those of which nobody has been told yet, then the others by turns. */
+    /**
+     * Changed peers whose latest change has not been transmitted yet; they are selected before those in {@link #sent}.
+     */
     private final Deque<Peer> unsent = new ArrayDeque<>();
 
+    /**
+     * Changed peers whose latest change has been transmitted, but not the full number of times; selected in rotation.
+     */
     private final Deque<Peer> sent = new ArrayDeque<>();
-    /** Of whom others are told next while views differ. */
+    /** Names of the peers that messages carry next while views differ. */
     private final Deque<String> reconciliationOrder = new ArrayDeque<>();
 
     private double reconcileUntilMs = Double.NEGATIVE_INFINITY;
@@ -53,7 +58,7 @@
         this.probe = probe;
     }
 
-    /** A peer has changed; others have been told of it so many times already. */
+    /** Queues the latest change of a peer, which has already been transmitted the given number of times. */
     void enqueue(Peer peer, int transmissions) {
         peer.transmissions = transmissions;
         if (!peer.queuedForDissemination) {
@@ -64,14 +69,15 @@
 
     // ---- Selection ----
 
-    /** Updates for a message to that peer; null where it isn't known. */
+    /** Selects the updates for a message to the recipient, which is null if it is not a known peer. */
     List<PeerUpdate> selectFor(Peer recipient) {
         return selectFor(recipient, null);
     }
 
     /**
-     * The same for a message that bears a target's descriptor, too. First what this node holds against the recipient, which
-     * it may refute; then changes; then, while views differ, the next ones of the rest.
+     * Selects the updates for a message that also carries the descriptor of a probe's target. The order is: the
+     * recipient's own state if it is not alive or joining, so that the recipient can refute it; then changes; then,
+     * while views differ, the next peers of the rest of the view.
      */
     List<PeerUpdate> selectFor(Peer recipient, PeerDescriptor target) {
         UpdateBatch batch = new UpdateBatch(bytesForUpdates(target));
@@ -94,7 +100,9 @@
         return batch.updates;
     }
 
-    /** Descriptors with long texts would make a message too large for a datagram, and the node mute. */
+    /**
+     * Leaves room for long descriptors: a message that exceeds one datagram is not sent, which would silence the node.
+     */
     private int bytesForUpdates(PeerDescriptor target) {
         int localExcess = Math.max(0, local.descriptor().maxEncodedBytes() - USUAL_DESCRIPTOR_BYTES);
         int targetBytes = target == null ? 0 : target.maxEncodedBytes();
@@ -130,7 +138,7 @@
         }
     }
 
-    /** Updates of one message, up to a number of bytes. */
+    /** The updates of one message, up to a maximum size in bytes. */
     private final class UpdateBatch {
         private final List<PeerUpdate> updates = new ArrayList<>();
         private int remainingBytes;
@@ -149,13 +157,15 @@
         }
     }
 
-    /** What this node says of a peer. */
+    /** Describes a peer as this node knows it. */
     PeerUpdate toUpdate(Peer peer) {
         return new PeerUpdate(
                 peer.descriptor, peer.state, peer.incarnationAgeMs(context.nowMs()), suspectingPeerToReport(peer));
     }
 
-    /** This node itself where it suspects the peer, else the first one that does; empty where nobody does. */
+    /**
+     * This node's name if it suspects the peer itself, else the first suspecting node's; empty if no node suspects it.
+     */
     private String suspectingPeerToReport(Peer peer) {
         if (peer.state != PeerState.SUSPECT || peer.suspectingPeers.isEmpty()) {
             return "";
@@ -165,7 +175,7 @@
 
     // ---- Reconciliation ----
 
-    /** Views differ: this node talks to more nodes for a while. */
+    /** Sends additional probes for a while, because another node's view differs from this node's. */
     void startReconciliation() {
         if (context.nowMs() >= reconcileUntilMs) {
             context.schedule(
@@ -181,7 +191,7 @@
         if (context.nowMs() >= reconcileUntilMs || local.hasLeft() || nameConflict.isNameLost()) {
             return;
         }
-        // Hundreds that start at once know only the seeds, and would ask nobody else ever faster.
+        // When hundreds of nodes start at once, each knows only the seeds: additional probes would only overload these.
         if (!health.isBootstrapping() || table.aliveCount() >= MIN_ALIVE_TO_RECONCILE) {
             table.sampleAlive(1, "").forEach(probe);
         }
--- a/core/src/main/java/spartrail/peers/EventLog.java
+++ b/core/src/main/java/spartrail/peers/EventLog.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** Changes of this node's view that its owner has not taken yet; the oldest are dropped beyond a bound. */
+/** Buffers changes of this node's view until its owner drains them; drops the oldest beyond {@value #MAX_EVENTS}. */
 final class EventLog {
     private static final int MAX_EVENTS = 1000;
 
--- a/core/src/main/java/spartrail/peers/FailureDetector.java
+++ b/core/src/main/java/spartrail/peers/FailureDetector.java
@@ -6,21 +6,22 @@
 import spartrail.peers.PeerMessage.Kind;
 
 /**
- * Probes other nodes: each round one in turn, by way of relays where it doesn't answer; beside the rounds those whom this node
- * suspects and one of the departed. The target of a round that neither answers nor is found by a relay is accused.
+ * Probes other nodes. Each round probes one peer in turn, and asks relays to probe it indirectly if it does not answer.
+ * A target from which neither this node nor a relay gets an answer in the round is suspected. Besides the rounds, this
+ * class probes peers that this node suspects, and departed peers.
  */
 final class FailureDetector {
-    /** Relays that are asked to probe the target of a round that doesn't answer. */
+    /** Number of relays that are asked to probe a target that does not answer; "indirect checks" in memberlist. */
     static final int RELAYS = 3;
 
-    /** Suspects that are probed in one interval beside the rounds. */
+    /** Maximum number of suspects that are probed in one probe interval, in addition to the round's target. */
     static final int SUSPECTS_PER_INTERVAL = 4;
 
     private static final int MAX_OUTSTANDING_PROBES = 64;
-    /** Rounds from one probe of a departed peer to the next. */
+    /** Number of rounds from one probe of a departed peer to the next. */
     private static final int DEPARTED_PROBE_ROUNDS = 2;
 
-    /** The probe of one round. */
+    /** A round's probe of its target, direct and by relays. */
     private static final class Probe {
         private final Peer target;
         private final Incarnation incarnation;
@@ -44,7 +45,7 @@
     private final Dissemination dissemination;
     private final Suspicions suspicions;
     private final Outbox outbox;
-    /** Names of peers probed lately by nonce, so that a late acknowledgement counts, too. */
+    /** Names of recently probed peers by the probe's nonce, so that late acknowledgements are accepted. */
     private final Map<Long, String> outstandingProbes = new LinkedHashMap<>();
 
     private Probe currentProbe;
@@ -71,15 +72,15 @@
 
     // ---- Rounds ----
 
-    /** Ends the former round and returns how long the next one lasts. */
-    double nextRound() {
+    /** Ends the previous round and returns the length of the next one in milliseconds. */
+    double startNextRound() {
         finishProbe();
         rounds++;
         double jitter = 0.9 + 0.2 * context.random().nextDouble();
         return context.timings().probeIntervalMs() * health.timeoutFactor() * jitter;
     }
 
-    /** Probes the next peer in a round that lasts so long. */
+    /** Probes the next peer, in a round of the given length. */
     void probeNext(double intervalMs) {
         Peer target = probeOrder.next();
         if (target == null) {
@@ -131,9 +132,8 @@
         } else {
             health.onUnansweredRound();
         }
-        // Relays that don't even say that they found nobody speak against this node, not against the target: else a
-        // node
-        // that is slow itself would take others for dead.
+        // A relay that sends neither an ACK nor a NACK is evidence that this node's health is poor, not that the target
+        // has failed: otherwise a node that is itself slow would declare others dead.
         health.worsen(probe.relays - probe.nacks);
         Peer peer = table.get(probe.target.descriptor.name());
         if (peer == probe.target && peer.hasIncarnation(probe.incarnation) && health.maySuspect()) {
@@ -146,22 +146,25 @@
         }
     }
 
-    /** Forgets the round: after a pause of this process its target is not to blame. */
+    /**
+     * Abandons the current round's probe: after a pause of this process a missing answer says nothing about the target.
+     */
     void abandonProbe() {
         currentProbe = null;
     }
 
-    // ---- Beside the rounds ----
+    // ---- Additional probes ----
 
-    /** An acknowledgement counts, a missing one doesn't. */
+    /** Probes a peer outside the rounds: an acknowledgement is processed as usual, a missing one has no consequence. */
     void probe(Peer peer) {
         peer.probedSinceChange = true;
         ping(peer, context.random().nextLong());
     }
 
     /**
-     * Probes one of the departed every other round: so those behind a cut find each other again, and a node that has left and
-     * started again where no seed can tell it of the others. Walks over all peers.
+     * Probes one departed peer every other round, so that the two sides of a network partition find each other again,
+     * and so that a node that has left and restarted is found even if no seed can tell it about the others. Iterates
+     * over all peers.
      */
     void probeDeparted() {
         if (rounds % DEPARTED_PROBE_ROUNDS != 0) {
@@ -174,8 +177,9 @@
     }
 
     /**
-     * Probes some of those whom this node suspects, whatever its own health: when many come out of a cut at once, all of them
-     * with long rounds, a suspect would else hear of the suspicion too late to refute it. Walks over all peers.
+     * Probes some of the peers that this node suspects, at intervals that do not depend on its local health. When many
+     * nodes recover from a partition at once, poor health lengthens the rounds of all of them, and a suspect would
+     * otherwise learn of the suspicion too late to refute it. Iterates over all peers.
      */
     void probeSuspects() {
         List<String> suspects = table.sortedNames(
@@ -188,12 +192,12 @@
 
     // ---- Answers ----
 
-    /** Whether a probe of that peer with that nonce is outstanding; it is so no longer. */
+    /** Removes the outstanding probe with that nonce; returns whether it was sent to the peer of that name. */
     boolean takeOutstanding(long nonce, String name) {
         return name.equals(outstandingProbes.remove(nonce));
     }
 
-    /** A peer has acknowledged a probe of this node. */
+    /** Handles a peer's acknowledgement of a probe that this node sent. */
     void onAck(Peer peer, long nonce) {
         onSignOfLife(1);
         if (currentProbe != null && currentProbe.nonce == nonce && currentProbe.target == peer) {
@@ -202,14 +206,14 @@
         }
     }
 
-    /** Whether a relay's answer belongs to the present round and its target. */
+    /** Whether a relay's answer belongs to the current round and its target. */
     boolean isForCurrentProbe(long nonce, PeerDescriptor target) {
         return currentProbe != null
                 && currentProbe.nonce == nonce
                 && target.name().equals(currentProbe.target.descriptor.name());
     }
 
-    /** A relay has found the present round's target, in this incarnation. */
+    /** Handles a relay's report that the current round's target has answered, in the incarnation {@code found}. */
     void onIndirectAck(Incarnation found) {
         if (found.compareTo(currentProbe.incarnation) >= 0) {
             currentProbe.acknowledged = true;
@@ -217,7 +221,9 @@
         }
     }
 
-    /** A relay has had no answer. One that comes twice must not count for two relays. */
+    /**
+     * Handles a relay's report that the target has not answered. The cap keeps duplicates from counting as more relays.
+     */
     void onIndirectNack(long nonce) {
         if (currentProbe != null && currentProbe.nonce == nonce) {
             currentProbe.nacks = Math.min(currentProbe.relays, currentProbe.nacks + 1);
--- a/core/src/main/java/spartrail/peers/GossipTimings.java
+++ b/core/src/main/java/spartrail/peers/GossipTimings.java
@@ -1,18 +1,19 @@
 package spartrail.peers;
 
 /**
- * Times and bounds of the messages among nodes.
+ * Timeouts, intervals and limits of the gossip protocol.
  *
- * @param probeIntervalMs length of a round, in which one node is probed; a crash is known after some four to eight of these
- * @param ackTimeoutMs an answer is awaited for so long before relays are asked; below a round
- * @param suspicionRounds a suspicion lasts at least so many rounds times the decimal logarithm of the fleet (1 at least), and
- *     three times that while only one node accuses
- * @param pauseThresholdMs a node that runs so much later than it meant to has paused and doubts its view
- * @param maxMessageDelayMs messages that were under way for longer are dropped
- * @param departedRetentionMs a node that is gone or has left is remembered for so long, and looked for meanwhile
- * @param maxPeers further nodes are refused and counted
- * @param maxUpdateBytes bytes of updates that a message bears at most
- * @param maxAnswersPerSecond answers sent in a second at most, half of them to nodes that are not known
+ * @param probeIntervalMs length of a round, in which one node is probed; a crash is detected within about four to eight
+ *     rounds
+ * @param ackTimeoutMs time to wait for an acknowledgement before relays are asked; shorter than a round
+ * @param suspicionRounds minimum length of a suspicion, in rounds times the decimal logarithm of the fleet size (at
+ *     least 1); a suspicion lasts three times as long while only one node suspects the peer
+ * @param pauseThresholdMs a process that runs later than scheduled by more than this is considered to have paused
+ * @param maxMessageDelayMs messages with a longer transit time are dropped
+ * @param departedRetentionMs time for which a node that is gone or has left is remembered and still probed
+ * @param maxPeers maximum number of known peers; further ones are rejected and counted
+ * @param maxUpdateBytes maximum size of the updates in one message
+ * @param maxAnswersPerSecond maximum number of answers sent per second, half of which may go to unknown nodes
  */
 public record GossipTimings(
         double probeIntervalMs,
@@ -24,16 +25,19 @@
         int maxPeers,
         int maxUpdateBytes,
         int maxAnswersPerSecond) {
-    /** For nodes in one data centre. */
+    /** Defaults for nodes in one data centre. */
     public static final GossipTimings DEFAULT = new GossipTimings(500, 200, 3, 250, 5000, 600_000, 1024, 1000, 200);
 
-    /** Rounds in which by chance nobody probes a given node, in all but one of 20,000 cases, and those that follow. */
+    /**
+     * Rounds until a crashed node is suspected: in all but one of 20,000 cases some node has probed it by then, and
+     * that probe's round has ended.
+     */
     private static final double DETECTION_ROUNDS = 12;
 
     private static final double MAX_ROUND_JITTER = 1.1;
     private static final double MAX_SUSPICION_FACTOR = 3;
 
-    /** The same with all times but the retention multiplied. */
+    /** Returns a copy with all times multiplied by the factor, except for the retention of departed nodes. */
     public GossipTimings scaledBy(double factor) {
         return new GossipTimings(
                 probeIntervalMs * factor,
@@ -47,14 +51,14 @@
                 maxAnswersPerSecond);
     }
 
-    /** The time that a suspect has at least to refute the suspicion, in a fleet of that size. */
+    /** The minimum time that a suspect has to refute the suspicion, in a fleet of that size. */
     public double minSuspicionMs(int presentCount) {
         return suspicionRounds * probeIntervalMs * Math.max(1, Math.log10(Math.max(1, presentCount)));
     }
 
     /**
-     * All others hold a crashed node for gone after so long, where nothing else is wrong: the rounds until one of them probes
-     * it, the longest suspicion, and the spread of the update.
+     * The time after which all nodes consider a crashed node gone if there is no other fault: the rounds until one of
+     * them has probed it, plus the longest suspicion, plus the dissemination of the update.
      */
     public double detectionBoundMs(int presentCount) {
         double spreadRounds = 2 * Math.log(Math.max(2, presentCount)) / Math.log(2);
--- a/core/src/main/java/spartrail/peers/Incarnation.java
+++ b/core/src/main/java/spartrail/peers/Incarnation.java
@@ -1,11 +1,12 @@
 package spartrail.peers;
 
 /**
- * One run of a process under a name: the later one outranks the earlier one. It needs no disk, as a restarted process begins
- * later; one whose machine's clock was set back hears of its former incarnation and begins one after it.
+ * Identifies one run of a process under a node name; the later one outranks the earlier one. It need not be stored on
+ * disk, since a restarted process has a later start time. A process whose machine's clock was set back learns of its
+ * previous incarnation from other nodes and starts one that is later.
  *
- * @param startMs when it began, in Unix milliseconds of its machine
- * @param nonce a random number, for two that began at the same time
+ * @param startMs start time, in Unix milliseconds of the node's machine
+ * @param nonce a random number that orders two incarnations with the same start time
  */
 public record Incarnation(long startMs, int nonce) implements Comparable<Incarnation> {
     @Override
--- a/core/src/main/java/spartrail/peers/IndirectProbeRelay.java
+++ b/core/src/main/java/spartrail/peers/IndirectProbeRelay.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 import spartrail.peers.PeerMessage.Kind;
 
-/** Probes that this node makes for others, whose own probe of that target was not answered. */
+/** Relays probes: probes a target for another node whose own probe of that target was not answered. */
 final class IndirectProbeRelay {
     private static final int MAX_PROBES = 128;
 
-    /** Who asked for a probe of which target. */
+    /** A relayed probe: the node that requested it, the nonce of the request, and the target. */
     private record IndirectProbe(String requesterAddress, long requesterNonce, PeerDescriptor target) {}
 
     private final MembershipContext context;
@@ -32,10 +32,12 @@
         this.outbox = outbox;
     }
 
-    /** Probes the target that the message names; its sender hears of the answer, or that there was none in time. */
-    void onPingRequest(PeerMessage message, boolean trusted) {
+    /**
+     * Probes the target that the message names, then sends the requester an indirect ACK, or a NACK after the timeout.
+     */
+    void onPingRequest(PeerMessage message, boolean isTrusted) {
         PeerDescriptor target = message.target();
-        if (!trusted
+        if (!isTrusted
                 || target == null
                 || !target.isWellFormed()
                 || probes.size() >= MAX_PROBES
@@ -57,7 +59,9 @@
         }
     }
 
-    /** Passes an answer on; returns whether a probe with that nonce was outstanding. */
+    /**
+     * Forwards an acknowledgement to the requester; returns whether a relayed probe with that nonce was outstanding.
+     */
     boolean acceptAck(PeerDescriptor sender, long nonce) {
         IndirectProbe probe = probes.remove(nonce);
         if (probe == null) {
--- a/core/src/main/java/spartrail/peers/LocalHealth.java
+++ b/core/src/main/java/spartrail/peers/LocalHealth.java
@@ -1,20 +1,21 @@
 package spartrail.peers;
 
 /**
- * This node's confidence in its own view, after Lifeguard (Dadgar, Phillips, Currey 2017): while it has a reason to doubt
- * itself it suspects nobody and ends no suspicion, and the poorer its health the longer its intervals and timeouts are.
+ * The local health of this node, after Lifeguard (Dadgar, Phillips, Currey 2017). While a local problem makes its view
+ * unreliable, it neither suspects peers nor declares suspects gone. The poorer its health, the longer its probe
+ * intervals and timeouts are.
  */
 final class LocalHealth {
     private static final int MAX_MULTIPLIER = 4;
     /**
-     * After so many rounds in a row in which neither the target nor a relay answered a node takes itself for cut off; that is
-     * sooner than the suspicion of one accuser ends.
+     * Number of consecutive rounds without an answer from the target or a relay after which a node considers itself cut
+     * off. This is shorter than a suspicion by a single node, so an isolated node does not declare others gone.
      */
     private static final int MAX_UNANSWERED_ROUNDS = 2;
 
-    /** With fewer nodes than more than these a node can't tell whether it is cut off itself. */
-    private static final int MIN_NODES_TO_DETECT_CUT = 3;
-    /** Acknowledgements that a node waits for after a pause before it trusts itself again. */
+    /** A node with this many present nodes or fewer, itself included, cannot tell whether it is cut off itself. */
+    private static final int MAX_NODES_WITHOUT_CUT_DETECTION = 3;
+    /** Number of acknowledgements that a node needs after a pause before it trusts its view again. */
     private static final int ACKS_AFTER_PAUSE = 2;
 
     private static final int BOOTSTRAP_ROUNDS = 30;
@@ -26,7 +27,7 @@
     private final PauseDetector pauseDetector;
     private int multiplier;
     private int unansweredRounds;
-    private int acksWanted;
+    private int awaitedAcks;
     private double pauseMs;
     private boolean hasSeenEqualDigest;
 
@@ -43,7 +44,7 @@
         this.pauseDetector = pauseDetector;
     }
 
-    /** Why this node trusts its own view less; empty where it doesn't. */
+    /** Describes for operators why this node's view is unreliable; empty if its health is good. */
     String describeProblem() {
         if (nameConflict.isNameLost()) {
             return "another process has the name, from " + nameConflict.ownerAddress();
@@ -63,7 +64,7 @@
         return isBootstrapping() ? "it is getting to know the others" : "";
     }
 
-    /** Whether it may suspect others and end suspicions. */
+    /** Whether this node may suspect peers and declare suspects gone. */
     boolean maySuspect() {
         return !nameConflict.isNameLost()
                 && !isAwaitingAcksAfterPause()
@@ -74,15 +75,18 @@
     }
 
     private boolean isCutOff() {
-        return unansweredRounds >= MAX_UNANSWERED_ROUNDS && table.presentCount() > MIN_NODES_TO_DETECT_CUT;
+        return unansweredRounds >= MAX_UNANSWERED_ROUNDS && table.presentCount() > MAX_NODES_WITHOUT_CUT_DETECTION;
     }
 
-    /** Where the others have all left during the pause no acknowledgement will come. */
+    /** The cap covers peers that left during the pause: if all of them did, no acknowledgement will come. */
     private boolean isAwaitingAcksAfterPause() {
-        return Math.min(acksWanted, table.presentCount() - 1) > 0;
+        return Math.min(awaitedAcks, table.presentCount() - 1) > 0;
     }
 
-    /** It has just started and doesn't know all others yet: hundreds that start at once all ask the same few seeds. */
+    /**
+     * Whether this node has started recently and does not know all others yet. Bootstrapping takes a while when
+     * hundreds of nodes start at once and all probe the same few seeds.
+     */
     boolean isBootstrapping() {
         return !hasSeenEqualDigest
                 && table.hasPresentPeers()
@@ -90,15 +94,15 @@
                         < BOOTSTRAP_ROUNDS * context.timings().probeIntervalMs();
     }
 
-    /** Intervals and timeouts are so many times as long. */
+    /** The factor by which local health lengthens probe intervals and timeouts; 1 at full health. */
     int timeoutFactor() {
         return 1 + multiplier;
     }
 
-    void onPause(double lastedMs) {
+    void onPause(double durationMs) {
         context.increment(MembershipCounter.PROCESS_PAUSES);
-        pauseMs = lastedMs;
-        acksWanted = Math.min(ACKS_AFTER_PAUSE, table.presentCount() - 1);
+        pauseMs = durationMs;
+        awaitedAcks = Math.min(ACKS_AFTER_PAUSE, table.presentCount() - 1);
         worsen(1);
     }
 
@@ -114,20 +118,20 @@
         unansweredRounds++;
     }
 
-    /** Somebody holds the same view. */
+    /** Notes that another node has the same view as this one, which ends bootstrapping. */
     void onEqualDigest() {
         hasSeenEqualDigest = true;
     }
 
     /**
-     * Somebody has told this node something new, with so many acknowledgements of its own probes. Returns whether it trusts
-     * its view again. Suspicions have to begin anew then: it could hear no refutation meanwhile, and those whose time is over
-     * would end at once.
+     * Handles a message that proves that this node can reach others, and counts the acknowledgements of its own probes.
+     * Returns whether this node trusts its view again after it did not. The caller then restarts all suspicions: no
+     * refutation could reach this node in the meantime, so suspects whose time is over would be declared gone at once.
      */
     boolean onSignOfLife(int acks) {
         boolean hadNoConfidence = isCutOff() || isAwaitingAcksAfterPause();
         unansweredRounds = 0;
-        acksWanted = Math.max(0, acksWanted - acks);
+        awaitedAcks = Math.max(0, awaitedAcks - acks);
         return hadNoConfidence && !isAwaitingAcksAfterPause();
     }
 }
--- a/core/src/main/java/spartrail/peers/LocalPeer.java
+++ b/core/src/main/java/spartrail/peers/LocalPeer.java
@@ -1,6 +1,6 @@
 package spartrail.peers;
 
-/** This node as it describes itself to others. It alone changes its incarnation, its refutations and its state. */
+/** This node as it describes itself to others. No other node changes its incarnation, refutations or state. */
 final class LocalPeer {
     private final MembershipContext context;
     private final double startedMs;
@@ -47,24 +47,24 @@
         return context.nowMs() - startedMs;
     }
 
-    /** Its part of the digest of this node's view. */
+    /** This node's contribution to the digest of its view. */
     long digest() {
         return digest;
     }
 
-    /** Begins an incarnation that outranks the present one and that one. */
+    /** Starts an incarnation that outranks both the current one and the given one. */
     void startIncarnationAfter(Incarnation former) {
         long startMs = Math.max(former.startMs(), incarnation().startMs()) + 1;
         Incarnation next = new Incarnation(startMs, context.random().nextInt());
         replaceDescriptor(descriptor.withIncarnation(next, 0));
     }
 
-    /** Outranks what others say of this incarnation with that number of refutations. */
+    /** Refutes updates about this incarnation that have the given number of refutations, by announcing one more. */
     void refute(int refutations) {
         replaceDescriptor(descriptor.withIncarnation(incarnation(), refutations + 1));
     }
 
-    /** Announces another version of the settings; as a change of the descriptor it outranks the former one. */
+    /** Announces another settings version; the changed descriptor outranks the previous one by one more refutation. */
     void setSettingsVersion(String version) {
         if (!version.equals(descriptor.settingsVersion())) {
             replaceDescriptor(descriptor.withSettingsVersion(version, descriptor.refutations() + 1));
@@ -77,7 +77,7 @@
         digest ^= PeerDigest.of(descriptor, state);
     }
 
-    /** It ends. Its last messages carry the digest of before. */
+    /** Marks this node as left. Its digest is not updated, so its last messages still carry the previous one. */
     void leave() {
         state = PeerState.LEFT;
     }
--- a/core/src/main/java/spartrail/peers/MembershipContext.java
+++ b/core/src/main/java/spartrail/peers/MembershipContext.java
@@ -7,7 +7,10 @@
 import java.util.random.RandomGenerator;
 import spartrail.model.TimerQueue;
 
-/** What all parts of one node's membership share: settings, random numbers, timers, the present time and counters. */
+/**
+ * State shared by the classes of one node's membership: settings, random numbers, timers, the current time and
+ * counters.
+ */
 final class MembershipContext {
     private final GossipTimings timings;
     private final RandomGenerator random;
@@ -33,7 +36,7 @@
         return nowMs;
     }
 
-    /** Moves the present time forward; it never goes back. */
+    /** Advances the current time; an earlier time is ignored. */
     void advanceTo(double atMs) {
         nowMs = Math.max(nowMs, atMs);
     }
--- a/core/src/main/java/spartrail/peers/MembershipCounter.java
+++ b/core/src/main/java/spartrail/peers/MembershipCounter.java
@@ -1,6 +1,6 @@
 package spartrail.peers;
 
-/** What a node counts of refused, dropped and doubtful events. The labels stand in replies to operators and never change. */
+/** Counters of rejected, dropped and suspicious events. The labels appear in replies to operators and never change. */
 enum MembershipCounter {
     PROCESS_PAUSES("stood still"),
     CONTACTS_REFUSED("contacts refused"),
--- a/core/src/main/java/spartrail/peers/MembershipView.java
+++ b/core/src/main/java/spartrail/peers/MembershipView.java
@@ -5,15 +5,15 @@
 import spartrail.model.FleetView;
 
 /**
- * What a node knows of all front nodes, itself included.
+ * One node's view of all front nodes, itself included.
  *
- * @param healthProblem why this node trusts its own view less now, empty where it doesn't: it decides nothing for the fleet
- *     then
- * @param presentCount how many are held to be present, suspects included
- * @param minCount as many are surely present, as far as a node can be sure of others
- * @param maxCount as many can be present: also those that may live on behind a cut
- * @param peers all nodes by name
- * @param counters what was refused, dropped or doubted, by the labels of {@link MembershipCounter}
+ * @param healthProblem why the view is unreliable now; the node then makes no decision for the fleet. Empty if it is
+ *     reliable
+ * @param presentCount number of nodes considered present, suspects included
+ * @param minCount number of nodes that are present with the highest certainty a node can have about others
+ * @param maxCount number of nodes that may be present, including those that may be alive across a network partition
+ * @param peers all nodes, sorted by name
+ * @param counters counts of rejected, dropped and suspicious events, by the labels of {@link MembershipCounter}
  */
 public record MembershipView(
         String name,
@@ -25,23 +25,23 @@
         int maxCount,
         List<Entry> peers,
         Map<String, Long> counters) {
-    /** How sure a node is of an entry. */
+    /** How reliable an entry is. */
     public enum Confidence {
-        /** By a fresh answer of its own. */
+        /** The peer itself has recently answered this node. */
         DIRECT,
-        /** By what others say. */
+        /** The state is known from other nodes, or the peer's last answer is old. */
         REPORTED,
-        /** The entry is a suspect, or the node's own health is in doubt. */
+        /** The peer is a suspect, or this node's local health is poor. */
         LOW
     }
 
     /**
-     * One node.
+     * One node of the view.
      *
-     * @param stateSinceMs since when it has that state, by this node's clock
-     * @param reporter who told so: this node itself, or the name of another one
-     * @param lastAckMs when it last answered this node, or NaN
-     * @param reason why it has that state, in words for operators
+     * @param stateSinceMs when it entered that state, by this node's clock
+     * @param reporter name of the node that reported the state; this node's own name if it determined the state itself
+     * @param lastAckMs when it last answered this node, or NaN if it never has
+     * @param reason why it has that state, as a text for operators
      */
     public record Entry(
             PeerDescriptor descriptor,
@@ -52,7 +52,7 @@
             double lastAckMs,
             String reason) {}
 
-    /** What the decisions on requests are told of it. */
+    /** Converts this view to the summary that the request coordinator uses. */
     public FleetView toFleetView() {
         return new FleetView(maxCount, healthProblem.isEmpty(), true);
     }
--- a/core/src/main/java/spartrail/peers/NameConflict.java
+++ b/core/src/main/java/spartrail/peers/NameConflict.java
@@ -1,22 +1,23 @@
 package spartrail.peers;
 
 /**
- * Another process with this node's name. The later incarnation keeps the name: an earlier one learns of it and takes no part
- * while the other one answers. A later incarnation at this node's own address can only be a former one of this process, from
- * before the machine's clock was set back; this node begins an incarnation after it. A later one elsewhere is a claimant until
- * it answers, and counts as over when it hasn't answered for some rounds; it is asked throughout.
+ * Resolves conflicts with another process that uses this node's name. The later incarnation keeps the name; the earlier
+ * one does not participate as long as the later one answers. A later incarnation at this node's own address can only be
+ * a previous run of this node, from before the machine's clock was set back, so this node starts an incarnation after
+ * it. A later incarnation at another address is a claimant until it answers. It is probed all the time, and is
+ * considered ended if it has not answered for {@value #CLAIMANT_TIMEOUT_ROUNDS} rounds.
  */
 final class NameConflict {
-    /** A contact is asked four times in these, ever more rarely. */
+    /** With its increasing backoff a contact is probed four times in this number of rounds. */
     private static final int CLAIMANT_TIMEOUT_ROUNDS = 16;
 
     private final MembershipContext context;
     private final LocalPeer local;
     private final ContactList contacts;
     private final EventLog events;
-    /** The later incarnation, whether it has answered or not; null where none is known. */
+    /** The known later incarnation, whether it has answered or not; null if there is none. */
     private PeerDescriptor claimant;
-    /** The later incarnation once it has answered, else null. */
+    /** The later incarnation if it has answered, else null. */
     private PeerDescriptor owner;
 
     private int claimantSilentRounds;
@@ -28,17 +29,19 @@
         this.events = events;
     }
 
-    /** Another process has the name: this one takes no part. */
+    /** Whether another process owns this node's name, so that this process does not participate. */
     boolean isNameLost() {
         return owner != null;
     }
 
-    /** Where the process is that has the name. */
+    /** Address of the process that owns the name; valid only while {@link #isNameLost} holds. */
     String ownerAddress() {
         return owner.address();
     }
 
-    /** An incarnation of this node's name is known, by its own answer or from elsewhere. */
+    /**
+     * Handles an incarnation with this node's name, learned from its own fresh answer ({@code answered}) or otherwise.
+     */
     void onSameName(PeerDescriptor other, boolean answered) {
         if (other.incarnation().compareTo(local.incarnation()) <= 0) {
             if (!other.incarnation().equals(local.incarnation())) {
@@ -75,7 +78,7 @@
         contacts.add(other.address());
     }
 
-    /** A round has passed; a claimant that has been silent for long is over, and this node takes its name back. */
+    /** Counts a round; if the claimant has not answered for too long, this node takes its name back. */
     void onRound() {
         if (claimant != null && claimantSilentRounds++ > CLAIMANT_TIMEOUT_ROUNDS) {
             Incarnation former = claimant.incarnation();
--- a/core/src/main/java/spartrail/peers/Outbox.java
+++ b/core/src/main/java/spartrail/peers/Outbox.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import spartrail.peers.PeerMessage.Kind;
 
-/** Messages that this node wants sent, until its owner takes them. */
+/** Buffers this node's outgoing messages until its owner drains them. */
 final class Outbox {
     private final MembershipContext context;
     private final LocalPeer local;
@@ -32,7 +32,7 @@
         messages.add(new OutgoingMessage(address, message));
     }
 
-    /** The digest of this node's view; equal ones need no comparison. */
+    /** The digest of this node's view; nodes with equal digests have the same view. */
     long viewDigest() {
         return local.digest() ^ table.digest();
     }
--- a/core/src/main/java/spartrail/peers/OutgoingMessage.java
+++ b/core/src/main/java/spartrail/peers/OutgoingMessage.java
@@ -1,4 +1,4 @@
 package spartrail.peers;
 
-/** A message and the address that it goes to. */
+/** A message and its recipient's address. */
 public record OutgoingMessage(String address, PeerMessage message) {}
--- a/core/src/main/java/spartrail/peers/PauseDetector.java
+++ b/core/src/main/java/spartrail/peers/PauseDetector.java
@@ -1,12 +1,12 @@
 package spartrail.peers;
 
 /**
- * How late this process does what is due. One long delay is a pause, after which others can't have been answered; many short
- * ones make it run late: a process that gets a small part of a core reads acknowledgements and refutations too late, in pauses
- * each of which is too short to count, and would take the others for dead.
+ * Measures how late this process runs its timers. One long delay is a pause, during which the process could not receive
+ * answers. Many short delays mean that it runs late: a process with a small share of a core reads acknowledgements and
+ * refutations too late, although each single pause is too short to be detected, and would declare other nodes dead.
  */
 final class PauseDetector {
-    /** A node whose mean lateness exceeds this part of the acknowledgement timeout runs late. */
+    /** A node runs late if its mean lateness exceeds this fraction of the acknowledgement timeout. */
     private static final double MAX_LATENESS_RATIO = 0.125;
 
     private static final double LATENESS_SMOOTHING = 0.1;
@@ -20,7 +20,7 @@
         this.expectedMs = nowMs;
     }
 
-    /** How much later than expected it is at that time, below 0 where it is earlier. */
+    /** How many milliseconds later than expected the process runs at that time; negative if it runs earlier. */
     double latenessMs(double atMs) {
         return atMs - expectedMs;
     }
@@ -29,12 +29,12 @@
         return latenessMs > timings.pauseThresholdMs();
     }
 
-    /** The process is expected to run next at that time at the latest. */
+    /** Sets the latest time at which the process is expected to run next. */
     void expectAt(double atMs) {
         expectedMs = atMs;
     }
 
-    /** The process ran at that time because of a message; what is due later is still expected. */
+    /** Notes that a message made the process run at that time; a later expected time remains. */
     void onMessage(double atMs) {
         expectedMs = Math.max(expectedMs, atMs);
     }
--- a/core/src/main/java/spartrail/peers/PeerChannel.java
+++ b/core/src/main/java/spartrail/peers/PeerChannel.java
@@ -4,28 +4,28 @@
 import java.util.Map;
 
 /**
- * Another subsystem whose messages travel by the same socket as those among nodes, on a channel of their own. It is called on
- * the gossip thread, so none of its methods may wait.
+ * A subsystem that exchanges its own messages over the gossip socket, on a separate channel. Its methods are called on
+ * the gossip thread and must not block.
  */
 public interface PeerChannel {
-    /** None. */
+    /** An empty list, for a transport without further channels. */
     List<PeerChannel> NONE = List.of();
 
-    /** The number that the channel's frames bear; 0 to 2 are the transport's own. */
+    /** The number in the channel's frames; 0 to 2 are reserved for the transport. */
     int number();
 
-    /** Called before anything else. */
+    /** Starts the channel; called before all other methods except {@link #number}. */
     void start(Context context);
 
-    /** Bytes have come on this channel from that address. */
+    /** Handles bytes received on this channel from the address {@code sender}. */
     void onMessage(String sender, byte[] bytes);
 
-    /** The view of the other nodes has changed, or a while has passed. */
+    /** Handles the current view: called when it has changed, and periodically without a change. */
     void onView(MembershipView view);
 
-    /** What a channel may use of the transport, from any thread. */
+    /** The transport as a channel sees it; may be used from any thread. */
     interface Context {
-        /** Bytes that one frame carries at most. */
+        /** Maximum size of the bytes in one frame. */
         int MAX_MESSAGE_BYTES = 1100;
 
         /** This node's name in the fleet. */
@@ -34,16 +34,16 @@
         /** The fleet's name. */
         String fleetName();
 
-        /** Whether whoever sends from there is an operator. */
+        /** Whether the address is one of an operator. */
         boolean isOperator(String address);
 
-        /** What the peers' file says to this channel, a JSON object by names; empty where it says nothing. */
+        /** The section of the peers file for this channel, a JSON object; empty if the file has none of that name. */
         Map<?, ?> section(String name);
 
-        /** Sends bytes; they may be lost, come late, twice or in another order. */
+        /** Sends bytes in one datagram, which may be lost, delayed, duplicated or reordered. */
         void send(String address, byte[] bytes);
 
-        /** Adds a line to the history, if one is kept; values are texts, numbers and flags. */
+        /** Appends a line to the history file, if one is configured; values are strings, numbers and booleans. */
         void recordEvent(String event, Map<String, ?> fields);
     }
 }
--- a/core/src/main/java/spartrail/peers/PeerDescriptor.java
+++ b/core/src/main/java/spartrail/peers/PeerDescriptor.java
@@ -5,12 +5,13 @@
 /**
  * How a node describes itself to the others.
  *
- * @param address where its messages go, such as 10.0.3.7:7400
- * @param weight its share of the fleet's work against other nodes', 1 where all are alike
+ * @param address where it receives messages, such as 10.0.3.7:7400
+ * @param weight its share of the fleet's load relative to other nodes; 1 if all nodes are alike
  * @param programVersion version of the program
- * @param settingsVersion version of the settings that it uses, empty where none is known
+ * @param settingsVersion version of the settings that it uses, empty if unknown
  * @param incarnation the run of its process
- * @param refutations how often it has refuted in this incarnation what others held of it; nobody else moves that
+ * @param refutations how often, in this incarnation, it has refuted other nodes' updates about it; no other node
+ *     changes this
  */
 public record PeerDescriptor(
         String name,
@@ -25,10 +26,12 @@
     private static final Pattern ADDRESS = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}");
     private static final int MAX_TEXT_LENGTH = 64;
     private static final double MAX_WEIGHT = 1e6;
-    /** Numbers and heads of texts, and what an update adds to the descriptor. */
+    /** Encoded size of a descriptor's numbers and text headers, and of the fields that an update adds. */
     private static final int MAX_FIXED_BYTES = 60;
 
-    /** Whether others can take it: its texts are short and of the expected form, its numbers in range. */
+    /**
+     * Whether other nodes can accept it: its texts are short and have the expected form, and its numbers are in range.
+     */
     public boolean isWellFormed() {
         return NAME.matcher(name).matches()
                 && ADDRESS.matcher(address).matches()
@@ -41,7 +44,7 @@
                 && refutations >= 0;
     }
 
-    /** Whether a node may have that name. */
+    /** Whether the text is a valid node name. */
     public static boolean isValidName(String text) {
         return NAME.matcher(text).matches();
     }
@@ -55,7 +58,7 @@
         return new PeerDescriptor(name, address, zone, weight, programVersion, version, incarnation, newRefutations);
     }
 
-    /** The most bytes that it takes in a message as part of an update. */
+    /** Maximum encoded size as part of an update. */
     int maxEncodedBytes() {
         return MAX_FIXED_BYTES
                 + name.length()
--- a/core/src/main/java/spartrail/peers/PeerDigest.java
+++ b/core/src/main/java/spartrail/peers/PeerDigest.java
@@ -1,9 +1,10 @@
 package spartrail.peers;
 
 /**
- * One peer's part of the digest by which two nodes see whether their views are the same. It covers name, incarnation,
- * refutations and whether the peer is joining: when hundreds start at once, the update that one has joined may miss a node,
- * which would hold it for joining until the two happen to exchange messages. Suspicions are left out, they end by themselves.
+ * Computes one peer's contribution to the view digest, by which two nodes detect that their views differ. It covers
+ * name, incarnation, refutations and whether the peer is joining. The last is needed when hundreds of nodes start at
+ * once: the update that a peer has joined may miss a node, which would list the peer as joining until the two happen to
+ * exchange messages. Suspicions are left out, because they end by themselves.
  */
 final class PeerDigest {
     private PeerDigest() {}
--- a/core/src/main/java/spartrail/peers/PeerMessage.java
+++ b/core/src/main/java/spartrail/peers/PeerMessage.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What one node sends another.
+ * A message from one node to another.
  *
  * @param sender the sender as it describes itself
- * @param incarnationAgeMs age of the sender's incarnation by its own clock; shows a message that was under way for long
- * @param recipient name of the node that is meant, empty where only its address is known
- * @param nonce drawn by the node that asks, returned by the one that answers: proof that the answer is new
- * @param digest of the nodes that the sender holds for present; two that are equal need no comparison
- * @param target whom a relay is asked to probe, or has probed; else null
+ * @param incarnationAgeMs age of the sender's incarnation by its own clock; reveals a delayed message
+ * @param recipient name of the intended recipient, empty if only its address is known
+ * @param nonce a random number chosen for a probe and returned in its answer, which proves that the answer is fresh
+ * @param digest digest of the nodes that the sender considers present; nodes with equal digests have the same view
+ * @param target the peer that a relay is asked to probe or has probed, else null
  */
 public record PeerMessage(
         Kind kind,
@@ -23,15 +23,15 @@
         PeerDescriptor target,
         List<PeerUpdate> updates) {
     /**
-     * What a message is for. Datagrams hold the numbers of the constants, so new ones go to the end: a node drops kinds that
-     * it doesn't know.
+     * The kind of a message. Datagrams contain the ordinals of the constants, so new constants are added at the end;
+     * a node drops messages of unknown kinds.
      */
     public enum Kind {
         /** A probe. */
         PING,
-        /** The answer to a probe. */
+        /** An acknowledgement, the answer to a probe. */
         ACK,
-        /** Asks a relay to probe the target. */
+        /** A request to a relay to probe the target. */
         PING_REQUEST,
         /** The relay's probe was answered. */
         INDIRECT_ACK,
--- a/core/src/main/java/spartrail/peers/PeerState.java
+++ b/core/src/main/java/spartrail/peers/PeerState.java
@@ -1,21 +1,21 @@
 package spartrail.peers;
 
 /**
- * A node's state in a view; the later one outranks the earlier one where incarnation and refutations are the same. Datagrams
- * hold the numbers of the constants, the history and replies to operators their names.
+ * A node's state in a view. With equal incarnation and refutations a later constant outranks an earlier one. Datagrams
+ * contain the ordinals of the constants; the history file and replies to operators contain their names.
  */
 public enum PeerState {
-    /** It has started and not heard from anybody yet. */
+    /** The node has started but has not received an answer from any other node yet. */
     JOINING,
     ALIVE,
-    /** Somebody did not get an answer from it; it may refute that. */
+    /** The node did not answer a probe of some other node; it can refute the suspicion. */
     SUSPECT,
-    /** Nobody refuted the suspicion in time. It may be alive behind a cut. */
+    /** The suspicion was not refuted in time. The node may still be alive across a network partition. */
     GONE,
-    /** It has said itself that it ends. */
+    /** The node itself has announced that it leaves. */
     LEFT;
 
-    /** Whether it counts among the nodes that are present. */
+    /** Whether a node in this state counts as present. */
     public boolean isPresent() {
         return this != GONE && this != LEFT;
     }
--- a/core/src/main/java/spartrail/peers/PeerTable.java
+++ b/core/src/main/java/spartrail/peers/PeerTable.java
@@ -11,8 +11,9 @@
 import java.util.function.Predicate;
 
 /**
- * The other nodes by name. It counts those that are present and lists those that are alive as they change, so that no message
- * costs more the larger the fleet is; walking over all of them is left to what happens once an interval.
+ * The other nodes by name. The table maintains the count of present peers and the list of alive peers incrementally, so
+ * that the cost of a message does not grow with the fleet. Only tasks that run once per interval may iterate over all
+ * peers.
  */
 final class PeerTable {
     private final MembershipContext context;
@@ -42,7 +43,7 @@
         return alivePeers.size();
     }
 
-    /** How many nodes are present, this one included. */
+    /** Number of present nodes, this one included. */
     int presentCount() {
         return 1 + presentPeers;
     }
@@ -51,16 +52,16 @@
         return presentPeers > 0;
     }
 
-    /** The peers' part of the digest of this node's view. */
+    /** The peers' contribution to the digest of this node's view. */
     long digest() {
         return digest;
     }
 
-    /** Names in their order, so that random draws over them are the same on each run. */
-    List<String> sortedNames(Predicate<Peer> wanted) {
+    /** Names of the matching peers, sorted so that random draws from them are reproducible with the same seed. */
+    List<String> sortedNames(Predicate<Peer> filter) {
         List<String> names = new ArrayList<>();
         peers.forEach((name, peer) -> {
-            if (wanted.test(peer)) {
+            if (filter.test(peer)) {
                 names.add(name);
             }
         });
@@ -78,7 +79,7 @@
                 .anyMatch(peer -> peer.descriptor.address().equals(address));
     }
 
-    /** The one that has been gone or has left for the longest. */
+    /** The peer that has been gone or has left for the longest time. */
     Optional<Peer> oldestDeparted() {
         return peers.values().stream()
                 .filter(peer -> !peer.state.isPresent())
@@ -86,7 +87,7 @@
                         .thenComparing(peer -> peer.descriptor.name()));
     }
 
-    /** Up to so many alive peers at random, without the one of the excluded name. */
+    /** Draws up to {@code maxCount} random alive peers, except for the one with the excluded name. */
     List<Peer> sampleAlive(int maxCount, String excludedName) {
         List<Peer> sample = new ArrayList<>();
         for (int i = 0; i < alivePeers.size() && sample.size() < maxCount; i++) {
@@ -117,12 +118,12 @@
         digest ^= peer.digest;
     }
 
-    /** The peer's state has changed. */
+    /** Updates the count of present peers and the list of alive peers after a peer's state has changed. */
     void updatePresence(Peer peer) {
         updatePresence(peer, peer.state.isPresent(), peer.state == PeerState.ALIVE);
     }
 
-    /** The peer's descriptor or state has changed. */
+    /** Updates the digest after a peer's descriptor or state has changed. */
     void updateDigest(Peer peer) {
         digest ^= peer.digest;
         peer.digest = peer.state.isPresent() ? PeerDigest.of(peer.descriptor, peer.state) : 0;
--- a/core/src/main/java/spartrail/peers/PeerTransport.java
+++ b/core/src/main/java/spartrail/peers/PeerTransport.java
@@ -6,38 +6,39 @@
 import java.util.function.Consumer;
 
 /**
- * Exchanges messages with other nodes. Found by the service loader, and on the class path only where an installation switches
- * it on; else nothing of it is loaded.
+ * Exchanges gossip messages with other nodes. Implementations are found by the service loader. They are on the class
+ * path only if an installation enables gossip; otherwise none of their classes are loaded.
  */
 public interface PeerTransport {
     /**
-     * Reads and checks a peers' file.
+     * Reads and validates a peers file.
      *
-     * @throws IllegalArgumentException which says in one line what is wrong with it
+     * @throws IllegalArgumentException if the file is invalid; the message describes the error in one line
      */
     void check(Path file);
 
     /**
-     * Starts on a thread of its own, on which each new view is handed over.
+     * Starts the transport on its own thread.
      *
-     * @param history where a JSON line is written for each change of the view; null for nowhere
-     * @param maxHistoryBytes the history ends at so many bytes
-     * @param channels subsystems whose messages travel along
+     * @param history file to which a JSON line is appended for each change of the view; null for none
+     * @param maxHistoryBytes number of bytes after which no more lines are written to the history file
+     * @param views receives each changed view, on the transport's thread
+     * @param channels subsystems that exchange their messages over the same socket
      */
     Running start(
             Path file, Path history, long maxHistoryBytes, Consumer<MembershipView> views, List<PeerChannel> channels)
             throws IOException;
 
-    /** A transport that has started. */
+    /** A started transport. */
     interface Running extends AutoCloseable {
         /**
-         * Takes a changed file, as far as it may change while the node runs.
+         * Reloads the peers file and applies the settings that may change while the node runs.
          *
-         * @return what waits for the next start, in words for operators; empty where nothing does
+         * @return which changed settings take effect only after a restart, as a text for operators; empty if none do
          */
         String reload(Path file);
 
-        /** Tells others at once that this node ends. */
+        /** Announces at once to other nodes that this node leaves. */
         void leave();
 
         @Override
--- a/core/src/main/java/spartrail/peers/PeerUpdate.java
+++ b/core/src/main/java/spartrail/peers/PeerUpdate.java
@@ -1,14 +1,15 @@
 package spartrail.peers;
 
 /**
- * What one node says of another. A node holds the update of the highest precedence that it has received: by incarnation, then
- * whether it has left, then refutations, then state. So it does not matter in which order updates come, or how often.
+ * What one node reports about another. A node keeps the received update with the highest precedence: by incarnation,
+ * then whether the peer has left, then refutations, then state. The result therefore does not depend on the order of
+ * updates or on duplicates.
  *
- * @param incarnationAgeMs how old that incarnation is by the clock of the node that says so; 0 where it doesn't know
- * @param accuser who suspects the node, where it is suspected; else empty
+ * @param incarnationAgeMs age of that incarnation by the reporting node's clock; 0 if unknown
+ * @param suspectingPeer name of a node that suspects the peer if its state is suspect, else empty
  */
 public record PeerUpdate(PeerDescriptor descriptor, PeerState state, double incarnationAgeMs, String suspectingPeer) {
-    /** Above 0 where the first descriptor and state outrank the second. */
+    /** Compares by precedence; positive if the first descriptor and state outrank the second. */
     static int comparePrecedence(
             PeerDescriptor descriptor, PeerState state, PeerDescriptor other, PeerState otherState) {
         int order = descriptor.incarnation().compareTo(other.incarnation());
--- a/core/src/main/java/spartrail/peers/ProbeOrder.java
+++ b/core/src/main/java/spartrail/peers/ProbeOrder.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 import java.util.List;
 
-/** Whom to probe next: each peer once before any one twice, in a random order. */
+/** The random order in which peers are probed: each peer once before any peer is probed a second time. */
 final class ProbeOrder {
     private final MembershipContext context;
     private final PeerTable table;
@@ -16,7 +16,7 @@
         this.table = table;
     }
 
-    /** The next one that is present, or null. */
+    /** Removes and returns the next present peer, or returns null if there is none. */
     Peer next() {
         for (int i = 0; i <= table.size(); i++) {
             if (names.isEmpty()) {
@@ -33,7 +33,10 @@
         return null;
     }
 
-    /** Adds a peer at a random place, so that an update on many new ones does not make all nodes probe in one order. */
+    /**
+     * Inserts a peer at a random position; otherwise nodes that learn of many new peers would all probe in the same
+     * order.
+     */
     void insert(String name) {
         List<String> order = new ArrayList<>(names);
         order.add(context.random().nextInt(order.size() + 1), name);
--- a/core/src/main/java/spartrail/peers/StateTransitions.java
+++ b/core/src/main/java/spartrail/peers/StateTransitions.java
@@ -1,6 +1,8 @@
 package spartrail.peers;
 
-/** Moves what is held of peers, upwards only in the order of {@link PeerUpdate}; the one place where that happens. */
+/**
+ * Changes the descriptors and states of peers, only to a higher precedence of {@link PeerUpdate}. No other class does.
+ */
 final class StateTransitions {
     private final MembershipContext context;
     private final LocalPeer local;
@@ -24,7 +26,7 @@
         this.events = events;
     }
 
-    /** Takes a descriptor and state, if they outrank those that are held. */
+    /** Applies a descriptor and state if they outrank the peer's current ones. */
     void apply(PeerDescriptor descriptor, PeerState state, String reporter, double incarnationAgeMs, String reason) {
         Peer peer = table.get(descriptor.name());
         if (peer != null && PeerUpdate.comparePrecedence(descriptor, state, peer.descriptor, peer.state) <= 0) {
@@ -47,7 +49,7 @@
         if (previousState != state || !isSameIncarnation) {
             peer.stateSinceMs = context.nowMs();
         }
-        endTimerAndSuspicion(peer);
+        clearTimerAndSuspicion(peer);
         peer.descriptor = descriptor;
         peer.state = state;
         peer.reporter = reporter;
@@ -57,12 +59,12 @@
         table.updateDigest(peer);
         dissemination.enqueue(peer, 0);
         if (!state.isPresent()) {
-            forgetLater(peer);
+            scheduleForget(peer);
         }
         events.record(descriptor, previousState, state, reporter, reason);
     }
 
-    private void endTimerAndSuspicion(Peer peer) {
+    private void clearTimerAndSuspicion(Peer peer) {
         if (peer.timer != null) {
             context.cancel(peer.timer);
             peer.timer = null;
@@ -71,7 +73,7 @@
         peer.probedSinceChange = false;
     }
 
-    private void forgetLater(Peer peer) {
+    private void scheduleForget(Peer peer) {
         double untilMs = context.nowMs() + context.timings().departedRetentionMs();
         peer.timer = context.schedule(untilMs, () -> forget(peer));
     }
@@ -82,7 +84,7 @@
         events.record(peer.descriptor, peer.state, null, local.name(), "nothing heard of it for long");
     }
 
-    /** Makes room, if one has departed. */
+    /** Makes room for another peer; returns false if no peer has departed. */
     private boolean evictOldestDeparted() {
         Peer oldest = table.oldestDeparted().orElse(null);
         if (oldest == null) {
--- a/core/src/main/java/spartrail/peers/Suspicions.java
+++ b/core/src/main/java/spartrail/peers/Suspicions.java
@@ -3,14 +3,14 @@
 import java.util.function.Consumer;
 
 /**
- * Suspected peers and the time that they have to refute it, after Lifeguard: it is longest while one node accuses, and each
- * further accuser makes it shorter.
+ * Suspects peers and declares them gone if they do not refute the suspicion in time. The timeout follows Lifeguard: it
+ * is longest while a single node suspects the peer, and each confirmation by another node shortens it.
  */
 final class Suspicions {
-    /** Accusers beside the first one that make the time as short as it gets. */
+    /** Number of confirmations, after the first suspecting node, at which the timeout reaches its minimum. */
     private static final int MAX_CONFIRMATIONS = 3;
 
-    /** The time while only one node accuses, in shortest times. */
+    /** The timeout while only one node suspects the peer, as a multiple of the minimum timeout. */
     private static final double MAX_SUSPICION_FACTOR = 3;
 
     private final MembershipContext context;
@@ -38,7 +38,7 @@
         this.probe = probe;
     }
 
-    /** That node, this one or another, accuses the peer of not answering. */
+    /** Starts a suspicion, or confirms it, on behalf of the given node, which may be this node itself. */
     void suspect(Peer peer, String suspectingPeer, String reason) {
         if (!peer.state.isPresent() || suspectingPeer.isEmpty() || peer.suspectingPeers.contains(suspectingPeer)) {
             return;
@@ -56,18 +56,18 @@
         if (peer.timer != null) {
             context.cancel(peer.timer);
         }
-        double deadlineMs = peer.suspectedSinceMs + timeToRefuteMs(peer.suspectingPeers.size());
+        double deadlineMs = peer.suspectedSinceMs + suspicionTimeoutMs(peer.suspectingPeers.size());
         peer.timer = context.schedule(Math.max(context.nowMs(), deadlineMs), () -> onTimeout(peer));
     }
 
-    private double timeToRefuteMs(int suspectingPeers) {
+    private double suspicionTimeoutMs(int suspectingPeers) {
         int presentCount = table.presentCount();
         double minMs = context.timings().minSuspicionMs(presentCount);
         double maxMs = MAX_SUSPICION_FACTOR * minMs;
         int expectedConfirmations = Math.min(MAX_CONFIRMATIONS, Math.max(0, presentCount - 3));
-        double confirmed =
+        double confirmedRatio =
                 expectedConfirmations == 0 ? 1 : Math.log(suspectingPeers) / Math.log(expectedConfirmations + 1);
-        return Math.max(minMs, maxMs - (maxMs - minMs) * confirmed);
+        return Math.max(minMs, maxMs - (maxMs - minMs) * confirmedRatio);
     }
 
     private void onTimeout(Peer peer) {
@@ -77,9 +77,8 @@
             return;
         }
         if (!peer.probedSinceChange) {
-            // Who was only told of a suspicion hears of its refutation late where there is much to tell, so nobody ends
-            // one
-            // without having probed the suspect itself.
+            // A node that only learned of a suspicion from others may receive its refutation late when many updates are
+            // queued, so no node declares a suspect gone without having probed it itself.
             probe.accept(peer);
             extendByOneInterval(peer);
             return;
@@ -99,7 +98,7 @@
         peer.timer = context.schedule(untilMs, () -> onTimeout(peer));
     }
 
-    /** All suspicions begin anew with this node as their only accuser. */
+    /** Restarts all suspicions, with this node as the only suspecting node. */
     void restartAll() {
         for (Peer peer : table.peers()) {
             if (peer.state == PeerState.SUSPECT) {
@@ -110,7 +109,10 @@
         }
     }
 
-    /** This process paused, so nobody could reach it: all timers of suspicions and departed peers end so much later. */
+    /**
+     * Postpones all timers of suspects and departed peers by the length of a pause, in which no node could reach this
+     * one.
+     */
     void postponeAll(double pausedMs) {
         for (Peer peer : table.peers()) {
             if (peer.timer != null) {
--- a/core/src/main/java/spartrail/peers/SwimMembership.java
+++ b/core/src/main/java/spartrail/peers/SwimMembership.java
@@ -5,21 +5,23 @@
 import spartrail.peers.PeerMessage.Kind;
 
 /**
- * Which front nodes are present. SWIM (Das, Gupta, Motivala 2002) with suspicion and refutation, and Lifeguard's local health
- * (Dadgar, Phillips, Currey 2017): each round a node probes one other; a target that doesn't answer is probed by relays, then
- * suspected, then held for gone unless it refutes that. Updates ride on these messages.
+ * Tracks which front nodes are present, by SWIM (Das, Gupta, Motivala 2002) with suspicion and refutation, and with
+ * Lifeguard's local health (Dadgar, Phillips, Currey 2017). Each round a node probes one other node. A target that does
+ * not answer is probed by relays, then suspected, then declared gone unless it refutes the suspicion. Updates are
+ * piggybacked on these messages.
  *
- * <p>What is held of a node, in this order of precedence: its incarnation, whether it has left, its refutations, its state.
- * The incarnation number of SWIM's paper is incarnation and refutations together. Updates move a node upwards only:
+ * <p>What is known about a node has this order of precedence: its incarnation, whether it has left, its refutations,
+ * its state. The incarnation number of the SWIM paper corresponds to incarnation and refutations together. Updates only
+ * move a node upwards:
  *
  * <pre>
  *  from      to        when
  *  -         JOINING   its answer, or an update from a known node
- *  JOINING   ALIVE     its own message: it has heard from somebody
+ *  JOINING   ALIVE     its own message, sent after another node has answered it
  *  ALIVE     SUSPECT   neither it nor a relay answered this node within a round, or an update
  *  SUSPECT   ALIVE     its own update with more refutations
- *  SUSPECT   GONE      nobody refuted the suspicion in time, or an update
- *  GONE      ALIVE     its own update with more refutations: it was behind a cut
+ *  SUSPECT   GONE      the suspicion was not refuted in time, or an update
+ *  GONE      ALIVE     its own update with more refutations: there was a network partition
  *  any       LEFT      its own message
  *  any       JOINING   a later incarnation of that name
  *  GONE,LEFT -         after departedRetentionMs
@@ -27,21 +29,22 @@
  *
  * Invariants, by the numbers that the checkers use:
  * <ol>
- * <li>What is held of a node never goes back in that order while it is remembered.
- * <li>Only a node itself moves its refutations or says that it has left.
- * <li>No updates are taken from a sender that is not known to be present in that incarnation, nor from a message that was
- *     under way for longer than {@code maxMessageDelayMs} (and a tenth of the time since its clock was last compared).
- * <li>A node whose local health is in doubt suspects nobody and ends no suspicion: after a pause of its process, while it gets
- *     no answers, and while it runs late.
- * <li>What is sent in a second is bounded by {@link #maxMessagesPerSecond}, whatever the size of the fleet and whatever comes
- *     in.
+ * <li>What is known about a node never moves back in that order while the node is remembered.
+ * <li>Only a node itself increases its refutations or announces that it has left.
+ * <li>No updates are accepted from a sender that is not known to be present in that incarnation, nor from a message
+ *     whose transit time exceeds {@code maxMessageDelayMs} plus a tenth of the time since the sender's clock was last
+ *     compared.
+ * <li>A node with poor local health neither suspects peers nor declares suspects gone: after a pause of its process,
+ *     while it gets no answers, and while it runs late.
+ * <li>The number of messages sent per second is bounded by {@link #maxMessagesPerSecond}, regardless of the fleet size
+ *     and of incoming messages.
  * </ol>
  *
- * <p>This class keeps the calls and decides which messages are trusted; each part of the state is owned by one of the classes
- * that it holds. One thread owns all of them.
+ * <p>This class is the entry point of the package and decides which messages are trusted. Each part of the state is
+ * owned by one of its collaborators. One thread owns all of them.
  */
 public final class SwimMembership {
-    /** Part of the time since a sender's clock was last compared by which its messages may look late. */
+    /** Fraction of the time since a sender's clock was last compared that is tolerated as additional message delay. */
     private static final double MAX_CLOCK_DRIFT = 0.1;
 
     private final MembershipContext context;
@@ -62,7 +65,7 @@
     private final UpdateHandler updateHandler;
     private final ViewBuilder viewBuilder;
 
-    /** Starts an incarnation of a node. Seeds are addresses to ask who is there; the own one among them is passed over. */
+    /** Starts an incarnation of a node. Seeds are addresses to probe first; this node's own address is skipped. */
     public SwimMembership(
             PeerDescriptor descriptor,
             List<String> seeds,
@@ -102,7 +105,7 @@
         failureDetector.probe(peer);
     }
 
-    /** These are the seeds from now on; nodes that are known stay known. */
+    /** Replaces the seeds. Known nodes remain known. */
     public void setSeeds(List<String> addresses) {
         contacts.setSeeds(addresses);
         if (addresses.stream().allMatch(local.address()::equals) && table.size() == 0) {
@@ -110,15 +113,16 @@
         }
     }
 
-    /** The version of the settings that this node uses has changed; others are told. */
+    /** Announces the settings version that this node uses to the other nodes. */
     public void setSettingsVersion(String version) {
         local.setSettingsVersion(version);
     }
 
     /**
-     * The most messages that this node sends in a second, on average over any longer time: its rounds, relays, contacts,
-     * suspects, departed peers, and further ones while views differ (a round is at least nine tenths of its length); and what
-     * others ask of it: an answer, or the two messages of an indirect probe.
+     * Upper bound of the messages that this node sends per second, averaged over a longer time. Its own messages are
+     * the round's probe, requests to relays, probes of contacts, suspects and departed peers, and additional probes
+     * while views differ; jitter shortens a round to nine tenths of its length at most. On request of other nodes it
+     * sends an answer, or the two messages of an indirect probe.
      */
     public static double maxMessagesPerSecond(GossipTimings timings) {
         int target = 1;
@@ -134,19 +138,19 @@
 
     // ---- Time ----
 
-    /** When {@link #advance} is to be called next, if no message comes before. */
+    /** When {@link #advance} has to be called next if no message arrives earlier. */
     public double nextMs() {
         return context.nextTimerMs();
     }
 
-    /** Does what is due by now. */
+    /** Runs the timers that are due at that time. */
     public void advance(double atMs) {
-        moveTo(atMs);
+        advanceClock(atMs);
         context.runTimers(atMs);
         pauseDetector.expectAt(Math.max(atMs, context.nextTimerMs()));
     }
 
-    private void moveTo(double atMs) {
+    private void advanceClock(double atMs) {
         double latenessMs = pauseDetector.latenessMs(atMs);
         context.advanceTo(atMs);
         if (latenessMs >= 0) {
@@ -163,18 +167,18 @@
     }
 
     /**
-     * Nobody could answer this process during its pause, so nobody is to blame: a node that wakes up would else hold all
-     * others for gone and, believed, take the fleet apart.
+     * Excludes the time of a pause from all timeouts, since this process could not receive answers during it. Otherwise
+     * a node that resumes would declare all others gone and, if these updates were believed, break up the fleet.
      */
-    private void onProcessPause(double lastedMs) {
-        health.onPause(lastedMs);
+    private void onProcessPause(double durationMs) {
+        health.onPause(durationMs);
         failureDetector.abandonProbe();
         relay.abandonAll();
-        suspicions.postponeAll(lastedMs);
+        suspicions.postponeAll(durationMs);
     }
 
     private void runRound() {
-        double intervalMs = failureDetector.nextRound();
+        double intervalMs = failureDetector.startNextRound();
         context.schedule(context.nowMs() + intervalMs, this::runRound);
         if (local.hasLeft()) {
             return;
@@ -198,9 +202,9 @@
 
     // ---- Messages ----
 
-    /** A message has come. */
+    /** Handles a received message. */
     public void onMessage(PeerMessage message, double atMs) {
-        moveTo(atMs);
+        advanceClock(atMs);
         pauseDetector.onMessage(atMs);
         if (!message.sender().isWellFormed()) {
             context.increment(MembershipCounter.MALFORMED_DESCRIPTORS);
@@ -227,7 +231,8 @@
         boolean isSameIncarnation =
                 sender != null && sender.hasIncarnation(message.sender().incarnation());
         if (isSameIncarnation && message.state() == PeerState.LEFT) {
-            // However old the message is and whatever is held of its sender: an incarnation that has left stays so.
+            // Applies even to an old message and in any state of the sender, because an incarnation that has left stays
+            // left.
             applySender(message, "it says so");
             return;
         }
@@ -260,7 +265,10 @@
         return message.sender().incarnation().compareTo(sender.descriptor.incarnation()) < 0;
     }
 
-    /** A clock that was set back makes a new incarnation look like a former one; the answer makes it begin a later one. */
+    /**
+     * Answers a ping of a former incarnation. If the sender's clock was set back, its new incarnation looks like a
+     * former one; the answer makes it start a later one.
+     */
     private void onFormerIncarnation(PeerMessage message) {
         context.increment(MembershipCounter.FORMER_INCARNATION_MESSAGES);
         if (message.kind() == Kind.PING) {
@@ -277,7 +285,7 @@
         }
     }
 
-    /** A sender that isn't known, or is held for gone, is asked itself first: its message may be an hour old. */
+    /** Probes a sender that is unknown or considered gone before trusting it, since its message may be an hour old. */
     private void onUnknownSender(PeerMessage message) {
         context.increment(MembershipCounter.UNKNOWN_SENDER_MESSAGES);
         String address = message.sender().address();
@@ -287,8 +295,10 @@
     }
 
     /**
-     * Updates are taken from trusted senders. What a fresh acknowledgement says of this node itself it may refute, whoever
-     * says so: two sides of a cut that hold each other for gone would else trust no update that they are not.
+     * Applies the updates of a trusted sender. Updates about this node itself are also applied from a fresh
+     * acknowledgement of any sender, so that this node can refute them: after a network partition each side considers
+     * the other gone and trusts none of its messages, so neither would otherwise learn that it has to refute that
+     * state.
      */
     private void applyUpdates(PeerMessage message, boolean isTrusted, boolean isFreshAck) {
         for (PeerUpdate update : message.updates()) {
@@ -327,7 +337,9 @@
         outbox.send(message.sender().address(), Kind.ACK, message.sender().name(), message.nonce(), null, updates);
     }
 
-    /** Takes what an acknowledgement says of its sender, if this node has asked for it lately; returns whether it has. */
+    /**
+     * Handles an acknowledgement; returns whether it is fresh, which means that it answers a recent probe of this node.
+     */
     private boolean acceptAck(PeerMessage message) {
         PeerDescriptor sender = message.sender();
         boolean isForRelay = relay.acceptAck(sender, message.nonce());
@@ -369,8 +381,8 @@
     private void onIndirectAck(PeerMessage message, boolean isTrusted) {
         PeerDescriptor target = message.target();
         if (isTrusted && target != null && failureDetector.isForCurrentProbe(message.nonce(), target)) {
-            PeerUpdate found = new PeerUpdate(target, PeerState.ALIVE, 0, "");
-            updateHandler.apply(found, message.sender().name());
+            PeerUpdate update = new PeerUpdate(target, PeerState.ALIVE, 0, "");
+            updateHandler.apply(update, message.sender().name());
             failureDetector.onIndirectAck(target.incarnation());
         }
     }
@@ -380,9 +392,9 @@
         transitions.apply(sender, message.state(), sender.name(), message.incarnationAgeMs(), reason);
     }
 
-    /** Says at once that this node ends, to as many as spread it. */
+    /** Announces at once that this node leaves, to enough nodes that the update spreads to all. */
     public void leave(double atMs) {
-        moveTo(atMs);
+        advanceClock(atMs);
         if (local.hasLeft()) {
             return;
         }
@@ -390,7 +402,7 @@
         events.record(local.descriptor(), PeerState.ALIVE, PeerState.LEFT, local.name(), "it ends");
         int maxRecipients = 2 + 2 * (32 - Integer.numberOfLeadingZeros(table.size()));
         List<Peer> recipients = table.sampleAlive(maxRecipients, "");
-        // Those that are suspected, gone or joining may be alive; where hardly anybody else is left they are told, too.
+        // Suspected, gone and joining peers may be alive, so they are notified too if there are too few alive peers.
         table.sortedNames(peer -> peer.state != PeerState.ALIVE && peer.state != PeerState.LEFT).stream()
                 .limit(Math.max(0, maxRecipients - recipients.size()))
                 .map(table::get)
@@ -403,22 +415,22 @@
 
     // ---- Output ----
 
-    /** Messages to be sent now; each is handed out once. */
+    /** Removes and returns the messages to be sent now. */
     public List<OutgoingMessage> drainMessages() {
         return outbox.drain();
     }
 
-    /** Changes since the last call, at most the latest thousand. */
+    /** Removes and returns the changes of the view since the last call, at most the latest thousand. */
     public List<PeerEvent> drainEvents() {
         return events.drain();
     }
 
-    /** This node as it describes itself to others. */
+    /** This node's descriptor, as it announces it to other nodes. */
     public PeerDescriptor self() {
         return local.descriptor();
     }
 
-    /** What this node knows of all nodes, itself included. */
+    /** Builds a view of all nodes that this node knows, itself included. */
     public MembershipView buildView(double atMs) {
         return viewBuilder.build(atMs);
     }
--- a/core/src/main/java/spartrail/peers/UpdateHandler.java
+++ b/core/src/main/java/spartrail/peers/UpdateHandler.java
@@ -1,6 +1,6 @@
 package spartrail.peers;
 
-/** Takes up what a message says of nodes; what it says of this node it refutes where that is wrong. */
+/** Applies the updates of received messages to the peer table, and refutes wrong updates about this node. */
 final class UpdateHandler {
     private final MembershipContext context;
     private final LocalPeer local;
@@ -33,7 +33,7 @@
         this.events = events;
     }
 
-    /** Takes up an update from the node of that name. */
+    /** Applies an update that the node {@code reporter} has sent. */
     void apply(PeerUpdate update, String reporter) {
         PeerDescriptor descriptor = update.descriptor();
         if (!descriptor.isWellFormed()) {
@@ -49,30 +49,31 @@
         PeerDescriptor descriptor = update.descriptor();
         Peer known = table.get(descriptor.name());
         if (known == null && !update.state().isPresent()) {
-            // A departed peer that all have forgotten would else be passed on without end.
+            // Otherwise nodes would pass on a departed peer forever, telling it to those that have already forgotten
+            // it.
             return;
         }
-        String accusation = "accused by " + update.suspectingPeer();
-        if (known != null && confirmsSuspicion(update, known)) {
-            suspicions.suspect(known, update.suspectingPeer(), accusation);
+        String suspicionReason = "accused by " + update.suspectingPeer();
+        if (known != null && isConfirmation(update, known)) {
+            suspicions.suspect(known, update.suspectingPeer(), suspicionReason);
         }
         transitions.apply(
                 descriptor,
                 update.state(),
                 reporter,
                 update.incarnationAgeMs(),
-                update.suspectingPeer().isEmpty() ? "told" : accusation);
+                update.suspectingPeer().isEmpty() ? "told" : suspicionReason);
         Peer peer = table.get(descriptor.name());
         if (peer == null || !peer.hasIncarnation(descriptor.incarnation())) {
             return;
         }
         peer.learnAge(update.incarnationAgeMs(), context.nowMs());
         if (update.state() == PeerState.SUSPECT && peer.state == PeerState.SUSPECT && peer.suspectingPeers.isEmpty()) {
-            suspicions.suspect(peer, update.suspectingPeer(), accusation);
+            suspicions.suspect(peer, update.suspectingPeer(), suspicionReason);
         }
     }
 
-    private static boolean confirmsSuspicion(PeerUpdate update, Peer peer) {
+    private static boolean isConfirmation(PeerUpdate update, Peer peer) {
         return update.state() == PeerState.SUSPECT
                 && peer.state == PeerState.SUSPECT
                 && peer.hasIncarnation(update.descriptor().incarnation())
@@ -92,7 +93,7 @@
         }
     }
 
-    /** That an incarnation has left can't be refuted, only be followed by another one. */
+    /** Starts another incarnation: an update that an incarnation has left cannot be refuted within that incarnation. */
     private void refuteLeaving() {
         if (!local.hasLeft()) {
             context.increment(MembershipCounter.REPORTED_AS_LEFT);
@@ -104,7 +105,7 @@
         health.worsen(1);
         context.increment(MembershipCounter.REFUTATIONS);
         local.refute(update.descriptor().refutations());
-        // The poorer its health the rarer its own rounds, and a refutation that comes too late is none.
+        // Poor local health lengthens this node's rounds, so rounds alone could spread the refutation too late.
         dissemination.startReconciliation();
         String suspectingPeer = update.suspectingPeer().isEmpty() ? reporter : update.suspectingPeer();
         events.record(
--- a/core/src/main/java/spartrail/peers/ViewBuilder.java
+++ b/core/src/main/java/spartrail/peers/ViewBuilder.java
@@ -6,9 +6,12 @@
 import spartrail.peers.MembershipView.Confidence;
 import spartrail.peers.MembershipView.Entry;
 
-/** Makes the view of all nodes that others read. Walks over all peers and, for each contact, over them again. */
+/** Builds the membership view. Iterates over all peers, and over all of them again for each contact. */
 final class ViewBuilder {
-    /** An acknowledgement is fresh for so many rounds times the number of peers, in which each is probed once on average. */
+    /**
+     * An acknowledgement stays fresh for this number of rounds times the number of peers; in as many rounds as there
+     * are peers each is probed once on average.
+     */
     private static final int FRESH_ROUNDS = 4;
 
     private static final int MIN_PEERS_FOR_FRESHNESS = 4;
