--- a/peers/src/main/java/spartrail/peers/transport/CborArray.java
+++ b/peers/src/main/java/spartrail/peers/transport/CborArray.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import spartrail.peers.transport.MalformedDatagramException.Problem;
 
-/** Typed access to the values of a decoded CBOR array; those beyond the ones that are asked for are passed over. */
+/**
+ * Typed access to the values of a decoded CBOR array. Additional values at the end, as later versions may write them,
+ * are ignored. An absent value or one of another type makes the datagram malformed.
+ */
 final class CborArray {
     private final List<?> values;
 
@@ -22,29 +25,29 @@
         return values.size();
     }
 
-    /** The value at that index, or null. */
-    Object value(int index) throws MalformedDatagramException {
+    /** The value at that index, which may be null. */
+    Object valueAt(int index) throws MalformedDatagramException {
         if (index >= values.size()) {
             throw new MalformedDatagramException(Problem.UNREADABLE);
         }
         return values.get(index);
     }
 
-    CborArray array(int index) throws MalformedDatagramException {
-        return of(value(index));
+    CborArray arrayAt(int index) throws MalformedDatagramException {
+        return of(valueAt(index));
     }
 
-    /** The text at that index, or null. */
-    String text(int index) throws MalformedDatagramException {
-        Object value = value(index);
+    /** The string at that index, which may be null. */
+    String textAt(int index) throws MalformedDatagramException {
+        Object value = valueAt(index);
         if (value == null || value instanceof String) {
             return (String) value;
         }
         throw new MalformedDatagramException(Problem.UNREADABLE);
     }
 
-    Number number(int index) throws MalformedDatagramException {
-        if (value(index) instanceof Number number) {
+    Number numberAt(int index) throws MalformedDatagramException {
+        if (valueAt(index) instanceof Number number) {
             return number;
         }
         throw new MalformedDatagramException(Problem.UNREADABLE);
--- a/peers/src/main/java/spartrail/peers/transport/DatagramFrame.java
+++ b/peers/src/main/java/spartrail/peers/transport/DatagramFrame.java
@@ -12,37 +12,37 @@
 import spartrail.peers.transport.MalformedDatagramException.Problem;
 
 /**
- * What one datagram among nodes holds: a CBOR array (RFC 8949) and the CRC-32C of its bytes (RFC 3720). The array's first
- * three values are the version of the form, the fleet's name and the channel. All arrays may have more values at their end
- * than a reader knows, so that nodes of this version and of later ones can mix.
+ * The content of one datagram between nodes: a CBOR array (RFC 8949), followed by the CRC-32C of its bytes (RFC 3720).
+ * The first three values of the array are the format version, the fleet's name and the channel. Each array may have
+ * more values at its end than a reader knows, so that nodes of this version and of later versions can run in one fleet.
  *
  * <pre>
  *  frame      [version, fleet, channel, payload, ...] crc
- *  channel 0  a message among nodes, see {@link PeerMessageCodec}
- *  channel 1  text, a request of an operator
+ *  channel 0  a gossip message, see {@link PeerMessageCodec}
+ *  channel 1  text, a request from an operator
  *  channel 2  text, a page of the response to it
- *  channel 3  bytes of policy, see spartrail.policy.replication
+ *  channel 3  bytes, policy replication, see spartrail.policy.replication
  * </pre>
  *
- * @param channel the subsystem that the payload is for
- * @param payload a text, bytes or the list of a CBOR array
+ * @param channel number of the subsystem that handles the payload
+ * @param payload a string, a byte array, or the list of values of a CBOR array
  */
 public record DatagramFrame(int channel, Object payload) {
-    /** Version of the form that this version of the program writes. */
+    /** Format version that this version of the program writes. */
     public static final int VERSION = 1;
-    /** Fits into one datagram on an Ethernet without fragmentation. */
+    /** Maximum size of a frame; it fits into one Ethernet packet without fragmentation. */
     public static final int MAX_BYTES = 1400;
-    /** Messages among nodes. */
+    /** Channel of gossip messages. */
     public static final int GOSSIP_CHANNEL = 0;
-    /** Requests of operators. */
+    /** Channel of requests from operators. */
     public static final int ADMIN_REQUEST_CHANNEL = 1;
-    /** Responses to operators. */
+    /** Channel of responses to operators. */
     public static final int ADMIN_RESPONSE_CHANNEL = 2;
 
     private static final int CRC_BYTES = 4;
-    private static final int USUAL_BYTES = 512;
-    /** Index of the payload, and so the fewest values that come before it. */
-    private static final int PAYLOAD = 3;
+    private static final int INITIAL_BUFFER_BYTES = 512;
+    /** Index of the payload in the array. */
+    private static final int PAYLOAD_INDEX = 3;
 
     private static final CBORFactory CBOR = CBORFactory.builder()
             .enable(CBORGenerator.Feature.WRITE_MINIMAL_INTS)
@@ -54,18 +54,18 @@
         void write(JsonGenerator out) throws IOException;
     }
 
-    /** A frame of a channel whose payload is a text. */
+    /** Encodes a frame whose payload is a string. */
     public static byte[] encodeText(String fleet, int channel, String text) {
         return encode(fleet, channel, out -> out.writeString(text));
     }
 
-    /** A frame of a channel whose payload is bytes. */
+    /** Encodes a frame whose payload is a byte array. */
     public static byte[] encodeBytes(String fleet, int channel, byte[] bytes) {
         return encode(fleet, channel, out -> out.writeBinary(bytes));
     }
 
     static byte[] encode(String fleet, int channel, PayloadWriter payload) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_BYTES);
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (JsonGenerator out = CBOR.createGenerator(bytes)) {
             out.writeStartArray();
             out.writeNumber(VERSION);
@@ -74,53 +74,53 @@
             payload.write(out);
             out.writeEndArray();
         } catch (IOException e) {
-            throw new IllegalStateException("writing to memory failed", e);
+            throw new IllegalStateException("cannot encode a datagram frame in memory", e);
         }
         byte[] body = bytes.toByteArray();
         return ByteBuffer.allocate(body.length + CRC_BYTES)
                 .put(body)
-                .putInt(crc(body, body.length))
+                .putInt(computeCrc(body, body.length))
                 .array();
     }
 
-    private static int crc(byte[] bytes, int length) {
+    private static int computeCrc(byte[] bytes, int length) {
         CRC32C crc = new CRC32C();
         crc.update(bytes, 0, length);
         return (int) crc.getValue();
     }
 
-    /** Reads a frame of this fleet, whose bytes begin at 0. */
+    /** Decodes a frame from the first {@code length} bytes; rejects frames of other fleets. */
     public static DatagramFrame decode(byte[] bytes, int length, String fleet, int maxBytes)
             throws MalformedDatagramException {
         if (length > maxBytes) {
             throw new MalformedDatagramException(Problem.TOO_LARGE);
         }
         int bodyLength = length - CRC_BYTES;
-        if (bodyLength <= 0 || ByteBuffer.wrap(bytes).getInt(bodyLength) != crc(bytes, bodyLength)) {
+        if (bodyLength <= 0 || ByteBuffer.wrap(bytes).getInt(bodyLength) != computeCrc(bytes, bodyLength)) {
             throw new MalformedDatagramException(Problem.UNREADABLE);
         }
         CborArray values = CborArray.of(parse(bytes, bodyLength));
-        if (values.size() <= PAYLOAD) {
+        if (values.size() <= PAYLOAD_INDEX) {
             throw new MalformedDatagramException(Problem.UNREADABLE);
         }
-        values.number(0);
-        int channel = values.number(2).intValue();
-        if (!fleet.equals(values.value(1))) {
+        values.numberAt(0);
+        int channel = values.numberAt(2).intValue();
+        if (!fleet.equals(values.valueAt(1))) {
             throw new MalformedDatagramException(Problem.OTHER_FLEET);
         }
-        return new DatagramFrame(channel, values.value(PAYLOAD));
+        return new DatagramFrame(channel, values.valueAt(PAYLOAD_INDEX));
     }
 
     private static Object parse(byte[] bytes, int length) throws MalformedDatagramException {
         try (JsonParser in = CBOR.createParser(bytes, 0, length)) {
             return in.nextToken() == null ? null : JsonTree.readValue(in);
         } catch (IOException | RuntimeException e) {
-            // The parser throws exceptions of any kind on bytes that are no CBOR.
+            // On bytes that are not valid CBOR the parser also throws unchecked exceptions.
             throw new MalformedDatagramException(Problem.UNREADABLE);
         }
     }
 
-    /** The payload of a channel whose payload is bytes. */
+    /** The payload as a byte array; the datagram is malformed if it is not one. */
     public byte[] payloadBytes() throws MalformedDatagramException {
         if (payload instanceof byte[] bytes) {
             return bytes;
--- a/peers/src/main/java/spartrail/peers/transport/DatagramPeerTransport.java
+++ b/peers/src/main/java/spartrail/peers/transport/DatagramPeerTransport.java
@@ -8,7 +8,7 @@
 import spartrail.peers.PeerChannel;
 import spartrail.peers.PeerTransport;
 
-/** Exchanges messages in datagrams, as the peers' file says. */
+/** Exchanges gossip messages in UDP datagrams, as configured in the peers file. */
 public final class DatagramPeerTransport implements PeerTransport {
     @Override
     public void check(Path file) {
--- a/peers/src/main/java/spartrail/peers/transport/DropCounter.java
+++ b/peers/src/main/java/spartrail/peers/transport/DropCounter.java
@@ -1,6 +1,9 @@
 package spartrail.peers.transport;
 
-/** Why datagrams were neither taken nor sent. The labels stand in replies to operators and never change. */
+/**
+ * Reasons for dropping a datagram instead of accepting or sending it. The labels appear in replies to operators and
+ * never change.
+ */
 enum DropCounter {
     READ_FAILED("datagrams not read"),
     SENDER_NOT_ALLOWED("datagrams from addresses not allowed"),
--- a/peers/src/main/java/spartrail/peers/transport/GossipNode.java
+++ b/peers/src/main/java/spartrail/peers/transport/GossipNode.java
@@ -22,17 +22,17 @@
 import spartrail.peers.SwimMembership;
 
 /**
- * A node's gossip thread, which owns its socket and its {@link SwimMembership}. Datagrams are decoded, or dropped and counted,
- * and given to the membership, to operators' requests or to a channel; messages of the membership are sent, changes of its
- * view published. It decides nothing about nodes.
+ * A node's gossip thread, which owns the socket and the {@link SwimMembership}. It decodes datagrams, or drops and
+ * counts them, and dispatches them to the membership, to the replies for operators, or to a channel. It sends the
+ * membership's messages and publishes changes of its view. All decisions about other nodes are made by the membership.
  */
 final class GossipNode implements PeerTransport.Running, Runnable {
     private static final System.Logger LOG = System.getLogger("spartrail.peering");
     /**
-     * Datagrams read before timers run again: a flood would else keep the thread reading while its own rounds are overdue, and
-     * look like a pause of the process.
+     * Maximum number of datagrams read before timers run again. Otherwise a flood would keep the thread reading while
+     * its own rounds are overdue, which would look like a pause of the process.
      */
-    private static final int MAX_DATAGRAMS_AT_ONCE = 64;
+    private static final int MAX_DATAGRAMS_PER_ITERATION = 64;
 
     private static final long MAX_WAIT_MS = 1000;
     private static final long LEAVE_TIMEOUT_MS = 500;
@@ -50,7 +50,7 @@
     private final Map<String, Long> dropped = new TreeMap<>();
     private volatile boolean stopped;
 
-    /** Starts the thread; without a history where that is null. */
+    /** Opens the socket and starts the thread. Records no history if {@code history} is null. */
     GossipNode(
             PeersConfig config, MembershipHistory history, Consumer<MembershipView> views, List<PeerChannel> channels)
             throws IOException {
@@ -62,7 +62,7 @@
         this.membership = new SwimMembership(
                 describeSelf(config, random), config.seeds(), config.timings(), random, clock.nowMs());
         this.publisher = new ViewPublisher(history, channels, views);
-        channels.forEach(channel -> channel.start(contextOf(channel)));
+        channels.forEach(channel -> channel.start(createContext(channel)));
         this.thread = new Thread(this, "spartrail-peers");
         thread.setDaemon(true);
         thread.start();
@@ -81,7 +81,7 @@
                 0);
     }
 
-    private PeerChannel.Context contextOf(PeerChannel channel) {
+    private PeerChannel.Context createContext(PeerChannel channel) {
         return new SocketChannelContext(config, channel.number(), socket, history);
     }
 
@@ -89,17 +89,18 @@
     public void run() {
         LOG.log(
                 System.Logger.Level.INFO,
-                "talks to other nodes as " + config.name() + " on " + config.listen() + ", "
-                        + config.seeds().size() + " seeds");
+                "gossip started as node " + config.name() + " on " + config.listen() + "; number of seeds: "
+                        + config.seeds().size());
         while (!stopped) {
             try {
                 runOnce();
             } catch (IOException e) {
                 count(DropCounter.READ_FAILED.label());
-                LOG.log(System.Logger.Level.DEBUG, "reading a datagram failed", e);
+                LOG.log(System.Logger.Level.DEBUG, "cannot read from the gossip socket; continuing", e);
             } catch (RuntimeException e) {
-                // The rest of this iteration is lost: what was due, or datagrams that the next one reads.
-                LOG.log(System.Logger.Level.ERROR, "exception in the talk among nodes", e);
+                // Skips the rest of this iteration: due timers are lost, unread datagrams are read by the next
+                // iteration.
+                LOG.log(System.Logger.Level.ERROR, "unexpected exception on the gossip thread; continuing", e);
             }
         }
     }
@@ -107,10 +108,10 @@
     private void runOnce() throws IOException {
         long waitMs = (long) Math.ceil(membership.nextMs() - clock.nowMs());
         socket.await(Math.min(waitMs, MAX_WAIT_MS));
-        // Timers first: so a pause of the process is seen before datagrams that came meanwhile are read.
+        // Timers run first, so that a pause of the process is detected before datagrams received during it are handled.
         membership.advance(clock.nowMs());
         int datagrams = 0;
-        while (datagrams < MAX_DATAGRAMS_AT_ONCE && receiveNext()) {
+        while (datagrams < MAX_DATAGRAMS_PER_ITERATION && receiveNext()) {
             datagrams++;
         }
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
@@ -121,7 +122,7 @@
 
     // ---- Receiving ----
 
-    /** Returns whether a datagram was there. */
+    /** Receives and handles one datagram; returns false if none is available. */
     private boolean receiveNext() throws IOException {
         InetSocketAddress sender = socket.receive();
         if (sender == null) {
@@ -182,7 +183,8 @@
         membership.drainMessages().forEach(this::send);
         double nowMs = clock.nowMs();
         var events = membership.drainEvents();
-        if (!events.isEmpty() || publisher.isDue(nowMs, config.timings().probeIntervalMs())) {
+        if (!events.isEmpty()
+                || publisher.isPublicationDue(nowMs, config.timings().probeIntervalMs())) {
             publisher.publish(membership.buildView(nowMs), membership.self(), events, nowMs);
         }
     }
@@ -221,7 +223,7 @@
             membership.setSettingsVersion(changed.settingsVersion());
         });
         if (config.needsRestartFor(changed)) {
-            return "fleet, name, addresses and times wait for the next start; seeds and the version of the settings are taken";
+            return "fleet, name, addresses and times of the peers file (its seeds and settings version are applied)";
         }
         return "";
     }
@@ -236,7 +238,10 @@
         });
         try {
             if (!sent.await(LEAVE_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
-                LOG.log(System.Logger.Level.WARNING, "other nodes were not told in time that this one ends");
+                LOG.log(
+                        System.Logger.Level.WARNING,
+                        "cannot announce to other nodes within " + LEAVE_TIMEOUT_MS
+                                + " ms that this node leaves; they will suspect it instead");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -258,7 +263,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            LOG.log(System.Logger.Level.DEBUG, "closing", e);
+            LOG.log(System.Logger.Level.DEBUG, "cannot close the gossip socket", e);
         }
         if (history != null) {
             history.close();
--- a/peers/src/main/java/spartrail/peers/transport/GossipSocket.java
+++ b/peers/src/main/java/spartrail/peers/transport/GossipSocket.java
@@ -10,7 +10,10 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A node's datagram socket. Any thread may send and wake up the one that waits; all else belongs to the gossip thread. */
+/**
+ * A node's datagram socket. Any thread may call {@link #send} and {@link #wakeUp}; all other methods are for the gossip
+ * thread.
+ */
 final class GossipSocket implements AutoCloseable {
     private static final int MAX_DATAGRAM_BYTES = 65_536;
     private static final int RECEIVE_BUFFER_BYTES = 512 * 1024;
@@ -33,11 +36,11 @@
             channel.register(selector, SelectionKey.OP_READ);
         } catch (IOException e) {
             close();
-            throw new IOException("cannot listen on " + listen + " for other nodes: " + e.getMessage(), e);
+            throw new IOException("cannot listen on " + listen + " for gossip: " + e.getMessage(), e);
         }
     }
 
-    /** Waits until a datagram is there, at most so long. */
+    /** Waits until a datagram is available, {@link #wakeUp} is called, or the time has passed. */
     void await(long maxWaitMs) throws IOException {
         if (maxWaitMs <= 0) {
             selector.selectNow();
@@ -51,7 +54,7 @@
         selector.wakeup();
     }
 
-    /** Takes the next datagram into the buffer and returns its sender; null where none is there. */
+    /** Reads the next datagram into the buffer and returns its sender; returns null if none is available. */
     InetSocketAddress receive() throws IOException {
         received.clear();
         InetSocketAddress sender = (InetSocketAddress) channel.receive(received);
@@ -62,7 +65,7 @@
         return sender;
     }
 
-    /** The bytes of the datagram that was taken last begin at 0 of this array. */
+    /** The buffer; the last received datagram begins at index 0 and is {@link #receivedLength} bytes long. */
     byte[] receivedBytes() {
         return received.array();
     }
@@ -77,12 +80,12 @@
             sentDatagrams.incrementAndGet();
             sentBytes.addAndGet(bytes.length);
         } catch (IOException e) {
-            // A datagram may be lost anyway; that is what the protocol above is for.
+            // Not reported to the caller: the gossip protocol tolerates the loss of datagrams in any case.
             failedSends.incrementAndGet();
         }
     }
 
-    /** Adds its counters by the names that replies to operators have. */
+    /** Adds this socket's counters, under their labels in replies to operators. */
     void addCountersTo(Map<String, Long> counters) {
         counters.put("datagrams received", receivedDatagrams);
         counters.put("datagrams sent", sentDatagrams.get());
--- a/peers/src/main/java/spartrail/peers/transport/HistoryFile.java
+++ b/peers/src/main/java/spartrail/peers/transport/HistoryFile.java
@@ -9,59 +9,70 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Lines appended to a file by a thread of its own. A disk that stalls costs lines, which are counted, never a caller's time. */
+/**
+ * Appends lines to a file on its own thread. Callers never wait for the disk: if it stalls, lines are dropped and
+ * counted.
+ */
 final class HistoryFile implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger("spartrail.peering");
-    private static final int MAX_WAITING_LINES = 4096;
+    private static final int MAX_QUEUED_LINES = 4096;
     private static final long POLL_MS = 100;
     private static final long CLOSE_TIMEOUT_MS = 2000;
 
-    private final ArrayBlockingQueue<String> waiting = new ArrayBlockingQueue<>(MAX_WAITING_LINES);
+    private final ArrayBlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     private final BufferedWriter out;
     private final long maxBytes;
     private final Thread thread;
     private final AtomicLong droppedLines = new AtomicLong();
     private volatile boolean closed;
-    private volatile boolean ended;
+    private volatile boolean stopped;
 
-    /** Goes on at the end of the file, so that what a process knew before its restart stays part of the history. */
+    /** Opens the file for appending, so that the history from before a restart is kept. */
     HistoryFile(Path file, long maxBytes) throws IOException {
         this.out = Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
         this.maxBytes = maxBytes;
-        this.thread = new Thread(this::write, "spartrail-history");
+        this.thread = new Thread(this::writeLines, "spartrail-history");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Any thread may call this. After the file has ended lines are neither kept nor counted. */
+    /**
+     * Queues a line; may be called from any thread. Lines are ignored, and not counted, if the file is full or has
+     * failed.
+     */
     void append(String line) {
-        if (!ended && !waiting.offer(line + '\n')) {
+        if (!stopped && !queue.offer(line + '\n')) {
             droppedLines.incrementAndGet();
         }
     }
 
-    private void write() {
+    private void writeLines() {
         long bytes = 0;
         try (out) {
-            while (!closed || !waiting.isEmpty()) {
-                String line = waiting.poll(POLL_MS, TimeUnit.MILLISECONDS);
+            while (!closed || !queue.isEmpty()) {
+                String line = queue.poll(POLL_MS, TimeUnit.MILLISECONDS);
                 if (line == null) {
                     continue;
                 }
                 if (bytes + line.length() > maxBytes) {
-                    ended = true;
-                    LOG.log(System.Logger.Level.WARNING, "history full at " + bytes + " bytes, nothing more is kept");
+                    stopped = true;
+                    LOG.log(
+                            System.Logger.Level.WARNING,
+                            "history file has reached its limit: " + bytes + " of " + maxBytes
+                                    + " bytes written; no more lines are recorded");
                     return;
                 }
                 out.write(line);
                 bytes += line.length();
-                if (waiting.isEmpty()) {
+                if (queue.isEmpty()) {
                     out.flush();
                 }
             }
         } catch (IOException e) {
-            ended = true;
-            LOG.log(System.Logger.Level.WARNING, "history broken off: " + e.getMessage());
+            stopped = true;
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "cannot write the history file: " + e.getMessage() + "; no more lines are recorded");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -71,7 +82,7 @@
         return droppedLines.get();
     }
 
-    /** Writes what waits, and returns when that is done or has taken too long. */
+    /** Writes the queued lines; returns when this is done or the timeout has passed. */
     @Override
     public void close() {
         closed = true;
--- a/peers/src/main/java/spartrail/peers/transport/InvalidPeersFileException.java
+++ b/peers/src/main/java/spartrail/peers/transport/InvalidPeersFileException.java
@@ -1,6 +1,6 @@
 package spartrail.peers.transport;
 
-/** A peers' file that can't be used: which field, what was found there, what is expected. */
+/** Thrown for an invalid peers file; the message names the field, the value found and the value expected. */
 final class InvalidPeersFileException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
@@ -12,7 +12,7 @@
         super(message, cause);
     }
 
-    /** The field at that place, such as /times/answerMs, has a value that can't be used. */
+    /** Creates the exception for an invalid value of the field with that path, such as /times/answerMs. */
     static InvalidPeersFileException of(String field, Object found, String expected) {
         return new InvalidPeersFileException(field + ": found " + found + ", " + expected + " is expected");
     }
--- a/peers/src/main/java/spartrail/peers/transport/MalformedDatagramException.java
+++ b/peers/src/main/java/spartrail/peers/transport/MalformedDatagramException.java
@@ -1,10 +1,10 @@
 package spartrail.peers.transport;
 
-/** A datagram that can't be used. No stack trace is made, as anybody may send as many as they like. */
+/** Thrown for a malformed datagram. It has no stack trace, to limit the cost of a flood of such datagrams. */
 public final class MalformedDatagramException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** What is wrong. The labels stand among the counters in replies to operators and never change. */
+    /** Kinds of malformed datagrams. The labels are counter names in replies to operators and never change. */
     public enum Problem {
         TOO_LARGE("frames too large"),
         UNREADABLE("unreadable frames"),
@@ -17,7 +17,7 @@
             this.label = label;
         }
 
-        /** The name of the counter of such datagrams. */
+        /** Name of the counter of such datagrams. */
         public String label() {
             return label;
         }
@@ -30,7 +30,7 @@
         this.problem = problem;
     }
 
-    /** What is wrong with the datagram. */
+    /** The kind of malformation. */
     public Problem problem() {
         return problem;
     }
--- a/peers/src/main/java/spartrail/peers/transport/MembershipHistory.java
+++ b/peers/src/main/java/spartrail/peers/transport/MembershipHistory.java
@@ -12,8 +12,9 @@
 import spartrail.peers.PeerState;
 
 /**
- * What a node knew and when, a JSON line each: {@code ns} is the machine's monotonic clock, the same for all processes on it,
- * so that histories of several can be merged. The lines' form never changes, as tools of other versions read them.
+ * Records changes of a node's view as JSON lines. {@code ns} is the machine's monotonic clock, which all processes on
+ * the machine share, so that the histories of several processes can be merged. The format never changes, because tools
+ * of other versions read it.
  */
 final class MembershipHistory implements AutoCloseable {
     private interface FieldsWriter {
@@ -27,7 +28,7 @@
         file = new HistoryFile(path, maxBytes);
     }
 
-    /** An incarnation of this node has begun. */
+    /** Records the start of an incarnation of this node. */
     void recordIncarnation(PeerDescriptor self) {
         append("began", self.name(), line -> {
             line.writeStringField("address", self.address());
@@ -36,7 +37,7 @@
         });
     }
 
-    /** A node's state has changed in the view. */
+    /** Records a change of a node's state in the view. */
     void recordChange(MembershipView view, PeerEvent event) {
         PeerDescriptor peer = event.descriptor();
         append("standing", view.name(), line -> {
@@ -57,7 +58,7 @@
         return state == null ? null : state.name();
     }
 
-    /** The counts or the health of the view have changed. */
+    /** Records a change of the view's counts or of the local health. */
     void recordView(MembershipView view) {
         append("view", view.name(), line -> {
             line.writeStringField("standing", view.state().name());
@@ -68,7 +69,7 @@
         });
     }
 
-    /** Something that a channel has to say, with its own fields. */
+    /** Records an event of a channel, with fields that the channel defines. */
     void recordChannelEvent(String event, String node, Map<String, ?> fields) {
         append(event, node, line -> {
             for (Map.Entry<String, ?> field : fields.entrySet()) {
@@ -87,7 +88,7 @@
             fields.write(line);
             line.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException("writing to memory failed", e);
+            throw new IllegalStateException("cannot encode a history line in memory", e);
         }
         file.append(text.toString());
     }
--- a/peers/src/main/java/spartrail/peers/transport/MembershipStatusReplies.java
+++ b/peers/src/main/java/spartrail/peers/transport/MembershipStatusReplies.java
@@ -13,9 +13,10 @@
 import spartrail.peers.MembershipView;
 
 /**
- * What a running node replies to its operators. A request is {@code show FROM}; a reply is one JSON object in one datagram: for
- * 0 the view's head, else some peers from that number on, and {@code next}, the number to ask for next or -1. So a reply is
- * bounded, and a view of any size can be read. The form never changes, as operators' tools may be of another version.
+ * Builds a running node's replies to its operators. A request is {@code show FROM}; a reply is one JSON object in one
+ * datagram. For 0 it contains the head of the view, otherwise a page of peers starting at that number. {@code next} is
+ * the number for the next request, or -1 after the last page. Paging bounds the size of a reply for a view of any size.
+ * The format never changes, because operators' tools may be of another version.
  */
 final class MembershipStatusReplies {
     private static final int PEERS_PER_PAGE = 4;
@@ -23,7 +24,7 @@
 
     private MembershipStatusReplies() {}
 
-    /** The reply to a request; empty where it is none that is known. */
+    /** Builds the reply to a request; empty if the request is unknown. */
     static Optional<String> reply(String request, MembershipView view, Map<String, Long> transportCounters) {
         Matcher matcher = REQUEST.matcher(request);
         if (!matcher.matches()) {
@@ -39,7 +40,7 @@
             writePage(out, view, from);
             out.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException("writing to memory failed", e);
+            throw new IllegalStateException("cannot encode a reply to an operator in memory", e);
         }
         return Optional.of(text.toString());
     }
@@ -64,7 +65,10 @@
         }
     }
 
-    /** The page that follows the head is number 1. */
+    /**
+     * Writes the page that starts at peer number {@code from}; peers are numbered from 1, and page 0 (the head) has
+     * none.
+     */
     private static void writePage(JsonGenerator out, MembershipView view, int from) throws IOException {
         List<MembershipView.Entry> page = List.of();
         if (from > 0) {
@@ -92,7 +96,7 @@
         out.writeStringField("standing", entry.state().name());
         out.writeNumberField("sinceMs", Math.round(nowMs - entry.stateSinceMs()));
         out.writeStringField("from", entry.reporter());
-        out.writeStringField("sure", confidenceText(entry.confidence()));
+        out.writeStringField("sure", confidenceLabel(entry.confidence()));
         if (!Double.isNaN(entry.lastAckMs())) {
             out.writeNumberField("heardMs", Math.round(nowMs - entry.lastAckMs()));
         }
@@ -100,7 +104,7 @@
         out.writeEndObject();
     }
 
-    private static String confidenceText(MembershipView.Confidence confidence) {
+    private static String confidenceLabel(MembershipView.Confidence confidence) {
         return switch (confidence) {
             case DIRECT -> "HEARD";
             case REPORTED -> "TOLD";
--- a/peers/src/main/java/spartrail/peers/transport/PeerMessageCodec.java
+++ b/peers/src/main/java/spartrail/peers/transport/PeerMessageCodec.java
@@ -12,29 +12,32 @@
 import spartrail.peers.transport.MalformedDatagramException.Problem;
 
 /**
- * Messages among nodes as the payload of a {@link DatagramFrame}. Kinds and states are the numbers of their constants.
+ * Encodes and decodes gossip messages as the payload of a {@link DatagramFrame}. Kinds and states are written as the
+ * ordinals of their constants.
  *
  * <pre>
  *  payload     [kind, descriptor, state, ageMs, recipient, nonce, digest, descriptor or null, [update ...]]
  *  descriptor  [name, address, zone, weight, program, settings, startMs, nonce, refutations]
- *  update      [descriptor, state, ageMs, accuser]
+ *  update      [descriptor, state, ageMs, suspectingPeer]
  * </pre>
  */
 public final class PeerMessageCodec {
-    /** What the sender's and the target's descriptors and the head take of a frame where names are of usual length. */
+    /**
+     * Size of the sender's and the target's descriptors and of the header in a frame, if names have the usual length.
+     */
     static final int DESCRIPTOR_BYTES = 400;
 
     private PeerMessageCodec() {}
 
-    /** The datagram that holds the message. */
+    /** Encodes the message as a datagram. */
     public static byte[] encode(String fleet, PeerMessage message) {
-        return DatagramFrame.encode(fleet, DatagramFrame.GOSSIP_CHANNEL, out -> write(out, message));
+        return DatagramFrame.encode(fleet, DatagramFrame.GOSSIP_CHANNEL, out -> writeMessage(out, message));
     }
 
-    private static void write(JsonGenerator out, PeerMessage message) throws IOException {
+    private static void writeMessage(JsonGenerator out, PeerMessage message) throws IOException {
         out.writeStartArray();
         out.writeNumber(message.kind().ordinal());
-        write(out, message.sender());
+        writeDescriptor(out, message.sender());
         out.writeNumber(message.state().ordinal());
         out.writeNumber(message.incarnationAgeMs());
         out.writeString(message.recipient());
@@ -43,26 +46,26 @@
         if (message.target() == null) {
             out.writeNull();
         } else {
-            write(out, message.target());
+            writeDescriptor(out, message.target());
         }
         out.writeStartArray();
         for (PeerUpdate update : message.updates()) {
-            write(out, update);
+            writeUpdate(out, update);
         }
         out.writeEndArray();
         out.writeEndArray();
     }
 
-    private static void write(JsonGenerator out, PeerUpdate update) throws IOException {
+    private static void writeUpdate(JsonGenerator out, PeerUpdate update) throws IOException {
         out.writeStartArray();
-        write(out, update.descriptor());
+        writeDescriptor(out, update.descriptor());
         out.writeNumber(update.state().ordinal());
         out.writeNumber(update.incarnationAgeMs());
         out.writeString(update.suspectingPeer());
         out.writeEndArray();
     }
 
-    private static void write(JsonGenerator out, PeerDescriptor descriptor) throws IOException {
+    private static void writeDescriptor(JsonGenerator out, PeerDescriptor descriptor) throws IOException {
         out.writeStartArray();
         out.writeString(descriptor.name());
         out.writeString(descriptor.address());
@@ -76,41 +79,41 @@
         out.writeEndArray();
     }
 
-    /** The message that the frame holds. */
+    /** Decodes the message in the frame's payload. */
     public static PeerMessage decode(DatagramFrame frame) throws MalformedDatagramException {
         CborArray values = CborArray.of(frame.payload());
-        int kind = values.number(0).intValue();
+        int kind = values.numberAt(0).intValue();
         if (kind < 0 || kind >= PeerMessage.Kind.values().length) {
             throw new MalformedDatagramException(Problem.UNKNOWN_KIND);
         }
-        int state = values.number(2).intValue();
+        int state = values.numberAt(2).intValue();
         if (!isKnownState(state)) {
             throw new MalformedDatagramException(Problem.UNREADABLE);
         }
         return new PeerMessage(
                 PeerMessage.Kind.values()[kind],
-                descriptor(values.array(1)),
+                readDescriptor(values.arrayAt(1)),
                 PeerState.values()[state],
-                values.number(3).doubleValue(),
-                values.text(4),
-                values.number(5).longValue(),
-                values.number(6).longValue(),
-                values.value(7) == null ? null : descriptor(values.array(7)),
-                updates(values.array(8)));
+                values.numberAt(3).doubleValue(),
+                values.textAt(4),
+                values.numberAt(5).longValue(),
+                values.numberAt(6).longValue(),
+                values.valueAt(7) == null ? null : readDescriptor(values.arrayAt(7)),
+                readUpdates(values.arrayAt(8)));
     }
 
-    /** Updates with states that this version doesn't know are passed over. */
-    private static List<PeerUpdate> updates(CborArray values) throws MalformedDatagramException {
+    /** Decodes updates; ignores those with states that this version does not know. */
+    private static List<PeerUpdate> readUpdates(CborArray values) throws MalformedDatagramException {
         List<PeerUpdate> updates = new ArrayList<>();
         for (int i = 0; i < values.size(); i++) {
-            CborArray update = values.array(i);
-            int state = update.number(1).intValue();
+            CborArray update = values.arrayAt(i);
+            int state = update.numberAt(1).intValue();
             if (isKnownState(state)) {
                 updates.add(new PeerUpdate(
-                        descriptor(update.array(0)),
+                        readDescriptor(update.arrayAt(0)),
                         PeerState.values()[state],
-                        update.number(2).doubleValue(),
-                        update.text(3)));
+                        update.numberAt(2).doubleValue(),
+                        update.textAt(3)));
             }
         }
         return updates;
@@ -120,15 +123,16 @@
         return number >= 0 && number < PeerState.values().length;
     }
 
-    private static PeerDescriptor descriptor(CborArray values) throws MalformedDatagramException {
+    private static PeerDescriptor readDescriptor(CborArray values) throws MalformedDatagramException {
         return new PeerDescriptor(
-                values.text(0),
-                values.text(1),
-                values.text(2),
-                values.number(3).doubleValue(),
-                values.text(4),
-                values.text(5),
-                new Incarnation(values.number(6).longValue(), values.number(7).intValue()),
-                values.number(8).intValue());
+                values.textAt(0),
+                values.textAt(1),
+                values.textAt(2),
+                values.numberAt(3).doubleValue(),
+                values.textAt(4),
+                values.textAt(5),
+                new Incarnation(
+                        values.numberAt(6).longValue(), values.numberAt(7).intValue()),
+                values.numberAt(8).intValue());
     }
 }
--- a/peers/src/main/java/spartrail/peers/transport/PeersConfig.java
+++ b/peers/src/main/java/spartrail/peers/transport/PeersConfig.java
@@ -7,12 +7,12 @@
 import spartrail.peers.GossipTimings;
 
 /**
- * What a peers' file says, checked.
+ * The validated content of a peers file.
  *
- * @param advertise the address at which other nodes reach this one
- * @param allowed addresses of nodes
- * @param operators addresses of operators
- * @param sections what the file says to channels, which read it themselves, by the section's name
+ * @param advertise address at which other nodes reach this one
+ * @param allowed address ranges of nodes
+ * @param operators address ranges of operators
+ * @param sections sections for channels, by name; each channel validates its section itself
  */
 record PeersConfig(
         String fleet,
@@ -27,12 +27,12 @@
         String settingsVersion,
         GossipTimings timings,
         Map<String, Map<?, ?>> sections) {
-    /** What the file says to a channel; empty where it says nothing. */
+    /** The section of that name for a channel; empty if the file has none. */
     Map<?, ?> section(String sectionName) {
         return sections.getOrDefault(sectionName, Map.of());
     }
 
-    /** Whether a changed file changes what a running node can't change. */
+    /** Whether a changed file has settings that a running node cannot apply without a restart. */
     boolean needsRestartFor(PeersConfig changed) {
         return !changed.fleet.equals(fleet)
                 || !changed.name.equals(name)
--- a/peers/src/main/java/spartrail/peers/transport/PeersFile.java
+++ b/peers/src/main/java/spartrail/peers/transport/PeersFile.java
@@ -14,7 +14,10 @@
 import spartrail.model.AddressRanges;
 import spartrail.peers.GossipTimings;
 
-/** Reads the file that tells a node of its fleet; its form is {@code deploy/peers.schema.json}. */
+/**
+ * Reads the peers file, which configures a node's membership in its fleet; the schema is {@code
+ * deploy/peers.schema.json}.
+ */
 final class PeersFile {
     private static final String POLICY_SECTION = "policy";
     private static final Set<String> FIELDS = new TreeSet<>(Set.of(
@@ -48,9 +51,9 @@
     private PeersFile() {}
 
     /**
-     * Reads and checks the file.
+     * Reads and validates the file.
      *
-     * @throws InvalidPeersFileException which says in one line what is wrong with it
+     * @throws InvalidPeersFileException if the file is invalid; the message describes the error in one line
      */
     static PeersConfig read(Path path) {
         String text;
@@ -63,24 +66,24 @@
             if (parser.nextToken() == null || !(JsonTree.readValue(parser) instanceof Map<?, ?> tree)) {
                 throw new InvalidPeersFileException("a JSON object is expected");
             }
-            return config(new JsonFields(tree, "", FIELDS));
+            return readConfig(new JsonFields(tree, "", FIELDS));
         } catch (JsonProcessingException e) {
             throw new InvalidPeersFileException(
-                    path + ":" + e.getLocation().getLineNr() + ": no JSON: " + JsonTree.describe(e), e);
+                    path + ":" + e.getLocation().getLineNr() + ": not valid JSON: " + JsonTree.describe(e), e);
         } catch (IllegalArgumentException | IOException e) {
             throw new InvalidPeersFileException(path + ": " + e.getMessage(), e);
         }
     }
 
-    private static PeersConfig config(JsonFields fields) {
+    private static PeersConfig readConfig(JsonFields fields) {
         fields.requireObjectOrAbsent(POLICY_SECTION);
-        String fleet = fields.identifier("fleet");
-        String name = fields.identifier("name");
-        String listen = fields.address("listen");
-        String advertise = advertise(fields, listen);
-        List<String> seeds = fields.addresses("seeds");
-        AddressRanges allowed = new AddressRanges(fields.list("allow", LOOPBACK), "/allow");
-        AddressRanges operators = new AddressRanges(fields.list("operators", LOOPBACK), "/operators");
+        String fleet = fields.requireIdentifier("fleet");
+        String name = fields.requireIdentifier("name");
+        String listen = fields.requireAddress("listen");
+        String advertise = readAdvertisedAddress(fields, listen);
+        List<String> seeds = fields.readAddresses("seeds");
+        AddressRanges allowed = new AddressRanges(fields.listOr("allow", LOOPBACK), "/allow");
+        AddressRanges operators = new AddressRanges(fields.listOr("operators", LOOPBACK), "/operators");
         if (!allowed.test(advertise)) {
             throw InvalidPeersFileException.of("/advertise", advertise, "an address within /allow");
         }
@@ -93,42 +96,42 @@
                 allowed,
                 operators,
                 fields.textOr("zone", ""),
-                fields.positiveNumber("weight", 1),
+                fields.positiveNumberOr("weight", 1),
                 fields.textOr("settings", ""),
-                timings(new JsonFields(fields.object("times"), "/times", TIMES_FIELDS)),
-                Map.of(POLICY_SECTION, fields.object(POLICY_SECTION)));
+                readTimings(new JsonFields(fields.objectOrEmpty("times"), "/times", TIMES_FIELDS)),
+                Map.of(POLICY_SECTION, fields.objectOrEmpty(POLICY_SECTION)));
     }
 
-    private static String advertise(JsonFields fields, String listen) {
-        String advertise = fields.has("advertise") ? fields.address("advertise") : listen;
+    private static String readAdvertisedAddress(JsonFields fields, String listen) {
+        String advertise = fields.has("advertise") ? fields.requireAddress("advertise") : listen;
         if (advertise.startsWith(ANY_ADDRESS)) {
             throw new InvalidPeersFileException(
-                    "/advertise: is missing, the address that others reach it by is expected where"
+                    "/advertise: is missing, the address at which other nodes reach this one is expected because"
                             + " /listen is 0.0.0.0");
         }
         return advertise;
     }
 
-    private static GossipTimings timings(JsonFields fields) {
-        GossipTimings absent = GossipTimings.DEFAULT;
+    private static GossipTimings readTimings(JsonFields fields) {
+        GossipTimings defaults = GossipTimings.DEFAULT;
         GossipTimings timings = new GossipTimings(
-                fields.positiveNumber("roundMs", absent.probeIntervalMs()),
-                fields.positiveNumber("answerMs", absent.ackTimeoutMs()),
-                fields.positiveNumber("suspectRounds", absent.suspicionRounds()),
-                fields.positiveNumber("stoodMs", absent.pauseThresholdMs()),
-                fields.positiveNumber("staleMs", absent.maxMessageDelayMs()),
-                fields.positiveNumber("keptMs", absent.departedRetentionMs()),
-                (int) fields.positiveNumber("mostPeers", absent.maxPeers()),
-                (int) fields.positiveNumber("wordBytes", absent.maxUpdateBytes()),
-                (int) fields.positiveNumber("answersPerS", absent.maxAnswersPerSecond()));
+                fields.positiveNumberOr("roundMs", defaults.probeIntervalMs()),
+                fields.positiveNumberOr("answerMs", defaults.ackTimeoutMs()),
+                fields.positiveNumberOr("suspectRounds", defaults.suspicionRounds()),
+                fields.positiveNumberOr("stoodMs", defaults.pauseThresholdMs()),
+                fields.positiveNumberOr("staleMs", defaults.maxMessageDelayMs()),
+                fields.positiveNumberOr("keptMs", defaults.departedRetentionMs()),
+                (int) fields.positiveNumberOr("mostPeers", defaults.maxPeers()),
+                (int) fields.positiveNumberOr("wordBytes", defaults.maxUpdateBytes()),
+                (int) fields.positiveNumberOr("answersPerS", defaults.maxAnswersPerSecond()));
         if (timings.probeIntervalMs() < MIN_PROBE_INTERVAL_MS || timings.ackTimeoutMs() >= timings.probeIntervalMs()) {
-            throw new InvalidPeersFileException("/times/answerMs: found " + timings.ackTimeoutMs() + " at rounds of "
+            throw new InvalidPeersFileException("/times/answerMs: found " + timings.ackTimeoutMs() + " with roundMs "
                     + timings.probeIntervalMs()
-                    + ", rounds of 10 or more and less for an answer than a round are expected");
+                    + ", a roundMs of at least 10 and an answerMs below roundMs are expected");
         }
         if (timings.maxUpdateBytes() > MAX_UPDATE_BYTES) {
             throw new InvalidPeersFileException("/times/wordBytes: found " + timings.maxUpdateBytes() + ", at most "
-                    + MAX_UPDATE_BYTES + " is expected, as a message is one datagram");
+                    + MAX_UPDATE_BYTES + " is expected because a message has to fit into one datagram");
         }
         return timings;
     }
--- a/peers/src/main/java/spartrail/peers/transport/SocketAddresses.java
+++ b/peers/src/main/java/spartrail/peers/transport/SocketAddresses.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 
-/** Addresses of nodes as text, such as 10.0.3.7:7400. Host names are not resolved. */
+/** Converts node addresses from and to text, such as 10.0.3.7:7400. Host names are not supported. */
 public final class SocketAddresses {
     private static final int MAX_PORT = 65_535;
 
--- a/peers/src/main/java/spartrail/peers/transport/SocketChannelContext.java
+++ b/peers/src/main/java/spartrail/peers/transport/SocketChannelContext.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import spartrail.peers.PeerChannel;
 
-/** What one channel may use of the transport, from any thread. */
+/** The transport as one channel sees it; may be used from any thread. */
 final class SocketChannelContext implements PeerChannel.Context {
     private final PeersConfig config;
     private final int channel;
--- a/peers/src/main/java/spartrail/peers/transport/ViewPublisher.java
+++ b/peers/src/main/java/spartrail/peers/transport/ViewPublisher.java
@@ -8,11 +8,13 @@
 import spartrail.peers.PeerEvent;
 import spartrail.peers.PeerState;
 
-/** Tells the history, the log, the channels and the node of changes of the view. Called on the gossip thread. */
+/**
+ * Publishes changes of the view to the history file, the log, the channels and the node. Called on the gossip thread.
+ */
 final class ViewPublisher {
     private static final System.Logger LOG = System.getLogger("spartrail.peering");
-    /** A flood of changes must not fill the log. */
-    private static final int MAX_LINES_PER_MINUTE = 120;
+    /** Limits the log lines about peers, so that a flood of changes does not fill the log. */
+    private static final int MAX_LOG_LINES_PER_MINUTE = 120;
 
     private static final double MINUTE_MS = 60_000;
 
@@ -24,15 +26,17 @@
     private int linesThisMinute;
     private double minuteStartMs;
 
-    /** Without a history where that is null. */
+    /** Records no history if {@code history} is null. */
     ViewPublisher(MembershipHistory history, List<PeerChannel> channels, Consumer<MembershipView> views) {
         this.history = history;
         this.channels = channels;
         this.views = views;
     }
 
-    /** Whether so much time has passed since a view was published that another one is due without a change. */
-    boolean isDue(double nowMs, double intervalMs) {
+    /**
+     * Whether the view has to be published even without a change, because the interval since the last one has passed.
+     */
+    boolean isPublicationDue(double nowMs, double intervalMs) {
         return published == null || nowMs - published.atMs() >= intervalMs;
     }
 
@@ -42,9 +46,9 @@
             if (history != null) {
                 history.recordChange(view, event);
             }
-            log(event, nowMs);
+            logChange(event, nowMs);
         }
-        boolean isChanged = !events.isEmpty() || published == null || differs(published, view);
+        boolean isChanged = !events.isEmpty() || published == null || isDifferent(published, view);
         if (isChanged && history != null) {
             history.recordView(view);
         }
@@ -64,39 +68,42 @@
         publishedSelf = self;
     }
 
-    private static boolean differs(MembershipView one, MembershipView other) {
-        return !one.healthProblem().equals(other.healthProblem())
-                || one.presentCount() != other.presentCount()
-                || one.minCount() != other.minCount()
-                || one.maxCount() != other.maxCount()
-                || one.state() != other.state();
+    private static boolean isDifferent(MembershipView previous, MembershipView current) {
+        return !previous.healthProblem().equals(current.healthProblem())
+                || previous.presentCount() != current.presentCount()
+                || previous.minCount() != current.minCount()
+                || previous.maxCount() != current.maxCount()
+                || previous.state() != current.state();
     }
 
     private void logHealth(MembershipView view) {
         if (published == null || published.healthProblem().equals(view.healthProblem())) {
             return;
         }
-        String line =
-                view.healthProblem().isEmpty() ? "no longer in doubt of itself" : "in doubt: " + view.healthProblem();
+        String line = view.healthProblem().isEmpty()
+                ? "this node's view is reliable again"
+                : "this node's view is unreliable: " + view.healthProblem();
         LOG.log(System.Logger.Level.INFO, line);
     }
 
-    private void log(PeerEvent event, double nowMs) {
+    private void logChange(PeerEvent event, double nowMs) {
         if (nowMs - minuteStartMs > MINUTE_MS) {
-            if (linesThisMinute > MAX_LINES_PER_MINUTE) {
+            if (linesThisMinute > MAX_LOG_LINES_PER_MINUTE) {
                 LOG.log(
                         System.Logger.Level.WARNING,
-                        (linesThisMinute - MAX_LINES_PER_MINUTE) + " lines about other nodes were left out");
+                        (linesThisMinute - MAX_LOG_LINES_PER_MINUTE)
+                                + " log lines about changes of other nodes were suppressed; the limit is "
+                                + MAX_LOG_LINES_PER_MINUTE + " per minute");
             }
             linesThisMinute = 0;
             minuteStartMs = nowMs;
         }
-        if (linesThisMinute++ < MAX_LINES_PER_MINUTE && event.newState() != event.previousState()) {
+        if (linesThisMinute++ < MAX_LOG_LINES_PER_MINUTE && event.newState() != event.previousState()) {
             boolean isGone = event.newState() == PeerState.GONE;
             LOG.log(
                     isGone ? System.Logger.Level.WARNING : System.Logger.Level.INFO,
                     event.descriptor().name() + " at " + event.descriptor().address() + " is " + event.newState()
-                            + " (was " + event.previousState() + "), by " + event.reporter() + ": "
+                            + " (was " + event.previousState() + "), reported by " + event.reporter() + ": "
                             + event.reason());
         }
     }
--- a/peers/src/test/java/spartrail/peers/transport/GossipNodeTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/GossipNodeTest.java
@@ -25,7 +25,7 @@
 import spartrail.peers.PeerState;
 import spartrail.peers.PeerTransport;
 
-/** Two nodes' sockets on loopback. What is waited for is seen in a view. */
+/** Runs two nodes with sockets on loopback, and waits for changes of their views. */
 class GossipNodeTest {
     @TempDir
     private Path folder;
@@ -43,48 +43,48 @@
         }
     }
 
-    private Path file(int node, String more) throws IOException {
+    private Path writePeersFile(int node, String furtherFields) throws IOException {
         Path file = folder.resolve("n" + node + ".json");
         Files.writeString(
                 file,
                 "{\"fleet\":\"recife\",\"name\":\"n" + node + "\",\"listen\":\"127.0.0.1:" + ports[node]
                         + "\",\"seeds\":[\"127.0.0.1:" + ports[0] + "\"],\"times\":{\"roundMs\":100,\"answerMs\":40}"
-                        + more + "}");
+                        + furtherFields + "}");
         return file;
     }
 
     private PeerTransport.Running start(int node) throws IOException {
-        PeerTransport.Running talk = new DatagramPeerTransport()
+        PeerTransport.Running transport = new DatagramPeerTransport()
                 .start(
-                        file(node, ""),
+                        writePeersFile(node, ""),
                         folder.resolve("n" + node + ".history"),
                         1 << 20,
                         views.get(node)::add,
                         PeerChannel.NONE);
-        running.add(talk);
-        return talk;
+        running.add(transport);
+        return transport;
     }
 
-    private MembershipView await(int node, Predicate<MembershipView> wanted) throws InterruptedException {
+    private MembershipView awaitView(int node, Predicate<MembershipView> condition) throws InterruptedException {
         for (MembershipView view = views.get(node).poll(20, TimeUnit.SECONDS);
                 view != null;
                 view = views.get(node).poll(20, TimeUnit.SECONDS)) {
-            if (wanted.test(view)) {
+            if (condition.test(view)) {
                 return view;
             }
         }
-        throw new AssertionError("not seen by n" + node);
+        throw new AssertionError("no view of n" + node + " met the condition within 20 s of the view before it");
     }
 
     @AfterEach
-    void close() {
+    void closeTransports() {
         running.forEach(PeerTransport.Running::close);
     }
 
-    private String adminRequest(String fleet, String question) throws Exception {
+    private String sendAdminRequest(String fleet, String request) throws Exception {
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             socket.setSoTimeout(20_000);
-            byte[] bytes = DatagramFrame.encodeText(fleet, DatagramFrame.ADMIN_REQUEST_CHANNEL, question);
+            byte[] bytes = DatagramFrame.encodeText(fleet, DatagramFrame.ADMIN_REQUEST_CHANNEL, request);
             socket.send(new DatagramPacket(bytes, bytes.length, InetAddress.getLoopbackAddress(), ports[0]));
             DatagramPacket reply = new DatagramPacket(new byte[65_536], 65_536);
             socket.receive(reply);
@@ -94,40 +94,42 @@
     }
 
     /**
-     * The reply of a node that runs on time. Beside a full machine its mean lateness may reach the limit of 5 ms (an eighth of the
-     * acknowledgement timeout above), which it has to report; after 20 s that is a failure.
+     * Requests the view of a node until the node runs on time. On a busy machine its mean lateness may reach the limit
+     * of 5 ms (an eighth of the acknowledgement timeout above), which it has to report; the test fails if it still does
+     * so after 20 s.
      */
-    private String adminReplyOnTime() throws Exception {
+    private String requestViewUntilOnTime() throws Exception {
         long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        String reply = adminRequest("recife", "show 0");
+        String reply = sendAdminRequest("recife", "show 0");
         while (reply.contains("\"doubt\":\"it runs late") && System.nanoTime() < endNs) {
             views.get(0).poll(endNs - System.nanoTime(), TimeUnit.NANOSECONDS);
-            reply = adminRequest("recife", "show 0");
+            reply = sendAdminRequest("recife", "show 0");
         }
         return reply;
     }
 
     @Test
-    void nodesExchangePresenceSettingsAndLeaving() throws Exception {
+    void nodesLearnOfEachOthersPresenceSettingsAndLeave() throws Exception {
         start(0);
         PeerTransport.Running other = start(1);
-        await(0, view -> view.presentCount() == 2 && view.minCount() == 2);
-        await(1, view -> view.presentCount() == 2 && view.healthProblem().isEmpty());
-        assertThat(other.reload(file(1, ",\"settings\":\"v8\""))).isEmpty();
-        await(0, view -> view.peers().stream()
-                .anyMatch(each -> each.descriptor().settingsVersion().equals("v8")));
-        assertThat(adminReplyOnTime())
+        awaitView(0, view -> view.presentCount() == 2 && view.minCount() == 2);
+        awaitView(1, view -> view.presentCount() == 2 && view.healthProblem().isEmpty());
+        assertThat(other.reload(writePeersFile(1, ",\"settings\":\"v8\""))).isEmpty();
+        awaitView(0, view -> view.peers().stream()
+                .anyMatch(entry -> entry.descriptor().settingsVersion().equals("v8")));
+        assertThat(requestViewUntilOnTime())
                 .startsWith(
                         "{\"name\":\"n0\",\"standing\":\"ALIVE\",\"doubt\":\"\",\"there\":2,\"least\":2,\"most\":2,")
                 .contains("\"datagrams received\":")
                 .endsWith("\"peers\":[],\"next\":1}");
-        assertThat(adminRequest("recife", "show 1"))
+        assertThat(sendAdminRequest("recife", "show 1"))
                 .contains("\"name\":\"n0\"")
                 .contains("\"name\":\"n1\"")
                 .contains("\"settings\":\"v8\"")
                 .endsWith("\"next\":-1}");
         other.leave();
-        MembershipView view = await(0, seen -> seen.peers().stream().anyMatch(each -> each.state() == PeerState.LEFT));
+        MembershipView view = awaitView(
+                0, candidate -> candidate.peers().stream().anyMatch(entry -> entry.state() == PeerState.LEFT));
         assertThat(view.presentCount()).isEqualTo(1);
         running.get(0).close();
         assertThat(Files.readAllLines(folder.resolve("n0.history")))
@@ -135,21 +137,21 @@
                 .anyMatch(line -> line.contains("\"of\":\"n1\"") && line.contains("\"is\":\"LEFT\""));
     }
 
-    /** A disk that is full costs the history and nothing else. */
+    /** On a full disk only the history is lost; gossip continues. */
     @Test
     @EnabledOnOs(OS.LINUX)
     void unwritableHistoryDoesNotStopGossip() throws Exception {
         running.add(new DatagramPeerTransport()
-                .start(file(0, ""), Path.of("/dev/full"), 1 << 20, views.get(0)::add, PeerChannel.NONE));
+                .start(writePeersFile(0, ""), Path.of("/dev/full"), 1 << 20, views.get(0)::add, PeerChannel.NONE));
         start(1);
-        await(1, view -> view.presentCount() == 2 && view.healthProblem().isEmpty());
-        await(0, view -> view.presentCount() == 2);
+        awaitView(1, view -> view.presentCount() == 2 && view.healthProblem().isEmpty());
+        awaitView(0, view -> view.presentCount() == 2);
     }
 
     @Test
-    void datagramsOfStrangersAreDroppedAndCounted() throws Exception {
+    void malformedAndForeignDatagramsAreDroppedAndCounted() throws Exception {
         start(0);
-        await(0, view -> view.state() == PeerState.ALIVE);
+        awaitView(0, view -> view.state() == PeerState.ALIVE);
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             for (byte[] bytes : List.of(
                     new byte[3],
@@ -160,7 +162,7 @@
                 socket.send(new DatagramPacket(bytes, bytes.length, InetAddress.getLoopbackAddress(), ports[0]));
             }
         }
-        assertThat(adminRequest("recife", "show 0"))
+        assertThat(sendAdminRequest("recife", "show 0"))
                 .contains(
                         "\"frames of another fleet\":1",
                         "\"frames of unknown lanes\":1",
--- a/peers/src/test/java/spartrail/peers/transport/HistoryFormTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/HistoryFormTest.java
@@ -15,7 +15,7 @@
 import spartrail.peers.PeerEvent;
 import spartrail.peers.PeerState;
 
-/** Lines of a history keep the form in which earlier versions wrote them, for the tools and people that read them. */
+/** Checks that history lines keep the format of earlier versions, for the tools and people that read them. */
 class HistoryFormTest {
     private static final PeerDescriptor SELF = new PeerDescriptor(
             "n1", "10.0.0.1:7400", "zone-a", 1.5, "0.2.1", "v7", new Incarnation(1_700_000_000_123L, -5), 3);
@@ -25,27 +25,28 @@
     @TempDir
     private Path folder;
 
-    private static MembershipView view(PeerState standing, String doubt) {
-        return new MembershipView("n1", standing, doubt, 1234.5, 5, 4, 6, List.of(), Map.of("refuted", 2L));
+    private static MembershipView createView(PeerState state, String healthProblem) {
+        return new MembershipView("n1", state, healthProblem, 1234.5, 5, 4, 6, List.of(), Map.of("refuted", 2L));
     }
 
-    private static PeerEvent event(PeerState was, PeerState is, String doubt) {
-        return new PeerEvent(1234.5, OTHER, was, is, "n3", "accused by n1, n3", doubt);
+    private static PeerEvent createEvent(PeerState previousState, PeerState newState, String healthProblem) {
+        return new PeerEvent(1234.5, OTHER, previousState, newState, "n3", "accused by n1, n3", healthProblem);
     }
 
     @Test
-    void eachKindOfLineIsWrittenAsStored() throws Exception {
+    void eachTypeOfHistoryLineIsWrittenAsStored() throws Exception {
         Path file = folder.resolve("n1.history");
         try (MembershipHistory history = new MembershipHistory(file, 1 << 20)) {
             history.recordIncarnation(SELF);
-            PeerState was = null;
-            for (PeerState standing : PeerState.values()) {
-                history.recordChange(view(standing, ""), event(was, standing, "it runs late, by 40 ms on average"));
-                history.recordView(view(standing, "it gets no answers"));
-                was = standing;
+            PeerState previousState = null;
+            for (PeerState state : PeerState.values()) {
+                history.recordChange(
+                        createView(state, ""), createEvent(previousState, state, "it runs late, by 40 ms on average"));
+                history.recordView(createView(state, "it gets no answers"));
+                previousState = state;
             }
-            history.recordChange(view(PeerState.ALIVE, ""), event(was, null, ""));
-            history.recordView(view(PeerState.ALIVE, ""));
+            history.recordChange(createView(PeerState.ALIVE, ""), createEvent(previousState, null, ""));
+            history.recordView(createView(PeerState.ALIVE, ""));
             Map<String, Object> fields = new LinkedHashMap<>();
             fields.put("text", "a \"quoted\" text");
             fields.put("number", 7L);
@@ -56,6 +57,6 @@
         List<String> written = Files.readAllLines(file).stream()
                 .map(line -> line.replaceFirst("^\\{\"ns\":-?[0-9]+,", "{\"ns\":0,"))
                 .toList();
-        assertThat(written).isEqualTo(StoredForms.lines("history.jsonl"));
+        assertThat(written).isEqualTo(StoredForms.readLines("history.jsonl"));
     }
 }
--- a/peers/src/test/java/spartrail/peers/transport/PeerMessageCodecTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/PeerMessageCodecTest.java
@@ -41,26 +41,33 @@
         return PeerMessageCodec.decode(DatagramFrame.decode(bytes, bytes.length, fleet, DatagramFrame.MAX_BYTES));
     }
 
-    private static String read(byte[] bytes, String fleet) {
+    /**
+     * Decodes the bytes and describes the result: whether the message equals MESSAGE, or why the bytes are rejected.
+     */
+    private static String describeDecoded(byte[] bytes, String fleet) {
         try {
-            return decode(bytes, fleet).equals(MESSAGE) ? "the same" : "another";
+            return decode(bytes, fleet).equals(MESSAGE) ? "equal" : "different";
         } catch (MalformedDatagramException e) {
             return e.getMessage();
         }
     }
 
     @Test
-    void messageSurvivesEncodingAndDecoding() {
+    void decodedMessageEqualsTheEncodedOne() {
         byte[] bytes = PeerMessageCodec.encode("recife", MESSAGE);
-        assertThat(read(bytes, "recife")).isEqualTo("the same");
-        assertThat(read(bytes, "jaboatao")).isEqualTo("frames of another fleet");
-        assertThat(read(new byte[DatagramFrame.MAX_BYTES + 1], "recife")).isEqualTo("frames too large");
+        assertThat(describeDecoded(bytes, "recife")).isEqualTo("equal");
+        assertThat(describeDecoded(bytes, "jaboatao")).isEqualTo("frames of another fleet");
+        assertThat(describeDecoded(new byte[DatagramFrame.MAX_BYTES + 1], "recife"))
+                .isEqualTo("frames too large");
         assertThat(bytes.length).isLessThan(260);
     }
 
-    /** Names and texts as long as they may be: what the peers want sent must fit into a datagram. */
+    /**
+     * Runs a fleet whose names and texts have almost the maximum length; each of its messages must fit into one
+     * datagram.
+     */
     @Test
-    void longestMessagesFitIntoADatagram() {
+    void messagesWithLongestTextsFitIntoADatagram() {
         String longest = "x".repeat(60);
         List<SwimMembership> nodes = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
@@ -79,34 +86,34 @@
                     new SplittableRandom(i),
                     0));
         }
-        int most = 0;
+        int maxBytes = 0;
         for (double ms = 0; ms < 8000; ms += 25) {
             for (int i = 0; i < nodes.size(); i++) {
-                // One of them is stopped after a while, so that suspicions and errands are among the messages, too.
+                // Node 7 is cut off after 4 s, so that the messages include suspicions and indirect probes.
                 nodes.get(i).advance(ms);
                 for (OutgoingMessage outgoing : nodes.get(i).drainMessages()) {
-                    int to = Integer.parseInt(outgoing.address().substring(12, 15)) - 100;
-                    most = Math.max(most, PeerMessageCodec.encode(longest, outgoing.message()).length);
-                    if (ms < 4000 || i != 7 && to != 7) {
-                        nodes.get(to).onMessage(outgoing.message(), ms);
+                    int recipient = Integer.parseInt(outgoing.address().substring(12, 15)) - 100;
+                    maxBytes = Math.max(maxBytes, PeerMessageCodec.encode(longest, outgoing.message()).length);
+                    if (ms < 4000 || i != 7 && recipient != 7) {
+                        nodes.get(recipient).onMessage(outgoing.message(), ms);
                     }
                 }
             }
         }
-        assertThat(most).isBetween(1000, DatagramFrame.MAX_BYTES);
+        assertThat(maxBytes).isBetween(1000, DatagramFrame.MAX_BYTES);
     }
 
     @Test
     void truncatedOrCorruptedDatagramIsDropped() {
         byte[] bytes = PeerMessageCodec.encode("recife", MESSAGE);
         for (int i = 0; i < bytes.length; i++) {
-            assertThat(read(Arrays.copyOf(bytes, i), "recife"))
+            assertThat(describeDecoded(Arrays.copyOf(bytes, i), "recife"))
                     .as("cut at " + i)
                     .isEqualTo("unreadable frames");
             for (int bit = 0; bit < 8; bit++) {
                 byte[] flipped = bytes.clone();
                 flipped[i] ^= (byte) (1 << bit);
-                assertThat(read(flipped, "recife"))
+                assertThat(describeDecoded(flipped, "recife"))
                         .as("bit " + bit + " of byte " + i)
                         .isEqualTo("unreadable frames");
             }
@@ -117,10 +124,10 @@
         void write(JsonGenerator out) throws Exception;
     }
 
-    private static byte[] frame(FrameWriter part) throws Exception {
+    private static byte[] encodeFrame(FrameWriter writer) throws Exception {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = new CBORFactory().createGenerator(bytes)) {
-            part.write(out);
+            writer.write(out);
         }
         CRC32C crc = new CRC32C();
         crc.update(bytes.toByteArray());
@@ -130,7 +137,7 @@
                 .array();
     }
 
-    private static void writeDescriptor(JsonGenerator out, boolean more) throws Exception {
+    private static void writeDescriptor(JsonGenerator out, boolean hasFurtherField) throws Exception {
         out.writeStartArray();
         for (String text : List.of("n1", "10.0.0.1:7400", "a")) {
             out.writeString(text);
@@ -141,15 +148,15 @@
         out.writeNumber(1_700_000_000_123L);
         out.writeNumber(-5);
         out.writeNumber(3);
-        if (more) {
-            out.writeString("what the next version tells");
+        if (hasFurtherField) {
+            out.writeString("a field of a later version");
         }
         out.writeEndArray();
     }
 
-    /** A ping as the next version may write it: further values at each array's end, or a kind that this one does not know. */
-    private static byte[] pingOfLaterVersion(int kind) throws Exception {
-        return frame(out -> {
+    /** Encodes a message as a later version may write it: with additional values at the end of each array. */
+    private static byte[] encodeMessageOfLaterVersion(int kind) throws Exception {
+        return encodeFrame(out -> {
             out.writeStartArray();
             out.writeNumber(2);
             out.writeString("recife");
@@ -173,18 +180,18 @@
     }
 
     @Test
-    void fieldsAndKindsOfLaterVersionsAreTolerated() throws Exception {
-        byte[] ping = pingOfLaterVersion(0);
+    void additionalFieldsOfLaterVersionsAreIgnoredAndUnknownKindsDropped() throws Exception {
+        byte[] ping = encodeMessageOfLaterVersion(0);
         PeerMessage message = decode(ping, "recife");
         assertThat(message.sender()).isEqualTo(ONE);
         assertThat(message.nonce()).isEqualTo(9);
-        assertThat(read(pingOfLaterVersion(12), "recife")).isEqualTo("unknown kinds");
+        assertThat(describeDecoded(encodeMessageOfLaterVersion(12), "recife")).isEqualTo("unknown kinds");
     }
 
     @Test
-    void datagramsThatAreNoMessagesAreDropped() throws Exception {
+    void wellFormedCborThatIsNotAMessageIsDropped() throws Exception {
         StringBuilder outcomes = new StringBuilder();
-        for (FrameWriter part : List.<FrameWriter>of(
+        for (FrameWriter writer : List.<FrameWriter>of(
                 out -> out.writeString("x"),
                 out -> {
                     out.writeStartArray();
@@ -198,7 +205,7 @@
                     out.writeString("no list");
                     out.writeEndArray();
                 })) {
-            outcomes.append(read(frame(part), "recife")).append(", ");
+            outcomes.append(describeDecoded(encodeFrame(writer), "recife")).append(", ");
         }
         assertThat(outcomes.toString()).isEqualTo("unreadable frames, unreadable frames, unreadable frames, ");
     }
--- a/peers/src/test/java/spartrail/peers/transport/ReplyFormTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/ReplyFormTest.java
@@ -15,10 +15,12 @@
 import spartrail.peers.PeerDescriptor;
 import spartrail.peers.PeerState;
 
-/** Replies to operators keep the form in which earlier versions wrote them: an operator's tool may be of another version. */
+/**
+ * Checks that replies to operators keep the format of earlier versions: an operator's tool may be of another version.
+ */
 class ReplyFormTest {
-    private static Entry seen(int number, PeerState standing, Confidence sure, double heardMs) {
-        PeerDescriptor card = new PeerDescriptor(
+    private static Entry createEntry(int number, PeerState state, Confidence confidence, double lastAckMs) {
+        PeerDescriptor descriptor = new PeerDescriptor(
                 "n" + number,
                 "10.0.0." + number + ":7400",
                 "zone-a",
@@ -27,7 +29,7 @@
                 "v7",
                 new Incarnation(1_700_000_000_000L + number, -5),
                 number);
-        return new Entry(card, standing, 1000.25, "n9", sure, heardMs, "accused by n9");
+        return new Entry(descriptor, state, 1000.25, "n9", confidence, lastAckMs, "accused by n9");
     }
 
     private static final MembershipView VIEW = new MembershipView(
@@ -39,11 +41,11 @@
             2,
             4,
             List.of(
-                    seen(1, PeerState.ALIVE, Confidence.DIRECT, 2000.5),
-                    seen(2, PeerState.JOINING, Confidence.REPORTED, Double.NaN),
-                    seen(3, PeerState.SUSPECT, Confidence.LOW, 1500),
-                    seen(4, PeerState.GONE, Confidence.REPORTED, Double.NaN),
-                    seen(5, PeerState.LEFT, Confidence.REPORTED, 500)),
+                    createEntry(1, PeerState.ALIVE, Confidence.DIRECT, 2000.5),
+                    createEntry(2, PeerState.JOINING, Confidence.REPORTED, Double.NaN),
+                    createEntry(3, PeerState.SUSPECT, Confidence.LOW, 1500),
+                    createEntry(4, PeerState.GONE, Confidence.REPORTED, Double.NaN),
+                    createEntry(5, PeerState.LEFT, Confidence.REPORTED, 500)),
             Map.of("refuted", 2L, "stood still", 1L));
 
     private static Optional<String> reply(String request) {
@@ -51,18 +53,18 @@
     }
 
     @Test
-    void eachPageIsWrittenAsStored() throws IOException {
+    void eachPageOfTheReplyIsWrittenAsStored() throws IOException {
         List<String> written = new ArrayList<>();
-        for (String question : List.of("show 0", "show 1", "show 5", "show 6")) {
-            written.add(reply(question).orElseThrow());
+        for (String request : List.of("show 0", "show 1", "show 5", "show 6")) {
+            written.add(reply(request).orElseThrow());
         }
-        assertThat(written).isEqualTo(StoredForms.lines("replies.jsonl"));
+        assertThat(written).isEqualTo(StoredForms.readLines("replies.jsonl"));
     }
 
     @Test
-    void otherQuestionsHaveNoReply() {
-        for (String question : List.of("", "show", "show -1", "show 100000", "show 0 1", "list 0")) {
-            assertThat(reply(question)).as(question).isEmpty();
+    void unknownRequestsGetNoReply() {
+        for (String request : List.of("", "show", "show -1", "show 100000", "show 0 1", "list 0")) {
+            assertThat(reply(request)).as(request).isEmpty();
         }
     }
 }
--- a/peers/src/test/java/spartrail/peers/transport/StoredForms.java
+++ b/peers/src/test/java/spartrail/peers/transport/StoredForms.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads test resources under {@code /forms}: text as an earlier version wrote it. Lines that begin with '#' are comments. */
+/** Reads test resources under {@code /forms}: output of earlier versions. Lines that begin with '#' are comments. */
 final class StoredForms {
     private StoredForms() {}
 
-    static List<String> lines(String resource) throws IOException {
+    static List<String> readLines(String resource) throws IOException {
         try (InputStream in = StoredForms.class.getResourceAsStream("/forms/" + resource)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8)
                     .lines()
@@ -20,10 +20,10 @@
         }
     }
 
-    /** Lines of the form {@code NAME VALUE}, by name. */
-    static Map<String, String> named(String resource) throws IOException {
+    /** Reads lines of the form {@code NAME VALUE} and returns the values by name. */
+    static Map<String, String> readNamedLines(String resource) throws IOException {
         Map<String, String> byName = new LinkedHashMap<>();
-        for (String line : lines(resource)) {
+        for (String line : readLines(resource)) {
             int space = line.indexOf(' ');
             byName.put(line.substring(0, space), line.substring(space + 1));
         }
