--- a/core/src/main/java/spartrail/peers/UpdateHandler.java
+++ b/core/src/main/java/spartrail/peers/UpdateHandler.java
@@ -85,7 +85,7 @@
         if (order > 0) {
             nameConflict.onSameName(update.descriptor(), false);
         } else if (order == 0 && update.state() == PeerState.LEFT) {
-            refuteLeaving();
+            startIncarnationAfterLeft();
         } else if (order == 0
                 && update.state().compareTo(PeerState.ALIVE) > 0
                 && update.descriptor().refutations() >= local.descriptor().refutations()) {
@@ -94,7 +94,7 @@
     }
 
     /** Starts another incarnation: an update that an incarnation has left cannot be refuted within that incarnation. */
-    private void refuteLeaving() {
+    private void startIncarnationAfterLeft() {
         if (!local.hasLeft()) {
             context.increment(MembershipCounter.REPORTED_AS_LEFT);
             local.startIncarnationAfter(local.incarnation());
