--- a/core/src/main/java/spartrail/peers/Dissemination.java
+++ b/core/src/main/java/spartrail/peers/Dissemination.java
@@ -80,7 +80,7 @@
      * while views differ, the next peers of the rest of the view.
      */
     List<PeerUpdate> selectFor(Peer recipient, PeerDescriptor target) {
-        UpdateBatch batch = new UpdateBatch(bytesForUpdates(target));
+        UpdateBatch batch = new UpdateBatch(updateBudgetBytes(target));
         if (recipient != null && recipient.state != PeerState.ALIVE && recipient.state != PeerState.JOINING) {
             batch.add(recipient);
         }
@@ -103,7 +103,7 @@
     /**
      * Leaves room for long descriptors: a message that exceeds one datagram is not sent, which would silence the node.
      */
-    private int bytesForUpdates(PeerDescriptor target) {
+    private int updateBudgetBytes(PeerDescriptor target) {
         int localExcess = Math.max(0, local.descriptor().maxEncodedBytes() - USUAL_DESCRIPTOR_BYTES);
         int targetBytes = target == null ? 0 : target.maxEncodedBytes();
         return context.timings().maxUpdateBytes() - localExcess - targetBytes;
--- a/core/src/main/java/spartrail/peers/FailureDetector.java
+++ b/core/src/main/java/spartrail/peers/FailureDetector.java
@@ -82,7 +82,7 @@
 
     /** Probes the next peer, in a round of the given length. */
     void probeNext(double intervalMs) {
-        Peer target = probeOrder.next();
+        Peer target = probeOrder.takeNext();
         if (target == null) {
             return;
         }
--- a/core/src/main/java/spartrail/peers/ProbeOrder.java
+++ b/core/src/main/java/spartrail/peers/ProbeOrder.java
@@ -17,7 +17,7 @@
     }
 
     /** Removes and returns the next present peer, or returns null if there is none. */
-    Peer next() {
+    Peer takeNext() {
         for (int i = 0; i <= table.size(); i++) {
             if (names.isEmpty()) {
                 List<String> shuffled = table.sortedNames(peer -> true);
--- a/peers/src/main/java/spartrail/peers/transport/GossipNode.java
+++ b/peers/src/main/java/spartrail/peers/transport/GossipNode.java
@@ -222,7 +222,7 @@
             membership.setSeeds(changed.seeds());
             membership.setSettingsVersion(changed.settingsVersion());
         });
-        if (config.needsRestartFor(changed)) {
+        if (config.isRestartNeededFor(changed)) {
             return "fleet, name, addresses and times of the peers file (its seeds and settings version are applied)";
         }
         return "";
--- a/peers/src/main/java/spartrail/peers/transport/PeersConfig.java
+++ b/peers/src/main/java/spartrail/peers/transport/PeersConfig.java
@@ -33,7 +33,7 @@
     }
 
     /** Whether a changed file has settings that a running node cannot apply without a restart. */
-    boolean needsRestartFor(PeersConfig changed) {
+    boolean isRestartNeededFor(PeersConfig changed) {
         return !changed.fleet.equals(fleet)
                 || !changed.name.equals(name)
                 || !changed.listen.equals(listen)
--- a/peers/src/test/java/spartrail/peers/transport/GossipNodeTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/GossipNodeTest.java
@@ -31,13 +31,13 @@
     private Path folder;
 
     private final List<PeerTransport.Running> running = new ArrayList<>();
-    private final int[] ports = {freePort(), freePort()};
+    private final int[] ports = {findFreePort(), findFreePort()};
     private final List<BlockingQueue<MembershipView>> views =
             List.of(new LinkedBlockingQueue<>(), new LinkedBlockingQueue<>());
 
     GossipNodeTest() throws IOException {}
 
-    private static int freePort() throws IOException {
+    private static int findFreePort() throws IOException {
         try (DatagramSocket socket = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
             return socket.getLocalPort();
         }
--- a/peers/src/test/java/spartrail/peers/transport/PeerMessageCodecTest.java
+++ b/peers/src/test/java/spartrail/peers/transport/PeerMessageCodecTest.java
@@ -22,20 +22,22 @@
 import spartrail.peers.SwimMembership;
 
 class PeerMessageCodecTest {
-    private static final PeerDescriptor ONE = new PeerDescriptor(
+    private static final PeerDescriptor SENDER = new PeerDescriptor(
             "n1", "10.0.0.1:7400", "a", 1.5, "0.2", "v7", new Incarnation(1_700_000_000_123L, -5), 3);
-    private static final PeerDescriptor OTHER =
+    private static final PeerDescriptor TARGET =
             new PeerDescriptor("n2", "10.0.0.2:7400", "", 1, "", "", new Incarnation(1_700_000_000_999L, 77), 0);
     private static final PeerMessage MESSAGE = new PeerMessage(
             PeerMessage.Kind.PING_REQUEST,
-            ONE,
+            SENDER,
             PeerState.ALIVE,
             1234.5,
             "n2",
             Long.MIN_VALUE,
             -1,
-            OTHER,
-            List.of(new PeerUpdate(OTHER, PeerState.SUSPECT, 17.25, "n3"), new PeerUpdate(ONE, PeerState.LEFT, 0, "")));
+            TARGET,
+            List.of(
+                    new PeerUpdate(TARGET, PeerState.SUSPECT, 17.25, "n3"),
+                    new PeerUpdate(SENDER, PeerState.LEFT, 0, "")));
 
     private static PeerMessage decode(byte[] bytes, String fleet) throws MalformedDatagramException {
         return PeerMessageCodec.decode(DatagramFrame.decode(bytes, bytes.length, fleet, DatagramFrame.MAX_BYTES));
@@ -183,7 +185,7 @@
     void additionalFieldsOfLaterVersionsAreIgnoredAndUnknownKindsDropped() throws Exception {
         byte[] ping = encodeMessageOfLaterVersion(0);
         PeerMessage message = decode(ping, "recife");
-        assertThat(message.sender()).isEqualTo(ONE);
+        assertThat(message.sender()).isEqualTo(SENDER);
         assertThat(message.nonce()).isEqualTo(9);
         assertThat(describeDecoded(encodeMessageOfLaterVersion(12), "recife")).isEqualTo("unknown kinds");
     }
