--- a/core/src/main/java/spartrail/policy/IdempotencyNames.java
+++ b/core/src/main/java/spartrail/policy/IdempotencyNames.java
@@ -4,11 +4,11 @@
 import java.util.stream.Stream;
 import spartrail.model.OpType.Idempotency;
 
-/** The names of idempotency in policy's messages and on disk; they stay when the constants get other names. */
+/** The names of {@link Idempotency} constants in policy messages and on disk; independent of the Java names. */
 public final class IdempotencyNames {
     private IdempotencyNames() {}
 
-    /** The name that is written. */
+    /** The name of a constant in messages and on disk. */
     public static String nameOf(Idempotency idempotency) {
         return switch (idempotency) {
             case IDEMPOTENT -> "RETRIABLE";
@@ -17,13 +17,13 @@
         };
     }
 
-    /** All names that may be read, from the least to the strictest. */
-    static List<String> all() {
+    /** All names, from the least to the most strict. */
+    static List<String> allNames() {
         return Stream.of(Idempotency.values()).map(IdempotencyNames::nameOf).toList();
     }
 
     /** The stricter of two names. */
-    static String stricter(String one, String other) {
-        return all().indexOf(one) >= all().indexOf(other) ? one : other;
+    static String stricterOf(String first, String second) {
+        return allNames().indexOf(first) >= allNames().indexOf(second) ? first : second;
     }
 }
--- a/core/src/main/java/spartrail/policy/LogOperation.java
+++ b/core/src/main/java/spartrail/policy/LogOperation.java
@@ -1,25 +1,25 @@
 package spartrail.policy;
 
 /**
- * What an entry of the replicated log does.
+ * The operation of an entry of the replicated log.
  *
- * @param proposalNumber of the proposal meant; 0 where it has none yet
- * @param text the settings that are proposed, or why a proposal is refused
- * @param issuer who proposes, refuses or aborts
- * @param token random: the same proposal sent twice is one
+ * @param proposalNumber the number of the proposal that the operation applies to; 0 if it has no number yet
+ * @param text the proposed settings, or the reason for a refusal
+ * @param issuer the name of the operator or node that proposes, refuses or aborts
+ * @param token random; identifies a proposal, so that one that is sent twice is logged once
  */
 public record LogOperation(Kind kind, long proposalNumber, String text, String issuer, String token) {
-    /** The kinds of operations, with their names in messages and in the log on disk. */
+    /** The kinds of operations, each with its name in messages and in the log on disk. */
     public enum Kind {
-        /** Opens a new leader's term, and changes nothing. */
+        /** The first entry of a new leader's term; changes no state. */
         NEW_TERM("LED"),
         /** Proposes a version. */
         PROPOSE("PROPOSE"),
-        /** Refuses a proposal that a node cannot apply. */
+        /** Refuses a proposal that a node cannot apply, or has not voted on in time. */
         REFUSE("REFUSE"),
-        /** Gives a proposal up. */
+        /** Aborts a proposal. */
         ABORT("ABORT"),
-        /** Decides a proposal that all nodes can apply. */
+        /** Marks a proposal that all nodes can apply as decided. */
         DECIDE("DECIDE"),
         /** Makes a decided proposal the active version. */
         HOLD("HOLD");
@@ -30,17 +30,17 @@
             this.wireName = wireName;
         }
 
-        /** The name in messages and in the log on disk. */
+        /** The name of this kind in messages and in the log on disk. */
         public String wireName() {
             return wireName;
         }
     }
 
-    /** What a new leader appends first. */
+    /** The operation that a new leader appends first in its term. */
     public static final LogOperation NEW_TERM_OPERATION = new LogOperation(Kind.NEW_TERM, 0, "", "", "");
 
-    /** A leader's operation on a proposal. */
-    static LogOperation ofLeader(Kind kind, long proposalNumber) {
+    /** An operation of the leader on a proposal: it needs no text, issuer or token. */
+    static LogOperation leaderOperation(Kind kind, long proposalNumber) {
         return new LogOperation(kind, proposalNumber, "", "", "");
     }
 }
--- a/core/src/main/java/spartrail/policy/PolicyFollower.java
+++ b/core/src/main/java/spartrail/policy/PolicyFollower.java
@@ -6,36 +6,36 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What every node does: it polls the leader for what is active, says whether it can apply what is proposed, and goes by the
- * response until its lease expires.
+ * The part that every node has in policy versions: it polls the leader for the active version, votes on the pending
+ * proposal, and applies the settings of the latest response until its lease expires.
  *
  * <pre>
  *  latest response                        until the lease expires    after that
- *  n is active, nothing or a proposal     n                          joint: the stricter of n and the proposal
- *      pending
+ *  n is active, no proposal or one        n                          joint: the stricter of n and the proposal
+ *      that is not decided is pending
  *  n is active, n+1 is decided            joint: the stricter        the same
- *  a version that it cannot apply is      joint, as after expiry     the same
- *      active or decided
- *  nothing yet                            not ready                  after startupTimeoutMs its local settings, joint
+ *  a version that the node cannot apply   joint, as after expiry     the same
+ *      is active or decided
+ *  no response yet                        not ready                  after startupTimeoutMs its local settings, joint
  * </pre>
  *
  * <ol>
- * <li>A lease counts from when the node polled, by its own monotonic clock.
- * <li>A response that was overtaken by a later one is ignored.
- * <li>What a node goes by is a {@link PolicyLease}, which knows itself when it expires: whoever decides looks at the clock first,
- *     so that a paused process finds out before its next decision, not after it.
+ * <li>A lease starts at the time of the poll, by the node's own monotonic clock.
+ * <li>A response with a lower applied index than one received before is ignored.
+ * <li>The settings in force are held by a {@link PolicyLease} together with its expiry time. A caller checks the clock
+ *     before each decision, so that a process that was paused notices the expiry before it decides again.
  * </ol>
  */
 public final class PolicyFollower {
     private static final int MAX_PENDING_POLLS = 16;
 
-    /** Polls are no closer together: two nodes that name each other the leader would make a third poll without pause. */
+    /** Two nodes that each name the other as the leader would otherwise make a third node poll without pause. */
     private static final double MIN_POLL_INTERVAL_MS = 100;
 
     private static final double MIN_POLL_JITTER = 0.9;
     private static final double POLL_JITTER_RANGE = 0.2;
 
-    /** Of a node that went by no version yet, and by none for certain now. */
+    /** The label of a node that applies its local settings because no voter has answered since it started. */
     private static final String LOCAL_LABEL = "0?";
 
     private final String node;
@@ -57,7 +57,7 @@
     private String objection = "";
     private String incompatibility = "";
 
-    /** Begins with the node's local settings; {@code voters} are the nodes of which one leads. */
+    /** Starts with the node's local settings and no lease; {@code voters} are the nodes that elect the leader. */
     public PolicyFollower(
             String node,
             List<String> voters,
@@ -75,7 +75,7 @@
         this.nextPollAtMs = nowMs;
     }
 
-    /** The node's local settings are others now. */
+    /** Replaces the node's local settings, and recomputes the lease if there has been a response. */
     public void updateLocalSettings(PolicySettings changed) {
         localSettings = changed;
         if (lastResponse != null) {
@@ -85,17 +85,17 @@
 
     // ---- Polling ----
 
-    /** When it polls next, or begins to serve by its local settings. */
+    /** The time of the next poll or, if that is sooner, of the startup timeout. */
     public double nextPollAtMs() {
         return lease == null ? Math.min(nextPollAtMs, startedAtMs + times.startupTimeoutMs()) : nextPollAtMs;
     }
 
-    /** Something is said to have changed: polls then, if not sooner. */
+    /** Brings the next poll forward to this time, unless it is due sooner. */
     public void pollNoLaterThan(double atMs) {
         nextPollAtMs = Math.min(nextPollAtMs, atMs);
     }
 
-    /** The poll's target does not lead, and names the leader; an empty name if it knows none. */
+    /** The polled node is not the leader and names the node that is; the name is empty if it knows none. */
     public void onRedirect(String leader, double nowMs) {
         if (!leader.isEmpty() && !leader.equals(node)) {
             pollTarget = leader;
@@ -104,24 +104,27 @@
         }
     }
 
-    /** To whom the latest poll goes: the node that answered the one before, or that was named; else the next of the voters. */
+    /**
+     * The target of the latest poll: the node that answered the poll before or was named as leader, else a voter in
+     * turn.
+     */
     public String pollTarget() {
         return pollTarget;
     }
 
     private void choosePollTarget() {
-        for (int i = 0; i < voters.size() && needsOtherTarget(); i++) {
+        for (int i = 0; i < voters.size() && isTargetUnusable(); i++) {
             pollTarget = voters.get(nextVoter++ % voters.size());
             isTargetSilent = false;
         }
         isTargetSilent = true;
     }
 
-    private boolean needsOtherTarget() {
+    private boolean isTargetUnusable() {
         return isTargetSilent || pollTarget.isEmpty() || pollTarget.equals(node);
     }
 
-    /** The poll that is due, or null. */
+    /** The poll that is due now, or null. */
     public PolicyRequest pollIfDue(double nowMs) {
         if (lease == null && nowMs - startedAtMs >= times.startupTimeoutMs()) {
             lease = new PolicyLease(LOCAL_LABEL, localSettings, true, Double.POSITIVE_INFINITY, null);
@@ -146,7 +149,7 @@
         }
     }
 
-    /** Takes up a response to a poll. */
+    /** Extends the lease on a response to a poll; ignores an outdated response and one to an unknown poll. */
     public void onResponse(PolicyResponse response, double nowMs) {
         Double polledAtMs = pollTimesMs.remove(response.nonce());
         if (polledAtMs == null) {
@@ -174,7 +177,7 @@
             activeSettings = settingsWith(active);
             incompatibility = "";
         } catch (IllegalArgumentException e) {
-            // The local settings do not go with the active version: this node takes no part until they do.
+            // The active version does not fit the local settings: this node gets no lease until it does.
             endLease(active, e);
             return;
         }
@@ -188,12 +191,12 @@
                 jointLabel = activeLabel + "|" + pending.number();
             } catch (IllegalArgumentException e) {
                 if (isDecided) {
-                    // It was out of touch and nobody waited for its objection. A lease on the active version alone
-                    // would outlast that version.
+                    // This node was disconnected during the vote, so that its objection was not awaited. A lease on the
+                    // active version alone would outlast that version.
                     endLease(pending, e);
                     return;
                 }
-                // It objects to the proposal, which will therefore never be active.
+                // This node objects to the proposal, which will therefore never become active.
             }
         }
         PolicyLease afterExpiry =
@@ -203,20 +206,20 @@
                 : new PolicyLease(activeLabel, activeSettings, false, leaseEndMs, afterExpiry);
     }
 
-    /** A version comes that this node cannot apply: its lease is over, or, where it has none yet, it is not ready. */
+    /** Ends the lease, because this node cannot apply a version; a node that has no lease yet stays not ready. */
     private void endLease(PolicyVersion version, IllegalArgumentException reason) {
-        incompatibility = "cannot go by version " + version.number() + ": " + reason.getMessage();
+        incompatibility = "cannot apply version " + version.number() + ": " + reason.getMessage();
         while (lease != null && lease.successor() != null) {
             lease = lease.successor();
         }
     }
 
-    /** What this node goes by; null while it is to decide nothing yet. */
+    /** The lease under which this node decides; null while it must not decide yet. */
     public PolicyLease lease() {
         return lease;
     }
 
-    /** Why it cannot apply the version that is active or decided; empty if it can. */
+    /** Why this node cannot apply the active or the decided version; empty if it can. */
     public String incompatibility() {
         return incompatibility;
     }
@@ -228,7 +231,7 @@
 
     // ---- Voting ----
 
-    /** The proposal that this node has yet to vote on, or null. */
+    /** The proposal that this node has not voted on yet, or null. */
     public PolicyVersion proposalToCheck() {
         PolicyVersion pending = lastResponse == null ? null : lastResponse.pending();
         if (pending == null || pending.stage() != PolicyVersion.Stage.PROPOSED || votedNumber == pending.number()) {
@@ -237,12 +240,12 @@
         return pending;
     }
 
-    /** The settings that a version makes of the local ones; an IllegalArgumentException where this node cannot apply them. */
+    /** The local settings overridden by a version; throws IllegalArgumentException if this node cannot apply it. */
     public PolicySettings settingsWith(PolicyVersion version) {
         return localSettings.overriddenBy(PolicySettings.parse(version.settings()));
     }
 
-    /** This node can apply the proposal, or not for a reason. The next poll, which says so, is due at once. */
+    /** Records the vote on a proposal, an empty reason being a yes. The next poll, which carries it, is due at once. */
     public void recordVote(long number, String reasonAgainst, double nowMs) {
         votedNumber = number;
         objection = reasonAgainst;
--- a/core/src/main/java/spartrail/policy/PolicyLeader.java
+++ b/core/src/main/java/spartrail/policy/PolicyLeader.java
@@ -9,24 +9,24 @@
 import spartrail.policy.PolicyVersion.Stage;
 
 /**
- * What the leader does: it collects the nodes' votes on the pending proposal, and advances the log.
+ * The part of the leader: it collects the nodes' votes on the pending proposal, and chooses the next operation on it.
  *
- * <p>A response to a poll rests on a read of the log that a majority has confirmed after the poll was sent. So whoever holds a
- * lease on the version before alone had polled before {@code DECIDE} was applied here, and its lease has expired
- * {@link PolicyTimings#leaseExpiryBoundMs} later: no list of leases is needed for that, none can be lost with a leader. A new leader
- * counts from when it begins to lead.
+ * <p>A poll is answered from a read of the log that a majority has confirmed after the poll was sent. A node that holds
+ * a lease on the previous version alone therefore polled before {@code DECIDE} was applied here, and its lease has
+ * expired {@link PolicyTimings#leaseExpiryBoundMs} later. {@code HOLD} needs no list of leases, which could be lost
+ * with a leader; a new leader counts the bound from the start of its leadership.
  *
  * <ol>
- * <li>{@code DECIDE} is due only once every live node, and every node that may still hold a lease, has said that it can apply
- *     the version; one objection refuses it.
- * <li>{@code HOLD} is due only when {@code leaseExpiryBoundMs} have passed since this node, as the leader, knew of
+ * <li>{@code DECIDE} is due only once every live node, and every node that may still hold a lease, has voted that it
+ *     can apply the version; one objection refuses the proposal.
+ * <li>{@code HOLD} is due only when {@code leaseExpiryBoundMs} have passed since this node, as the leader, learned of
  *     {@code DECIDE}.
  * </ol>
  */
 public final class PolicyLeader {
     private static final int MAX_NODES = 1024;
     private static final int MAX_NAMED_NODES = 5;
-    private static final long NONE = -1;
+    private static final long NO_INDEX = -1;
 
     private record Vote(long number, String objection) {}
 
@@ -40,12 +40,12 @@
     private long requestedAtIndex;
     private double requestedAtMs;
 
-    /** Not leading yet. */
+    /** Starts without leadership. */
     public PolicyLeader(PolicyTimings times) {
         this.times = times;
     }
 
-    /** Whether this node leads now; whoever begins to has no votes yet. */
+    /** Sets whether this node is the leader; a change discards all votes and lease ends. */
     public void setLeading(boolean leading) {
         if (leading != isLeading) {
             isLeading = leading;
@@ -55,7 +55,9 @@
         }
     }
 
-    /** A node has polled; takes up its vote, and for how long the lease may last that it is about to get. */
+    /**
+     * Records the vote that a poll carries, and the latest time at which the lease that the response grants can expire.
+     */
     public void onRequest(PolicyRequest request, double nowMs) {
         boolean hasRoom = leaseEndsMs.containsKey(request.node()) || leaseEndsMs.size() < MAX_NODES;
         if (isLeading && hasRoom) {
@@ -64,7 +66,7 @@
         }
     }
 
-    /** The operation that is to be appended to the log now, or null. */
+    /** The operation that the leader has to append to the log now, or null. */
     public LogOperation nextOperation(PolicyLog log, Collection<String> liveNodes, double nowMs) {
         PolicyVersion pending = log.pending();
         if (!isLeading || pending == null) {
@@ -75,7 +77,7 @@
             knownStage = pending.stage();
             knownNumber = pending.number();
             knownSinceMs = nowMs;
-            requestedAtIndex = NONE;
+            requestedAtIndex = NO_INDEX;
         }
         if (requestedAtIndex == log.lastAppliedIndex() && nowMs - requestedAtMs < times.pollIntervalMs()) {
             return null;
@@ -94,7 +96,7 @@
         if (nowMs - knownSinceMs < times.leaseExpiryBoundMs()) {
             return null;
         }
-        return LogOperation.ofLeader(LogOperation.Kind.HOLD, pending.number());
+        return LogOperation.leaderOperation(LogOperation.Kind.HOLD, pending.number());
     }
 
     private LogOperation decideOrRefuse(PolicyVersion pending, Collection<String> liveNodes, double nowMs) {
@@ -110,27 +112,28 @@
                 continue;
             }
             if (!vote.objection().isEmpty()) {
-                return refusal(pending, vote.objection(), node);
+                return refuse(pending, vote.objection(), node);
             }
             missing.remove(node);
         }
-        // A leader of a moment ago has heard of nobody yet, and would decide for nodes that cannot apply the version.
+        // A new leader has not received a poll from each node yet; without this wait it would decide a version that
+        // some nodes cannot apply.
         boolean hasLedLongEnough = nowMs - knownSinceMs >= times.pollIntervalMs();
         if (missing.isEmpty() && hasLedLongEnough) {
-            return LogOperation.ofLeader(LogOperation.Kind.DECIDE, pending.number());
+            return LogOperation.leaderOperation(LogOperation.Kind.DECIDE, pending.number());
         }
         if (nowMs - knownSinceMs < times.voteTimeoutMs()) {
             return null;
         }
         String reason = "said nothing in " + Math.round(times.voteTimeoutMs()) + " ms";
-        return refusal(pending, reason, firstNames(missing));
+        return refuse(pending, reason, joinFirstNames(missing));
     }
 
-    private static LogOperation refusal(PolicyVersion pending, String reason, String nodes) {
+    private static LogOperation refuse(PolicyVersion pending, String reason, String nodes) {
         return new LogOperation(LogOperation.Kind.REFUSE, pending.number(), reason, nodes, "");
     }
 
-    private static String firstNames(TreeSet<String> nodes) {
+    private static String joinFirstNames(TreeSet<String> nodes) {
         return String.join(", ", new ArrayList<>(nodes).subList(0, Math.min(MAX_NAMED_NODES, nodes.size())));
     }
 }
--- a/core/src/main/java/spartrail/policy/PolicyLease.java
+++ b/core/src/main/java/spartrail/policy/PolicyLease.java
@@ -1,17 +1,20 @@
 package spartrail.policy;
 
 /**
- * What a node goes by until a time, and what it goes by after that. Whoever decides looks at its clock first.
+ * The settings that a node applies until a time, and the lease after that. Callers check the clock before each
+ * decision.
  *
- * @param label the numbers of the versions that it keeps to: {@code 3}; joint, between two of them, {@code 3|4}; and what was
- *     active as far as the node knew when it last heard, {@code 3?} or {@code 3|4?}
- * @param isJoint whether other versions may be active elsewhere, so that the settings are the stricter of all that may
- * @param expiresAtMs on the node's clock; infinite for the last one
- * @param successor null for the last one
+ * @param label the numbers of the versions that the settings keep to: {@code 3}; {@code 3|4} for joint settings of two
+ *     versions; {@code 3?} or {@code 3|4?} once the lease has expired and the active version is known from the last
+ *     response only
+ * @param isJoint whether another version may be active at other nodes; the settings are the stricter of all such
+ *     versions
+ * @param expiresAtMs on the node's clock; infinite for the last lease of a chain
+ * @param successor the lease that applies after the expiry; null for the last lease of a chain
  */
 public record PolicyLease(
         String label, PolicySettings settings, boolean isJoint, double expiresAtMs, PolicyLease successor) {
-    /** The one of this chain that has not expired at this time. */
+    /** The first lease of this chain that has not expired at this time. */
     public PolicyLease activeAt(double nowMs) {
         PolicyLease lease = this;
         while (nowMs >= lease.expiresAtMs) {
--- a/core/src/main/java/spartrail/policy/PolicyLog.java
+++ b/core/src/main/java/spartrail/policy/PolicyLog.java
@@ -6,29 +6,30 @@
 import spartrail.policy.PolicyVersion.Stage;
 
 /**
- * The replicated state: each voter applies the same operations in the same order. One proposal is pending at a time.
+ * The replicated state machine: each voter applies the same operations in the same order. One proposal at most is
+ * pending.
  *
  * <pre>
- *  from       operation  to         allowed
- *  -          PROPOSE    PROPOSED   none is pending, the settings can be read
+ *  from       operation  to         condition or consequence
+ *  -          PROPOSE    PROPOSED   no proposal is pending, and the settings are valid
  *  PROPOSED   REFUSE     REFUSED
  *  PROPOSED   ABORT      ABORTED
- *  PROPOSED   DECIDE     DECIDED    from here on no lease is granted on the version before alone
- *  DECIDED    HOLD       HOLDS      all leases on the version before alone have expired; no other way leads out of DECIDED
+ *  PROPOSED   DECIDE     DECIDED    from here on no lease is granted on the previous version alone
+ *  DECIDED    HOLD       HOLDS      all leases on the previous version alone have expired; DECIDED has no other exit
  * </pre>
  *
- * What is always so:
+ * Invariants:
  * <ol>
- * <li>Numbers go up; the active version never goes back.
- * <li>A version that was refused or aborted is never active, and never decided.
- * <li>Between two active versions there is a time in which the later one is decided.
+ * <li>Proposal numbers increase; the number of the active version never decreases.
+ * <li>A version that was refused or aborted never becomes decided or active.
+ * <li>A version is decided for some time before it becomes active in place of the previous one.
  * </ol>
  */
 public final class PolicyLog {
     private static final int MAX_FINISHED = 200;
     private static final int MAX_SETTINGS_CHARACTERS = 16_384;
 
-    /** Begins the outcome of an operation that changes nothing. */
+    /** Marks the outcome of an operation that was rejected and changed no state. */
     private static final String FAILURE_PREFIX = "!";
 
     private final List<PolicyVersion> finished = new ArrayList<>();
@@ -37,7 +38,7 @@
     private long lastNumber;
     private long lastAppliedIndex;
 
-    /** Applies an operation; the outcome, as its issuer reads it, is the proposal's number, or {@code !} and what is wrong. */
+    /** Applies an operation. Its issuer receives the outcome: the proposal's number, or {@code !} and an error. */
     public String apply(long index, LogOperation operation) {
         lastAppliedIndex = index;
         if (operation.kind() == Kind.NEW_TERM) {
@@ -96,8 +97,8 @@
 
     private static String checkedSettings(String text) {
         if (text.length() > MAX_SETTINGS_CHARACTERS) {
-            throw new IllegalArgumentException(
-                    text.length() + " characters, at most " + MAX_SETTINGS_CHARACTERS + " are expected");
+            throw new IllegalArgumentException("the settings have " + text.length() + " characters, at most "
+                    + MAX_SETTINGS_CHARACTERS + " are expected");
         }
         return PolicySettings.parse(text).toJson();
     }
@@ -110,32 +111,32 @@
         }
     }
 
-    /** The version that nodes go by. */
+    /** The active version. */
     public PolicyVersion active() {
         return active;
     }
 
-    /** The proposal that has not ended, or null. */
+    /** The pending proposal, or null. */
     public PolicyVersion pending() {
         return pending;
     }
 
-    /** The index of the entry that was applied last. */
+    /** The index of the last applied entry. */
     public long lastAppliedIndex() {
         return lastAppliedIndex;
     }
 
-    /** Proposals that have ended, oldest first, the last two hundred. */
+    /** The last 200 finished proposals, oldest first. */
     public List<PolicyVersion> finished() {
         return List.copyOf(finished);
     }
 
-    /** All of the state. */
+    /** A snapshot of the whole state. */
     public PolicyLogSnapshot toSnapshot() {
         return new PolicyLogSnapshot(lastNumber, active, finished, pending);
     }
 
-    /** Takes up a snapshot of the state at an index in the place of all it has. */
+    /** Replaces the whole state by a snapshot that was taken at this index. */
     public void restoreSnapshot(long index, PolicyLogSnapshot snapshot) {
         lastAppliedIndex = index;
         lastNumber = snapshot.lastNumber();
--- a/core/src/main/java/spartrail/policy/PolicyResponse.java
+++ b/core/src/main/java/spartrail/policy/PolicyResponse.java
@@ -1,10 +1,10 @@
 package spartrail.policy;
 
 /**
- * The response to a poll: these versions were active and pending when the poll came.
+ * The response to a poll: the versions that were active and pending after the leader received the poll.
  *
- * @param nonce of the poll
- * @param appliedIndex the log was applied up to there
- * @param pending the proposal that has not ended, or null
+ * @param nonce the nonce of the poll
+ * @param appliedIndex the index up to which the leader had applied the log
+ * @param pending the pending proposal, or null
  */
 public record PolicyResponse(long nonce, long appliedIndex, PolicyVersion active, PolicyVersion pending) {}
--- a/core/src/main/java/spartrail/policy/PolicyService.java
+++ b/core/src/main/java/spartrail/policy/PolicyService.java
@@ -4,36 +4,39 @@
 import java.nio.file.Path;
 import spartrail.peers.PeerChannel;
 
-/** How a node takes part in versions of policy, found by the service loader; on the class path only where it is asked for. */
+/** Takes part in policy versions. Found by the service loader, and on the class path only of nodes that use it. */
 public interface PolicyService {
     /**
-     * Begins to take part on a thread of its own.
+     * Starts the service on its own thread.
      *
-     * @param state the folder of what a voter must not forget
+     * @param state the folder of a voter's persistent state
      */
     Running start(Path state, Host host) throws IOException;
 
-    /** What it needs of the node. Called on its thread; none of these may wait for long. */
+    /** The node that the service runs in. Called on the service's threads; no method may block for long. */
     interface Host {
-        /** The clock by which the node decides. */
+        /** The time on the clock that the node's decisions use. */
         double nowMs();
 
         /** The part of the node's local settings that policy may change. */
         PolicySettings localSettings();
 
-        /** Tries settings out apart from all that is served; why the node cannot apply them, or empty. */
+        /**
+         * Tries settings out without effect on requests in progress; the reason against them, or empty if there is
+         * none.
+         */
         String dryRun(PolicySettings settings);
 
-        /** The node goes by this lease from now on. */
+        /** Applies this lease from now on. */
         void apply(PolicyLease lease);
     }
 
-    /** A part that has begun. */
+    /** A started service. */
     interface Running extends PeerChannel, AutoCloseable {
-        /** The node's local settings are others now. */
+        /** Replaces the node's local settings. */
         void updateLocalSettings(PolicySettings changed);
 
-        /** Waits until the node knows by what to decide. */
+        /** Waits until the node has its first lease. */
         void awaitFirstLease() throws InterruptedException;
 
         @Override
--- a/core/src/main/java/spartrail/policy/PolicySettings.java
+++ b/core/src/main/java/spartrail/policy/PolicySettings.java
@@ -17,23 +17,24 @@
 import spartrail.json.JsonTree;
 
 /**
- * What may change while a node runs, by field: all of it as a node goes by it, or the part that a version states. Immutable.
- * Times in milliseconds, shares from 0 to 1.
+ * The settings that may change while a node runs, by field: all settings of a node, or the part that a version changes.
+ * Immutable. Times are in milliseconds, shares from 0 to 1.
  *
  * <pre>
  *  field                          stricter of two    why both allow it
  *  opTypes/NAME/budgetMs          the shorter        an answer within the shorter is within the longer
  *  opTypes/NAME/timeoutMs         the shorter
- *  opTypes/NAME/need, floor       the larger         an answer that is enough for the larger is for the smaller
+ *  opTypes/NAME/need, floor       the larger         an answer that suffices for the larger suffices for the smaller
  *  opTypes/NAME/dedupMs           the shorter        a retry within the shorter is within the longer
- *  opTypes/NAME/repeat            the least          what may not be retried under one is not
- *  opTypes/NAME/importance,       the first one's    they order work and bound nothing
+ *  opTypes/NAME/repeat            the strictest      a call that one forbids to retry is not retried
+ *  opTypes/NAME/importance,       the first one's    they only rank work and limit nothing
  *      lateShare, partialShare
  *  sends/most                     the fewer          a count within the smaller is within the larger
  *  sends/parallel                 only if both
  *  furtherSends/free, share       the fewer
- *  furtherSends/spanMs            the longer; where they differ, no share: what is free in the longer span is free in the
- *                                 shorter one within it, a share of what was taken in it is not; none, the other one's
+ *  furtherSends/spanMs            the longer; where the spans differ, the share is 0: the free retries of the longer
+ *                                 span fit into each shorter span within it, a share of its requests need not; a
+ *                                 span of 0 is no budget, and the other budget is taken
  *  cold/leastShare, tipMultiple,  the smaller        less is sent to a server that is warming up
  *      fallMs
  *  cold/warmMs                    the longer
@@ -45,11 +46,11 @@
 public final class PolicySettings {
     private static final String OP_TYPES = "/opTypes/";
     private static final String ANY_OP_TYPE = OP_TYPES + "*/";
-    private static final String BUDGET = "/budgetMs";
+    private static final String LATENCY_OBJECTIVE = "/budgetMs";
     private static final String TIMEOUT = "/timeoutMs";
     private static final String RETRY_BUDGET = "/furtherSends/";
 
-    /** Sorts after all fields of the retry budget, and before all others. */
+    /** Sorts after all fields of the retry budget, and before all later fields. */
     private static final String RETRY_BUDGET_END = "/furtherSends0";
 
     private static final String RETRY_BUDGET_SPAN = RETRY_BUDGET + "spanMs";
@@ -84,15 +85,15 @@
         this.fields = fields;
     }
 
-    /** Settings of values by field; an IllegalArgumentException says in one line which one is wrong. */
+    /** Settings with these values by field; the one-line IllegalArgumentException names the invalid field. */
     public static PolicySettings of(Map<String, ?> values) {
         TreeMap<String, Object> fields = new TreeMap<>();
-        values.forEach((field, value) -> fields.put(field, rule(field).checked(field, value)));
+        values.forEach((field, value) -> fields.put(field, ruleFor(field).requireValid(field, value)));
         return new PolicySettings(fields);
     }
 
-    private static SettingRule rule(String field) {
-        SettingRule rule = RULES.get(pattern(field));
+    private static SettingRule ruleFor(String field) {
+        SettingRule rule = RULES.get(patternOf(field));
         if (rule == null) {
             throw new IllegalArgumentException(
                     field + ": cannot change while nodes run, or is not known to this program; one of "
@@ -101,8 +102,8 @@
         return rule;
     }
 
-    /** The field with any name of an op type in it. */
-    private static String pattern(String field) {
+    /** The field with the name of its op type, if it has one, replaced by the wildcard of {@link #RULES}. */
+    private static String patternOf(String field) {
         String[] steps = field.split("/", -1);
         boolean isOfOpType = field.startsWith(OP_TYPES) && steps.length == 4 && !steps[2].isEmpty();
         if (isOfOpType) {
@@ -113,7 +114,9 @@
 
     // ---- JSON ----
 
-    /** What a version states, as a JSON object, nested or by fields; an IllegalArgumentException says what is wrong with it. */
+    /**
+     * Reads a version's settings from a JSON object, nested or by field; throws IllegalArgumentException if invalid.
+     */
     public static PolicySettings parse(String text) {
         try (JsonParser parser = new JsonFactory().createParser(text)) {
             if (parser.nextToken() == null || !(JsonTree.readValue(parser) instanceof Map<?, ?> tree)) {
@@ -139,12 +142,12 @@
             if (value instanceof Map<?, ?> inner) {
                 flatten(field, inner, values);
             } else if (values.put(field, value == null ? "null" : value) != null) {
-                throw new IllegalArgumentException(field + ": is there twice");
+                throw new IllegalArgumentException(field + ": found twice, one value is expected");
             }
         });
     }
 
-    /** A JSON object by fields, in their order: the same settings are the same text. */
+    /** A JSON object by field, in sorted order: equal settings give equal texts. */
     public String toJson() {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
@@ -172,7 +175,10 @@
 
     // ---- Versions on top of a node's settings ----
 
-    /** These with what a version states in their place; an IllegalArgumentException where it states what a node does not have. */
+    /**
+     * These settings overridden by a version; throws IllegalArgumentException if it sets a field that a node does not
+     * have.
+     */
     public PolicySettings overriddenBy(PolicySettings version) {
         TreeMap<String, Object> all = new TreeMap<>(fields);
         version.fields.forEach((field, value) -> {
@@ -181,30 +187,32 @@
             }
         });
         PolicySettings merged = new PolicySettings(all);
-        merged.opTypeNames().forEach(merged::checkBudget);
+        merged.opTypeNames().forEach(merged::checkLatencyObjective);
         return merged;
     }
 
-    private void checkBudget(String opType) {
-        double latencyObjectiveMs = number(OP_TYPES + opType + BUDGET);
+    private void checkLatencyObjective(String opType) {
+        double latencyObjectiveMs = number(OP_TYPES + opType + LATENCY_OBJECTIVE);
         double timeoutMs = number(OP_TYPES + opType + TIMEOUT);
         if (latencyObjectiveMs > timeoutMs) {
-            throw new IllegalArgumentException(OP_TYPES + opType + BUDGET + ": found " + latencyObjectiveMs
+            throw new IllegalArgumentException(OP_TYPES + opType + LATENCY_OBJECTIVE + ": found " + latencyObjectiveMs
                     + ", no more than timeoutMs, " + timeoutMs + ", is expected");
         }
     }
 
-    /** Field by field the stricter of both, as the table above says. Both are of one node, so that they have the same fields. */
+    /**
+     * The stricter value of each field, as in the table above. Both settings are of one node and have the same fields.
+     */
     public PolicySettings stricterOf(PolicySettings other) {
         TreeMap<String, Object> all = new TreeMap<>();
-        fields.forEach((field, value) -> all.put(field, rule(field).stricterOf(value, other.fields.get(field))));
+        fields.forEach((field, value) -> all.put(field, ruleFor(field).stricterOf(value, other.fields.get(field))));
         if (!Objects.equals(fields.get(RETRY_BUDGET_SPAN), other.fields.get(RETRY_BUDGET_SPAN))) {
             mergeRetryBudgets(other, all);
         }
         return new PolicySettings(all);
     }
 
-    /** Of two budgets over different spans only what is free is within both; a span of 0 is no budget. */
+    /** Two retry budgets over different spans have only their free retries in common; a span of 0 is no budget. */
     private void mergeRetryBudgets(PolicySettings other, TreeMap<String, Object> all) {
         if (number(RETRY_BUDGET_SPAN) == 0) {
             all.putAll(other.retryBudget());
@@ -219,14 +227,16 @@
         return fields.subMap(RETRY_BUDGET, RETRY_BUDGET_END);
     }
 
-    /** Whether whoever keeps to these keeps to those, too; fields that only order work do not count. */
+    /**
+     * Whether a node that keeps to these settings also keeps to the wider ones; fields that only rank work are ignored.
+     */
     public boolean isWithin(PolicySettings wider) {
         return wider.stricterOf(this).fields.entrySet().stream()
                 .allMatch(field ->
-                        !rule(field.getKey()).isBinding() || field.getValue().equals(fields.get(field.getKey())));
+                        !ruleFor(field.getKey()).isBinding() || field.getValue().equals(fields.get(field.getKey())));
     }
 
-    /** What differs, a line each: field, here, there. */
+    /** The fields that differ, a line each: field, value here, value in the other settings. */
     public List<String> differencesTo(PolicySettings other) {
         List<String> lines = new ArrayList<>();
         TreeSet<String> all = new TreeSet<>(fields.keySet());
@@ -242,7 +252,7 @@
 
     // ---- Values ----
 
-    /** Names of the op types that have settings here. */
+    /** The names of the op types that have settings here. */
     public List<String> opTypeNames() {
         return fields.keySet().stream()
                 .filter(field -> field.startsWith(OP_TYPES))
--- a/core/src/main/java/spartrail/policy/PolicyVersion.java
+++ b/core/src/main/java/spartrail/policy/PolicyVersion.java
@@ -1,33 +1,33 @@
 package spartrail.policy;
 
 /**
- * A proposal and what came of it; once it is active, the version of policy that nodes go by.
+ * A proposed version of policy and its stage; nodes apply it once it is active.
  *
- * @param number in the order of proposals, from 1
- * @param settings what it states, as the JSON text of {@link PolicySettings}
- * @param proposer who proposed it
- * @param reason why it was refused or aborted; else empty
- * @param token random: the same proposal sent twice is one
+ * @param number the number of the proposal, in order from 1
+ * @param settings the settings that the version changes, as the JSON text of {@link PolicySettings}
+ * @param proposer the name of the operator that proposed the version
+ * @param reason why the version was refused or aborted; empty for other stages
+ * @param token random; identifies a proposal, so that one that is sent twice is logged once
  */
 public record PolicyVersion(long number, String settings, String proposer, Stage stage, String reason, String token) {
-    /** How far a proposal has come. The names are part of messages, of the log on disk and of replies to operators. */
+    /** The stage of a proposal. The names are part of messages, of the log on disk and of replies to operators. */
     public enum Stage {
         /** Nodes vote on it. */
         PROPOSED,
-        /** All nodes can apply it; it will be active once no lease is left on the version before alone. */
+        /** All nodes can apply it; it becomes active once all leases on the previous version alone have expired. */
         DECIDED,
-        /** It is active, or was until the next one. */
+        /** It is active, or was active until a later version replaced it. */
         HOLDS,
-        /** A node cannot apply it, or did not say so in time. */
+        /** A node cannot apply it, or did not vote in time. */
         REFUSED,
-        /** An operator gave it up. */
+        /** An operator aborted it. */
         ABORTED
     }
 
-    /** Before anything was proposed each node goes by its local settings. */
+    /** The version before the first proposal: it changes nothing, so that each node applies its local settings. */
     public static final PolicyVersion INITIAL = new PolicyVersion(0, "{}", "", Stage.HOLDS, "", "");
 
-    /** The same one at another stage, for a reason. */
+    /** This version at another stage, with the reason for it. */
     PolicyVersion withStage(Stage next, String nextReason) {
         return new PolicyVersion(number, settings, proposer, next, nextReason, token);
     }
--- a/core/src/main/java/spartrail/policy/SettingRule.java
+++ b/core/src/main/java/spartrail/policy/SettingRule.java
@@ -1,6 +1,6 @@
 package spartrail.policy;
 
-/** What a field of {@link PolicySettings} holds, and which of two values is the stricter. */
+/** The type of a field of {@link PolicySettings}, and the order that tells which of two values is the stricter. */
 enum SettingRule {
     SMALLER(Type.NUMBER, Order.SMALLER),
     LARGER(Type.NUMBER, Order.LARGER),
@@ -23,7 +23,7 @@
     private enum Order {
         SMALLER,
         LARGER,
-        /** The field orders work and bounds nothing. */
+        /** The field only ranks work and limits nothing, so that neither value is stricter: the first is taken. */
         FIRST,
         BOTH,
         LEAST_REPEATABLE
@@ -37,57 +37,59 @@
         this.order = order;
     }
 
-    /** Whether the field bounds what a node may do. */
+    /** Whether the field limits what a node may do. */
     boolean isBinding() {
         return order != Order.FIRST;
     }
 
-    /** The value as it is stored; an IllegalArgumentException names the field, what was found and what is expected. */
-    Object checked(String field, Object value) {
+    /**
+     * The value as it is stored; the IllegalArgumentException names the field, the value found and the values expected.
+     */
+    Object requireValid(String field, Object value) {
         return switch (type) {
-            case NUMBER -> checkedNumber(field, value, 0, Double.POSITIVE_INFINITY, "a number of 0 or more");
-            case COUNT -> checkedNumber(field, value, 1, Double.POSITIVE_INFINITY, "a number of 1 or more");
-            case SHARE -> checkedNumber(field, value, 0, 1, "a share of 0 to 1");
-            case FLAG -> checkedFlag(field, value);
-            case IDEMPOTENCY -> checkedIdempotency(field, value);
+            case NUMBER -> requireNumber(field, value, 0, Double.POSITIVE_INFINITY, "a number of 0 or more");
+            case COUNT -> requireNumber(field, value, 1, Double.POSITIVE_INFINITY, "a number of 1 or more");
+            case SHARE -> requireNumber(field, value, 0, 1, "a share of 0 to 1");
+            case FLAG -> requireFlag(field, value);
+            case IDEMPOTENCY -> requireIdempotency(field, value);
         };
     }
 
-    private static Object checkedNumber(String field, Object value, double least, double most, String expected) {
+    private static Object requireNumber(String field, Object value, double min, double max, String expected) {
         double number = value instanceof Number parsed ? parsed.doubleValue() : Double.NaN;
-        boolean isValid = number >= least && number <= most && !Double.isInfinite(number);
+        boolean isValid = number >= min && number <= max && !Double.isInfinite(number);
         if (!isValid) {
-            throw unexpected(field, value, expected);
+            throw unexpectedValue(field, value, expected);
         }
         return number;
     }
 
-    private static Object checkedFlag(String field, Object value) {
+    private static Object requireFlag(String field, Object value) {
         if (!(value instanceof Boolean)) {
-            throw unexpected(field, value, "true or false");
+            throw unexpectedValue(field, value, "true or false");
         }
         return value;
     }
 
-    private static Object checkedIdempotency(String field, Object value) {
-        if (value instanceof String name && IdempotencyNames.all().contains(name)) {
+    private static Object requireIdempotency(String field, Object value) {
+        if (value instanceof String name && IdempotencyNames.allNames().contains(name)) {
             return value;
         }
-        throw unexpected(field, value, "one of " + IdempotencyNames.all());
+        throw unexpectedValue(field, value, "one of " + IdempotencyNames.allNames());
     }
 
-    private static IllegalArgumentException unexpected(String field, Object found, String expected) {
+    private static IllegalArgumentException unexpectedValue(String field, Object found, String expected) {
         return new IllegalArgumentException(field + ": found " + found + ", " + expected + " is expected");
     }
 
-    /** The stricter of two checked values. */
-    Object stricterOf(Object one, Object other) {
+    /** The stricter of two valid values. */
+    Object stricterOf(Object first, Object second) {
         return switch (order) {
-            case SMALLER -> Math.min((double) one, (double) other);
-            case LARGER -> Math.max((double) one, (double) other);
-            case FIRST -> one;
-            case BOTH -> (boolean) one && (boolean) other;
-            case LEAST_REPEATABLE -> IdempotencyNames.stricter((String) one, (String) other);
+            case SMALLER -> Math.min((double) first, (double) second);
+            case LARGER -> Math.max((double) first, (double) second);
+            case FIRST -> first;
+            case BOTH -> (boolean) first && (boolean) second;
+            case LEAST_REPEATABLE -> IdempotencyNames.stricterOf((String) first, (String) second);
         };
     }
 }
--- a/core/src/main/java/spartrail/policy/package-info.java
+++ b/core/src/main/java/spartrail/policy/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Versions of policy: what may change while front nodes run, which version is active, and until when a node may go by it.
- * Messages and the time come in, plain values go out; no I/O, no clock, no threads. {@link spartrail.policy.PolicyLog} is the
- * replicated state, {@link spartrail.policy.PolicyLeader} what the leader of the voters does about it, {@link
- * spartrail.policy.PolicyFollower} what every node does.
+ * Policy versions: the settings that may change while front nodes run, the version that is active, and the leases under
+ * which nodes apply it. The classes take messages and the time as arguments and return plain values; they use no I/O,
+ * clock or threads. {@link spartrail.policy.PolicyLog} is the replicated state machine, {@link
+ * spartrail.policy.PolicyLeader} the part of the leader of the voters, {@link spartrail.policy.PolicyFollower} the part
+ * of every node.
  */
 package spartrail.policy;
--- a/core/src/test/java/spartrail/policy/PolicySettingsTest.java
+++ b/core/src/test/java/spartrail/policy/PolicySettingsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 class PolicySettingsTest {
-    static final PolicySettings OWN = PolicySettings.parse(
+    static final PolicySettings LOCAL_SETTINGS = PolicySettings.parse(
             "{'opTypes':{'orders':{'budgetMs':2000,'timeoutMs':4000,'need':1,'floor':0.9,'dedupMs':0,"
                             .replace('\'', '"')
                     + ("'repeat':'RETRIABLE','importance':1,'lateShare':0.3,'partialShare':0.9}},'sends':{'most':4,'parallel':true},"
@@ -19,19 +19,19 @@
                                     + "'comeback':{'told':true,'longestMs':1000},'inHand':{'most':200}}")
                             .replace('\'', '"'));
 
-    private static PolicySettings with(String version) {
-        return OWN.overriddenBy(PolicySettings.parse(version.replace('\'', '"')));
+    private static PolicySettings localSettingsWith(String version) {
+        return LOCAL_SETTINGS.overriddenBy(PolicySettings.parse(version.replace('\'', '"')));
     }
 
     @Test
     void stricterOfTakesTheStricterOfEachField() {
-        PolicySettings other = with(
+        PolicySettings other = localSettingsWith(
                 "{'opTypes':{'orders':{'budgetMs':1500,'timeoutMs':5000,'need':0.9,'floor':0.95,'dedupMs':5,'repeat':'DEDUPED',"
                         + "'importance':7}},'sends':{'most':6,'parallel':false},'furtherSends':{'free':20,'share':0.05},"
                         + "'cold':{'leastShare':0.4,"
                         + "'warmMs':20000,'tipMultiple':1.5,'fallMs':2000},"
                         + "'comeback':{'told':false,'longestMs':500},'inHand':{'most':100}}");
-        assertThat(String.join("\n", OWN.differencesTo(OWN.stricterOf(other))))
+        assertThat(String.join("\n", LOCAL_SETTINGS.differencesTo(LOCAL_SETTINGS.stricterOf(other))))
                 .isEqualTo(
                         """
                 /cold/tipMultiple: 2.0 -> 1.5
@@ -46,34 +46,38 @@
                 /sends/parallel: true -> false""");
     }
 
-    /** A budget over another span cannot be compared by its parts. */
+    /** Retry budgets over different spans cannot be compared field by field. */
     @Test
-    void ofTwoBudgetsOverDifferentSpansOnlyWhatIsFreeIsWithinBoth() {
-        assertThat(OWN.differencesTo(OWN.stricterOf(with("{'furtherSends':{'spanMs':20000,'free':5,'share':0.2}}"))))
+    void stricterOfRetryBudgetsOverDifferentSpansKeepsOnlyTheFreeRetries() {
+        assertThat(LOCAL_SETTINGS.differencesTo(LOCAL_SETTINGS.stricterOf(
+                        localSettingsWith("{'furtherSends':{'spanMs':20000,'free':5,'share':0.2}}"))))
                 .containsExactly(
                         "/furtherSends/free: 10.0 -> 5.0",
                         "/furtherSends/share: 0.1 -> 0.0",
                         "/furtherSends/spanMs: 10000.0 -> 20000.0");
-        assertThat(OWN.stricterOf(with("{'furtherSends':{'spanMs':0,'free':0,'share':0}}")))
-                .isEqualTo(OWN);
+        assertThat(LOCAL_SETTINGS.stricterOf(localSettingsWith("{'furtherSends':{'spanMs':0,'free':0,'share':0}}")))
+                .isEqualTo(LOCAL_SETTINGS);
     }
 
-    /** Whatever two versions say: the stricter of them is within both, in either order, and once more changes nothing. */
+    /**
+     * For random pairs of settings: the stricter one is within both, in either order, and merging again changes
+     * nothing.
+     */
     @Test
-    void theStricterOfAnyTwoIsWithinBoth() {
-        Random chance = new Random(7);
+    void stricterOfAnyTwoSettingsIsWithinBoth() {
+        Random random = new Random(7);
         for (int i = 0; i < 2000; i++) {
-            PolicySettings one = drawn(chance);
-            PolicySettings other = drawn(chance);
-            PolicySettings joint = one.stricterOf(other);
-            assertThat(joint.isWithin(one)).as("%s%n%s", one, other).isTrue();
-            assertThat(joint.isWithin(other)).as("%s%n%s", one, other).isTrue();
-            assertThat(joint.stricterOf(other)).isEqualTo(joint);
-            assertThat(other.stricterOf(one).isWithin(joint)).isTrue();
+            PolicySettings first = randomSettings(random);
+            PolicySettings second = randomSettings(random);
+            PolicySettings joint = first.stricterOf(second);
+            assertThat(joint.isWithin(first)).as("%s%n%s", first, second).isTrue();
+            assertThat(joint.isWithin(second)).as("%s%n%s", first, second).isTrue();
+            assertThat(joint.stricterOf(second)).isEqualTo(joint);
+            assertThat(second.stricterOf(first).isWithin(joint)).isTrue();
         }
     }
 
-    private static PolicySettings drawn(Random chance) {
+    private static PolicySettings randomSettings(Random random) {
         Map<String, Object> values = new HashMap<>();
         for (String field : List.of(
                 "/opTypes/orders/budgetMs",
@@ -83,24 +87,24 @@
                 "/cold/fallMs",
                 "/cold/warmMs",
                 "/comeback/longestMs")) {
-            values.put(field, chance.nextInt(4) * 500);
+            values.put(field, random.nextInt(4) * 500);
         }
         for (String field :
                 List.of("/opTypes/orders/need", "/opTypes/orders/floor", "/furtherSends/share", "/cold/leastShare")) {
-            values.put(field, chance.nextInt(5) / 4.0);
+            values.put(field, random.nextInt(5) / 4.0);
         }
-        values.put("/furtherSends/spanMs", chance.nextInt(3) * 5000);
-        values.put("/sends/most", 1 + chance.nextInt(3));
-        values.put("/sends/parallel", chance.nextBoolean());
-        values.put("/comeback/told", chance.nextBoolean());
+        values.put("/furtherSends/spanMs", random.nextInt(3) * 5000);
+        values.put("/sends/most", 1 + random.nextInt(3));
+        values.put("/sends/parallel", random.nextBoolean());
+        values.put("/comeback/told", random.nextBoolean());
         values.put(
                 "/opTypes/orders/repeat",
-                List.of("RETRIABLE", "DEDUPED", "NON_RETRIABLE").get(chance.nextInt(3)));
-        return OWN.overriddenBy(PolicySettings.of(values));
+                List.of("RETRIABLE", "DEDUPED", "NON_RETRIABLE").get(random.nextInt(3)));
+        return LOCAL_SETTINGS.overriddenBy(PolicySettings.of(values));
     }
 
     @Test
-    void whatIsWrongIsOneLineWithTheField() {
+    void invalidSettingsAreReportedInOneLineThatNamesTheField() {
         assertThatThrownBy(() -> PolicySettings.parse("{\"layout\":{\"shards\":4}}"))
                 .hasMessageStartingWith(
                         "/layout/shards: cannot change while nodes run, or is not known to this program; one of [");
@@ -114,10 +118,10 @@
                 .hasMessage(
                         "/opTypes/orders/repeat: found never, one of [RETRIABLE, DEDUPED, NON_RETRIABLE] is expected");
         assertThatThrownBy(() -> PolicySettings.parse("{\"sends\":3")).hasMessageStartingWith("no JSON: ");
-        assertThatThrownBy(() -> with("{'opTypes':{'sales':{'budgetMs':3}}}"))
+        assertThatThrownBy(() -> localSettingsWith("{'opTypes':{'sales':{'budgetMs':3}}}"))
                 .hasMessage("/opTypes/sales/budgetMs: this node has no such op type");
-        assertThatThrownBy(() -> with("{'opTypes':{'orders':{'budgetMs':9000}}}"))
+        assertThatThrownBy(() -> localSettingsWith("{'opTypes':{'orders':{'budgetMs':9000}}}"))
                 .hasMessage("/opTypes/orders/budgetMs: found 9000.0, no more than timeoutMs, 4000.0, is expected");
-        assertThat(PolicySettings.parse(OWN.toJson())).isEqualTo(OWN);
+        assertThat(PolicySettings.parse(LOCAL_SETTINGS.toJson())).isEqualTo(LOCAL_SETTINGS);
     }
 }
--- a/core/src/test/java/spartrail/policy/PolicyTest.java
+++ b/core/src/test/java/spartrail/policy/PolicyTest.java
@@ -7,7 +7,9 @@
 import java.util.random.RandomGeneratorFactory;
 import org.junit.jupiter.api.Test;
 
-/** The log, what the leader does about it, and what a node goes by, told as short traces. */
+/**
+ * Checks {@link PolicyLog}, {@link PolicyLeader} and {@link PolicyFollower} by short traces of operations and polls.
+ */
 class PolicyTest {
     private static final PolicyTimings TIMES = new PolicyTimings(3000, 1000, 8000, 5000, 0.02);
     private static final String QUICK = "{\"opTypes\":{\"orders\":{\"budgetMs\":1000}}}";
@@ -15,12 +17,12 @@
     private final PolicyLog log = new PolicyLog();
     private long index;
 
-    private String apply(LogOperation.Kind kind, long number, String text, String who, String token) {
-        return log.apply(++index, new LogOperation(kind, number, text, who, token));
+    private String apply(LogOperation.Kind kind, long number, String text, String issuer, String token) {
+        return log.apply(++index, new LogOperation(kind, number, text, issuer, token));
     }
 
     @Test
-    void aProposalEndsInOneWayOnly() {
+    void aProposalIsFinishedOnceAndOnlyOneIsPending() {
         List<String> trace = new ArrayList<>();
         trace.add(apply(LogOperation.Kind.PROPOSE, 0, QUICK, "first", "a"));
         trace.add(apply(LogOperation.Kind.PROPOSE, 0, QUICK, "first", "a"));
@@ -60,7 +62,7 @@
                 .containsExactly("1 REFUSED n3: cannot", "2 HOLDS ");
     }
 
-    private static String described(LogOperation operation) {
+    private static String describe(LogOperation operation) {
         if (operation == null) {
             return "-";
         }
@@ -69,32 +71,32 @@
     }
 
     @Test
-    void theLeaderWaitsForLiveNodesAndLeaseHolders() {
+    void theLeaderWaitsForVotesOfLiveNodesAndForLeasesToExpire() {
         PolicyLeader leader = new PolicyLeader(TIMES);
         leader.setLeading(true);
         apply(LogOperation.Kind.PROPOSE, 0, QUICK, "first", "a");
-        List<String> there = List.of("n0", "n1");
+        List<String> liveNodes = List.of("n0", "n1");
         leader.onRequest(new PolicyRequest(1, "n5", 0, "", ""), 500);
-        assertThat(described(leader.nextOperation(log, there, 1000))).isEqualTo("-");
+        assertThat(describe(leader.nextOperation(log, liveNodes, 1000))).isEqualTo("-");
         leader.onRequest(new PolicyRequest(1, "n0", 1, "", ""), 1100);
         leader.onRequest(new PolicyRequest(1, "n1", 1, "", ""), 1200);
-        // n5 is not there any more, but its lease may last.
-        assertThat(described(leader.nextOperation(log, there, 2100))).isEqualTo("-");
-        assertThat(described(leader.nextOperation(log, there, 500 + TIMES.leaseExpiryBoundMs() - 1)))
+        // n5 is no longer live, but its lease may not have expired yet.
+        assertThat(describe(leader.nextOperation(log, liveNodes, 2100))).isEqualTo("-");
+        assertThat(describe(leader.nextOperation(log, liveNodes, 500 + TIMES.leaseExpiryBoundMs() - 1)))
                 .isEqualTo("-");
-        assertThat(described(leader.nextOperation(log, there, 500 + TIMES.leaseExpiryBoundMs() + 1)))
+        assertThat(describe(leader.nextOperation(log, liveNodes, 500 + TIMES.leaseExpiryBoundMs() + 1)))
                 .isEqualTo("DECIDE");
         apply(LogOperation.Kind.DECIDE, 1, "", "", "");
-        assertThat(described(leader.nextOperation(log, there, 4000))).isEqualTo("-");
-        assertThat(described(leader.nextOperation(log, there, 4000 + TIMES.leaseExpiryBoundMs() - 1)))
+        assertThat(describe(leader.nextOperation(log, liveNodes, 4000))).isEqualTo("-");
+        assertThat(describe(leader.nextOperation(log, liveNodes, 4000 + TIMES.leaseExpiryBoundMs() - 1)))
                 .isEqualTo("-");
-        assertThat(described(leader.nextOperation(log, there, 4001 + TIMES.leaseExpiryBoundMs())))
+        assertThat(describe(leader.nextOperation(log, liveNodes, 4001 + TIMES.leaseExpiryBoundMs())))
                 .isEqualTo("HOLD");
-        // Another one that begins to lead knows nothing of that wait.
+        // A new leader does not know when the wait of the previous one began, and starts it again.
         PolicyLeader next = new PolicyLeader(TIMES);
         next.setLeading(true);
-        assertThat(described(next.nextOperation(log, there, 9000))).isEqualTo("-");
-        assertThat(described(next.nextOperation(log, there, 9001 + TIMES.leaseExpiryBoundMs())))
+        assertThat(describe(next.nextOperation(log, liveNodes, 9000))).isEqualTo("-");
+        assertThat(describe(next.nextOperation(log, liveNodes, 9001 + TIMES.leaseExpiryBoundMs())))
                 .isEqualTo("HOLD");
     }
 
@@ -105,19 +107,19 @@
         apply(LogOperation.Kind.PROPOSE, 0, QUICK, "first", "a");
         leader.nextOperation(log, List.of("n0", "n1"), 0);
         leader.onRequest(new PolicyRequest(1, "n1", 1, "no such op type", ""), 100);
-        assertThat(described(leader.nextOperation(log, List.of("n0", "n1"), 200)))
+        assertThat(describe(leader.nextOperation(log, List.of("n0", "n1"), 200)))
                 .isEqualTo("REFUSE n1: no such op type");
         apply(LogOperation.Kind.REFUSE, 1, "", "", "");
         apply(LogOperation.Kind.PROPOSE, 0, QUICK, "first", "b");
         leader.nextOperation(log, List.of("n0", "n1"), 1000);
         leader.onRequest(new PolicyRequest(1, "n1", 2, "", ""), 1100);
-        assertThat(described(leader.nextOperation(log, List.of("n0", "n1"), 8900)))
+        assertThat(describe(leader.nextOperation(log, List.of("n0", "n1"), 8900)))
                 .isEqualTo("-");
-        assertThat(described(leader.nextOperation(log, List.of("n0", "n1"), 9000)))
+        assertThat(describe(leader.nextOperation(log, List.of("n0", "n1"), 9000)))
                 .isEqualTo("REFUSE n0: said nothing in 8000 ms");
     }
 
-    private static String leaseOf(PolicyFollower node, double atMs) {
+    private static String describeLease(PolicyFollower node, double atMs) {
         if (node.lease() == null) {
             return "-";
         }
@@ -127,129 +129,129 @@
                 + (long) lease.settings().number("/opTypes/orders/budgetMs");
     }
 
-    private PolicyResponse response(PolicyRequest poll) {
+    private PolicyResponse responseTo(PolicyRequest poll) {
         return new PolicyResponse(poll.nonce(), index, log.active(), log.pending());
     }
 
     @Test
-    void aNodeGoesByTheResponseUntilItsLeaseExpires() {
+    void aNodeAppliesTheLatestResponseUntilItsLeaseExpires() {
         PolicyFollower node = new PolicyFollower(
                 "n1",
                 List.of("n0", "n1", "n2"),
-                PolicySettingsTest.OWN,
+                PolicySettingsTest.LOCAL_SETTINGS,
                 TIMES,
                 RandomGeneratorFactory.of("L64X128MixRandom").create(1),
                 0);
-        assertThat(leaseOf(node, 0)).isEqualTo("-");
+        assertThat(describeLease(node, 0)).isEqualTo("-");
         PolicyRequest first = node.pollIfDue(0);
-        node.onResponse(response(first), 400);
-        assertThat(leaseOf(node, 2999)).isEqualTo("0 2000");
-        // The lease counts from the question at 0, not from the answer.
-        assertThat(leaseOf(node, 3000)).isEqualTo("0? joint 2000");
+        node.onResponse(responseTo(first), 400);
+        assertThat(describeLease(node, 2999)).isEqualTo("0 2000");
+        // The lease starts with the poll at 0, not with the response at 400.
+        assertThat(describeLease(node, 3000)).isEqualTo("0? joint 2000");
         apply(LogOperation.Kind.PROPOSE, 0, QUICK, "first", "a");
-        node.onResponse(response(node.pollIfDue(1200)), 1210);
+        node.onResponse(responseTo(node.pollIfDue(1200)), 1210);
         assertThat(node.proposalToCheck().number()).isEqualTo(1);
-        assertThat(leaseOf(node, 4199) + ", " + leaseOf(node, 4200)).isEqualTo("0 2000, 0|1? joint 1000");
+        assertThat(describeLease(node, 4199) + ", " + describeLease(node, 4200)).isEqualTo("0 2000, 0|1? joint 1000");
         node.recordVote(1, "", 1300);
-        PolicyRequest says = node.pollIfDue(1300);
-        assertThat(says.votedNumber() + " " + says.objection()).isEqualTo("1 ");
+        PolicyRequest vote = node.pollIfDue(1300);
+        assertThat(vote.votedNumber() + " " + vote.objection()).isEqualTo("1 ");
         apply(LogOperation.Kind.DECIDE, 1, "", "", "");
         PolicyRequest late = node.pollIfDue(2500);
-        PolicyResponse decided = response(says);
+        PolicyResponse decided = responseTo(vote);
         node.onResponse(decided, 2600);
-        assertThat(leaseOf(node, 2600)).isEqualTo("0|1 joint 1000");
-        // Said twice, and an answer that was overtaken: nothing.
+        assertThat(describeLease(node, 2600)).isEqualTo("0|1 joint 1000");
+        // A duplicate response and one with a lower applied index change nothing.
         node.onResponse(decided, 2700);
         apply(LogOperation.Kind.HOLD, 1, "", "", "");
-        node.onResponse(response(late), 2800);
-        assertThat(leaseOf(node, 2800) + ", " + leaseOf(node, 5499) + ", " + leaseOf(node, 5500))
+        node.onResponse(responseTo(late), 2800);
+        assertThat(describeLease(node, 2800) + ", " + describeLease(node, 5499) + ", " + describeLease(node, 5500))
                 .isEqualTo("1 1000, 1 1000, 1? joint 1000");
-        PolicyRequest again = node.pollIfDue(4000);
-        node.onResponse(new PolicyResponse(again.nonce(), 1, PolicyVersion.INITIAL, null), 4100);
-        assertThat(leaseOf(node, 4100)).isEqualTo("1 1000");
-        // It stood still for long: whoever decides looks at the clock first, and finds the lease over.
-        assertThat(leaseOf(node, 60_000)).isEqualTo("1? joint 1000");
+        PolicyRequest nextPoll = node.pollIfDue(4000);
+        node.onResponse(new PolicyResponse(nextPoll.nonce(), 1, PolicyVersion.INITIAL, null), 4100);
+        assertThat(describeLease(node, 4100)).isEqualTo("1 1000");
+        // After a long pause of the process the lease has expired, and the first look at the clock shows it.
+        assertThat(describeLease(node, 60_000)).isEqualTo("1? joint 1000");
     }
 
-    /** If the named leader were passed over for the next voter, most polls would go to the wrong node. */
+    /** If the next voter were polled instead of the named leader, most polls would go to the wrong node. */
     @Test
-    void aFollowerPollsTheNamedLeaderAndPassesOverSilentNodes() {
+    void aFollowerPollsTheNamedLeaderAndSkipsNodesThatDoNotAnswer() {
         PolicyFollower node = new PolicyFollower(
                 "n1",
                 List.of("n0", "n1", "n2"),
-                PolicySettingsTest.OWN,
+                PolicySettingsTest.LOCAL_SETTINGS,
                 TIMES,
                 RandomGeneratorFactory.of("L64X128MixRandom").create(1),
                 0);
-        List<String> asked = new ArrayList<>();
+        List<String> targets = new ArrayList<>();
         node.pollIfDue(0);
-        asked.add(node.pollTarget());
+        targets.add(node.pollTarget());
         node.pollIfDue(1200);
-        asked.add(node.pollTarget());
+        targets.add(node.pollTarget());
         node.onRedirect("n2", 1202);
         assertThat(node.nextPollAtMs()).isEqualTo(1300);
         PolicyRequest poll = node.pollIfDue(1300);
-        asked.add(node.pollTarget());
-        node.onResponse(response(poll), 1310);
+        targets.add(node.pollTarget());
+        node.onResponse(responseTo(poll), 1310);
         node.pollIfDue(2500);
-        asked.add(node.pollTarget());
+        targets.add(node.pollTarget());
         node.onRedirect("", 2510);
         node.pollIfDue(3800);
-        asked.add(node.pollTarget());
-        assertThat(asked).containsExactly("n2", "n0", "n2", "n2", "n2");
+        targets.add(node.pollTarget());
+        assertThat(targets).containsExactly("n2", "n0", "n2", "n2", "n2");
     }
 
     /**
-     * A node that was cut off while a version was decided that it cannot apply would otherwise get a lease on the version before
-     * alone, which outlasts that version.
+     * A node that was disconnected while a version was decided that it cannot apply would otherwise get a lease on the
+     * previous version alone, which outlasts that version.
      */
     @Test
-    void afterADecisionNoNodeGetsALeaseOnTheVersionBeforeAlone() {
+    void noLeaseOnThePreviousVersionAloneIsTakenAfterADecision() {
         PolicyFollower node = new PolicyFollower(
                 "n1",
                 List.of("n0", "n1", "n2"),
-                PolicySettingsTest.OWN,
+                PolicySettingsTest.LOCAL_SETTINGS,
                 TIMES,
                 RandomGeneratorFactory.of("L64X128MixRandom").create(1),
                 0);
-        node.onResponse(response(node.pollIfDue(0)), 10);
+        node.onResponse(responseTo(node.pollIfDue(0)), 10);
         apply(LogOperation.Kind.PROPOSE, 0, "{\"opTypes\":{\"sales\":{\"budgetMs\":3}}}", "first", "a");
         apply(LogOperation.Kind.DECIDE, 1, "", "", "");
-        node.onResponse(response(node.pollIfDue(1200)), 1210);
-        assertThat(leaseOf(node, 1210)).isEqualTo("0? joint 2000");
-        assertThat(node.incompatibility()).startsWith("cannot go by version 1: ");
+        node.onResponse(responseTo(node.pollIfDue(1200)), 1210);
+        assertThat(describeLease(node, 1210)).isEqualTo("0? joint 2000");
+        assertThat(node.incompatibility()).startsWith("cannot apply version 1: ");
     }
 
     @Test
-    void aNodeWithoutAResponseServesAfterTheStartupTimeoutAndAnIncompatibleOneDoesNot() {
+    void aNodeServesWithoutAResponseAfterTheStartupTimeoutButNotWithAnIncompatibleVersion() {
         PolicyFollower node = new PolicyFollower(
                 "n1",
                 List.of("n0", "n1", "n2"),
-                PolicySettingsTest.OWN,
+                PolicySettingsTest.LOCAL_SETTINGS,
                 TIMES,
                 RandomGeneratorFactory.of("L64X128MixRandom").create(1),
                 0);
         node.pollIfDue(0);
         node.pollIfDue(4999);
-        assertThat(leaseOf(node, 4999)).isEqualTo("-");
+        assertThat(describeLease(node, 4999)).isEqualTo("-");
         node.pollIfDue(5000);
-        assertThat(leaseOf(node, 5000)).isEqualTo("0? joint 2000");
+        assertThat(describeLease(node, 5000)).isEqualTo("0? joint 2000");
         apply(LogOperation.Kind.PROPOSE, 0, "{\"opTypes\":{\"sales\":{\"budgetMs\":3}}}", "first", "a");
         apply(LogOperation.Kind.DECIDE, 1, "", "", "");
         apply(LogOperation.Kind.HOLD, 1, "", "", "");
-        node.onResponse(response(node.pollIfDue(7000)), 7010);
-        // It served by itself already, and is out of touch from now on.
-        assertThat(leaseOf(node, 7010)).isEqualTo("0? joint 2000");
+        node.onResponse(responseTo(node.pollIfDue(7000)), 7010);
+        // The node already served with its local settings, and keeps them because it cannot apply version 1.
+        assertThat(describeLease(node, 7010)).isEqualTo("0? joint 2000");
         PolicyFollower fresh = new PolicyFollower(
                 "n2",
                 List.of("n0", "n1", "n2"),
-                PolicySettingsTest.OWN,
+                PolicySettingsTest.LOCAL_SETTINGS,
                 TIMES,
                 RandomGeneratorFactory.of("L64X128MixRandom").create(1),
                 0);
-        fresh.onResponse(response(fresh.pollIfDue(0)), 10);
-        assertThat(leaseOf(fresh, 10)).isEqualTo("-");
+        fresh.onResponse(responseTo(fresh.pollIfDue(0)), 10);
+        assertThat(describeLease(fresh, 10)).isEqualTo("-");
         assertThat(node.incompatibility())
-                .isEqualTo("cannot go by version 1: /opTypes/sales/budgetMs: this node has no such op type");
+                .isEqualTo("cannot apply version 1: /opTypes/sales/budgetMs: this node has no such op type");
     }
 }
--- a/core/src/test/java/spartrail/policy/TermsFormsTest.java
+++ b/core/src/test/java/spartrail/policy/TermsFormsTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The JSON text of settings keeps its form: versions of policy are stored and compared as such text. */
+/** Guards the JSON text of settings, in which policy versions are stored and compared, against a change of form. */
 class TermsFormsTest {
     private static final String NESTED =
             """
@@ -23,7 +23,7 @@
              "comeback":{"told":false,"longestMs":1000},
              "inHand":{"most":200}}""";
 
-    private static String stored() throws IOException {
+    private static String readStored() throws IOException {
         try (InputStream in = TermsFormsTest.class.getResourceAsStream("/forms/terms.txt")) {
             List<String> lines = new String(in.readAllBytes(), StandardCharsets.UTF_8)
                     .lines()
@@ -34,12 +34,12 @@
     }
 
     @Test
-    void eachFieldKeepsItsText() throws IOException {
-        assertThat(PolicySettings.parse(NESTED).toJson()).isEqualTo(stored());
+    void eachFieldIsWrittenInItsStoredForm() throws IOException {
+        assertThat(PolicySettings.parse(NESTED).toJson()).isEqualTo(readStored());
     }
 
     @Test
-    void storedTextIsReadAndWrittenAgain() throws IOException {
-        assertThat(PolicySettings.parse(stored()).toJson()).isEqualTo(stored());
+    void storedTextIsReadAndWrittenUnchanged() throws IOException {
+        assertThat(PolicySettings.parse(readStored()).toJson()).isEqualTo(readStored());
     }
 }
