--- a/core/src/main/java/spartrail/policy/LogOperation.java
+++ b/core/src/main/java/spartrail/policy/LogOperation.java
@@ -6,7 +6,7 @@
  * @param proposalNumber the number of the proposal that the operation applies to; 0 if it has no number yet
  * @param text the proposed settings, or the reason for a refusal
  * @param issuer the name of the operator or node that proposes, refuses or aborts
- * @param token random; identifies a proposal, so that one that is sent twice is logged once
+ * @param token random; a proposal that is sent twice bears the same token both times and is applied once
  */
 public record LogOperation(Kind kind, long proposalNumber, String text, String issuer, String token) {
     /** The kinds of operations, each with its name in messages and in the log on disk. */
--- a/core/src/main/java/spartrail/policy/PolicyLog.java
+++ b/core/src/main/java/spartrail/policy/PolicyLog.java
@@ -86,7 +86,7 @@
         }
         String settings;
         try {
-            settings = checkedSettings(operation.text());
+            settings = normalizeSettings(operation.text());
         } catch (IllegalArgumentException e) {
             return FAILURE_PREFIX + e.getMessage();
         }
@@ -95,7 +95,7 @@
         return Long.toString(lastNumber);
     }
 
-    private static String checkedSettings(String text) {
+    private static String normalizeSettings(String text) {
         if (text.length() > MAX_SETTINGS_CHARACTERS) {
             throw new IllegalArgumentException("the settings have " + text.length() + " characters, at most "
                     + MAX_SETTINGS_CHARACTERS + " are expected");
--- a/core/src/main/java/spartrail/policy/PolicyService.java
+++ b/core/src/main/java/spartrail/policy/PolicyService.java
@@ -21,10 +21,7 @@
         /** The part of the node's local settings that policy may change. */
         PolicySettings localSettings();
 
-        /**
-         * Tries settings out without effect on requests in progress; the reason against them, or empty if there is
-         * none.
-         */
+        /** Tries settings out apart from all requests that are served; why the node cannot apply them, or empty. */
         String dryRun(PolicySettings settings);
 
         /** Applies this lease from now on. */
--- a/core/src/main/java/spartrail/policy/PolicySettings.java
+++ b/core/src/main/java/spartrail/policy/PolicySettings.java
@@ -26,15 +26,16 @@
  *  opTypes/NAME/timeoutMs         the shorter
  *  opTypes/NAME/need, floor       the larger         an answer that suffices for the larger suffices for the smaller
  *  opTypes/NAME/dedupMs           the shorter        a retry within the shorter is within the longer
- *  opTypes/NAME/repeat            the strictest      a call that one forbids to retry is not retried
+ *  opTypes/NAME/repeat            the strictest      a call is retried only if both allow a retry
  *  opTypes/NAME/importance,       the first one's    they only rank work and limit nothing
  *      lateShare, partialShare
  *  sends/most                     the fewer          a count within the smaller is within the larger
  *  sends/parallel                 only if both
  *  furtherSends/free, share       the fewer
- *  furtherSends/spanMs            the longer; where the spans differ, the share is 0: the free retries of the longer
- *                                 span fit into each shorter span within it, a share of its requests need not; a
- *                                 span of 0 is no budget, and the other budget is taken
+ *  furtherSends/spanMs            the longer; where the spans differ, the share is 0: what is free in the longer span
+ *                                 is also free in each shorter span within it, but a share of the requests in the
+ *                                 longer span may exceed that of the shorter; a span of 0 is no budget, and the other
+ *                                 budget applies
  *  cold/leastShare, tipMultiple,  the smaller        less is sent to a server that is warming up
  *      fallMs
  *  cold/warmMs                    the longer
@@ -102,7 +103,10 @@
         return rule;
     }
 
-    /** The field with the name of its op type, if it has one, replaced by the wildcard of {@link #RULES}. */
+    /**
+     * The key of {@link #RULES} for a field: the name of an op type becomes the wildcard, which a field must not
+     * contain.
+     */
     private static String patternOf(String field) {
         String[] steps = field.split("/", -1);
         boolean isOfOpType = field.startsWith(OP_TYPES) && steps.length == 4 && !steps[2].isEmpty();
@@ -200,9 +204,7 @@
         }
     }
 
-    /**
-     * The stricter value of each field, as in the table above. Both settings are of one node and have the same fields.
-     */
+    /** The stricter value of each field, as in the table above. Both settings are of one node, with the same fields. */
     public PolicySettings stricterOf(PolicySettings other) {
         TreeMap<String, Object> all = new TreeMap<>();
         fields.forEach((field, value) -> all.put(field, ruleFor(field).stricterOf(value, other.fields.get(field))));
--- a/core/src/main/java/spartrail/policy/PolicyVersion.java
+++ b/core/src/main/java/spartrail/policy/PolicyVersion.java
@@ -7,7 +7,7 @@
  * @param settings the settings that the version changes, as the JSON text of {@link PolicySettings}
  * @param proposer the name of the operator that proposed the version
  * @param reason why the version was refused or aborted; empty for other stages
- * @param token random; identifies a proposal, so that one that is sent twice is logged once
+ * @param token random; a proposal that is sent twice bears the same token both times and is applied once
  */
 public record PolicyVersion(long number, String settings, String proposer, Stage stage, String reason, String token) {
     /** The stage of a proposal. The names are part of messages, of the log on disk and of replies to operators. */
--- a/core/src/main/java/spartrail/policy/SettingRule.java
+++ b/core/src/main/java/spartrail/policy/SettingRule.java
@@ -42,9 +42,7 @@
         return order != Order.FIRST;
     }
 
-    /**
-     * The value as it is stored; the IllegalArgumentException names the field, the value found and the values expected.
-     */
+    /** The value as it is stored; the IllegalArgumentException names the field, the value and what is expected. */
     Object requireValid(String field, Object value) {
         return switch (type) {
             case NUMBER -> requireNumber(field, value, 0, Double.POSITIVE_INFINITY, "a number of 0 or more");
--- a/core/src/test/java/spartrail/policy/PolicySettingsTest.java
+++ b/core/src/test/java/spartrail/policy/PolicySettingsTest.java
@@ -59,10 +59,7 @@
                 .isEqualTo(LOCAL_SETTINGS);
     }
 
-    /**
-     * For random pairs of settings: the stricter one is within both, in either order, and merging again changes
-     * nothing.
-     */
+    /** For random pairs of settings; also checks that the order of the pair and a second merge change nothing. */
     @Test
     void stricterOfAnyTwoSettingsIsWithinBoth() {
         Random random = new Random(7);
--- a/core/src/test/java/spartrail/policy/PolicyTest.java
+++ b/core/src/test/java/spartrail/policy/PolicyTest.java
@@ -202,8 +202,8 @@
     }
 
     /**
-     * A node that was disconnected while a version was decided that it cannot apply would otherwise get a lease on the
-     * previous version alone, which outlasts that version.
+     * A node may be disconnected while the others decide a version that it cannot apply. A lease on the previous
+     * version alone, taken after that, would outlast the previous version.
      */
     @Test
     void noLeaseOnThePreviousVersionAloneIsTakenAfterADecision() {
