--- a/policy/src/main/java/spartrail/policy/replication/AdminClient.java
+++ b/policy/src/main/java/spartrail/policy/replication/AdminClient.java
@@ -18,8 +18,9 @@
 import spartrail.policy.LogOperation;
 
 /**
- * The operator's side: queries a running node, and sends commands to the leader. Blocks its caller; one socket, one thread. A
- * datagram that is lost is sent again with the same token, and counts once.
+ * The operators' client: sends queries to a running node, and commands to the leader. Calls block; an instance has one
+ * socket and is used by one thread. A request without a response is sent again with the same token, so that it takes
+ * effect once.
  */
 public final class AdminClient implements AutoCloseable {
     private static final int RESPONSE_TIMEOUT_MS = 500;
@@ -27,18 +28,18 @@
     private static final int MAX_COMMAND_ATTEMPTS = 40;
     private static final int MAX_QUERY_ATTEMPTS = 4;
 
-    /** A check takes as long as a rehearsal on the node. */
+    /** A dry run on the node takes longer than other queries. */
     private static final int MAX_CHECK_ATTEMPTS = 8;
 
     private static final int MAX_PIECE_BYTES = 1100;
     private static final int RECEIVE_BUFFER_BYTES = 65_536;
 
-    /** How pieces of messages become datagrams, and back; the fleet's transport knows. */
+    /** Encodes pieces of messages as datagrams and decodes them, in the format of the fleet's transport. */
     public interface FrameCodec {
-        /** The datagram for a piece. */
+        /** The datagram that holds a piece. */
         byte[] encode(byte[] piece);
 
-        /** The piece of a datagram, or null for one of something else. */
+        /** The piece that a datagram holds, or null for a datagram of another kind. */
         byte[] decode(byte[] datagram, int length);
     }
 
@@ -47,7 +48,7 @@
     private final DatagramSplitter splitter;
     private final DatagramReassembler reassembler = new DatagramReassembler();
 
-    /** Speaks from this machine, which the node's peers file has to name among its operators. */
+    /** Opens a socket on this machine, which the node's peers file has to list among the operators. */
     public AdminClient(FrameCodec frames, boolean loopback) throws IOException {
         this.frames = frames;
         this.socket = loopback
@@ -57,22 +58,24 @@
         socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
     }
 
-    /** A node's status as JSON; an IOException where it does not answer. */
+    /** A node's status as JSON; throws IOException if the node does not answer. */
     public String fetchStatus(String address) throws IOException {
         return query(address, AdminRequestHandler.SHOW_QUERY, MAX_QUERY_ATTEMPTS);
     }
 
-    /** A node's status as JSON, queried once. */
+    /** A node's status as JSON, queried once without retries. */
     public String fetchStatusOnce(String address) throws IOException {
         return query(address, AdminRequestHandler.SHOW_QUERY, 1);
     }
 
-    /** What these settings would change for a node, a line each; {@code !} and why it cannot apply them. */
+    /**
+     * The fields that these settings would change at a node, a line each, or {@code !} and why it cannot apply them.
+     */
     public String dryRun(String address, String settings) throws IOException {
         return query(address, AdminRequestHandler.CHECK_QUERY_PREFIX + settings, MAX_CHECK_ATTEMPTS);
     }
 
-    /** In drills: the node's process ends when it next gets to this {@link CrashPoint}. */
+    /** For drills: makes the node's process halt when it next reaches this {@link CrashPoint}; false if it cannot. */
     public boolean armCrashPoint(String address, String point) throws IOException {
         return query(address, point, MAX_QUERY_ATTEMPTS).equals(AdminRequestHandler.ARMED_REPLY);
     }
@@ -83,20 +86,21 @@
             PolicyMessage reply = exchange(
                     address,
                     new PolicyMessage.AdminQuery(token, query),
-                    message -> message instanceof PolicyMessage.AdminReply found
-                            && found.token().equals(token));
+                    message -> message instanceof PolicyMessage.AdminReply received
+                            && received.token().equals(token));
             if (reply != null) {
                 return ((PolicyMessage.AdminReply) reply).text();
             }
         }
-        throw new IOException(address + " does not answer");
+        throw new IOException(
+                address + ": no response to " + maxAttempts + " attempts within " + RESPONSE_TIMEOUT_MS + " ms each");
     }
 
     /**
-     * Sends an operation by way of a node and follows it to the leader.
+     * Sends an operation to a node, and to the leader that it names.
      *
-     * @param toReachable the address at which this machine reaches a node that another node names
-     * @return the proposal's number, or {@code !} and what is wrong
+     * @param toReachable maps the address that a node gives for the leader to an address that this machine can reach
+     * @return the proposal's number, or {@code !} and an error
      */
     public String submit(
             String address,
@@ -117,20 +121,21 @@
             String leader = result == null ? "" : result.leaderAddress();
             target = leader.isEmpty() ? address : toReachable.apply(leader);
             if (result != null && (attempt > 0 || leader.isEmpty())) {
-                // Two nodes that name each other, or one that is lost, would use up all attempts before another one
-                // leads.
+                // Without a pause, two nodes that name each other, or the address of a lost leader, would use up all
+                // attempts before a new leader is elected.
                 backOff();
             }
         }
-        throw new IOException("nobody who leads answers, asked by way of " + address);
+        throw new IOException(
+                "no leader answered in " + MAX_COMMAND_ATTEMPTS + " attempts, the first sent to " + address);
     }
 
     private PolicyMessage.AdminResult sendCommand(String address, LogOperation operation) throws IOException {
         return (PolicyMessage.AdminResult) exchange(
                 address,
                 new PolicyMessage.AdminCommand(operation),
-                message -> message instanceof PolicyMessage.AdminResult found
-                        && found.token().equals(operation.token()));
+                message -> message instanceof PolicyMessage.AdminResult received
+                        && received.token().equals(operation.token()));
     }
 
     private static void backOff() throws IOException {
@@ -138,14 +143,14 @@
             Thread.sleep(RETRY_BACKOFF_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
+            throw new IOException("interrupted while waiting to send the command again", e);
         }
     }
 
-    /** The first message that is expected, or null where none came in time. */
+    /** Sends a request; the first message that is expected in response, or null if none arrives within the timeout. */
     private PolicyMessage exchange(String address, PolicyMessage request, Predicate<PolicyMessage> isExpected)
             throws IOException {
-        InetSocketAddress receiver = socketAddress(address);
+        InetSocketAddress receiver = parseAddress(address);
         for (byte[] piece : splitter.split(PolicyMessageCodec.encode(request))) {
             byte[] frame = frames.encode(piece);
             socket.send(new DatagramPacket(frame, frame.length, receiver));
@@ -158,7 +163,7 @@
             } catch (SocketTimeoutException e) {
                 return null;
             }
-            PolicyMessage message = messageCompletedBy(packet);
+            PolicyMessage message = reassemble(packet);
             if (isExpected.test(message)) {
                 return message;
             }
@@ -166,7 +171,8 @@
         return null;
     }
 
-    private PolicyMessage messageCompletedBy(DatagramPacket packet) throws IOException {
+    /** The message that this packet completes, or null. */
+    private PolicyMessage reassemble(DatagramPacket packet) throws IOException {
         byte[] piece = frames.decode(Arrays.copyOf(packet.getData(), packet.getLength()), packet.getLength());
         if (piece == null) {
             return null;
@@ -182,12 +188,12 @@
         }
     }
 
-    private static InetSocketAddress socketAddress(String address) {
+    private static InetSocketAddress parseAddress(String address) {
         int colon = address.lastIndexOf(':');
         return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 
-    /** Makes the log of one voter of a new group. */
+    /** Creates the log of one voter of a new group. */
     public static void bootstrap(Path folder, String fleet, String node, List<String> voters) throws IOException {
         RaftLogStore.bootstrap(folder, fleet, node, voters);
     }
--- a/policy/src/main/java/spartrail/policy/replication/AdminRequestHandler.java
+++ b/policy/src/main/java/spartrail/policy/replication/AdminRequestHandler.java
@@ -5,36 +5,36 @@
 import spartrail.policy.PolicyFollower;
 import spartrail.policy.PolicyVersion;
 
-/** Answers operators' queries about this node, and carries out their commands where it leads. */
+/** Answers operators' queries about this node, and executes their commands if this node is the leader. */
 final class AdminRequestHandler {
     /** The query for the status page. */
     static final String SHOW_QUERY = "show";
 
-    /** Begins the query whether a node could apply the settings that follow. */
+    /** The prefix of a dry run: the settings that the node is to try out follow. */
     static final String CHECK_QUERY_PREFIX = "check ";
 
-    /** The answer to a query that arms a crash point. */
+    /** The reply to a query that armed a crash point. */
     static final String ARMED_REPLY = "armed";
 
     private static final String BUSY_REPLY = "!busy";
     private static final String UNKNOWN_REPLY = "unknown question";
 
-    /** What operators may append to the log; the rest is the leader's. */
+    /** The operations that operators may append to the log; the others are reserved for the leader. */
     private static final EnumSet<LogOperation.Kind> PERMITTED =
             EnumSet.of(LogOperation.Kind.PROPOSE, LogOperation.Kind.ABORT);
 
-    /** What it needs of the node. */
+    /** The node that the requests are for. */
     interface Node {
-        /** This node's part in the log, or null where it does not vote. */
+        /** The node's replica of the log, or null if it is no voter. */
         RaftReplica replica();
 
-        /** Where the leader listens, as far as this node knows; empty where it does not. */
+        /** The address of the leader as known to this node, or empty. */
         String leaderAddress();
 
-        /** What operators read about this node. */
+        /** The node's status as JSON. */
         String statusPage();
 
-        /** Runs a task on the thread of policy. */
+        /** Runs a task on the policy thread. */
         void execute(Runnable task);
     }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /** One at a time, as a rehearsal costs CPU. */
+    /** Runs one dry run at a time, because each costs CPU time. */
     private void dryRun(String from, String token, String settings) {
         if (isDryRunning || follower.lease() == null) {
             reply(from, token, BUSY_REPLY);
@@ -86,7 +86,7 @@
         sender.send(to, new PolicyMessage.AdminReply(token, text));
     }
 
-    /** Carries out a command, or names the leader, who can. */
+    /** Executes a command, or answers with the address of the leader, which can execute it. */
     void onCommand(String from, LogOperation operation) {
         if (!PERMITTED.contains(operation.kind())) {
             return;
--- a/policy/src/main/java/spartrail/policy/replication/CborArrayReader.java
+++ b/policy/src/main/java/spartrail/policy/replication/CborArrayReader.java
@@ -9,8 +9,8 @@
 import spartrail.model.MalformedMessageException;
 
 /**
- * Reads the values of a CBOR array one after the other. Values after the last one that is asked for are ignored, so that a later
- * version may add some.
+ * Reads the values of a CBOR array in order. Values that the caller does not read are ignored, so that a later version
+ * may add values at the end.
  */
 final class CborArrayReader {
     private static final CBORFactory CBOR = new CBORFactory();
@@ -30,7 +30,7 @@
             }
             return new CborArrayReader(values);
         } catch (IOException | RuntimeException e) {
-            throw new MalformedMessageException("found bytes that are no CBOR, an array is expected", e);
+            throw new MalformedMessageException("found bytes that are not valid CBOR, an array is expected", e);
         }
     }
 
@@ -59,7 +59,7 @@
         return new CborArrayReader(next(List.class));
     }
 
-    /** The next value where it is an array, null where anything else stands in its place. */
+    /** The next value if it is an array; null for a value of any other type. */
     CborArrayReader nextArrayOrNull() throws MalformedMessageException {
         return next(Object.class) instanceof List<?> array ? new CborArrayReader(array) : null;
     }
@@ -74,7 +74,7 @@
         return texts;
     }
 
-    /** Whether there are more values. */
+    /** Whether unread values are left. */
     boolean hasNext() {
         return position < values.size();
     }
--- a/policy/src/main/java/spartrail/policy/replication/CborArrayWriter.java
+++ b/policy/src/main/java/spartrail/policy/replication/CborArrayWriter.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 
 /**
- * Writes nested CBOR arrays of numbers, text and flags. All arrays are of indefinite length: stored logs and nodes of other
- * versions have them so.
+ * Writes nested CBOR arrays of numbers, texts and flags. All arrays have indefinite length, as in stored logs and in
+ * messages of other versions.
  */
 final class CborArrayWriter {
     private static final CBORFactory CBOR = new CBORFactory();
@@ -26,7 +26,7 @@
         this.generator = generator;
     }
 
-    /** The bytes of one array with this content. */
+    /** The bytes of an array with this content. */
     static byte[] encode(Consumer<CborArrayWriter> content) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_CAPACITY_BYTES);
         try (JsonGenerator generator = CBOR.createGenerator(bytes)) {
@@ -44,7 +44,7 @@
         return write(generator::writeEndArray);
     }
 
-    /** Adds a number, in as few bytes as hold it. */
+    /** Adds a number in its shortest encoding. */
     CborArrayWriter number(long value) {
         return write(() -> generator.writeNumber(value));
     }
--- a/policy/src/main/java/spartrail/policy/replication/CrashPoint.java
+++ b/policy/src/main/java/spartrail/policy/replication/CrashPoint.java
@@ -6,12 +6,13 @@
 import spartrail.policy.PolicyVersion;
 
 /**
- * The points at which the loss of a process matters to policy: before and after each message, each sync and each change of state.
- * Their names are made of the names of these, so that a new kind of message or record is a new point. A drill arms one in a
- * running process, which ends the moment it gets there, as by a kill that comes just then.
+ * The points at which the loss of a process matters to policy: before and after each message sent, each sync and each
+ * change of state. Their names are composed of the names of messages, sync points and stages, so that a new kind of
+ * message or record adds its points. A drill arms one point in a running process, which halts when it reaches the
+ * point, as if it were killed there.
  */
 public final class CrashPoint {
-    /** What a process does at a point. */
+    /** The activity of the process at a point. */
     enum Activity {
         SENDING("sending"),
         SYNCING("syncing"),
@@ -24,13 +25,13 @@
         }
     }
 
-    /** The system property that lets points be armed, which drills set at a node's start. */
+    /** The system property that allows points to be armed; drills set it when they start a node. */
     public static final String ENABLING_PROPERTY = "spartrail.crash";
 
-    /** A node takes up another lease. */
+    /** A node applies another lease. */
     static final String LEASE_CHANGE = "RULING";
 
-    /** A node has made up its mind on a proposal. */
+    /** A node records its vote on a proposal. */
     static final String VOTE_CHANGE = "VOTE";
 
     private static final String ARMED_AT_START_PROPERTY = "spartrail.crash.at";
@@ -39,7 +40,7 @@
     private static final String BEFORE = "before ";
     private static final String AFTER = "after ";
 
-    /** Raft messages are named by their own kinds; operators send commands and queries. */
+    /** Raft messages have points by their own kinds; commands and queries are sent by operators, not by nodes. */
     private static final EnumSet<PolicyMessage.Kind> WITHOUT_POINT =
             EnumSet.of(PolicyMessage.Kind.RAFT, PolicyMessage.Kind.ADMIN_COMMAND, PolicyMessage.Kind.ADMIN_QUERY);
 
@@ -59,48 +60,48 @@
         List<String> points = new ArrayList<>();
         for (PolicyMessage.Kind kind : PolicyMessage.Kind.values()) {
             if (!WITHOUT_POINT.contains(kind)) {
-                points.add(name(side, Activity.SENDING, kind.crashPointName()));
+                points.add(composeName(side, Activity.SENDING, kind.crashPointName()));
             }
         }
         for (RaftMessageKind kind : RaftMessageKind.values()) {
-            // No operator can ask for another leader, so that this message is never sent.
+            // Never sent: there is no operator command that transfers leadership.
             if (kind != RaftMessageKind.TRIGGER_LEADER_ELECTION) {
-                points.add(name(side, Activity.SENDING, kind.crashPointName()));
+                points.add(composeName(side, Activity.SENDING, kind.crashPointName()));
             }
         }
         for (SyncPoint point : SyncPoint.values()) {
-            points.add(name(side, Activity.SYNCING, point.crashPointName()));
+            points.add(composeName(side, Activity.SYNCING, point.crashPointName()));
         }
         for (PolicyVersion.Stage stage : PolicyVersion.Stage.values()) {
-            points.add(name(side, Activity.CHANGING_STATE, stage.name()));
+            points.add(composeName(side, Activity.CHANGING_STATE, stage.name()));
         }
-        points.add(name(side, Activity.CHANGING_STATE, LEASE_CHANGE));
-        points.add(name(side, Activity.CHANGING_STATE, VOTE_CHANGE));
+        points.add(composeName(side, Activity.CHANGING_STATE, LEASE_CHANGE));
+        points.add(composeName(side, Activity.CHANGING_STATE, VOTE_CHANGE));
         return points;
     }
 
-    private static String name(String side, Activity activity, String subject) {
+    private static String composeName(String side, Activity activity, String subject) {
         return side + activity.text + ' ' + subject;
     }
 
-    /** The process ends when it next gets to this point; false where that is not enabled. */
+    /** Makes the process halt when it next reaches this point; false if crash points are not enabled. */
     static boolean arm(String point) {
         armed = ENABLED ? point : "";
         return ENABLED;
     }
 
-    /** The process is about to do this. */
-    static void before(Activity activity, String subject) {
-        reached(BEFORE, activity, subject);
+    /** Halts the process if the point before this activity is armed. */
+    static void haltIfArmedBefore(Activity activity, String subject) {
+        haltIfArmed(BEFORE, activity, subject);
     }
 
-    /** The process has done this. */
-    static void after(Activity activity, String subject) {
-        reached(AFTER, activity, subject);
+    /** Halts the process if the point after this activity is armed. */
+    static void haltIfArmedAfter(Activity activity, String subject) {
+        haltIfArmed(AFTER, activity, subject);
     }
 
-    private static void reached(String side, Activity activity, String subject) {
-        if (ENABLED && !armed.isEmpty() && armed.equals(name(side, activity, subject))) {
+    private static void haltIfArmed(String side, Activity activity, String subject) {
+        if (ENABLED && !armed.isEmpty() && armed.equals(composeName(side, activity, subject))) {
             Runtime.getRuntime().halt(KILLED_EXIT_STATUS);
         }
     }
--- a/policy/src/main/java/spartrail/policy/replication/DatagramReassembler.java
+++ b/policy/src/main/java/spartrail/policy/replication/DatagramReassembler.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Puts messages together again from the pieces that a {@link DatagramSplitter} made of them. A piece that is lost loses its
- * message; whoever sent it sends it again. Bounded: the oldest incomplete messages go.
+ * Reassembles messages from the pieces that a {@link DatagramSplitter} made. The loss of a piece loses its message; the
+ * sender has to send the message again. The number of incomplete messages is bounded, and the oldest is evicted.
  */
 final class DatagramReassembler {
     private static final int MAX_INCOMPLETE = 64;
--- a/policy/src/main/java/spartrail/policy/replication/DatagramSplitter.java
+++ b/policy/src/main/java/spartrail/policy/replication/DatagramSplitter.java
@@ -5,38 +5,38 @@
 import java.util.List;
 
 /**
- * Splits messages into pieces that fit into datagrams, which {@link DatagramReassembler} puts together again.
+ * Splits messages into pieces that fit into datagrams; a {@link DatagramReassembler} restores the messages.
  *
  * <pre>
- *  piece   number of the message (4)  place of the piece, from 0 (2)  count of pieces (2)  bytes
+ *  piece   number of the message (4)  index of the piece, from 0 (2)  count of pieces (2)  bytes
  * </pre>
  */
 final class DatagramSplitter {
-    /** What a piece has before its bytes. */
+    /** The size of the header of a piece. */
     static final int HEAD_BYTES = 8;
 
-    /** The most pieces of one message. */
+    /** The largest number of pieces of a message. */
     static final int MAX_PIECES = 256;
 
     private final int maxPieceBytes;
     private int messageNumber;
 
     /**
-     * Makes pieces of so many bytes at the most. Numbers go on from a random one: a restarted process must not finish a message
-     * that its former one began.
+     * Makes pieces of at most {@code maxPieceBytes}. The caller passes a random first number, so that a piece of a
+     * restarted process does not complete a message that the process sent before the restart.
      */
     DatagramSplitter(int maxPieceBytes, int firstNumber) {
         this.maxPieceBytes = maxPieceBytes;
         this.messageNumber = firstNumber;
     }
 
-    /** The pieces of a message, in order; an IllegalArgumentException if it is too long. */
+    /** The pieces of a message, in order; throws IllegalArgumentException if it is too long. */
     List<byte[]> split(byte[] message) {
         int capacity = maxPieceBytes - HEAD_BYTES;
         int count = Math.max(1, (message.length + capacity - 1) / capacity);
         if (count > MAX_PIECES) {
-            throw new IllegalArgumentException(
-                    message.length + " bytes, at most " + MAX_PIECES * capacity + " are expected");
+            throw new IllegalArgumentException("found a message of " + message.length + " bytes, at most "
+                    + MAX_PIECES * capacity + " are expected");
         }
         messageNumber++;
         List<byte[]> pieces = new ArrayList<>();
--- a/policy/src/main/java/spartrail/policy/replication/LogEntryCodec.java
+++ b/policy/src/main/java/spartrail/policy/replication/LogEntryCodec.java
@@ -11,24 +11,24 @@
 import spartrail.policy.LogOperation;
 import spartrail.policy.PolicyLogSnapshot;
 
-/** The form of log entries, of group members and of snapshots, which messages and the log on disk have in common. */
+/** Encodes log entries, group members and snapshots, in the format that messages and the log on disk share. */
 final class LogEntryCodec {
-    /** Makes the objects of the Raft library. */
+    /** The factory of the Raft library's model objects. */
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
-    /** Stands in the place of an operation's kind where an entry changes the group's members. */
+    /** The operation kind of an entry that changes the group's members. */
     private static final String MEMBERSHIP_CHANGE = "MEMBERS";
 
     private LogEntryCodec() {}
 
-    /** Adds index, term and operation of an entry. */
+    /** Writes index, term and operation of an entry. */
     static void writeEntry(CborArrayWriter out, LogEntry entry) {
         out.number(entry.getIndex())
                 .number(entry.getTerm())
                 .array(operation -> writeOperation(operation, entry.getOperation()));
     }
 
-    /** The entry whose values come next. */
+    /** Reads an entry from the next values. */
     static LogEntry readEntry(CborArrayReader in) throws MalformedMessageException {
         return MODEL.createLogEntryBuilder()
                 .setIndex(in.nextLong())
@@ -56,30 +56,30 @@
 
     private static UpdateRaftGroupMembersOp readMembershipChange(CborArrayReader in) throws MalformedMessageException {
         return MODEL.createUpdateRaftGroupMembersOpBuilder()
-                .setMembers(Voter.endpoints(in.nextTexts()))
-                .setVotingMembers(Voter.endpoints(in.nextTexts()))
+                .setMembers(Voter.endpointsOf(in.nextTexts()))
+                .setVotingMembers(Voter.endpointsOf(in.nextTexts()))
                 .setEndpoint(Voter.endpointOrNull(in.nextText()))
-                .setMode(PolicyLogCodec.constant(MembershipChangeMode.class, in.nextText()))
+                .setMode(PolicyLogCodec.parseConstant(MembershipChangeMode.class, in.nextText()))
                 .build();
     }
 
-    /** Adds log index, members and voting members of a group. */
+    /** Writes log index, members and voting members of a group. */
     static void writeMembers(CborArrayWriter out, RaftGroupMembersView members) {
         out.number(members.getLogIndex())
                 .texts(Voter.namesOf(members.getMembers()))
                 .texts(Voter.namesOf(members.getVotingMembers()));
     }
 
-    /** The group whose values come next. */
+    /** Reads a group's members from the next values. */
     static RaftGroupMembersView readMembers(CborArrayReader in) throws MalformedMessageException {
         return MODEL.createRaftGroupMembersViewBuilder()
                 .setLogIndex(in.nextLong())
-                .setMembers(Voter.endpoints(in.nextTexts()))
-                .setVotingMembers(Voter.endpoints(in.nextTexts()))
+                .setMembers(Voter.endpointsOf(in.nextTexts()))
+                .setVotingMembers(Voter.endpointsOf(in.nextTexts()))
                 .build();
     }
 
-    /** Adds a chunk of a snapshot. */
+    /** Writes a chunk of a snapshot. */
     static void writeChunk(CborArrayWriter out, SnapshotChunk chunk) {
         out.number(chunk.getIndex())
                 .number(chunk.getTerm())
@@ -89,7 +89,7 @@
                 .array(members -> writeMembers(members, chunk.getGroupMembersView()));
     }
 
-    /** The chunk whose values come next. */
+    /** Reads a chunk from the next values. */
     static SnapshotChunk readChunk(CborArrayReader in) throws MalformedMessageException {
         return MODEL.createSnapshotChunkBuilder()
                 .setIndex(in.nextLong())
--- a/policy/src/main/java/spartrail/policy/replication/LogRecordCodec.java
+++ b/policy/src/main/java/spartrail/policy/replication/LogRecordCodec.java
@@ -6,7 +6,7 @@
 import io.microraft.model.persistence.RaftTermPersistentState;
 import spartrail.model.MalformedMessageException;
 
-/** The form of the log's records on disk: a CBOR array whose first value names the kind. */
+/** Encodes the log's records on disk: a CBOR array whose first value names the kind of record. */
 final class LogRecordCodec {
     private static final int FORMAT_VERSION = 1;
     private static final String HEADER = "FIRST";
@@ -56,45 +56,45 @@
         }
     }
 
-    /** The header that these bytes hold. */
+    /** The header that these bytes encode. */
     static LogRecord.Header decodeHeader(byte[] bytes) throws MalformedMessageException {
         CborArrayReader in = CborArrayReader.of(bytes);
         if (!in.nextText().equals(HEADER)) {
-            throw new MalformedMessageException("does not begin as the log of policy does");
+            throw new MalformedMessageException("does not start with the header of a policy log");
         }
         int format = in.nextInt();
         if (format != FORMAT_VERSION) {
-            throw new MalformedMessageException("is of form " + format + ", this program reads form " + FORMAT_VERSION);
+            throw new MalformedMessageException(
+                    "has format version " + format + ", this program reads version " + FORMAT_VERSION);
         }
         return new LogRecord.Header(in.nextText(), in.nextText(), in.nextTexts());
     }
 
-    /** The record other than a header that these bytes hold. */
+    /** The record that these bytes encode; not for a header. */
     static LogRecord decode(byte[] bytes) throws MalformedMessageException {
         CborArrayReader in = CborArrayReader.of(bytes);
         String kind = in.nextText();
         return switch (kind) {
-            case LOCAL_ENDPOINT -> new LogRecord.LocalEndpoint(localEndpoint(in));
+            case LOCAL_ENDPOINT -> new LogRecord.LocalEndpoint(readLocalEndpoint(in));
             case INITIAL_MEMBERS -> new LogRecord.InitialMembers(LogEntryCodec.readMembers(in.nextArray()));
-            case TERM -> new LogRecord.Term(term(in));
+            case TERM -> new LogRecord.Term(readTerm(in));
             case ENTRY -> new LogRecord.Entry(LogEntryCodec.readEntry(in.nextArray()));
             case TRUNCATE_FROM -> new LogRecord.TruncateFrom(in.nextLong());
             case TRUNCATE_UNTIL -> new LogRecord.TruncateUntil(in.nextLong());
             case CHUNK -> new LogRecord.Chunk(LogEntryCodec.readChunk(in.nextArray()));
             case DELETE_SNAPSHOT -> new LogRecord.DeleteSnapshot(in.nextLong());
-            default -> throw new MalformedMessageException(
-                    "found a record of kind " + kind + ", a known one is expected");
+            default -> throw new MalformedMessageException("found a record of unknown kind " + kind);
         };
     }
 
-    private static RaftEndpointPersistentState localEndpoint(CborArrayReader in) throws MalformedMessageException {
+    private static RaftEndpointPersistentState readLocalEndpoint(CborArrayReader in) throws MalformedMessageException {
         return MODEL.createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(Voter.endpointOrNull(in.nextText()))
                 .setVoting(in.nextFlag())
                 .build();
     }
 
-    private static RaftTermPersistentState term(CborArrayReader in) throws MalformedMessageException {
+    private static RaftTermPersistentState readTerm(CborArrayReader in) throws MalformedMessageException {
         return MODEL.createRaftTermPersistentStateBuilder()
                 .setTerm(in.nextInt())
                 .setVotedFor(Voter.endpointOrNull(in.nextText()))
--- a/policy/src/main/java/spartrail/policy/replication/MessageSender.java
+++ b/policy/src/main/java/spartrail/policy/replication/MessageSender.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import spartrail.peers.PeerChannel.Context;
 
-/** Sends messages about policy to nodes and operators, in pieces that fit into datagrams. They may be lost. */
+/** Sends policy messages to nodes and operators, split into datagrams. Messages may be lost. */
 final class MessageSender {
     private final Context channel;
     private final DatagramSplitter splitter;
@@ -13,16 +13,16 @@
         this.splitter = splitter;
     }
 
-    /** Sends a message, unless the address is null or empty, as of a node that is not known. */
+    /** Sends a message, unless the address is null or empty because the receiver's address is not known. */
     void send(String address, PolicyMessage message) {
         if (address == null || address.isEmpty()) {
             return;
         }
         String subject = crashPointName(message);
-        CrashPoint.before(CrashPoint.Activity.SENDING, subject);
+        CrashPoint.haltIfArmedBefore(CrashPoint.Activity.SENDING, subject);
         List<byte[]> pieces = splitter.split(PolicyMessageCodec.encode(message));
         pieces.forEach(piece -> channel.send(address, piece));
-        CrashPoint.after(CrashPoint.Activity.SENDING, subject);
+        CrashPoint.haltIfArmedAfter(CrashPoint.Activity.SENDING, subject);
     }
 
     private static String crashPointName(PolicyMessage message) {
--- a/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyAgent.java
@@ -23,8 +23,8 @@
 import spartrail.policy.PolicyVersion;
 
 /**
- * A node's part in versions of policy: its {@link PolicyFollower}, where it is a voter its {@link RaftReplica}, and the messages
- * of both. It decides nothing. All state is that of the {@link PolicyThread}.
+ * Runs policy versions at a node: the {@link PolicyFollower}, the {@link RaftReplica} if the node is a voter, and the
+ * messages of both. It makes no decisions itself. All state is confined to the {@link PolicyThread}.
  */
 final class PolicyAgent implements PolicyService.Running {
     private static final System.Logger LOG = System.getLogger("spartrail.policy");
@@ -48,13 +48,13 @@
     private AdminRequestHandler adminRequests;
     private RaftReplica replica;
     private RaftLogStore store;
-    private PolicyLease givenLease;
+    private PolicyLease appliedLease;
     private String activeLabel = "";
     private String lastVersions = "";
     private long checkedNumber;
     private boolean wasLeader;
 
-    /** Takes part for a host; a voter's log is in this folder. */
+    /** Creates the agent of a host; the folder holds the log if the node is a voter. */
     PolicyAgent(Path folder, PolicyService.Host host) {
         this.folder = folder;
         this.host = host;
@@ -67,20 +67,20 @@
     }
 
     @Override
-    public void start(Context by) {
-        channel = by;
-        PolicyConfig config = PolicyConfig.of(by.section("policy"));
+    public void start(Context context) {
+        channel = context;
+        PolicyConfig config = PolicyConfig.of(context.section("policy"));
         times = config.times();
         voters = config.voters();
-        sender = new MessageSender(by, new DatagramSplitter(Context.MAX_MESSAGE_BYTES, random.nextInt()));
-        history = new PolicyHistory(by);
-        follower = new PolicyFollower(by.nodeName(), voters, host.localSettings(), times, random, host.nowMs());
+        sender = new MessageSender(context, new DatagramSplitter(Context.MAX_MESSAGE_BYTES, random.nextInt()));
+        history = new PolicyHistory(context);
+        follower = new PolicyFollower(context.nodeName(), voters, host.localSettings(), times, random, host.nowMs());
         checker = new ProposalChecker(host, follower);
         adminRequests = new AdminRequestHandler(new AdminNode(), follower, checker, sender);
         thread.start();
     }
 
-    // ---- From other threads ----
+    // ---- Called from other threads ----
 
     @Override
     public void onMessage(String from, byte[] piece) {
@@ -114,7 +114,7 @@
     public void awaitFirstLease() throws InterruptedException {
         while (!firstLease.await(NOT_READY_LOG_INTERVAL_SECONDS, TimeUnit.SECONDS)) {
             String reason = follower.incompatibility().isEmpty()
-                    ? "no deciding node has said yet what holds"
+                    ? "no voter has answered a poll yet"
                     : follower.incompatibility();
             LOG.log(System.Logger.Level.WARNING, "not ready: " + reason);
         }
@@ -125,7 +125,7 @@
         thread.close();
     }
 
-    // ---- The thread of policy ----
+    // ---- On the policy thread ----
 
     private final class Work implements PolicyThread.Work {
         @Override
@@ -158,12 +158,12 @@
         }
     }
 
-    /** A voter that lost its log would vote a second time in the same term; without its log it does not vote. */
+    /** Starts the replica only with its log: a voter that lost the log could vote a second time in the same term. */
     private void startReplica() {
         try {
             if (!RaftLogStore.exists(folder)) {
-                throw new IOException(
-                        folder + ": holds no log of policy; 'spartrail policy found' makes those of a new set");
+                throw new IOException(folder
+                        + ": contains no policy log; 'spartrail policy found' creates the logs of a new voter group");
             }
             store = new RaftLogStore(folder, channel.fleetName(), channel.nodeName());
             replica = new RaftReplica(
@@ -174,11 +174,11 @@
                     thread,
                     new Random(random.nextLong()),
                     new ReplicaEnvironment());
-            history.voterStarted();
+            history.recordVoterStart();
         } catch (IOException e) {
             store = null;
-            LOG.log(System.Logger.Level.ERROR, "does not decide about policy: " + e.getMessage());
-            history.voterFailed(e.getMessage());
+            LOG.log(System.Logger.Level.ERROR, "this node does not vote on policy versions: " + e.getMessage());
+            history.recordVoterFailure(e.getMessage());
         }
     }
 
@@ -189,7 +189,7 @@
         try {
             store.close();
         } catch (IOException e) {
-            LOG.log(System.Logger.Level.DEBUG, "closing", e);
+            LOG.log(System.Logger.Level.DEBUG, "cannot close the policy log", e);
         }
     }
 
@@ -212,8 +212,10 @@
         replica.step(liveNodes, nowMs);
         if (wasLeader != replica.isLeader()) {
             wasLeader = !wasLeader;
-            LOG.log(System.Logger.Level.INFO, wasLeader ? "leads those that decide about policy" : "leads no longer");
-            history.leadershipChanged(wasLeader);
+            LOG.log(
+                    System.Logger.Level.INFO,
+                    wasLeader ? "became leader of the policy voters" : "is no longer leader of the policy voters");
+            history.recordLeadership(wasLeader);
         }
     }
 
@@ -240,7 +242,7 @@
                 response.active().number() + (pending == null ? "" : " " + pending.number() + " " + pending.stage());
         if (!versions.equals(lastVersions)) {
             lastVersions = versions;
-            history.responseChanged(response);
+            history.recordResponse(response);
         }
     }
 
@@ -254,30 +256,31 @@
     }
 
     private void onChecked(long number, String objection) {
-        history.voted(number, objection);
+        history.recordVote(number, objection);
         LOG.log(
                 System.Logger.Level.INFO,
-                "proposal " + number + ": " + (objection.isEmpty() ? "can be applied" : objection));
-        CrashPoint.before(CrashPoint.Activity.CHANGING_STATE, CrashPoint.VOTE_CHANGE);
+                "proposal " + number + ": "
+                        + (objection.isEmpty() ? "this node can apply it" : "this node cannot apply it: " + objection));
+        CrashPoint.haltIfArmedBefore(CrashPoint.Activity.CHANGING_STATE, CrashPoint.VOTE_CHANGE);
         follower.recordVote(number, objection, host.nowMs());
-        CrashPoint.after(CrashPoint.Activity.CHANGING_STATE, CrashPoint.VOTE_CHANGE);
+        CrashPoint.haltIfArmedAfter(CrashPoint.Activity.CHANGING_STATE, CrashPoint.VOTE_CHANGE);
     }
 
     private void applyLease(double nowMs) {
         PolicyLease lease = follower.lease();
-        if (lease != null && lease != givenLease) {
-            givenLease = lease;
-            CrashPoint.before(CrashPoint.Activity.CHANGING_STATE, CrashPoint.LEASE_CHANGE);
+        if (lease != null && lease != appliedLease) {
+            appliedLease = lease;
+            CrashPoint.haltIfArmedBefore(CrashPoint.Activity.CHANGING_STATE, CrashPoint.LEASE_CHANGE);
             host.apply(lease);
             firstLease.countDown();
-            CrashPoint.after(CrashPoint.Activity.CHANGING_STATE, CrashPoint.LEASE_CHANGE);
+            CrashPoint.haltIfArmedAfter(CrashPoint.Activity.CHANGING_STATE, CrashPoint.LEASE_CHANGE);
         }
         PolicyLease current = lease == null ? null : lease.activeAt(nowMs);
         String label = current == null ? "" : current.label();
         if (!label.equals(activeLabel)) {
             activeLabel = label;
-            LOG.log(System.Logger.Level.INFO, "goes by policy " + label);
-            history.leaseChanged(current);
+            LOG.log(System.Logger.Level.INFO, "active policy version: " + label);
+            history.recordLease(current);
         }
     }
 
@@ -290,7 +293,7 @@
                 onMessage(from, message);
             }
         } catch (MalformedMessageException | RuntimeException e) {
-            LOG.log(System.Logger.Level.DEBUG, "unreadable message about policy from " + from, e);
+            LOG.log(System.Logger.Level.DEBUG, "cannot process a policy message from " + from + "; message dropped", e);
         }
     }
 
@@ -321,7 +324,7 @@
             if (response != null) {
                 sender.send(from, new PolicyMessage.PollResponse(response));
             } else {
-                // A leader that could not read the log does not name itself: the node is to poll another voter.
+                // A leader that could not read its log does not name itself, so that the node polls another voter.
                 String leader = replica.isLeader() ? "" : replica.leaderName();
                 sender.send(from, new PolicyMessage.Redirect(request.nonce(), leader));
             }
@@ -341,7 +344,7 @@
 
         @Override
         public void onLogChange() {
-            history.logChanged(replica.log(), replica.isLeader());
+            history.recordLogChange(replica.log(), replica.isLeader());
             if (replica.isLeader()) {
                 liveNodes.forEach(node -> sender.send(addresses.get(node), new PolicyMessage.UpdateNotice()));
                 follower.pollNoLaterThan(host.nowMs());
@@ -363,8 +366,8 @@
 
         @Override
         public String statusPage() {
-            return PolicyStatusPage.of(
-                    channel.nodeName(), givenLease, follower, replica, leaderAddress(), host.nowMs());
+            return PolicyStatusPage.render(
+                    channel.nodeName(), appliedLease, follower, replica, leaderAddress(), host.nowMs());
         }
 
         @Override
--- a/policy/src/main/java/spartrail/policy/replication/PolicyConfig.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyConfig.java
@@ -7,9 +7,9 @@
 import spartrail.policy.PolicyTimings;
 
 /**
- * What the peers file says about policy; its form is in {@code deploy/peers.schema.json}.
+ * The policy section of the peers file; its format is in {@code deploy/peers.schema.json}.
  *
- * @param voters the nodes that vote on the log
+ * @param voters the names of the nodes that vote on the log
  */
 record PolicyConfig(List<String> voters, PolicyTimings times) {
     private static final String VOTERS = "deciders";
@@ -23,22 +23,22 @@
 
     private static final Set<Integer> PERMITTED_VOTER_COUNTS = Set.of(3, 5);
     private static final int MIN_POLLS_PER_LEASE = 2;
-    private static final double GREATEST_CLOCK_DRIFT = 0.2;
+    private static final double CLOCK_DRIFT_LIMIT = 0.2;
 
-    /** Reads it; an IllegalArgumentException names the field, what was found and what is expected. */
+    /** Reads the section; the IllegalArgumentException names the field, the value found and the values expected. */
     static PolicyConfig of(Map<?, ?> tree) {
         for (Object name : tree.keySet()) {
             if (!NAMES.contains(name)) {
                 throw new IllegalArgumentException(
-                        "/policy/" + name + ": is unknown, one of " + NAMES + " is expected");
+                        "/policy/" + name + ": unknown field, one of " + NAMES + " is expected");
             }
         }
-        PolicyConfig config = new PolicyConfig(voters(tree.get(VOTERS)), times(tree));
+        PolicyConfig config = new PolicyConfig(readVoters(tree.get(VOTERS)), readTimes(tree));
         config.checkTimes();
         return config;
     }
 
-    private static List<String> voters(Object found) {
+    private static List<String> readVoters(Object found) {
         if (!(found instanceof List<?> names)
                 || !PERMITTED_VOTER_COUNTS.contains(names.size())
                 || Set.copyOf(names).size() != names.size()) {
@@ -48,17 +48,17 @@
         return names.stream().map(String::valueOf).toList();
     }
 
-    private static PolicyTimings times(Map<?, ?> tree) {
+    private static PolicyTimings readTimes(Map<?, ?> tree) {
         PolicyTimings defaults = PolicyTimings.DEFAULTS;
         return new PolicyTimings(
-                number(tree, LEASE, defaults.leaseMs()),
-                number(tree, POLL_INTERVAL, defaults.pollIntervalMs()),
-                number(tree, VOTE_TIMEOUT, defaults.voteTimeoutMs()),
-                number(tree, STARTUP_TIMEOUT, defaults.startupTimeoutMs()),
-                number(tree, MAX_CLOCK_DRIFT, defaults.maxClockDrift()));
+                readNumber(tree, LEASE, defaults.leaseMs()),
+                readNumber(tree, POLL_INTERVAL, defaults.pollIntervalMs()),
+                readNumber(tree, VOTE_TIMEOUT, defaults.voteTimeoutMs()),
+                readNumber(tree, STARTUP_TIMEOUT, defaults.startupTimeoutMs()),
+                readNumber(tree, MAX_CLOCK_DRIFT, defaults.maxClockDrift()));
     }
 
-    private static double number(Map<?, ?> tree, String name, double defaultValue) {
+    private static double readNumber(Map<?, ?> tree, String name, double defaultValue) {
         Object value = tree.get(name);
         if (value == null) {
             return defaultValue;
@@ -71,10 +71,10 @@
 
     private void checkTimes() {
         boolean isPolledOften = times.pollIntervalMs() * MIN_POLLS_PER_LEASE <= times.leaseMs();
-        if (!isPolledOften || times.maxClockDrift() > GREATEST_CLOCK_DRIFT) {
+        if (!isPolledOften || times.maxClockDrift() > CLOCK_DRIFT_LIMIT) {
             throw new IllegalArgumentException("/policy/leaseMs: found " + times.leaseMs() + " with askMs "
                     + times.pollIntervalMs() + " and drift " + times.maxClockDrift()
-                    + ", at least two questions a lease and a drift of 0.2 at most are expected");
+                    + ", at least two polls per lease and a drift of at most 0.2 are expected");
         }
     }
 }
--- a/policy/src/main/java/spartrail/policy/replication/PolicyHistory.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyHistory.java
@@ -9,7 +9,7 @@
 import spartrail.policy.PolicyResponse;
 import spartrail.policy.PolicyVersion;
 
-/** The lines about policy in a node's history, which drills read. Their words are those of the first version of the form. */
+/** Writes policy events to a node's history, which drills read. The names of events and fields must not change. */
 final class PolicyHistory {
     private final Context channel;
 
@@ -17,54 +17,54 @@
         this.channel = channel;
     }
 
-    /** This node votes on the log. */
-    void voterStarted() {
-        note("decider", Map.of("on", true));
+    /** This node has started as a voter. */
+    void recordVoterStart() {
+        record("decider", Map.of("on", true));
     }
 
-    /** This node was to vote on the log and cannot. */
-    void voterFailed(String reason) {
+    /** This node is configured as a voter but could not start as one. */
+    void recordVoterFailure(String reason) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("on", false);
         fields.put("why", reason);
-        note("decider", fields);
+        record("decider", fields);
     }
 
-    /** This node begins to lead, or does so no longer. */
-    void leadershipChanged(boolean isLeader) {
-        note("leads", Map.of("on", isLeader));
+    /** This node has become the leader, or has lost the leadership. */
+    void recordLeadership(boolean isLeader) {
+        record("leads", Map.of("on", isLeader));
     }
 
-    /** This node goes by another lease, or by none. */
-    void leaseChanged(PolicyLease lease) {
+    /** This node applies another lease, or none if null. */
+    void recordLease(PolicyLease lease) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("by", lease == null ? "" : lease.label());
         fields.put("guarded", lease != null && lease.isJoint());
-        note("policy", fields);
+        record("policy", fields);
     }
 
-    /** This node has learned of other versions. */
-    void responseChanged(PolicyResponse response) {
-        note("told", versions(response.active(), response.pending()));
+    /** This node has received a response whose versions differ from those before. */
+    void recordResponse(PolicyResponse response) {
+        record("told", versionFields(response.active(), response.pending()));
     }
 
-    /** This node has made up its mind on a proposal; an empty objection is a yes. */
-    void voted(long number, String objection) {
+    /** This node has voted on a proposal; an empty objection is a yes. */
+    void recordVote(long number, String objection) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("number", number);
         fields.put("no", objection);
-        note("vote", fields);
+        record("vote", fields);
     }
 
-    /** The log that this node votes on has changed. */
-    void logChanged(PolicyLog log, boolean isLeader) {
-        Map<String, Object> fields = versions(log.active(), log.pending());
+    /** The active or the pending version in this voter's log has changed. */
+    void recordLogChange(PolicyLog log, boolean isLeader) {
+        Map<String, Object> fields = versionFields(log.active(), log.pending());
         fields.put("leading", isLeader);
-        fields.put("last", lastFinished(log.finished()));
-        note("log", fields);
+        fields.put("last", describeLast(log.finished()));
+        record("log", fields);
     }
 
-    private static Map<String, Object> versions(PolicyVersion active, PolicyVersion pending) {
+    private static Map<String, Object> versionFields(PolicyVersion active, PolicyVersion pending) {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("holds", active.number());
         fields.put("open", pending == null ? 0 : pending.number());
@@ -72,7 +72,7 @@
         return fields;
     }
 
-    private static String lastFinished(List<PolicyVersion> finished) {
+    private static String describeLast(List<PolicyVersion> finished) {
         if (finished.isEmpty()) {
             return "";
         }
@@ -80,7 +80,7 @@
         return last.number() + " " + last.stage().name() + " " + last.reason();
     }
 
-    private void note(String event, Map<String, Object> fields) {
+    private void record(String event, Map<String, Object> fields) {
         channel.recordEvent(event, fields);
     }
 }
--- a/policy/src/main/java/spartrail/policy/replication/PolicyLogCodec.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyLogCodec.java
@@ -7,11 +7,11 @@
 import spartrail.policy.PolicyLogSnapshot;
 import spartrail.policy.PolicyVersion;
 
-/** The form of the policy log's own values: operations, versions and snapshots. */
+/** Encodes the values of the policy log: operations, versions and snapshots. */
 final class PolicyLogCodec {
     private PolicyLogCodec() {}
 
-    /** Adds the values of an operation. */
+    /** Writes the values of an operation. */
     static void writeOperation(CborArrayWriter out, LogOperation operation) {
         out.text(operation.kind().wireName())
                 .number(operation.proposalNumber())
@@ -20,13 +20,13 @@
                 .text(operation.token());
     }
 
-    /** An operation of this kind, whose other values come next. */
+    /** Reads the values of an operation after its kind. */
     static LogOperation readOperation(String kind, CborArrayReader in) throws MalformedMessageException {
-        return new LogOperation(operationKind(kind), in.nextLong(), in.nextText(), in.nextText(), in.nextText());
+        return new LogOperation(parseOperationKind(kind), in.nextLong(), in.nextText(), in.nextText(), in.nextText());
     }
 
-    /** The kind of operation with this name. */
-    static LogOperation.Kind operationKind(String wireName) throws MalformedMessageException {
+    /** The kind of operation with this wire name. */
+    static LogOperation.Kind parseOperationKind(String wireName) throws MalformedMessageException {
         for (LogOperation.Kind kind : LogOperation.Kind.values()) {
             if (kind.wireName().equals(wireName)) {
                 return kind;
@@ -36,7 +36,7 @@
                 + List.of(LogOperation.Kind.values()) + " is expected");
     }
 
-    /** Adds the values of a version. */
+    /** Writes the values of a version. */
     static void writeVersion(CborArrayWriter out, PolicyVersion version) {
         out.number(version.number())
                 .text(version.settings())
@@ -46,18 +46,18 @@
                 .text(version.token());
     }
 
-    /** The version whose values come next. */
+    /** Reads a version from the next values. */
     static PolicyVersion readVersion(CborArrayReader in) throws MalformedMessageException {
         return new PolicyVersion(
                 in.nextLong(),
                 in.nextText(),
                 in.nextText(),
-                constant(PolicyVersion.Stage.class, in.nextText()),
+                parseConstant(PolicyVersion.Stage.class, in.nextText()),
                 in.nextText(),
                 in.nextText());
     }
 
-    /** Adds a version, or an empty text in its place where it is null. */
+    /** Writes a version as an array, or an empty text for null. */
     static void writeVersionOrNone(CborArrayWriter out, PolicyVersion version) {
         if (version == null) {
             out.text("");
@@ -66,22 +66,22 @@
         }
     }
 
-    /** The version that comes next, or null where there is none. */
+    /** Reads a version that is the next value, or null if that is not an array. */
     static PolicyVersion readVersionOrNull(CborArrayReader in) throws MalformedMessageException {
         CborArrayReader version = in.nextArrayOrNull();
         return version == null ? null : readVersion(version);
     }
 
-    /** Adds the values of a snapshot. */
+    /** Writes the values of a snapshot. */
     static void writeSnapshot(CborArrayWriter out, PolicyLogSnapshot snapshot) {
         out.number(snapshot.lastNumber())
                 .array(version -> writeVersion(version, snapshot.active()))
-                .array(finished ->
-                        snapshot.finished().forEach(version -> finished.array(each -> writeVersion(each, version))));
+                .array(finished -> snapshot.finished()
+                        .forEach(version -> finished.array(values -> writeVersion(values, version))));
         writeVersionOrNone(out, snapshot.pending());
     }
 
-    /** The snapshot whose values come next. */
+    /** Reads a snapshot from the next values. */
     static PolicyLogSnapshot readSnapshot(CborArrayReader in) throws MalformedMessageException {
         long lastNumber = in.nextLong();
         PolicyVersion active = readVersion(in.nextArray());
@@ -92,8 +92,8 @@
         return new PolicyLogSnapshot(lastNumber, active, finished, readVersionOrNull(in));
     }
 
-    /** The constant of this name. */
-    static <T extends Enum<T>> T constant(Class<T> type, String name) throws MalformedMessageException {
+    /** The enum constant with this name. */
+    static <T extends Enum<T>> T parseConstant(Class<T> type, String name) throws MalformedMessageException {
         try {
             return Enum.valueOf(type, name);
         } catch (IllegalArgumentException e) {
--- a/policy/src/main/java/spartrail/policy/replication/PolicyMessage.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyMessage.java
@@ -5,9 +5,9 @@
 import spartrail.policy.PolicyRequest;
 import spartrail.policy.PolicyResponse;
 
-/** A message about policy: among nodes, or between a node and an operator's command. */
+/** A policy message: between two nodes, or between a node and an operator's client. */
 sealed interface PolicyMessage {
-    /** The kinds of messages, with their number on the wire and their name in {@link CrashPoint}. */
+    /** The kinds of messages, each with its number on the wire and its name in a {@link CrashPoint}. */
     enum Kind {
         POLL(0, "ASK"),
         POLL_RESPONSE(1, "TOLD"),
@@ -32,16 +32,16 @@
             return wireNumber;
         }
 
-        /** How crash points name it. */
+        /** The name of this kind in the names of crash points. */
         String crashPointName() {
             return crashPointName;
         }
     }
 
-    /** Which kind it is of. */
+    /** The kind of this message. */
     Kind kind();
 
-    /** A node asks for a lease on what is active. */
+    /** A node polls the leader for a lease on the active version. */
     record Poll(PolicyRequest request) implements PolicyMessage {
         @Override
         public Kind kind() {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** A node is granted a lease. */
+    /** The leader's response to a poll, which grants a lease. */
     record PollResponse(PolicyResponse response) implements PolicyMessage {
         @Override
         public Kind kind() {
@@ -58,10 +58,10 @@
     }
 
     /**
-     * A node that was polled does not lead.
+     * The response of a polled node that is not the leader.
      *
-     * @param nonce of the poll
-     * @param leader the name of who does; empty if that is not known
+     * @param nonce the nonce of the poll
+     * @param leader the name of the leader; empty if not known
      */
     record Redirect(long nonce, String leader) implements PolicyMessage {
         @Override
@@ -70,7 +70,7 @@
         }
     }
 
-    /** The log has changed, nodes are to poll now. */
+    /** Tells a node that the log has changed, so that it polls at once. */
     record UpdateNotice() implements PolicyMessage {
         @Override
         public Kind kind() {
@@ -86,7 +86,7 @@
         }
     }
 
-    /** An operator's operation on the log; its token identifies the command, however often it arrives. */
+    /** An operator's operation on the log; its token identifies the command when it arrives more than once. */
     record AdminCommand(LogOperation operation) implements PolicyMessage {
         @Override
         public Kind kind() {
@@ -95,11 +95,11 @@
     }
 
     /**
-     * What came of a command.
+     * The result of a command.
      *
-     * @param token of the command
-     * @param outcome a proposal's number, or {@code !} and a reason; empty if this node cannot say
-     * @param leaderAddress where the leader listens; empty if that is not known
+     * @param token the token of the command
+     * @param outcome the proposal's number, or {@code !} and an error; empty if this node does not know the outcome
+     * @param leaderAddress the address of the leader; empty if not known
      */
     record AdminResult(String token, String outcome, String leaderAddress) implements PolicyMessage {
         @Override
@@ -116,7 +116,7 @@
         }
     }
 
-    /** The answer to a query, with its token. */
+    /** The reply to a query, with the token of the query. */
     record AdminReply(String token, String text) implements PolicyMessage {
         @Override
         public Kind kind() {
--- a/policy/src/main/java/spartrail/policy/replication/PolicyMessageCodec.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyMessageCodec.java
@@ -6,7 +6,7 @@
 import spartrail.policy.PolicyResponse;
 
 /**
- * The form of messages about policy: a CBOR array whose first value is the number of the kind. Later versions may add values at
+ * Encodes policy messages: a CBOR array whose first value is the number of the kind. Later versions may add values at
  * the end of an array.
  *
  * <pre>
@@ -18,12 +18,12 @@
  *  4 RAFT           a Raft message, see RaftMessageEncoder
  *  5 ADMIN_COMMAND  token, kind of operation, proposal number, text, issuer
  *  6 ADMIN_RESULT   token, outcome, the leader's address or ""
- *  7 ADMIN_QUERY    token, query: show; check SETTINGS; in drills a crash point to arm
+ *  7 ADMIN_QUERY    token, query: show; check SETTINGS; in drills the crash point to arm
  *  8 ADMIN_REPLY    token, text
  * </pre>
  */
 public final class PolicyMessageCodec {
-    /** The channel of policy in the frames of gossip. */
+    /** The channel number of policy in gossip frames. */
     public static final int CHANNEL = 3;
 
     private PolicyMessageCodec() {}
@@ -86,10 +86,10 @@
                 .text(operation.issuer());
     }
 
-    /** The message of these bytes, or null for one of a kind that is not known. */
+    /** The message that these bytes encode, or null for an unknown kind. */
     static PolicyMessage decode(byte[] bytes) throws MalformedMessageException {
         CborArrayReader in = CborArrayReader.of(bytes);
-        PolicyMessage.Kind kind = kindOrNull(in.nextInt());
+        PolicyMessage.Kind kind = findKind(in.nextInt());
         if (kind == null) {
             return null;
         }
@@ -106,7 +106,7 @@
         };
     }
 
-    private static PolicyMessage.Kind kindOrNull(int wireNumber) {
+    private static PolicyMessage.Kind findKind(int wireNumber) {
         for (PolicyMessage.Kind kind : PolicyMessage.Kind.values()) {
             if (kind.wireNumber() == wireNumber) {
                 return kind;
@@ -129,7 +129,7 @@
 
     private static LogOperation readCommand(CborArrayReader in) throws MalformedMessageException {
         String token = in.nextText();
-        LogOperation.Kind kind = PolicyLogCodec.operationKind(in.nextText());
+        LogOperation.Kind kind = PolicyLogCodec.parseOperationKind(in.nextText());
         return new LogOperation(kind, in.nextLong(), in.nextText(), in.nextText(), token);
     }
 }
--- a/policy/src/main/java/spartrail/policy/replication/PolicyServiceProvider.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyServiceProvider.java
@@ -4,11 +4,11 @@
 import java.nio.file.Path;
 import spartrail.policy.PolicyService;
 
-/** Versions of policy by datagrams, and a replicated log on disk. */
+/** Provides policy versions by a Raft log that is replicated by datagrams and stored on disk. */
 public final class PolicyServiceProvider implements PolicyService {
     static {
-        // The log of the Raft library is not kept; without this its logging facade complains on standard error that
-        // there is none.
+        // The Raft library's log output is discarded. Without this setting SLF4J warns on standard error that it has no
+        // provider.
         System.getProperties().putIfAbsent("slf4j.internal.verbosity", "ERROR");
     }
 
--- a/policy/src/main/java/spartrail/policy/replication/PolicyStatusPage.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyStatusPage.java
@@ -12,26 +12,26 @@
 import spartrail.policy.PolicyVersion;
 
 /**
- * What operators read about a running node, as JSON: by which lease it goes, what it knows, and, where it votes, the log. The
- * names of fields are part of the command line's output.
+ * The status of a running node for operators, as JSON: its lease, the versions that it knows, and, if it is a voter,
+ * the log. The names of fields are part of the command line's output.
  */
 final class PolicyStatusPage {
-    /** A page is one message, in which the latest so many proposals find room. */
+    /** Bounds the page, which has to fit into one message. */
     private static final int MAX_ENTRIES = 50;
 
     private PolicyStatusPage() {}
 
-    /** The page of a node; {@code replica} is null where it does not vote. */
-    static String of(
+    /** The page of a node; {@code replica} is null if the node is no voter. */
+    static String render(
             String node,
-            PolicyLease givenLease,
+            PolicyLease appliedLease,
             PolicyFollower follower,
             RaftReplica replica,
             String leaderAddress,
             double nowMs) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
-            PolicyLease lease = givenLease == null ? null : givenLease.activeAt(nowMs);
+            PolicyLease lease = appliedLease == null ? null : appliedLease.activeAt(nowMs);
             out.writeStartObject();
             out.writeStringField("node", node);
             out.writeStringField("by", lease == null ? "" : lease.label());
@@ -45,7 +45,7 @@
             out.writeStringField("leader", leaderAddress);
             writeKnownVersions(out, follower.lastResponse());
             out.writeArrayFieldStart("entries");
-            for (PolicyVersion version : latestFinished(replica)) {
+            for (PolicyVersion version : findLatestFinished(replica)) {
                 writeVersion(out, version);
             }
             out.writeEndArray();
@@ -56,7 +56,7 @@
         return text.toString();
     }
 
-    /** So long the lease lasts; -1 where there is none or it has no end. */
+    /** The time until the lease expires; -1 if there is no lease or it does not expire. */
     private static long remainingMs(PolicyLease lease, double nowMs) {
         if (lease == null || Double.isInfinite(lease.expiresAtMs())) {
             return -1;
@@ -76,7 +76,7 @@
         }
     }
 
-    private static List<PolicyVersion> latestFinished(RaftReplica replica) {
+    private static List<PolicyVersion> findLatestFinished(RaftReplica replica) {
         if (replica == null) {
             return List.of();
         }
--- a/policy/src/main/java/spartrail/policy/replication/PolicyThread.java
+++ b/policy/src/main/java/spartrail/policy/replication/PolicyThread.java
@@ -10,20 +10,20 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
 
-/** The thread that owns a node's state about policy: it runs what other threads submit, timers, and after each round a step. */
+/** The thread that owns a node's policy state. Each round runs the submitted tasks, the due timers and one step. */
 final class PolicyThread implements RaftReplica.ExecutionContext, AutoCloseable {
-    /** What the thread does of its own accord. */
+    /** The work that the thread does besides submitted tasks. */
     interface Work {
-        /** Before anything else. */
+        /** Runs before the first round. */
         void begin();
 
-        /** After each round; cheap where nothing is due. */
+        /** Runs at the end of each round; cheap if nothing is due. */
         void step();
 
-        /** When the next step is due. */
+        /** The time at which the next step is due. */
         double nextStepAtMs();
 
-        /** After all else. */
+        /** Runs after the last round. */
         void end();
     }
 
@@ -44,7 +44,7 @@
     private long timerCount;
     private volatile boolean closed;
 
-    /** With the clock by which the node decides. */
+    /** Creates the thread with the clock that the node's decisions use. */
     PolicyThread(DoubleSupplier clockMs, Work work) {
         this.clockMs = clockMs;
         this.work = work;
@@ -56,7 +56,7 @@
         thread.start();
     }
 
-    // ---- From any thread ----
+    // ---- Called from any thread ----
 
     @Override
     public void execute(Runnable task) {
@@ -68,7 +68,7 @@
         queue.add(task);
     }
 
-    /** Runs a task for a message, unless so many are waiting that the sender had better send it again. */
+    /** Queues the task of a message; drops it if the queue is full, as a message may be lost in any case. */
     void submitMessage(Runnable task) {
         if (queue.size() < MAX_QUEUED_MESSAGES) {
             queue.add(task);
@@ -81,7 +81,7 @@
         queue.add(() -> timers.add(new Timer(atMs, timerCount++, task)));
     }
 
-    /** A clock for the Raft library that never steps. */
+    /** A monotonic clock for the Raft library. */
     @Override
     public Clock clock() {
         return new Clock() {
@@ -112,7 +112,7 @@
         }
     }
 
-    // ---- The thread ----
+    // ---- On this thread ----
 
     private void run() {
         runSafely(work::begin);
@@ -146,12 +146,12 @@
         }
     }
 
-    /** A task that fails loses what it would have done, and nothing else: others must go on. */
+    /** Runs a task and logs its exception, so that a failed task does not stop the thread. */
     private static void runSafely(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | Error e) {
-            LOG.log(System.Logger.Level.ERROR, "exception in the part in policy", e);
+            LOG.log(System.Logger.Level.ERROR, "uncaught exception on the policy thread; its other tasks continue", e);
         }
     }
 }
--- a/policy/src/main/java/spartrail/policy/replication/ProposalChecker.java
+++ b/policy/src/main/java/spartrail/policy/replication/ProposalChecker.java
@@ -8,8 +8,8 @@
 import spartrail.policy.PolicyVersion;
 
 /**
- * Tries out whether a node can apply a proposal, on threads of their own: settings that break or delay the node's decisions must
- * not keep it from polling.
+ * Checks whether a node can apply a proposal. Each check has its own thread: settings that break or delay the node's
+ * decisions must not keep the node from polling.
  */
 final class ProposalChecker {
     private final PolicyService.Host host;
@@ -20,16 +20,16 @@
         this.follower = follower;
     }
 
-    /** Hands over, on another thread, why the node cannot apply a proposal, or an empty text if it can. */
+    /** Passes the reason why the node cannot apply a proposal, empty if it can, on another thread. */
     void check(PolicyVersion proposal, Consumer<String> onObjection) {
-        runOnThread(() -> objection(proposal), onObjection);
+        runOnNewThread(() -> findObjection(proposal), onObjection);
     }
 
-    /** Hands over, on another thread, what a proposal would change, a line each; {@code !} and why it cannot be applied. */
+    /** Passes the fields that a proposal would change, a line each, or {@code !} and an error, on another thread. */
     void dryRun(PolicyVersion proposal, PolicySettings current, Consumer<String> onResult) {
-        runOnThread(
+        runOnNewThread(
                 () -> {
-                    String objection = objection(proposal);
+                    String objection = findObjection(proposal);
                     return objection.isEmpty()
                             ? String.join("\n", current.differencesTo(follower.settingsWith(proposal)))
                             : "!" + objection;
@@ -37,13 +37,13 @@
                 onResult);
     }
 
-    private static void runOnThread(Supplier<String> check, Consumer<String> onResult) {
+    private static void runOnNewThread(Supplier<String> check, Consumer<String> onResult) {
         Thread thread = new Thread(() -> onResult.accept(check.get()), "spartrail-policy-check");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private String objection(PolicyVersion proposal) {
+    private String findObjection(PolicyVersion proposal) {
         try {
             PolicySettings proposed = follower.settingsWith(proposal);
             String objection = host.dryRun(proposed);
@@ -54,7 +54,7 @@
                     follower.settingsWith(follower.lastResponse().active());
             return host.dryRun(active.stricterOf(proposed));
         } catch (RuntimeException | Error e) {
-            // Whatever a rehearsal breaks with is a reason to refuse the proposal.
+            // Any failure of a dry run is a reason to refuse the proposal.
             return String.valueOf(e.getMessage());
         }
     }
--- a/policy/src/main/java/spartrail/policy/replication/RaftLogFile.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftLogFile.java
@@ -12,17 +12,18 @@
 import java.util.zip.CRC32C;
 
 /**
- * A file of checksummed records that only grows until it is rewritten.
+ * An append-only file of checksummed records, which is rewritten as a whole to compact it.
  *
  * <pre>
- *  record   length (4)  its complement (4)  CRC-32C of the body (4)  body
+ *  record   length (4)  complement of the length (4)  CRC-32C of the body (4)  body
  * </pre>
  *
  * <ol>
- * <li>A record whose head is whole or cut off, and that ends with the file before its length, is a torn tail: it was never
- *     synced, nothing was promised on it, it is cut off.
- * <li>A record that is whole and whose checksum is wrong may have been synced: the file is refused. So is one whose length does
- *     not fit its complement, as a corrupt length that points beyond the end would look like a torn tail.
+ * <li>An incomplete record at the end of the file, with a complete or an incomplete head, is a torn tail. It was never
+ *     synced and no promise to other nodes rests on it, so it is cut off.
+ * <li>A complete record with a wrong checksum may have been synced: the file is rejected. A file with a length that
+ *     does not match its complement is rejected too, because a corrupt length that points beyond the end would look
+ *     like a torn tail.
  * </ol>
  */
 final class RaftLogFile implements AutoCloseable {
@@ -34,7 +35,7 @@
     private static final int CHECKSUM_OFFSET = 8;
     private static final int MAX_RECORD_BYTES = 1 << 22;
 
-    /** Drills have a disk that is full after so many bytes. */
+    /** Drills set a low capacity to simulate a full disk. */
     private static final long DISK_CAPACITY_BYTES = Long.getLong("spartrail.disk.mostBytes", Long.MAX_VALUE);
 
     private final Path folder;
@@ -42,46 +43,46 @@
     private FileChannel channel;
     private long sizeBytes;
 
-    /** Opens the file of a folder. */
+    /** Opens the existing file in a folder. */
     RaftLogFile(Path folder) throws IOException {
         this.folder = folder;
         this.file = folder.resolve(NAME);
         this.channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE);
     }
 
-    /** Whether a folder has the file. */
+    /** Whether the file exists in a folder. */
     static boolean exists(Path folder) {
         return Files.exists(folder.resolve(NAME));
     }
 
-    /** Makes the file of a folder with its first record; an IOException where there is one. */
+    /** Creates the file in a folder with its first record; throws IOException if it exists. */
     static void create(Path folder, byte[] firstBody) throws IOException {
         Files.createDirectories(folder);
         Path file = folder.resolve(NAME);
-        Path temporary = temporary(folder);
+        Path temporary = temporaryFile(folder);
         try (FileChannel out = openNew(temporary)) {
             writeAll(out, frame(firstBody));
             out.force(true);
         }
         if (Files.exists(file)) {
             Files.delete(temporary);
-            throw new IOException(file + ": is there already");
+            throw new IOException(file + ": already exists");
         }
         Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
         syncFolder(folder);
     }
 
-    /** Where the file is. */
+    /** The path of the file. */
     Path path() {
         return file;
     }
 
-    /** The size with all that was appended. */
+    /** The size of the file, with records that are appended but not synced. */
     long sizeBytes() {
         return sizeBytes;
     }
 
-    /** The bodies of all records; cuts off a torn tail, and what is appended follows after the last record. */
+    /** Reads the bodies of all records and cuts off a torn tail; later records are appended after the last one. */
     List<byte[]> readAll() throws IOException {
         List<byte[]> bodies = new ArrayList<>();
         ByteBuffer all = ByteBuffer.wrap(Files.readAllBytes(file));
@@ -98,15 +99,15 @@
         return bodies;
     }
 
-    /** The body of the record that begins here, or null where that is torn. */
+    /** The body of the record at the buffer's position, or null if the record is torn. */
     private byte[] readBody(ByteBuffer all) throws IOException {
         int start = all.position();
         if (all.remaining() < HEAD_BYTES) {
             return null;
         }
         int length = all.getInt(start);
-        boolean validLength = length >= 0 && length <= MAX_RECORD_BYTES;
-        if (!validLength || all.getInt(start + COMPLEMENT_OFFSET) != ~length) {
+        boolean isValidLength = length >= 0 && length <= MAX_RECORD_BYTES;
+        if (!isValidLength || all.getInt(start + COMPLEMENT_OFFSET) != ~length) {
             throw new IOException(file + ": the record at byte " + start + " is corrupt");
         }
         if (all.remaining() - HEAD_BYTES < length) {
@@ -114,7 +115,7 @@
         }
         byte[] body = new byte[length];
         all.position(start + HEAD_BYTES).get(body);
-        if (all.getInt(start + CHECKSUM_OFFSET) != checksum(body)) {
+        if (all.getInt(start + CHECKSUM_OFFSET) != computeChecksum(body)) {
             throw new IOException(file + ": the record at byte " + start + " is corrupt: its checksum is wrong");
         }
         return body;
@@ -123,35 +124,35 @@
     private void cutTornTail(ByteBuffer all) throws IOException {
         LOG.log(
                 System.Logger.Level.WARNING,
-                file + ": a torn tail of " + all.remaining() + " bytes, which was never synced, is cut off");
+                file + ": cutting off a torn tail of " + all.remaining() + " bytes, which was never synced");
         channel.truncate(all.position());
         channel.force(true);
     }
 
-    /** Adds a record, which {@link #sync} makes durable. */
+    /** Appends a record, which {@link #sync} makes durable. */
     void append(byte[] body) throws IOException {
         ByteBuffer frame = frame(body);
         if (sizeBytes + frame.remaining() > DISK_CAPACITY_BYTES) {
-            throw new IOException("no room on the disk");
+            throw new IOException("no space left on the disk, which holds " + DISK_CAPACITY_BYTES + " bytes");
         }
         sizeBytes += frame.remaining();
         writeAll(channel, frame);
     }
 
-    /** All that was appended is on the disk afterwards. */
+    /** Makes all appended records durable. */
     void sync(SyncPoint point) throws IOException {
         sync(channel, point, false);
     }
 
     private static void sync(FileChannel channel, SyncPoint point, boolean metadata) throws IOException {
-        CrashPoint.before(CrashPoint.Activity.SYNCING, point.crashPointName());
+        CrashPoint.haltIfArmedBefore(CrashPoint.Activity.SYNCING, point.crashPointName());
         channel.force(metadata);
-        CrashPoint.after(CrashPoint.Activity.SYNCING, point.crashPointName());
+        CrashPoint.haltIfArmedAfter(CrashPoint.Activity.SYNCING, point.crashPointName());
     }
 
-    /** Writes a file of these records alone and puts it in the place of this one. */
+    /** Replaces this file atomically by one that holds only these records. */
     void replace(List<byte[]> bodies) throws IOException {
-        Path temporary = temporary(folder);
+        Path temporary = temporaryFile(folder);
         FileChannel out = openNew(temporary);
         for (byte[] body : bodies) {
             writeAll(out, frame(body));
@@ -164,7 +165,7 @@
         sizeBytes = out.size();
     }
 
-    private static Path temporary(Path folder) {
+    private static Path temporaryFile(Path folder) {
         return folder.resolve(NAME + ".new");
     }
 
@@ -177,12 +178,12 @@
         return ByteBuffer.allocate(HEAD_BYTES + body.length)
                 .putInt(body.length)
                 .putInt(~body.length)
-                .putInt(checksum(body))
+                .putInt(computeChecksum(body))
                 .put(body)
                 .flip();
     }
 
-    private static int checksum(byte[] body) {
+    private static int computeChecksum(byte[] body) {
         CRC32C crc = new CRC32C();
         crc.update(body);
         return (int) crc.getValue();
@@ -194,10 +195,10 @@
         }
     }
 
-    /** Makes the names in a folder durable. */
+    /** Makes the directory entries of a folder durable. */
     private static void syncFolder(Path folder) throws IOException {
-        try (FileChannel entry = FileChannel.open(folder, StandardOpenOption.READ)) {
-            entry.force(true);
+        try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
--- a/policy/src/main/java/spartrail/policy/replication/RaftLogState.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftLogState.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** What the records of a log amount to: the latest of each kind, the entries and the snapshots that still count. */
+/** The state that the records of a log add up to: the latest of each kind, the remaining entries and snapshots. */
 final class RaftLogState {
     private final LogRecord.Header header;
     private RaftEndpointPersistentState localEndpoint;
@@ -26,7 +26,7 @@
         this.header = header;
     }
 
-    /** Takes up the next record. */
+    /** Applies the next record. */
     void apply(LogRecord record) {
         if (record instanceof LogRecord.LocalEndpoint changed) {
             localEndpoint = changed.state();
@@ -48,19 +48,19 @@
         }
     }
 
-    /** What the Raft library begins with, or null where nothing was stored yet. */
-    RestoredRaftState restored() {
+    /** The state to start the Raft library with, or null if the log holds none yet. */
+    RestoredRaftState toRestoredState() {
         if (localEndpoint == null || initialMembers == null || term == null) {
             return null;
         }
-        SnapshotEntry snapshot = latestCompleteSnapshot();
+        SnapshotEntry snapshot = findLatestCompleteSnapshot();
         long coveredIndex = snapshot == null ? 0 : snapshot.getIndex();
         List<LogEntry> remaining =
                 new ArrayList<>(entries.tailMap(coveredIndex, false).values());
         return new RestoredRaftState(localEndpoint, initialMembers, term, snapshot, remaining);
     }
 
-    private SnapshotEntry latestCompleteSnapshot() {
+    private SnapshotEntry findLatestCompleteSnapshot() {
         SnapshotEntry latest = null;
         for (TreeMap<Integer, SnapshotChunk> snapshot : chunks.values()) {
             SnapshotChunk first = snapshot.firstEntry().getValue();
@@ -76,8 +76,8 @@
         return latest;
     }
 
-    /** The fewest records that amount to the same. */
-    List<LogRecord> records() {
+    /** The smallest list of records that gives the same state. */
+    List<LogRecord> toRecords() {
         List<LogRecord> records = new ArrayList<>();
         records.add(header);
         records.add(new LogRecord.LocalEndpoint(localEndpoint));
--- a/policy/src/main/java/spartrail/policy/replication/RaftLogStore.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftLogStore.java
@@ -16,13 +16,14 @@
 import spartrail.model.MalformedMessageException;
 
 /**
- * What a voter must not forget, in a {@link RaftLogFile}. Entries that a snapshot covers are left out when the file is rewritten.
+ * The persistent state of a voter, in a {@link RaftLogFile}. A rewrite of the file drops entries covered by a snapshot.
  *
  * <ol>
- * <li>Nothing is promised to others before what it rests on is synced: each call that says so, and {@link #flush}, syncs.
- * <li>Once a write or a sync has failed nothing more is written: what the file holds then is not known.
- * <li>A file of another node or fleet, one that another process has open, and one that is corrupt is refused, and this node does
- *     not vote: it might vote a second time in the same term.
+ * <li>State is synced before the voter makes a promise to other nodes that rests on it: each {@code persistAndFlush}
+ *     method and {@link #flush} sync the file.
+ * <li>After a failed write or sync nothing more is written, because the content of the file is not known any more.
+ * <li>A file that belongs to another node or fleet, is open in another process or is corrupt is rejected, and this node
+ *     does not vote: it could vote a second time in the same term.
  * </ol>
  */
 final class RaftLogStore implements RaftStore, AutoCloseable {
@@ -30,7 +31,7 @@
 
     private static final String LOCK_NAME = "policy.log.lock";
 
-    /** A file is rewritten when it is so large and a snapshot covers some of its entries. */
+    /** The file is rewritten when it is larger than this and a snapshot covers some of its entries. */
     private static final long REWRITE_THRESHOLD_BYTES = 1 << 20;
 
     private final FileChannel lock;
@@ -40,22 +41,22 @@
     private boolean failed;
     private boolean hasCoveredEntries;
 
-    /** Makes the log of one voter of a new group; an IOException where there is one. */
+    /** Creates the log of one voter of a new group; throws IOException if the folder has one. */
     static void bootstrap(Path folder, String fleet, String node, List<String> voters) throws IOException {
         RaftLogFile.create(folder, LogRecordCodec.encode(new LogRecord.Header(fleet, node, voters)));
     }
 
-    /** Whether a folder has a log. */
+    /** Whether a folder contains a log. */
     static boolean exists(Path folder) {
         return RaftLogFile.exists(folder);
     }
 
-    /** Reads the log of this node; an IOException says in one line why it cannot be used. */
+    /** Opens and reads the log of this node; the one-line IOException says why the log cannot be used. */
     RaftLogStore(Path folder, String fleet, String node) throws IOException {
         lock = FileChannel.open(folder.resolve(LOCK_NAME), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
             if (lock.tryLock() == null) {
-                throw new IOException(folder + ": another process uses it");
+                throw new IOException(folder + ": locked by another process");
             }
             file = new RaftLogFile(folder);
             List<byte[]> bodies = file.readAll();
@@ -66,7 +67,7 @@
             }
         } catch (OverlappingFileLockException e) {
             close();
-            throw new IOException(folder + ": this process uses it already", e);
+            throw new IOException(folder + ": already locked by this process", e);
         } catch (IOException | RuntimeException e) {
             close();
             throw e;
@@ -75,7 +76,7 @@
 
     private LogRecord.Header readHeader(List<byte[]> bodies, String fleet, String node) throws IOException {
         if (bodies.isEmpty()) {
-            throw new IOException(file.path() + ": does not begin as the log of policy does");
+            throw new IOException(file.path() + ": does not start with the header of a policy log");
         }
         LogRecord.Header found;
         try {
@@ -84,8 +85,8 @@
             throw new IOException(file.path() + ": " + e.getMessage(), e);
         }
         if (!found.fleet().equals(fleet) || !found.node().equals(node)) {
-            throw new IOException(file.path() + ": is that of " + found.node() + " in " + found.fleet() + ", found by "
-                    + node + " in " + fleet);
+            throw new IOException(file.path() + ": belongs to node " + found.node() + " of fleet " + found.fleet()
+                    + ", opened by node " + node + " of fleet " + fleet);
         }
         return found;
     }
@@ -94,18 +95,18 @@
         try {
             return LogRecordCodec.decode(body);
         } catch (MalformedMessageException | RuntimeException e) {
-            throw new IOException(file.path() + ": a record cannot be read: " + e.getMessage(), e);
+            throw new IOException(file.path() + ": invalid record: " + e.getMessage(), e);
         }
     }
 
-    /** The voters of the group as it began. */
+    /** The voters of the group at its creation. */
     List<String> voters() {
         return header.voters();
     }
 
-    /** What the Raft library begins with, or null where nothing was stored yet. */
-    RestoredRaftState restored() {
-        return state.restored();
+    /** The state to start the Raft library with, or null if the log holds none yet. */
+    RestoredRaftState restoredState() {
+        return state.toRestoredState();
     }
 
     // ---- Writing ----
@@ -120,7 +121,7 @@
         state.apply(record);
     }
 
-    /** Syncs as well unless the point is null. */
+    /** Appends a record, and syncs the file unless the sync point is null. */
     private void appendToFile(LogRecord record, SyncPoint point) throws IOException {
         checkNotFailed();
         try {
@@ -132,14 +133,14 @@
             failed = true;
             LOG.log(
                     System.Logger.Level.ERROR,
-                    file.path() + ": cannot be written, this node decides about policy no more: " + e.getMessage());
+                    file.path() + ": write failed, this node stops voting on policy versions: " + e.getMessage());
             throw e;
         }
     }
 
     private void checkNotFailed() throws IOException {
         if (failed) {
-            throw new IOException("the log of policy has failed before");
+            throw new IOException("an earlier write to the policy log failed, no more records are written");
         }
     }
 
@@ -202,7 +203,7 @@
 
     private void rewrite() throws IOException {
         hasCoveredEntries = false;
-        file.replace(state.records().stream().map(LogRecordCodec::encode).toList());
+        file.replace(state.toRecords().stream().map(LogRecordCodec::encode).toList());
     }
 
     @Override
--- a/policy/src/main/java/spartrail/policy/replication/RaftMessageDecoder.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftMessageDecoder.java
@@ -12,30 +12,30 @@
 
 /** Reads Raft messages as {@link RaftMessageEncoder} writes them. */
 final class RaftMessageDecoder {
-    /** What all kinds of messages have. */
+    /** The fields that all kinds of messages have. */
     private record Header(String group, RaftEndpoint sender, int term) {}
 
     private RaftMessageDecoder() {}
 
-    /** The message whose values come next. */
+    /** Reads a message from the next values. */
     static RaftMessage read(CborArrayReader in) throws MalformedMessageException {
         RaftMessageKind kind = RaftMessageKind.ofWireNumber(in.nextInt());
         Header header = new Header(in.nextText(), Voter.endpointOrNull(in.nextText()), in.nextInt());
         return switch (kind) {
-            case APPEND_ENTRIES_REQUEST -> appendEntriesRequest(in, header);
-            case APPEND_ENTRIES_SUCCESS -> appendEntriesSuccess(in, header);
-            case APPEND_ENTRIES_FAILURE -> appendEntriesFailure(in, header);
-            case INSTALL_SNAPSHOT_REQUEST -> installSnapshotRequest(in, header);
-            case INSTALL_SNAPSHOT_RESPONSE -> installSnapshotResponse(in, header);
-            case PRE_VOTE_REQUEST -> preVoteRequest(in, header);
-            case PRE_VOTE_RESPONSE -> preVoteResponse(in, header);
-            case VOTE_REQUEST -> voteRequest(in, header);
-            case VOTE_RESPONSE -> voteResponse(in, header);
-            case TRIGGER_LEADER_ELECTION -> triggerLeaderElection(in, header);
+            case APPEND_ENTRIES_REQUEST -> readAppendEntriesRequest(in, header);
+            case APPEND_ENTRIES_SUCCESS -> readAppendEntriesSuccess(in, header);
+            case APPEND_ENTRIES_FAILURE -> readAppendEntriesFailure(in, header);
+            case INSTALL_SNAPSHOT_REQUEST -> readInstallSnapshotRequest(in, header);
+            case INSTALL_SNAPSHOT_RESPONSE -> readInstallSnapshotResponse(in, header);
+            case PRE_VOTE_REQUEST -> readPreVoteRequest(in, header);
+            case PRE_VOTE_RESPONSE -> readPreVoteResponse(in, header);
+            case VOTE_REQUEST -> readVoteRequest(in, header);
+            case VOTE_RESPONSE -> readVoteResponse(in, header);
+            case TRIGGER_LEADER_ELECTION -> readTriggerLeaderElection(in, header);
         };
     }
 
-    private static RaftMessage appendEntriesRequest(CborArrayReader in, Header header)
+    private static RaftMessage readAppendEntriesRequest(CborArrayReader in, Header header)
             throws MalformedMessageException {
         return MODEL.createAppendEntriesRequestBuilder()
                 .setGroupId(header.group())
@@ -44,13 +44,13 @@
                 .setPreviousLogTerm(in.nextInt())
                 .setPreviousLogIndex(in.nextLong())
                 .setCommitIndex(in.nextLong())
-                .setLogEntries(entries(in.nextArray()))
+                .setLogEntries(readEntries(in.nextArray()))
                 .setQuerySequenceNumber(in.nextLong())
                 .setFlowControlSequenceNumber(in.nextLong())
                 .build();
     }
 
-    private static List<LogEntry> entries(CborArrayReader in) throws MalformedMessageException {
+    private static List<LogEntry> readEntries(CborArrayReader in) throws MalformedMessageException {
         List<LogEntry> entries = new ArrayList<>();
         while (in.hasNext()) {
             entries.add(LogEntryCodec.readEntry(in.nextArray()));
@@ -58,7 +58,7 @@
         return entries;
     }
 
-    private static RaftMessage appendEntriesSuccess(CborArrayReader in, Header header)
+    private static RaftMessage readAppendEntriesSuccess(CborArrayReader in, Header header)
             throws MalformedMessageException {
         return MODEL.createAppendEntriesSuccessResponseBuilder()
                 .setGroupId(header.group())
@@ -70,7 +70,7 @@
                 .build();
     }
 
-    private static RaftMessage appendEntriesFailure(CborArrayReader in, Header header)
+    private static RaftMessage readAppendEntriesFailure(CborArrayReader in, Header header)
             throws MalformedMessageException {
         return MODEL.createAppendEntriesFailureResponseBuilder()
                 .setGroupId(header.group())
@@ -82,7 +82,7 @@
                 .build();
     }
 
-    private static RaftMessage installSnapshotRequest(CborArrayReader in, Header header)
+    private static RaftMessage readInstallSnapshotRequest(CborArrayReader in, Header header)
             throws MalformedMessageException {
         return MODEL.createInstallSnapshotRequestBuilder()
                 .setGroupId(header.group())
@@ -92,19 +92,19 @@
                 .setSnapshotTerm(in.nextInt())
                 .setSnapshotIndex(in.nextLong())
                 .setTotalSnapshotChunkCount(in.nextInt())
-                .setSnapshotChunk(chunkOrNull(in.nextArrayOrNull()))
-                .setSnapshottedMembers(Voter.endpoints(in.nextTexts()))
+                .setSnapshotChunk(readChunkOrNull(in.nextArrayOrNull()))
+                .setSnapshottedMembers(Voter.endpointsOf(in.nextTexts()))
                 .setGroupMembersView(LogEntryCodec.readMembers(in.nextArray()))
                 .setQuerySequenceNumber(in.nextLong())
                 .setFlowControlSequenceNumber(in.nextLong())
                 .build();
     }
 
-    private static SnapshotChunk chunkOrNull(CborArrayReader chunk) throws MalformedMessageException {
+    private static SnapshotChunk readChunkOrNull(CborArrayReader chunk) throws MalformedMessageException {
         return chunk == null ? null : LogEntryCodec.readChunk(chunk);
     }
 
-    private static RaftMessage installSnapshotResponse(CborArrayReader in, Header header)
+    private static RaftMessage readInstallSnapshotResponse(CborArrayReader in, Header header)
             throws MalformedMessageException {
         return MODEL.createInstallSnapshotResponseBuilder()
                 .setGroupId(header.group())
@@ -117,7 +117,7 @@
                 .build();
     }
 
-    private static RaftMessage preVoteRequest(CborArrayReader in, Header header) throws MalformedMessageException {
+    private static RaftMessage readPreVoteRequest(CborArrayReader in, Header header) throws MalformedMessageException {
         return MODEL.createPreVoteRequestBuilder()
                 .setGroupId(header.group())
                 .setSender(header.sender())
@@ -127,7 +127,7 @@
                 .build();
     }
 
-    private static RaftMessage preVoteResponse(CborArrayReader in, Header header) throws MalformedMessageException {
+    private static RaftMessage readPreVoteResponse(CborArrayReader in, Header header) throws MalformedMessageException {
         return MODEL.createPreVoteResponseBuilder()
                 .setGroupId(header.group())
                 .setSender(header.sender())
@@ -136,7 +136,7 @@
                 .build();
     }
 
-    private static RaftMessage voteRequest(CborArrayReader in, Header header) throws MalformedMessageException {
+    private static RaftMessage readVoteRequest(CborArrayReader in, Header header) throws MalformedMessageException {
         return MODEL.createVoteRequestBuilder()
                 .setGroupId(header.group())
                 .setSender(header.sender())
@@ -147,7 +147,7 @@
                 .build();
     }
 
-    private static RaftMessage voteResponse(CborArrayReader in, Header header) throws MalformedMessageException {
+    private static RaftMessage readVoteResponse(CborArrayReader in, Header header) throws MalformedMessageException {
         return MODEL.createVoteResponseBuilder()
                 .setGroupId(header.group())
                 .setSender(header.sender())
@@ -156,7 +156,7 @@
                 .build();
     }
 
-    private static RaftMessage triggerLeaderElection(CborArrayReader in, Header header)
+    private static RaftMessage readTriggerLeaderElection(CborArrayReader in, Header header)
             throws MalformedMessageException {
         return MODEL.createTriggerLeaderElectionRequestBuilder()
                 .setGroupId(header.group())
--- a/policy/src/main/java/spartrail/policy/replication/RaftMessageEncoder.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftMessageEncoder.java
@@ -12,11 +12,11 @@
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
 
-/** Writes Raft messages: the number of the kind, the group, the sender, the term, and then the fields of the kind. */
+/** Writes Raft messages: the number of the kind, group, sender and term, and then the fields of the kind. */
 final class RaftMessageEncoder {
     private RaftMessageEncoder() {}
 
-    /** Adds the values of a message to an array. */
+    /** Writes the values of a message to an array. */
     static void write(CborArrayWriter out, RaftMessage message) {
         RaftMessageKind kind = RaftMessageKind.of(message);
         out.number(kind.wireNumber())
@@ -34,7 +34,8 @@
             case VOTE_REQUEST -> writeFields(out, (VoteRequest) message);
             case VOTE_RESPONSE -> out.flag(((VoteResponse) message).isGranted());
             case TRIGGER_LEADER_ELECTION -> writeFields(out, (TriggerLeaderElectionRequest) message);
-            default -> throw new IllegalStateException("a kind without fields: " + kind);
+            default -> throw new IllegalStateException(
+                    "found a Raft message of kind " + kind + ", for which no fields are defined");
         }
     }
 
@@ -43,7 +44,7 @@
                 .number(request.getPreviousLogIndex())
                 .number(request.getCommitIndex())
                 .array(entries -> request.getLogEntries()
-                        .forEach(entry -> entries.array(each -> LogEntryCodec.writeEntry(each, entry))))
+                        .forEach(entry -> entries.array(values -> LogEntryCodec.writeEntry(values, entry))))
                 .number(request.getQuerySequenceNumber())
                 .number(request.getFlowControlSequenceNumber());
     }
--- a/policy/src/main/java/spartrail/policy/replication/RaftMessageKind.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftMessageKind.java
@@ -13,7 +13,7 @@
 import io.microraft.model.message.VoteResponse;
 import spartrail.model.MalformedMessageException;
 
-/** The kinds of Raft messages, with their number on the wire and their name in {@link CrashPoint}. */
+/** The kinds of Raft messages, each with its number on the wire and its name in a {@link CrashPoint}. */
 enum RaftMessageKind {
     APPEND_ENTRIES_REQUEST(1, "ENTRIES", AppendEntriesRequest.class),
     APPEND_ENTRIES_SUCCESS(2, "ENTRIES TAKEN", AppendEntriesSuccessResponse.class),
@@ -41,22 +41,23 @@
         return wireNumber;
     }
 
-    /** How crash points name it. */
+    /** The name of this kind in the names of crash points. */
     String crashPointName() {
         return crashPointName;
     }
 
-    /** The kind of a message; an IllegalArgumentException for one that this program does not send. */
+    /** The kind of a message; throws IllegalArgumentException for a type that this program does not send. */
     static RaftMessageKind of(RaftMessage message) {
         for (RaftMessageKind kind : values()) {
             if (kind.type.isInstance(message)) {
                 return kind;
             }
         }
-        throw new IllegalArgumentException("found a message of " + message.getClass() + ", a known kind is expected");
+        throw new IllegalArgumentException(
+                "found a Raft message of " + message.getClass() + ", which has no kind on the wire");
     }
 
-    /** The kind with this number. */
+    /** The kind with this number on the wire. */
     static RaftMessageKind ofWireNumber(int wireNumber) throws MalformedMessageException {
         for (RaftMessageKind kind : values()) {
             if (kind.wireNumber == wireNumber) {
--- a/policy/src/main/java/spartrail/policy/replication/RaftReplica.java
+++ b/policy/src/main/java/spartrail/policy/replication/RaftReplica.java
@@ -29,14 +29,16 @@
 import spartrail.policy.PolicyVersion;
 
 /**
- * One of the nodes that vote on the log: the Raft library, its state machine, and what the leader does. All on the thread of
- * policy.
+ * The replica of the log at a voter: the Raft library, its state machine, and the work of the leader. All calls are
+ * made on the policy thread.
  *
- * <p>A poll is answered by a read of the log that a majority confirms after the poll came: those that come while a read is under
- * way wait for the next one.
+ * <p>A poll is answered from a read of the log that a majority confirms after the poll arrived. Polls that arrive while
+ * a read is in progress wait for the next read.
  */
 final class RaftReplica implements StateMachine, Transport {
-    /** Whole seconds, as the library has them: a new leader is there some five seconds after the old one was lost. */
+    /**
+     * The library takes whole seconds. With these values a new leader is elected about 5 s after the loss of the old.
+     */
     private static final RaftConfig CONFIG = RaftConfig.newBuilder()
             .setLeaderHeartbeatPeriodSecs(1)
             .setLeaderHeartbeatTimeoutSecs(3)
@@ -47,26 +49,26 @@
 
     private static final int MAX_WAITING_POLLS = 4096;
 
-    /** The operation of a read, which changes nothing. */
+    /** The operation of a read; it changes no state. */
     private static final Object READ = "read";
 
     private record WaitingPoll(PolicyRequest request, Consumer<PolicyResponse> onResponse) {}
 
-    /** What a replica uses of the thread that it lives on. */
+    /** The thread that a replica runs on. */
     interface ExecutionContext extends RaftNodeExecutor {
-        /** A clock that never steps. */
+        /** A monotonic clock. */
         Clock clock();
     }
 
-    /** What a replica needs of its node. */
+    /** The node that a replica runs in. */
     interface Environment {
         /** Sends a message to another voter. */
         void send(String voter, RaftMessage message);
 
-        /** Whether an address of this voter is known. */
+        /** Whether the address of this voter is known. */
         boolean isReachable(String voter);
 
-        /** The active or the pending version is another one. */
+        /** The active or the pending version has changed. */
         void onLogChange();
     }
 
@@ -79,7 +81,7 @@
     private PolicyVersion lastActive = PolicyVersion.INITIAL;
     private PolicyVersion lastPending;
 
-    /** Goes on where the store ends, and starts. */
+    /** Starts the replica with the state in the store, or as a member of a new group if the store has none. */
     RaftReplica(
             String name,
             String fleet,
@@ -100,17 +102,17 @@
                 .setModelFactory(LogEntryCodec.MODEL)
                 .setRandom(random)
                 .setClock(context.clock());
-        RestoredRaftState restored = store.restored();
+        RestoredRaftState restored = store.restoredState();
         if (restored != null) {
             builder.setRestoredState(restored);
         } else {
-            builder.setLocalEndpoint(new Voter(name)).setInitialGroupMembers(Voter.endpoints(store.voters()));
+            builder.setLocalEndpoint(new Voter(name)).setInitialGroupMembers(Voter.endpointsOf(store.voters()));
         }
         raft = builder.build();
         raft.start();
     }
 
-    // ---- Ports of the Raft library ----
+    // ---- Callbacks of the Raft library ----
 
     @Override
     public Object runOperation(long index, Object operation) {
@@ -119,14 +121,14 @@
         }
         LogOperation logOperation = (LogOperation) operation;
         String nextStage = String.valueOf(stageAfter(logOperation.kind()));
-        CrashPoint.before(CrashPoint.Activity.CHANGING_STATE, nextStage);
+        CrashPoint.haltIfArmedBefore(CrashPoint.Activity.CHANGING_STATE, nextStage);
         String outcome = log.apply(index, logOperation);
         if (log.active() != lastActive || log.pending() != lastPending) {
             lastActive = log.active();
             lastPending = log.pending();
             environment.onLogChange();
         }
-        CrashPoint.after(CrashPoint.Activity.CHANGING_STATE, nextStage);
+        CrashPoint.haltIfArmedAfter(CrashPoint.Activity.CHANGING_STATE, nextStage);
         return outcome;
     }
 
@@ -166,14 +168,14 @@
         return environment.isReachable(Voter.nameOf(endpoint));
     }
 
-    // ---- What the node asks of it ----
+    // ---- Calls from the node ----
 
-    /** Takes up a message of another voter. */
+    /** Handles a message from another voter. */
     void onMessage(RaftMessage message) {
         raft.handle(message);
     }
 
-    /** The name of the leader, as far as this node knows; empty where it does not. */
+    /** The name of the leader as known to this node, or empty. */
     String leaderName() {
         if (raft.getStatus() == RaftNodeStatus.TERMINATED) {
             return "";
@@ -185,7 +187,7 @@
         return leaderName().equals(Voter.nameOf(raft.getLocalEndpoint()));
     }
 
-    /** Answers a poll; the response is null where this node cannot say what is active. */
+    /** Answers a poll; the response is null if this node is not the leader or cannot read the log. */
     void onPoll(PolicyRequest request, double nowMs, Consumer<PolicyResponse> onResponse) {
         if (!isLeader() || waitingPolls.size() >= MAX_WAITING_POLLS) {
             onResponse.accept(null);
@@ -205,9 +207,9 @@
         List<WaitingPoll> batch = waitingPolls;
         waitingPolls = new ArrayList<>();
         raft.<PolicyResponse>query(READ, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
-                .whenComplete((answer, failure) -> {
+                .whenComplete((result, failure) -> {
                     isReading = false;
-                    PolicyResponse read = failure == null ? answer.getResult() : null;
+                    PolicyResponse read = failure == null ? result.getResult() : null;
                     batch.forEach(poll -> respond(poll, read));
                     readLog();
                 });
@@ -222,28 +224,28 @@
         poll.onResponse().accept(new PolicyResponse(nonce, read.appliedIndex(), read.active(), read.pending()));
     }
 
-    /** Appends an operator's operation; the outcome is null where this node does not lead, or does not know. */
+    /** Appends an operator's operation; the outcome is null if it is unknown or this node is not the leader. */
     void replicate(LogOperation operation, Consumer<String> onOutcome) {
         if (!isLeader()) {
             onOutcome.accept(null);
             return;
         }
         raft.<String>replicate(operation)
-                .whenComplete((Ordered<String> answer, Throwable failure) ->
-                        onOutcome.accept(failure == null ? answer.getResult() : null));
+                .whenComplete((Ordered<String> result, Throwable failure) ->
+                        onOutcome.accept(failure == null ? result.getResult() : null));
     }
 
-    /** Does what is due if this node leads. */
+    /** Appends the operation that is due, if this node is the leader. */
     void step(Collection<String> liveNodes, double nowMs) {
         leader.setLeading(isLeader());
         LogOperation operation = leader.nextOperation(log, liveNodes, nowMs);
         if (operation != null) {
-            // Whether it was committed shows in the log; if not, the leader asks for it again.
-            raft.<String>replicate(operation).whenComplete((answer, failure) -> {});
+            // The result is ignored: if the operation is not committed, a later step appends it again.
+            raft.<String>replicate(operation).whenComplete((result, failure) -> {});
         }
     }
 
-    /** The log as far as this node has applied it. */
+    /** The log up to the last entry that this node has applied. */
     PolicyLog log() {
         return log;
     }
--- a/policy/src/main/java/spartrail/policy/replication/SyncPoint.java
+++ b/policy/src/main/java/spartrail/policy/replication/SyncPoint.java
@@ -1,6 +1,6 @@
 package spartrail.policy.replication;
 
-/** What is made durable before anything is promised that rests on it, with its name in {@link CrashPoint}. */
+/** The syncs that must complete before the voter makes a promise, each with its name in a {@link CrashPoint}. */
 enum SyncPoint {
     LOCAL_ENDPOINT("SELF"),
     INITIAL_MEMBERS("GROUP"),
@@ -14,7 +14,7 @@
         this.crashPointName = crashPointName;
     }
 
-    /** How crash points name it. */
+    /** The name of this sync in the names of crash points. */
     String crashPointName() {
         return crashPointName;
     }
--- a/policy/src/test/java/spartrail/policy/replication/LogFileFormsTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/LogFileFormsTest.java
@@ -15,37 +15,39 @@
 import org.junit.jupiter.api.io.TempDir;
 import spartrail.policy.LogOperation;
 
-/** The log of policy on disk keeps its bytes: a file of an earlier version is read, and the same is written. */
+/**
+ * Guards the format of the policy log on disk: files of an earlier version are read, and the same bytes are written.
+ */
 class LogFileFormsTest {
     private static final String RESOURCE = "policy-log.txt";
-    private static final String GROWN = "each kind of record";
+    private static final String EACH_KIND = "each kind of record";
     private static final String COMPACTED = "written anew";
 
     @TempDir
     private Path folder;
 
-    private static byte[] stored(String name) throws IOException {
-        return StoredForms.bytes(StoredForms.read(RESOURCE).getOrDefault(name, ""));
+    private static byte[] readStored(String name) throws IOException {
+        return StoredForms.fromHex(StoredForms.read(RESOURCE).getOrDefault(name, ""));
     }
 
-    private Path folderWith(String name, byte[] file) throws IOException {
-        Path made = Files.createDirectories(folder.resolve(name));
-        Files.write(made.resolve("policy.log"), file);
-        return made;
+    private Path createFolder(String name, byte[] file) throws IOException {
+        Path created = Files.createDirectories(folder.resolve(name));
+        Files.write(created.resolve("policy.log"), file);
+        return created;
     }
 
-    private static RaftLogStore open(Path folder) throws IOException {
+    private static RaftLogStore openStore(Path folder) throws IOException {
         return new RaftLogStore(folder, "recife", "n0");
     }
 
-    private Path bootstrapped(String name) throws IOException {
-        Path made = folder.resolve(name);
-        RaftLogStore.bootstrap(made, "recife", "n0", List.of("n0", "n1", "n2"));
-        return made;
+    private Path bootstrapFolder(String name) throws IOException {
+        Path created = folder.resolve(name);
+        RaftLogStore.bootstrap(created, "recife", "n0", List.of("n0", "n1", "n2"));
+        return created;
     }
 
-    private static void writeTerm(RaftLogStore journal, int term, String votedFor) throws IOException {
-        journal.persistAndFlushTerm(LogEntryCodec.MODEL
+    private static void writeTerm(RaftLogStore store, int term, String votedFor) throws IOException {
+        store.persistAndFlushTerm(LogEntryCodec.MODEL
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(term)
                 .setVotedFor(Voter.endpointOrNull(votedFor))
@@ -53,39 +55,39 @@
     }
 
     private static void writeEachKind(Path folder) throws IOException {
-        try (RaftLogStore journal = open(folder)) {
-            journal.persistAndFlushLocalEndpoint(LogEntryCodec.MODEL
+        try (RaftLogStore store = openStore(folder)) {
+            store.persistAndFlushLocalEndpoint(LogEntryCodec.MODEL
                     .createRaftEndpointPersistentStateBuilder()
                     .setLocalEndpoint(new Voter("n0"))
                     .setVoting(true)
                     .build());
-            journal.persistAndFlushInitialGroupMembers(MessageFormsTest.members());
-            writeTerm(journal, 1, "");
-            writeTerm(journal, 2, "n1");
-            journal.persistLogEntries(MessageFormsTest.entries());
-            journal.persistSnapshotChunk(MessageFormsTest.chunk(200, 0));
-            journal.persistSnapshotChunk(MessageFormsTest.chunk(302, 0));
-            journal.deleteSnapshotChunks(200, 1);
-            journal.truncateLogEntriesFrom(309);
-            journal.truncateLogEntriesUntil(302);
-            journal.flush();
+            store.persistAndFlushInitialGroupMembers(MessageFormsTest.newMembers());
+            writeTerm(store, 1, "");
+            writeTerm(store, 2, "n1");
+            store.persistLogEntries(MessageFormsTest.entriesOfEachKind());
+            store.persistSnapshotChunk(MessageFormsTest.newChunk(200, 0));
+            store.persistSnapshotChunk(MessageFormsTest.newChunk(302, 0));
+            store.deleteSnapshotChunks(200, 1);
+            store.truncateLogEntriesFrom(309);
+            store.truncateLogEntriesUntil(302);
+            store.flush();
         }
     }
 
     @Test
-    void recordsOfEachKindKeepTheirBytes() throws IOException {
-        Path grown = bootstrapped("grown");
+    void recordsOfEachKindAreWrittenInTheirStoredForm() throws IOException {
+        Path grown = bootstrapFolder("grown");
         writeEachKind(grown);
-        byte[] seen = Files.readAllBytes(grown.resolve("policy.log"));
-        StoredForms.writeSeen("policy-log-grown.txt", Map.of(GROWN, StoredForms.hex(seen)));
-        assertThat(StoredForms.hex(seen)).isEqualTo(StoredForms.hex(stored(GROWN)));
+        byte[] actual = Files.readAllBytes(grown.resolve("policy.log"));
+        StoredForms.writeActual("policy-log-grown.txt", Map.of(EACH_KIND, StoredForms.toHex(actual)));
+        assertThat(StoredForms.toHex(actual)).isEqualTo(StoredForms.toHex(readStored(EACH_KIND)));
     }
 
     @Test
-    void aStoredLogIsReadWithItsSnapshot() throws IOException {
-        try (RaftLogStore journal = open(folderWith("stored", stored(GROWN)))) {
-            assertThat(journal.voters()).containsExactly("n0", "n1", "n2");
-            RestoredRaftState state = journal.restored();
+    void aStoredLogIsRestoredWithItsSnapshot() throws IOException {
+        try (RaftLogStore store = openStore(createFolder("stored", readStored(EACH_KIND)))) {
+            assertThat(store.voters()).containsExactly("n0", "n1", "n2");
+            RestoredRaftState state = store.restoredState();
             assertThat(state.getTermPersistentState().getTerm()).isEqualTo(2);
             assertThat(Voter.nameOf(state.getTermPersistentState().getVotedFor()))
                     .isEqualTo("n1");
@@ -99,28 +101,28 @@
     }
 
     @Test
-    void aStoredLogThatHasGrownLargeIsWrittenAnewWithTheSameBytes() throws IOException {
-        Path grown = folderWith("grown", stored(GROWN));
-        try (RaftLogStore journal = open(grown)) {
+    void aLargeStoredLogIsCompactedToItsStoredForm() throws IOException {
+        Path grown = createFolder("grown", readStored(EACH_KIND));
+        try (RaftLogStore store = openStore(grown)) {
             LogOperation large = new LogOperation(LogOperation.Kind.PROPOSE, 0, "x".repeat(1 << 20), "ana", "t");
-            journal.persistLogEntries(List.of(MessageFormsTest.entry(309, large)));
-            journal.truncateLogEntriesFrom(309);
-            journal.truncateLogEntriesUntil(302);
-            journal.flush();
+            store.persistLogEntries(List.of(MessageFormsTest.newEntry(309, large)));
+            store.truncateLogEntriesFrom(309);
+            store.truncateLogEntriesUntil(302);
+            store.flush();
         }
-        byte[] seen = Files.readAllBytes(grown.resolve("policy.log"));
+        byte[] actual = Files.readAllBytes(grown.resolve("policy.log"));
         Map<String, String> forms = new LinkedHashMap<>();
-        forms.put(COMPACTED, StoredForms.hex(seen));
-        StoredForms.writeSeen("policy-log-compacted.txt", forms);
-        assertThat(StoredForms.hex(seen)).isEqualTo(StoredForms.hex(stored(COMPACTED)));
+        forms.put(COMPACTED, StoredForms.toHex(actual));
+        StoredForms.writeActual("policy-log-compacted.txt", forms);
+        assertThat(StoredForms.toHex(actual)).isEqualTo(StoredForms.toHex(readStored(COMPACTED)));
     }
 
     @Test
-    void aStoredLogThatIsReadAndWrittenAgainHasTheSameBytes() throws IOException {
-        Path copy = bootstrapped("copy");
-        try (RaftLogStore from = open(folderWith("stored", stored(COMPACTED)));
-                RaftLogStore to = open(copy)) {
-            RestoredRaftState state = from.restored();
+    void aRestoredLogThatIsWrittenAgainHasTheSameBytes() throws IOException {
+        Path copy = bootstrapFolder("copy");
+        try (RaftLogStore from = openStore(createFolder("stored", readStored(COMPACTED)));
+                RaftLogStore to = openStore(copy)) {
+            RestoredRaftState state = from.restoredState();
             to.persistAndFlushLocalEndpoint(state.getLocalEndpointPersistentState());
             to.persistAndFlushInitialGroupMembers(state.getInitialGroupMembers());
             to.persistAndFlushTerm(state.getTermPersistentState());
@@ -129,7 +131,7 @@
             }
             to.persistLogEntries(state.getLogEntries());
         }
-        assertThat(StoredForms.hex(Files.readAllBytes(copy.resolve("policy.log"))))
-                .isEqualTo(StoredForms.hex(stored(COMPACTED)));
+        assertThat(StoredForms.toHex(Files.readAllBytes(copy.resolve("policy.log"))))
+                .isEqualTo(StoredForms.toHex(readStored(COMPACTED)));
     }
 }
--- a/policy/src/test/java/spartrail/policy/replication/MessageFormsTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/MessageFormsTest.java
@@ -22,21 +22,21 @@
 import spartrail.policy.PolicyResponse;
 import spartrail.policy.PolicyVersion;
 
-/** Messages about policy keep the bytes of the first released form; nodes of two versions understand each other. */
+/** Guards the bytes of policy messages against changes: nodes of two versions have to understand each other. */
 class MessageFormsTest {
     private static final long LARGE = 0x1234_5678_9abc_def0L;
-    private static final PolicyVersion HOLDS =
+    private static final PolicyVersion ACTIVE =
             new PolicyVersion(7, "{\"/sends/most\":3.0}", "ana", PolicyVersion.Stage.HOLDS, "", "t7");
 
-    private static PolicyVersion entry(PolicyVersion.Stage stage) {
+    private static PolicyVersion versionAt(PolicyVersion.Stage stage) {
         return new PolicyVersion(LARGE, "{}", "bo", stage, "why é", "t8");
     }
 
-    private static PolicyMessage response(PolicyVersion pending) {
-        return new PolicyMessage.PollResponse(new PolicyResponse(-LARGE, 300, HOLDS, pending));
+    private static PolicyMessage pollResponse(PolicyVersion pending) {
+        return new PolicyMessage.PollResponse(new PolicyResponse(-LARGE, 300, ACTIVE, pending));
     }
 
-    private static PolicyMessage command(LogOperation.Kind kind, long number, String text) {
+    private static PolicyMessage adminCommand(LogOperation.Kind kind, long number, String text) {
         return new PolicyMessage.AdminCommand(new LogOperation(kind, number, text, "ana", "token"));
     }
 
@@ -46,16 +46,16 @@
         messages.put(
                 "ASK with a refusal",
                 new PolicyMessage.Poll(new PolicyRequest(-1, "n1", 70_000, "/sends/most: too few", "")));
-        messages.put("TOLD", response(null));
+        messages.put("TOLD", pollResponse(null));
         for (PolicyVersion.Stage stage : PolicyVersion.Stage.values()) {
-            messages.put("TOLD " + stage.ordinal(), response(entry(stage)));
+            messages.put("TOLD " + stage.ordinal(), pollResponse(versionAt(stage)));
         }
         messages.put("ELSEWHERE", new PolicyMessage.Redirect(LARGE, "n2"));
         messages.put("ELSEWHERE unknown", new PolicyMessage.Redirect(1, ""));
         messages.put("NEWS", new PolicyMessage.UpdateNotice());
         messages.put("LOG", new PolicyMessage.Raft(raftMessages().get("VOTE")));
-        messages.put("ORDER to propose", command(LogOperation.Kind.PROPOSE, 0, "{\"/sends/most\":3.0}"));
-        messages.put("ORDER to abort", command(LogOperation.Kind.ABORT, 8, ""));
+        messages.put("ORDER to propose", adminCommand(LogOperation.Kind.PROPOSE, 0, "{\"/sends/most\":3.0}"));
+        messages.put("ORDER to abort", adminCommand(LogOperation.Kind.ABORT, 8, ""));
         messages.put("DONE", new PolicyMessage.AdminResult("token", "8", "127.0.0.1:7000"));
         messages.put("QUESTION", new PolicyMessage.AdminQuery("token", AdminRequestHandler.SHOW_QUERY));
         messages.put(
@@ -66,18 +66,18 @@
     }
 
     @Test
-    void policyMessagesKeepTheirBytes() throws IOException {
-        Map<String, byte[]> seen = new LinkedHashMap<>();
-        policyMessages().forEach((name, message) -> seen.put(name, PolicyMessageCodec.encode(message)));
-        assertSame("policy-messages.txt", seen);
+    void policyMessagesAreWrittenInTheirStoredForm() throws IOException {
+        Map<String, byte[]> actual = new LinkedHashMap<>();
+        policyMessages().forEach((name, message) -> actual.put(name, PolicyMessageCodec.encode(message)));
+        assertStoredForms("policy-messages.txt", actual);
     }
 
     @Test
-    void storedPolicyMessagesAreReadAndWrittenAgain() throws IOException, MalformedMessageException {
+    void storedPolicyMessagesAreReadAndWrittenUnchanged() throws IOException, MalformedMessageException {
         for (Map.Entry<String, String> form :
                 StoredForms.read("policy-messages.txt").entrySet()) {
-            PolicyMessage message = PolicyMessageCodec.decode(StoredForms.bytes(form.getValue()));
-            assertThat(StoredForms.hex(PolicyMessageCodec.encode(message)))
+            PolicyMessage message = PolicyMessageCodec.decode(StoredForms.fromHex(form.getValue()));
+            assertThat(StoredForms.toHex(PolicyMessageCodec.encode(message)))
                     .as(form.getKey())
                     .isEqualTo(form.getValue());
         }
@@ -96,7 +96,7 @@
                         .setPreviousLogTerm(2)
                         .setPreviousLogIndex(LARGE)
                         .setCommitIndex(300)
-                        .setLogEntries(entries())
+                        .setLogEntries(entriesOfEachKind())
                         .setQuerySequenceNumber(4)
                         .setFlowControlSequenceNumber(5)
                         .build());
@@ -122,8 +122,8 @@
                         .setQuerySequenceNumber(4)
                         .setFlowControlSequenceNumber(5)
                         .build());
-        messages.put("SNAPSHOT", snapshot(chunk(300, 0)));
-        messages.put("SNAPSHOT without a chunk", snapshot(null));
+        messages.put("SNAPSHOT", installSnapshotRequest(newChunk(300, 0)));
+        messages.put("SNAPSHOT without a chunk", installSnapshotRequest(null));
         messages.put(
                 "SNAPSHOT TAKEN",
                 LogEntryCodec.MODEL
@@ -192,7 +192,7 @@
                         .build());
     }
 
-    private static RaftMessage snapshot(SnapshotChunk chunk) {
+    private static RaftMessage installSnapshotRequest(SnapshotChunk chunk) {
         return LogEntryCodec.MODEL
                 .createInstallSnapshotRequestBuilder()
                 .setGroupId("recife")
@@ -203,24 +203,24 @@
                 .setSnapshotIndex(300)
                 .setTotalSnapshotChunkCount(1)
                 .setSnapshotChunk(chunk)
-                .setSnapshottedMembers(Voter.endpoints(List.of("n0", "n1")))
-                .setGroupMembersView(members())
+                .setSnapshottedMembers(Voter.endpointsOf(List.of("n0", "n1")))
+                .setGroupMembersView(newMembers())
                 .setQuerySequenceNumber(4)
                 .setFlowControlSequenceNumber(5)
                 .build();
     }
 
-    static RaftGroupMembersView members() {
+    static RaftGroupMembersView newMembers() {
         return LogEntryCodec.MODEL
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(9)
-                .setMembers(Voter.endpoints(List.of("n0", "n1", "n2")))
-                .setVotingMembers(Voter.endpoints(List.of("n0", "n1")))
+                .setMembers(Voter.endpointsOf(List.of("n0", "n1", "n2")))
+                .setVotingMembers(Voter.endpointsOf(List.of("n0", "n1")))
                 .build();
     }
 
-    /** The state of a log that has seen a proposal of each outcome, as a snapshot holds it. */
-    private static PolicyLogSnapshot logState() {
+    /** A snapshot of a log with a finished proposal of each outcome and a decided one. */
+    private static PolicyLogSnapshot logSnapshot() {
         PolicyLog log = new PolicyLog();
         log.apply(1, LogOperation.NEW_TERM_OPERATION);
         log.apply(2, new LogOperation(LogOperation.Kind.PROPOSE, 0, "{\"sends\":{\"most\":3}}", "ana", "t1"));
@@ -235,19 +235,19 @@
         return log.toSnapshot();
     }
 
-    static SnapshotChunk chunk(long index, int place) {
+    static SnapshotChunk newChunk(long index, int position) {
         return LogEntryCodec.MODEL
                 .createSnapshotChunkBuilder()
                 .setIndex(index)
                 .setTerm(2)
-                .setOperation(logState())
-                .setSnapshotChunkIndex(place)
+                .setOperation(logSnapshot())
+                .setSnapshotChunkIndex(position)
                 .setSnapshotChunkCount(1)
-                .setGroupMembersView(members())
+                .setGroupMembersView(newMembers())
                 .build();
     }
 
-    static LogEntry entry(long index, Object operation) {
+    static LogEntry newEntry(long index, Object operation) {
         return LogEntryCodec.MODEL
                 .createLogEntryBuilder()
                 .setIndex(index)
@@ -257,19 +257,19 @@
     }
 
     /** An entry of each kind. */
-    static List<LogEntry> entries() {
+    static List<LogEntry> entriesOfEachKind() {
         List<LogEntry> entries = new ArrayList<>();
         long index = 300;
         for (LogOperation.Kind kind : LogOperation.Kind.values()) {
-            entries.add(entry(++index, new LogOperation(kind, LARGE, "text", "ana", "token")));
+            entries.add(newEntry(++index, new LogOperation(kind, LARGE, "text", "ana", "token")));
         }
         for (MembershipChangeMode mode : MembershipChangeMode.values()) {
-            entries.add(entry(
+            entries.add(newEntry(
                     ++index,
                     LogEntryCodec.MODEL
                             .createUpdateRaftGroupMembersOpBuilder()
-                            .setMembers(Voter.endpoints(List.of("n0", "n1", "n2")))
-                            .setVotingMembers(Voter.endpoints(List.of("n0", "n1")))
+                            .setMembers(Voter.endpointsOf(List.of("n0", "n1", "n2")))
+                            .setVotingMembers(Voter.endpointsOf(List.of("n0", "n1")))
                             .setEndpoint(new Voter("n2"))
                             .setMode(mode)
                             .build()));
@@ -278,69 +278,69 @@
     }
 
     @Test
-    void raftMessagesAndLogEntriesKeepTheirBytes() throws IOException {
-        Map<String, byte[]> seen = new LinkedHashMap<>();
-        raftMessages().forEach((name, message) -> seen.put(name, bytes(message)));
-        for (LogEntry entry : entries()) {
-            seen.put("entry " + entry.getIndex(), bytes(entry));
+    void raftMessagesAndLogEntriesAreWrittenInTheirStoredForm() throws IOException {
+        Map<String, byte[]> actual = new LinkedHashMap<>();
+        raftMessages().forEach((name, message) -> actual.put(name, encode(message)));
+        for (LogEntry entry : entriesOfEachKind()) {
+            actual.put("entry " + entry.getIndex(), encode(entry));
         }
-        assertSame("raft-messages.txt", seen);
+        assertStoredForms("raft-messages.txt", actual);
     }
 
-    private static byte[] bytes(RaftMessage message) {
+    private static byte[] encode(RaftMessage message) {
         return CborArrayWriter.encode(out -> RaftMessageEncoder.write(out, message));
     }
 
-    private static byte[] bytes(LogEntry entry) {
+    private static byte[] encode(LogEntry entry) {
         return CborArrayWriter.encode(out -> LogEntryCodec.writeEntry(out, entry));
     }
 
     @Test
-    void storedRaftMessagesAndLogEntriesAreReadAndWrittenAgain() throws IOException, MalformedMessageException {
+    void storedRaftMessagesAndLogEntriesAreReadAndWrittenUnchanged() throws IOException, MalformedMessageException {
         for (Map.Entry<String, String> form :
                 StoredForms.read("raft-messages.txt").entrySet()) {
-            CborArrayReader in = CborArrayReader.of(StoredForms.bytes(form.getValue()));
-            byte[] again = form.getKey().startsWith("entry")
-                    ? bytes(LogEntryCodec.readEntry(in))
-                    : bytes(RaftMessageDecoder.read(in));
-            assertThat(StoredForms.hex(again)).as(form.getKey()).isEqualTo(form.getValue());
+            CborArrayReader in = CborArrayReader.of(StoredForms.fromHex(form.getValue()));
+            byte[] encoded = form.getKey().startsWith("entry")
+                    ? encode(LogEntryCodec.readEntry(in))
+                    : encode(RaftMessageDecoder.read(in));
+            assertThat(StoredForms.toHex(encoded)).as(form.getKey()).isEqualTo(form.getValue());
         }
     }
 
     @Test
-    void piecesKeepTheirBytes() throws IOException {
+    void piecesAreWrittenInTheirStoredFormAndReassembled() throws IOException {
         Map<String, String> stored = StoredForms.read("pieces.txt");
-        Map<String, String> seen = new LinkedHashMap<>();
+        Map<String, String> actual = new LinkedHashMap<>();
         byte[] message = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11};
-        int place = 0;
+        int position = 0;
         for (byte[] piece : new DatagramSplitter(13, 0x01020304).split(message)) {
-            seen.put("piece " + place++, StoredForms.hex(piece));
+            actual.put("piece " + position++, StoredForms.toHex(piece));
         }
-        StoredForms.writeSeen("pieces.txt", seen);
-        assertThat(seen).isEqualTo(stored);
+        StoredForms.writeActual("pieces.txt", actual);
+        assertThat(actual).isEqualTo(stored);
 
         DatagramReassembler receiver = new DatagramReassembler();
         byte[] complete = null;
         for (String piece : stored.values()) {
-            complete = receiver.add("sender", StoredForms.bytes(piece));
+            complete = receiver.add("sender", StoredForms.fromHex(piece));
         }
         assertThat(complete).isEqualTo(message);
     }
 
     @Test
-    void crashPointsKeepTheirNames() throws IOException {
-        Map<String, String> seen = new LinkedHashMap<>();
+    void crashPointsHaveTheirStoredNames() throws IOException {
+        Map<String, String> actual = new LinkedHashMap<>();
         for (String point : CrashPoint.allNames()) {
-            seen.put(String.valueOf(seen.size()), point);
+            actual.put(String.valueOf(actual.size()), point);
         }
-        StoredForms.writeSeen("crash-points.txt", seen);
-        assertThat(seen).isEqualTo(StoredForms.read("crash-points.txt"));
+        StoredForms.writeActual("crash-points.txt", actual);
+        assertThat(actual).isEqualTo(StoredForms.read("crash-points.txt"));
     }
 
-    private static void assertSame(String resource, Map<String, byte[]> forms) throws IOException {
-        Map<String, String> seen = new LinkedHashMap<>();
-        forms.forEach((name, bytes) -> seen.put(name, StoredForms.hex(bytes)));
-        StoredForms.writeSeen(resource, seen);
-        assertThat(seen).isEqualTo(StoredForms.read(resource));
+    private static void assertStoredForms(String resource, Map<String, byte[]> forms) throws IOException {
+        Map<String, String> actual = new LinkedHashMap<>();
+        forms.forEach((name, bytes) -> actual.put(name, StoredForms.toHex(bytes)));
+        StoredForms.writeActual(resource, actual);
+        assertThat(actual).isEqualTo(StoredForms.read(resource));
     }
 }
--- a/policy/src/test/java/spartrail/policy/replication/PageFormsTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/PageFormsTest.java
@@ -28,18 +28,18 @@
 import spartrail.policy.PolicyTimings;
 import spartrail.policy.PolicyVersion;
 
-/** What operators are told about a node keeps its JSON text. */
+/** Guards the JSON text of the status page that operators read. */
 class PageFormsTest {
     private static final String RESOURCE = "pages.txt";
-    private static final PolicyVersion HOLDS =
+    private static final PolicyVersion ACTIVE =
             new PolicyVersion(1, "{\"/sends/most\":3.0}", "ana", PolicyVersion.Stage.HOLDS, "", "t1");
-    private static final PolicyVersion OPEN =
+    private static final PolicyVersion PENDING =
             new PolicyVersion(2, "{\"/sends/most\":2.0}", "bo", PolicyVersion.Stage.DECIDED, "", "t2");
 
     @TempDir
     private Path folder;
 
-    /** A thread's queue and timers, played by hand on a clock that only the test moves. */
+    /** The queue and timers of a thread, run by the test on a clock that only the test advances. */
     private static final class ManualContext implements RaftReplica.ExecutionContext {
         private record Timer(long atMs, long number, Runnable task) {}
 
@@ -98,7 +98,7 @@
         }
     }
 
-    /** The only voter has nobody to send to. */
+    /** The environment of a single voter, which has no other voter to send to. */
     private static final class UnconnectedEnvironment implements RaftReplica.Environment {
         @Override
         public void send(String voter, RaftMessage message) {}
@@ -112,40 +112,41 @@
         public void onLogChange() {}
     }
 
-    private static PolicyFollower follower() {
-        PolicySettings own = PolicySettings.of(Map.of("/sends/most", 4, "/comeback/told", true));
-        return new PolicyFollower("n0", List.of("n0", "n1", "n2"), own, PolicyTimings.DEFAULTS, new Random(5), 0);
+    private static PolicyFollower newFollower() {
+        PolicySettings localSettings = PolicySettings.of(Map.of("/sends/most", 4, "/comeback/told", true));
+        return new PolicyFollower(
+                "n0", List.of("n0", "n1", "n2"), localSettings, PolicyTimings.DEFAULTS, new Random(5), 0);
     }
 
-    private static PolicyFollower follower(PolicyVersion open) {
-        PolicyFollower follower = follower();
-        PolicyRequest ask = follower.pollIfDue(0);
-        follower.onResponse(new PolicyResponse(ask.nonce(), 9, HOLDS, open), 1);
+    private static PolicyFollower followerWith(PolicyVersion pending) {
+        PolicyFollower follower = newFollower();
+        PolicyRequest poll = follower.pollIfDue(0);
+        follower.onResponse(new PolicyResponse(poll.nonce(), 9, ACTIVE, pending), 1);
         return follower;
     }
 
-    private static String page(PolicyFollower follower, RaftReplica deciding, double nowMs) {
-        return PolicyStatusPage.of("n0", follower.lease(), follower, deciding, "127.0.0.1:7000", nowMs);
+    private static String renderPage(PolicyFollower follower, RaftReplica replica, double nowMs) {
+        return PolicyStatusPage.render("n0", follower.lease(), follower, replica, "127.0.0.1:7000", nowMs);
     }
 
-    /** The log of the only deciding node, which has seen a proposal of each outcome. */
-    private String pageOfLeader() throws IOException {
+    /** The page of a single voter, the leader, whose log has a finished proposal of each outcome. */
+    private String renderLeaderPage() throws IOException {
         RaftLogStore.bootstrap(folder, "recife", "n0", List.of("n0"));
         ManualContext context = new ManualContext();
-        try (RaftLogStore journal = new RaftLogStore(folder, "recife", "n0")) {
-            RaftReplica deciding = new RaftReplica(
+        try (RaftLogStore store = new RaftLogStore(folder, "recife", "n0")) {
+            RaftReplica replica = new RaftReplica(
                     "n0",
                     "recife",
-                    journal,
+                    store,
                     PolicyTimings.DEFAULTS,
                     context,
                     new Random(1),
                     new UnconnectedEnvironment());
             context.runQueue();
-            for (int i = 0; i < 1000 && !deciding.isLeader(); i++) {
+            for (int i = 0; i < 1000 && !replica.isLeader(); i++) {
                 context.runNextTimer();
             }
-            for (LogOperation op : List.of(
+            for (LogOperation operation : List.of(
                     new LogOperation(LogOperation.Kind.PROPOSE, 0, "{\"sends\":{\"most\":3}}", "ana", "t1"),
                     new LogOperation(LogOperation.Kind.DECIDE, 1, "", "", ""),
                     new LogOperation(LogOperation.Kind.HOLD, 1, "", "", ""),
@@ -153,25 +154,25 @@
                     new LogOperation(LogOperation.Kind.REFUSE, 2, "no", "n2", ""),
                     new LogOperation(LogOperation.Kind.PROPOSE, 0, "{}", "bo", "t3"),
                     new LogOperation(LogOperation.Kind.ABORT, 3, "", "ana", ""))) {
-                deciding.replicate(op, came -> {});
+                replica.replicate(operation, outcome -> {});
                 context.runQueue();
             }
-            String page = page(follower(null), deciding, 100);
-            deciding.close();
+            String page = renderPage(followerWith(null), replica, 100);
+            replica.close();
             context.runQueue();
             return page;
         }
     }
 
     @Test
-    void repliesToOperatorsKeepTheirText() throws IOException {
-        Map<String, String> seen = new LinkedHashMap<>();
-        seen.put("not ready", page(follower(), null, 1));
-        seen.put("a version holds", page(follower(null), null, 100));
-        seen.put("another is decided", page(follower(OPEN), null, 100));
-        seen.put("out of touch", page(follower(OPEN), null, 1e6));
-        seen.put("a leader", pageOfLeader());
-        StoredForms.writeSeen(RESOURCE, seen);
-        assertThat(seen).isEqualTo(StoredForms.read(RESOURCE));
+    void pagesAreRenderedInTheirStoredForm() throws IOException {
+        Map<String, String> actual = new LinkedHashMap<>();
+        actual.put("not ready", renderPage(newFollower(), null, 1));
+        actual.put("a version holds", renderPage(followerWith(null), null, 100));
+        actual.put("another is decided", renderPage(followerWith(PENDING), null, 100));
+        actual.put("out of touch", renderPage(followerWith(PENDING), null, 1e6));
+        actual.put("a leader", renderLeaderPage());
+        StoredForms.writeActual(RESOURCE, actual);
+        assertThat(actual).isEqualTo(StoredForms.read(RESOURCE));
     }
 }
--- a/policy/src/test/java/spartrail/policy/replication/RaftLogStoreTest.java
+++ b/policy/src/test/java/spartrail/policy/replication/RaftLogStoreTest.java
@@ -24,16 +24,16 @@
 
     private Path file;
 
-    private final Logger quiet = Logger.getLogger("spartrail.policy");
+    private final Logger logger = Logger.getLogger("spartrail.policy");
 
     @BeforeEach
     void bootstrap() throws IOException {
-        quiet.setLevel(Level.OFF);
+        logger.setLevel(Level.OFF);
         RaftLogStore.bootstrap(folder, "recife", "n0", List.of("n0", "n1", "n2"));
         file = folder.resolve("policy.log");
     }
 
-    private static LogEntry entry(long index, String text) {
+    private static LogEntry newEntry(long index, String text) {
         return LogEntryCodec.MODEL
                 .createLogEntryBuilder()
                 .setIndex(index)
@@ -42,7 +42,7 @@
                 .build();
     }
 
-    private void fill() throws IOException {
+    private void writeEntries() throws IOException {
         try (RaftLogStore store = new RaftLogStore(folder, "recife", "n0")) {
             store.persistAndFlushLocalEndpoint(LogEntryCodec.MODEL
                     .createRaftEndpointPersistentStateBuilder()
@@ -52,109 +52,110 @@
             store.persistAndFlushInitialGroupMembers(LogEntryCodec.MODEL
                     .createRaftGroupMembersViewBuilder()
                     .setLogIndex(0)
-                    .setMembers(Voter.endpoints(store.voters()))
-                    .setVotingMembers(Voter.endpoints(store.voters()))
+                    .setMembers(Voter.endpointsOf(store.voters()))
+                    .setVotingMembers(Voter.endpointsOf(store.voters()))
                     .build());
             store.persistAndFlushTerm(LogEntryCodec.MODEL
                     .createRaftTermPersistentStateBuilder()
                     .setTerm(2)
                     .setVotedFor(new Voter("n1"))
                     .build());
-            store.persistLogEntries(List.of(entry(1, "a"), entry(2, "b"), entry(3, "c")));
+            store.persistLogEntries(List.of(newEntry(1, "a"), newEntry(2, "b"), newEntry(3, "c")));
             store.truncateLogEntriesFrom(3);
-            store.persistLogEntries(List.of(entry(3, "d")));
+            store.persistLogEntries(List.of(newEntry(3, "d")));
             store.flush();
         }
     }
 
-    private String read() throws IOException {
+    private String describeRestored() throws IOException {
         try (RaftLogStore store = new RaftLogStore(folder, "recife", "n0")) {
-            RestoredRaftState state = store.restored();
-            return state == null
+            RestoredRaftState restored = store.restoredState();
+            return restored == null
                     ? "nothing"
-                    : state.getTermPersistentState().getTerm() + " "
-                            + Voter.nameOf(state.getTermPersistentState().getVotedFor()) + " "
-                            + state.getLogEntries().stream()
+                    : restored.getTermPersistentState().getTerm() + " "
+                            + Voter.nameOf(restored.getTermPersistentState().getVotedFor()) + " "
+                            + restored.getLogEntries().stream()
                                     .map(entry -> entry.getIndex() + ((LogOperation) entry.getOperation()).text())
                                     .collect(Collectors.joining(" "));
         }
     }
 
     @Test
-    void whatWasKeptIsThereAgain() throws IOException {
-        assertThat(read()).isEqualTo("nothing");
-        fill();
-        assertThat(read()).isEqualTo("2 n1 1a 2b 3d");
+    void stateIsRestoredAfterTheStoreIsReopened() throws IOException {
+        assertThat(describeRestored()).isEqualTo("nothing");
+        writeEntries();
+        assertThat(describeRestored()).isEqualTo("2 n1 1a 2b 3d");
     }
 
-    /** A crash in the middle of a write leaves the beginning of a record: it is cut off, and what came before is there. */
+    /** A crash during a write leaves an incomplete record: it is cut off, and the records before it are restored. */
     @Test
-    void cutAtEachByteItHoldsTheWholeRecordsBeforeAndNothingElse() throws IOException {
-        fill();
+    void aFileCutAtAnyByteRestoresOnlyTheCompleteRecordsBeforeTheCut() throws IOException {
+        writeEntries();
         byte[] all = Files.readAllBytes(file);
-        String seen = "";
+        String previous = "";
         int changes = 0;
         for (int length = 0; length < all.length; length++) {
             Files.write(file, Arrays.copyOf(all, length));
-            String now;
+            String state;
             try {
-                now = read();
+                state = describeRestored();
                 assertThat(Files.size(file)).as("a torn tail is cut off").isLessThanOrEqualTo(length);
             } catch (IOException e) {
-                now = "refused";
+                state = "refused";
             }
-            changes += now.equals(seen) ? 0 : 1;
-            seen = now;
+            changes += state.equals(previous) ? 0 : 1;
+            previous = state;
         }
-        // Refused without its head; nothing; and then one more at each entry, and one less where one was taken back.
+        // The results in order: rejected without a header, no state, the term alone, entries up to a, b and c, and c
+        // removed.
         assertThat(changes).isEqualTo(7);
     }
 
-    /** It may have been synced, and a word given on it. */
+    /** A corrupt record may have been synced, and the voter may have made a promise that rests on it. */
     @Test
-    void flippedAtAnyByteItIsRefused() throws IOException {
-        fill();
+    void aFileWithACorruptByteIsRejected() throws IOException {
+        writeEntries();
         byte[] all = Files.readAllBytes(file);
-        for (int at = 0; at < all.length; at++) {
+        for (int offset = 0; offset < all.length; offset++) {
             byte[] corrupted = all.clone();
-            corrupted[at] ^= 0x10;
+            corrupted[offset] ^= 0x10;
             Files.write(file, corrupted);
-            assertThatThrownBy(this::read)
-                    .as("byte " + at)
+            assertThatThrownBy(this::describeRestored)
+                    .as("byte " + offset)
                     .isInstanceOf(IOException.class)
                     .hasMessageContaining("is corrupt");
-            assertThat(file).as("what is refused stays as it was").hasBinaryContent(corrupted);
+            assertThat(file).as("a rejected file is not changed").hasBinaryContent(corrupted);
         }
     }
 
     @Test
-    void aFolderOfAnotherNodeOrFleetOrInUseIsRefused() throws IOException {
+    void aLogOfAnotherNodeOrFleetIsRejectedAndAnExistingOneIsNotOverwritten() throws IOException {
         assertThatThrownBy(() -> new RaftLogStore(folder, "recife", "n1"))
-                .hasMessage(file + ": is that of n0 in recife, found by n1 in recife");
+                .hasMessage(file + ": belongs to node n0 of fleet recife, opened by node n1 of fleet recife");
         assertThatThrownBy(() -> new RaftLogStore(folder, "macon", "n0"))
-                .hasMessage(file + ": is that of n0 in recife, found by n0 in macon");
+                .hasMessage(file + ": belongs to node n0 of fleet recife, opened by node n0 of fleet macon");
         assertThatThrownBy(() -> RaftLogStore.bootstrap(folder, "recife", "n0", List.of("n0")))
-                .hasMessage(file + ": is there already");
+                .hasMessage(file + ": already exists");
         Files.writeString(file, "{\"fleet\": \"recife\", \"what\": \"something else\"}");
         assertThatThrownBy(() -> new RaftLogStore(folder, "recife", "n0")).hasMessageContaining("corrupt");
     }
 
     @Test
-    void piecesMakeTheMessageWholeInAnyOrderAndOnlyWhole() {
+    void piecesAreReassembledInAnyOrderOnceAllHaveArrived() {
         byte[] message = new byte[5000];
         new java.util.Random(3).nextBytes(message);
-        DatagramSplitter from = new DatagramSplitter(1100, 7);
-        DatagramReassembler to = new DatagramReassembler();
-        List<byte[]> pieces = from.split(message);
+        DatagramSplitter splitter = new DatagramSplitter(1100, 7);
+        DatagramReassembler reassembler = new DatagramReassembler();
+        List<byte[]> pieces = splitter.split(message);
         assertThat(pieces).hasSize(5);
         for (int i : new int[] {3, 0, 4, 4, 1}) {
-            assertThat(to.add("a", pieces.get(i))).isNull();
+            assertThat(reassembler.add("a", pieces.get(i))).isNull();
         }
-        assertThat(to.add("b", pieces.get(2))).isNull();
-        assertThat(to.add("a", pieces.get(2))).isEqualTo(message);
+        assertThat(reassembler.add("b", pieces.get(2))).isNull();
+        assertThat(reassembler.add("a", pieces.get(2))).isEqualTo(message);
         for (int i = 0; i < 1000; i++) {
-            to.add("a", from.split(message).get(0));
+            reassembler.add("a", splitter.split(message).get(0));
         }
-        assertThat(to.add("a", new byte[] {1, 2})).isNull();
+        assertThat(reassembler.add("a", new byte[] {1, 2})).isNull();
     }
 }
--- a/policy/src/test/java/spartrail/policy/replication/StoredForms.java
+++ b/policy/src/test/java/spartrail/policy/replication/StoredForms.java
@@ -9,13 +9,16 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Reads the forms that an earlier version wrote: a name and a text or hexadecimal bytes a line, comments after {@code #}. */
+/**
+ * Reads files of forms written by an earlier version. A line has a name and a text or hexadecimal bytes; # starts a
+ * comment.
+ */
 final class StoredForms {
     private static final HexFormat HEX = HexFormat.of();
 
     private StoredForms() {}
 
-    /** The lines of a resource by their names, in their order. */
+    /** The forms of a resource by name, in the order of the file. */
     static Map<String, String> read(String resource) throws IOException {
         Map<String, String> forms = new LinkedHashMap<>();
         try (InputStream in = StoredForms.class.getResourceAsStream("/forms/" + resource)) {
@@ -32,19 +35,20 @@
         return forms;
     }
 
-    /** Writes what this version makes under {@code target}, for whoever has to look at a difference. */
-    static void writeSeen(String resource, Map<String, String> seen) throws IOException {
+    /** Writes the forms of this version to a folder under {@code target}, to inspect differences. */
+    static void writeActual(String resource, Map<String, String> actual) throws IOException {
         StringBuilder text = new StringBuilder();
-        seen.forEach((name, form) -> text.append(name).append(": ").append(form).append('\n'));
+        actual.forEach(
+                (name, form) -> text.append(name).append(": ").append(form).append('\n'));
         Path folder = Files.createDirectories(Path.of("policy/target/forms"));
         Files.writeString(folder.resolve(resource), text);
     }
 
-    static String hex(byte[] bytes) {
+    static String toHex(byte[] bytes) {
         return HEX.formatHex(bytes);
     }
 
-    static byte[] bytes(String hex) {
+    static byte[] fromHex(String hex) {
         return HEX.parseHex(hex);
     }
 }
