--- a/core/src/main/java/spartrail/policy/PolicyFollower.java
+++ b/core/src/main/java/spartrail/policy/PolicyFollower.java
@@ -104,10 +104,7 @@
         }
     }
 
-    /**
-     * The target of the latest poll: the node that answered the poll before or was named as leader, else a voter in
-     * turn.
-     */
+    /** The latest poll's target: the node that answered last or was named as leader, else the next of the voters. */
     public String pollTarget() {
         return pollTarget;
     }
--- a/core/src/main/java/spartrail/policy/PolicyLease.java
+++ b/core/src/main/java/spartrail/policy/PolicyLease.java
@@ -1,8 +1,8 @@
 package spartrail.policy;
 
 /**
- * The settings that a node applies until a time, and the lease after that. Callers check the clock before each
- * decision.
+ * The settings that a node applies until they expire, and the lease that follows. Before each decision the caller
+ * checks by its clock which lease of the chain applies.
  *
  * @param label the numbers of the versions that the settings keep to: {@code 3}; {@code 3|4} for joint settings of two
  *     versions; {@code 3?} or {@code 3|4?} once the lease has expired and the active version is known from the last
--- a/core/src/main/java/spartrail/policy/PolicyLog.java
+++ b/core/src/main/java/spartrail/policy/PolicyLog.java
@@ -6,8 +6,8 @@
 import spartrail.policy.PolicyVersion.Stage;
 
 /**
- * The replicated state machine: each voter applies the same operations in the same order. One proposal at most is
- * pending.
+ * The replicated state machine: each voter applies the same operations in the same order. At most one proposal is
+ * pending at a time.
  *
  * <pre>
  *  from       operation  to         condition or consequence
--- a/core/src/main/java/spartrail/policy/PolicySettings.java
+++ b/core/src/main/java/spartrail/policy/PolicySettings.java
@@ -103,10 +103,7 @@
         return rule;
     }
 
-    /**
-     * The key of {@link #RULES} for a field: the name of an op type becomes the wildcard, which a field must not
-     * contain.
-     */
+    /** The key of {@link #RULES} for a field, with a wildcard for the op type's name; empty for a field with a wildcard. */
     private static String patternOf(String field) {
         String[] steps = field.split("/", -1);
         boolean isOfOpType = field.startsWith(OP_TYPES) && steps.length == 4 && !steps[2].isEmpty();
@@ -118,9 +115,7 @@
 
     // ---- JSON ----
 
-    /**
-     * Reads a version's settings from a JSON object, nested or by field; throws IllegalArgumentException if invalid.
-     */
+    /** Reads settings from a JSON object, nested or by field; throws IllegalArgumentException if they are invalid. */
     public static PolicySettings parse(String text) {
         try (JsonParser parser = new JsonFactory().createParser(text)) {
             if (parser.nextToken() == null || !(JsonTree.readValue(parser) instanceof Map<?, ?> tree)) {
@@ -179,10 +174,7 @@
 
     // ---- Versions on top of a node's settings ----
 
-    /**
-     * These settings overridden by a version; throws IllegalArgumentException if it sets a field that a node does not
-     * have.
-     */
+    /** These settings overridden by a version; throws IllegalArgumentException if the node does not have its fields. */
     public PolicySettings overriddenBy(PolicySettings version) {
         TreeMap<String, Object> all = new TreeMap<>(fields);
         version.fields.forEach((field, value) -> {
--- a/policy/src/main/java/spartrail/policy/replication/AdminClient.java
+++ b/policy/src/main/java/spartrail/policy/replication/AdminClient.java
@@ -19,8 +19,8 @@
 
 /**
  * The operators' client: sends queries to a running node, and commands to the leader. Calls block; an instance has one
- * socket and is used by one thread. A request without a response is sent again with the same token, so that it takes
- * effect once.
+ * socket and is used by one thread. A request without a response is sent again. Its token stays the same, so that the
+ * request takes effect once.
  */
 public final class AdminClient implements AutoCloseable {
     private static final int RESPONSE_TIMEOUT_MS = 500;
--- a/policy/src/test/java/spartrail/policy/replication/StoredForms.java
+++ b/policy/src/test/java/spartrail/policy/replication/StoredForms.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * Reads files of forms written by an earlier version. A line has a name and a text or hexadecimal bytes; # starts a
- * comment.
+ * Reads forms that an earlier version wrote: each line holds a name and a text or hexadecimal bytes. A line that starts
+ * with {@code #} is a comment.
  */
 final class StoredForms {
     private static final HexFormat HEX = HexFormat.of();
