--- a/core/src/main/java/spartrail/policy/PolicySettings.java
+++ b/core/src/main/java/spartrail/policy/PolicySettings.java
@@ -103,7 +103,7 @@
         return rule;
     }
 
-    /** The key of {@link #RULES} for a field: a wildcard replaces the op type's name. Empty if the field contains one. */
+    /** The key of {@link #RULES} for a field, with a wildcard for the op type; empty for a field that contains it. */
     private static String patternOf(String field) {
         String[] steps = field.split("/", -1);
         boolean isOfOpType = field.startsWith(OP_TYPES) && steps.length == 4 && !steps[2].isEmpty();
