--- a/core/src/main/java/spartrail/endpoint/CellOccupancy.java
+++ b/core/src/main/java/spartrail/endpoint/CellOccupancy.java
@@ -1,10 +1,12 @@
 package spartrail.endpoint;
 
 /**
- * How many endpoints are in use in each cell. Shard s is held by the cells (s + j) mod cells, j from 0 to the replication factor
- * less one, so a cell holds as many shards as the replication factor says.
+ * Counts the endpoints in use in each cell. Shard s is held by the cells (s + j) mod cells, for j from 0 to the
+ * replication factor minus one, so each cell holds as many shards (modulo the number of cells) as the replication
+ * factor.
  *
- * <p>Cost: a question on a cell looks at the cells beside it, the replication factor squared, whatever the size of the fleet.
+ * <p>Cost: {@link #eachShardHasAtLeast} reads the neighboring cells, a number of reads equal to the square of the
+ * replication factor and independent of the size of the fleet.
  */
 final class CellOccupancy {
     private final int cells;
@@ -29,18 +31,18 @@
         inUse[cell]--;
     }
 
-    /** Whether each shard that the cell holds has at least so many endpoints in use. */
-    boolean eachShardHasAtLeast(int heldBy, int least) {
-        for (int first = heldBy - replicationFactor + 1; first <= heldBy; first++) {
-            if (inUseFrom(first) < least) {
+    /** Whether each shard that the cell holds has at least {@code min} endpoints in use. */
+    boolean eachShardHasAtLeast(int cell, int min) {
+        for (int first = cell - replicationFactor + 1; first <= cell; first++) {
+            if (countInUseFrom(first) < min) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Endpoints in use for the shard whose first cell is this one. */
-    private int inUseFrom(int first) {
+    /** Counts the endpoints in use for the shard whose cells start with {@code first}. */
+    private int countInUseFrom(int first) {
         int count = 0;
         for (int cell = first; cell < first + replicationFactor; cell++) {
             count += inUse[Math.floorMod(cell, cells)];
--- a/core/src/main/java/spartrail/endpoint/EndpointExplanation.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointExplanation.java
@@ -2,21 +2,24 @@
 
 import java.util.Locale;
 
-/** A text for operators: what each source reports on an endpoint, the rule that decided its status, and since when. */
+/**
+ * Explains to operators the status of an endpoint: since when it applies, which rule decided it, what each source
+ * reports.
+ */
 public final class EndpointExplanation {
     private static final double MS_PER_S = 1000;
 
     private EndpointExplanation() {}
 
-    /** Explains the record as it stands at this time. */
+    /** Explains the status of the record at the given time. */
     public static String of(EndpointRecord record, double atMs) {
-        StringBuilder text = new StringBuilder(status(record, atMs));
-        record.entries.forEach((source, entry) -> text.append(sourceLine(source, entry, atMs)));
-        return text.append(String.format(Locale.ROOT, "  start: %s%n", start(record)))
+        StringBuilder text = new StringBuilder(describeStatus(record, atMs));
+        record.entries.forEach((source, entry) -> text.append(describeSource(source, entry, atMs)));
+        return text.append(String.format(Locale.ROOT, "  start: %s%n", describeStart(record)))
                 .toString();
     }
 
-    private static String status(EndpointRecord record, double atMs) {
+    private static String describeStatus(EndpointRecord record, double atMs) {
         boolean hasOtherUid = record.uid() != null && !record.uid().equals(record.id());
         return String.format(
                 Locale.ROOT,
@@ -31,24 +34,24 @@
                 record.reason());
     }
 
-    private static String sourceLine(EndpointSource source, SourceEntry entry, double atMs) {
+    private static String describeSource(EndpointSource source, SourceEntry entry, double atMs) {
         return String.format(
                 Locale.ROOT,
                 "  %s (%s): %s%s%n",
                 source,
-                availability(source, atMs),
+                describeAvailability(source, atMs),
                 entry.report().state(),
-                absence(entry, atMs));
+                describeAbsence(entry, atMs));
     }
 
-    private static String availability(EndpointSource source, double atMs) {
+    private static String describeAvailability(EndpointSource source, double atMs) {
         if (source.isAvailable()) {
             return "answers";
         }
         return String.format(Locale.ROOT, "unavailable for %.1f s", (atMs - source.unavailableSinceMs()) / MS_PER_S);
     }
 
-    private static String absence(SourceEntry entry, double atMs) {
+    private static String describeAbsence(SourceEntry entry, double atMs) {
         if (!entry.isAbsent()) {
             return "";
         }
@@ -59,7 +62,7 @@
                 entry.absentAnswers());
     }
 
-    private static String start(EndpointRecord record) {
+    private static String describeStart(EndpointRecord record) {
         if (Double.isNaN(record.startedMs)) {
             return "not reported; counts as started when it was first seen";
         }
--- a/core/src/main/java/spartrail/endpoint/EndpointList.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointList.java
@@ -7,15 +7,15 @@
 import spartrail.model.Server;
 
 /**
- * A version of the endpoint list, or what changed with it.
+ * A version of the endpoint list: either the complete list or the changes since an earlier version.
  *
- * @param isComplete whether endpoints that it lacks are gone; else it holds changes only
+ * @param isComplete true if endpoints missing from this list are gone; false if it contains only changed endpoints
  */
 public record EndpointList(long version, boolean isComplete, List<Endpoint> endpoints) {
     /**
-     * A server and its address as this node reaches it.
+     * A server and the address at which this node connects to it.
      *
-     * @param bootMs when its process started, as Unix time; 0 if long ago
+     * @param bootMs when its process started, as Unix time in milliseconds; 0 if it started long ago
      */
     public record Endpoint(
             String id,
@@ -26,7 +26,7 @@
             Server.State state,
             double weight,
             long bootMs) {
-        /** The same server in another state. */
+        /** A copy of this endpoint in another state. */
         public Endpoint withState(Server.State other) {
             return new Endpoint(id, address, zone, kind, cell, other, weight, bootMs);
         }
@@ -43,7 +43,7 @@
         }
     }
 
-    /** The endpoints as the coordinator takes them. */
+    /** Converts the endpoints to the servers that the coordinator works with. */
     public List<Server> toServers(NodeClock clock) {
         List<Server> servers = new ArrayList<>(endpoints.size());
         endpoints.forEach(endpoint -> servers.add(endpoint.toServer(clock)));
--- a/core/src/main/java/spartrail/endpoint/EndpointPublisher.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointPublisher.java
@@ -10,39 +10,40 @@
 import spartrail.model.Server;
 
 /**
- * What the coordinator is to know of each endpoint, and what of it has changed. Endpoints of a tier worse than the best one in use
- * of their cell stand by: they are published as draining until the cell has nobody better.
+ * Derives the report that the coordinator receives for each endpoint, and collects the reports that have changed. An
+ * endpoint whose tier is worse than the best tier in use in its cell is on standby: it is published as draining until
+ * the cell has no endpoint in use of a better tier.
  */
 final class EndpointPublisher {
     private final Map<Integer, Set<EndpointRecord>> byCell = new HashMap<>();
     private final Set<EndpointRecord> changed = new LinkedHashSet<>();
 
-    /** The record belongs to this cell from now on. */
-    void move(EndpointRecord record, int cell) {
+    /** Assigns the record to this cell. */
+    void moveToCell(EndpointRecord record, int cell) {
         if (cell != record.cell) {
-            membersOf(record.cell).remove(record);
+            recordsInCell(record.cell).remove(record);
             record.cell = cell;
         }
-        membersOf(cell).add(record);
+        recordsInCell(cell).add(record);
     }
 
     void remove(EndpointRecord record) {
-        membersOf(record.cell).remove(record);
+        recordsInCell(record.cell).remove(record);
     }
 
-    private Set<EndpointRecord> membersOf(int cell) {
+    private Set<EndpointRecord> recordsInCell(int cell) {
         return byCell.computeIfAbsent(cell, key -> new LinkedHashSet<>());
     }
 
-    /** Publishes the endpoints of a cell anew. Cost: by the endpoints of the cell. */
+    /** Publishes again all endpoints of a cell. Cost: proportional to the endpoints of the cell. */
     void publishCell(int cell) {
-        Set<EndpointRecord> members = membersOf(cell);
-        int bestTier = bestTierInUse(members);
-        members.forEach(record -> publish(record, bestTier));
+        Set<EndpointRecord> records = recordsInCell(cell);
+        int bestTier = bestTierInUse(records);
+        records.forEach(record -> publish(record, bestTier));
     }
 
-    private static int bestTierInUse(Set<EndpointRecord> members) {
-        return members.stream()
+    private static int bestTierInUse(Set<EndpointRecord> records) {
+        return records.stream()
                 .filter(EndpointRecord::isInUse)
                 .map(EndpointRecord::bestReport)
                 .filter(Objects::nonNull)
@@ -60,9 +61,9 @@
         record.isStandby = record.isInUse() && source.tier() > bestTier;
         Server.State state =
                 record.isStandby ? Server.State.DRAINING : record.status().toServerState();
-        // Without a reported start the endpoint counts as started when it was first seen, so it is warmed up.
+        // Without a reported start time the endpoint counts as started when it was first seen, so it gets a slow start.
         double startedMs = Double.isNaN(record.startedMs) ? record.seenMs : record.startedMs;
-        SourceReport report = source.published(record.id(), record.address(), state, startedMs);
+        SourceReport report = source.toPublished(record.id(), record.address(), state, startedMs);
         boolean wasNeverInUse = record.published == null && state == Server.State.GONE;
         if (!wasNeverInUse && !report.equals(record.published)) {
             record.published = report;
@@ -70,7 +71,7 @@
         }
     }
 
-    /** The reports that have changed since this was last asked. */
+    /** The reports that have changed since the last call. */
     List<SourceReport> takeChanges() {
         List<SourceReport> reports = new ArrayList<>();
         changed.forEach(record -> reports.add(record.published));
--- a/core/src/main/java/spartrail/endpoint/EndpointRecord.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointRecord.java
@@ -5,23 +5,23 @@
 import spartrail.model.Server;
 
 /**
- * One endpoint, what each source reports on it, and the status that follows. Only the registry's thread reads and changes it; the
- * classes of this package share the fields that are not private.
+ * One endpoint, the report of each source on it, and the resulting status. Only the registry's thread reads and changes
+ * a record; the fields that are not private are shared by the classes of this package.
  */
 public final class EndpointRecord {
     /** The status of an endpoint in the registry. */
     public enum Status {
         /** No source has reported on it. */
         UNKNOWN,
-        /** Named again after it was gone, and not in use yet, as it has come and gone before. */
+        /** Listed again after it was gone, and not in use yet because it has flapped before. */
         JOINING,
         /** In use. */
         LIVE,
-        /** In use, but those that named it have been unavailable for longer than their reports are valid. */
+        /** In use, although the sources that list it have been unavailable for longer than their reports are valid. */
         SUSPECT,
-        /** Gets no new work. */
+        /** Receives no new requests. */
         DRAINING,
-        /** Not in use, and remembered for a while. */
+        /** Not in use; the record is kept for the retention period. */
         GONE;
 
         Server.State toServerState() {
@@ -35,19 +35,19 @@
 
     final Map<EndpointSource, SourceEntry> entries = new LinkedHashMap<>();
     final FlapHistory flaps = new FlapHistory();
-    /** When it was first seen, or seen again after it was gone. */
+    /** When the endpoint was first seen, or was seen again after it had been gone. */
     double seenMs;
-    /** When an endpoint that is joining comes into use. */
+    /** When an endpoint with status JOINING becomes LIVE. */
     double joinAtMs;
-    /** The latest start that any source has reported; NaN if none has. */
+    /** The latest process start time reported by any source; NaN if no source has reported one. */
     double startedMs = Double.NaN;
-    /** Whether it counts among the endpoints in use of its cell. */
+    /** Whether the endpoint is included in its cell's count of endpoints in use. */
     boolean isCounted;
-    /** The cell that it is listed in. */
+    /** The cell of the best report. */
     int cell;
-    /** What was last published of it; null before. */
+    /** The report last published; null before the first publication. */
     SourceReport published;
-    /** Whether its cell has endpoints of a better tier. */
+    /** Whether the endpoint is in use but its cell also has endpoints in use of a better tier. */
     boolean isStandby;
 
     private final String id;
@@ -65,12 +65,12 @@
         this.statusSinceMs = nowMs;
     }
 
-    /** The name under which it was first seen, by which the coordinator knows it. */
+    /** The name under which the endpoint was first seen; the coordinator identifies it by this name. */
     public String id() {
         return id;
     }
 
-    /** Discovery's uid; null where discovery has not named it. */
+    /** Discovery's uid; null if discovery has not listed the endpoint. */
     public String uid() {
         return uid;
     }
@@ -80,27 +80,27 @@
         return address;
     }
 
-    /** The status that follows from all reports. */
+    /** The status derived from the reports of all sources. */
     public Status status() {
         return status;
     }
 
-    /** The rule that decided the status. */
+    /** The rule that decided the status, as text for operators. */
     public String reason() {
         return reason;
     }
 
-    /** Since when it has this status. */
+    /** When the endpoint entered this status. */
     public double statusSinceMs() {
         return statusSinceMs;
     }
 
-    /** Whether it stands by, as its cell has endpoints of a better tier in use. */
+    /** Whether the endpoint is on standby because its cell has endpoints in use of a better tier. */
     public boolean isStandby() {
         return isStandby;
     }
 
-    /** What was last published of it; null if it never was. */
+    /** The report last published; null if none was. */
     public SourceReport published() {
         return published;
     }
@@ -125,7 +125,7 @@
         return status == Status.LIVE || status == Status.SUSPECT;
     }
 
-    /** The source of this kind that has reported on it, or null. */
+    /** The first source of this kind that has reported on the endpoint, or null. */
     EndpointSource sourceOf(EndpointSource.Kind kind) {
         for (EndpointSource source : entries.keySet()) {
             if (source.kind() == kind) {
@@ -135,7 +135,10 @@
         return null;
     }
 
-    /** The report that says most: discovery's, else that of a source that names it. */
+    /**
+     * The most reliable report: discovery's if there is one, else that of the last source that still lists the
+     * endpoint, else the first report.
+     */
     SourceReport bestReport() {
         SourceReport best = null;
         for (Map.Entry<EndpointSource, SourceEntry> each : entries.entrySet()) {
@@ -151,7 +154,7 @@
         return best;
     }
 
-    /** Keeps the latest start: an earlier one is that of a process which has been replaced. */
+    /** Keeps the latest start time: an earlier one belongs to a process that has been replaced. */
     void learnStart(SourceReport report) {
         boolean isLater = !(report.startedMs() <= startedMs);
         if (report.hasStart() && isLater) {
--- a/core/src/main/java/spartrail/endpoint/EndpointRegistry.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointRegistry.java
@@ -14,17 +14,19 @@
 import spartrail.model.TimerQueue;
 
 /**
- * One view of all endpoints, merged from sources that disagree.
+ * Merges the reports of several sources, which may disagree, into one status for each endpoint.
  *
- * <p>{@link EndpointTable} says which record a report belongs to, {@link StatusRules} which status follows from the reports of all
- * sources, {@link EndpointPublisher} what of it the coordinator is to know. Here reports are entered, records are evaluated when
- * a report or time may have changed their status, and sources come and go.
+ * <p>{@link EndpointTable} finds the record that a report belongs to, {@link StatusRules} derives the status of a
+ * record from the reports of all sources, and {@link EndpointPublisher} determines which changes the coordinator
+ * receives. The registry itself stores the reports, tracks which sources are available, and evaluates a record whenever
+ * a report or the passing of time may have changed its status.
  *
- * <p>Cost: a report costs its endpoint, the endpoint's cell and the cells beside it, never the fleet; a source that becomes
- * unavailable costs the endpoints that it has named. No clock, no I/O; one thread owns an instance.
+ * <p>Cost: a report takes time proportional to the endpoints of its cell and to the neighboring cells, independent of
+ * the size of the fleet; a source that becomes unavailable takes time proportional to the endpoints on which it has
+ * reported. The registry has no clock and does no I/O; one thread owns an instance.
  */
 public final class EndpointRegistry {
-    /** Counts for logs. */
+    /** Counters for logs. */
     public record Counts(
             long endpoints,
             long refused,
@@ -47,9 +49,11 @@
     private long evaluations;
 
     /**
-     * Shard s is held by the cells (s + j) mod cells, j from 0 to the replication factor less one.
+     * Creates an empty registry. Shard s is held by the cells (s + j) mod cells, for j from 0 to the replication factor
+     * minus one.
      *
-     * @param isAllowed which addresses sources may name; others are refused and counted
+     * @param isAllowed accepts the addresses that sources may list; reports with other addresses are refused and
+     *        counted
      */
     public EndpointRegistry(int cells, int replicationFactor, MergeLimits limits, Predicate<String> isAllowed) {
         this(cells, replicationFactor, limits, isAllowed, StatusRules::new);
@@ -67,7 +71,7 @@
         this.rules = rules.create(limits, this.cells, sources);
     }
 
-    /** The source of this name; a new one counts as unavailable until it reports. */
+    /** Returns the source of this name, creating it if needed; a new source counts as unavailable until it reports. */
     public EndpointSource getOrCreateSource(String name, EndpointSource.Kind kind, double atMs) {
         return sources.getOrCreate(name, kind, atMs);
     }
@@ -75,10 +79,11 @@
     // Reports
 
     /**
-     * Enters what a source reports.
+     * Applies an answer of a source, which makes the source available.
      *
-     * @param isComplete whether the reports are all that the source knows, so that it leaves out what they lack
-     * @param lifetimeMs how long they are valid
+     * @param isComplete whether the answer lists every endpoint that the source knows, so that a missing endpoint
+     *        counts as absent
+     * @param lifetimeMs how long the reports are valid
      */
     public void applyReports(
             EndpointSource source, boolean isComplete, List<SourceReport> reports, double lifetimeMs, double atMs) {
@@ -105,30 +110,30 @@
         evaluateLongestAbsentFirst(source, touched);
     }
 
-    /** Whether the report changes anything. */
+    /** Stores the report; returns whether it differs from what the source reported before. */
     private boolean applyReport(EndpointSource source, EndpointRecord record, SourceReport report) {
         SourceEntry known = record.entries.get(source);
         boolean isNew = known == null || known.isAbsent();
         boolean isChanged = isNew || !report.equals(known.report());
-        double leftOutSinceMs = known == null ? source.firstAnswerMs() : known.absentSinceMs();
-        SourceEntry entry = known == null ? link(source, record) : known;
+        double absentSinceMs = known == null ? source.firstAnswerMs() : known.absentSinceMs();
+        SourceEntry entry = known == null ? createEntry(source, record) : known;
         entry.update(report, nowMs);
         record.learnStart(report);
         boolean mayLift = isNew && !source.isDiscovery();
-        if (mayLift && rules.mayLiftTombstone(source, record, leftOutSinceMs, nowMs)) {
+        if (mayLift && rules.mayLiftTombstone(source, record, absentSinceMs, nowMs)) {
             liftTombstone(record);
         }
         return isChanged;
     }
 
-    private SourceEntry link(EndpointSource source, EndpointRecord record) {
+    private SourceEntry createEntry(EndpointSource source, EndpointRecord record) {
         SourceEntry entry = new SourceEntry(nowMs);
         record.entries.put(source, entry);
         source.entries().put(record, entry);
         return entry;
     }
 
-    /** A complete answer leaves out all that it does not name; returns those whose status may change by it. */
+    /** Counts an absence for each known endpoint that a complete answer lacks; returns the records to evaluate. */
     private List<EndpointRecord> countAbsences(EndpointSource source, Set<EndpointRecord> named) {
         List<EndpointRecord> counted = new ArrayList<>();
         source.entries().forEach((record, entry) -> {
@@ -140,7 +145,11 @@
         return counted;
     }
 
-    /** One that goes now because its absence is confirmed must not count for the floor of one that is first left out now. */
+    /**
+     * Evaluates the records that have been absent from the most answers first. An endpoint that is removed now because
+     * its absence is confirmed must not count towards the floor when an endpoint that is absent for the first time is
+     * evaluated.
+     */
     private void evaluateLongestAbsentFirst(EndpointSource source, Set<EndpointRecord> records) {
         records.stream()
                 .sorted(Comparator.comparingInt(record -> -absentAnswers(source, record)))
@@ -153,7 +162,10 @@
         return entry == null ? 0 : entry.absentAnswers();
     }
 
-    /** The endpoint is another process than the one that discovery has ended. */
+    /**
+     * Drops discovery's reports on an endpoint whose address belongs to a newer process than the one that discovery
+     * removed.
+     */
     private void liftTombstone(EndpointRecord record) {
         tombstonesLifted++;
         for (EndpointSource source : sources.all()) {
@@ -166,25 +178,27 @@
         record.startedMs = Double.NaN;
     }
 
-    /** The source does not answer. */
+    /** Marks a source as unavailable because it does not answer. */
     public void markUnavailable(EndpointSource source, double atMs) {
         nowMs = atMs;
         if (source.isAvailable()) {
             source.markUnavailable(atMs);
-            // Absences that only its further answers could confirm wait for it.
+            // From now on its reports age. An absence that only its further answers could confirm waits for them, or
+            // for
+            // the confirmation time.
             List.copyOf(source.entries().keySet()).forEach(this::evaluate);
         }
     }
 
     // Time
 
-    /** Evaluates the records whose status time alone may have changed by now. */
+    /** Evaluates the records whose status is due for review at this time. */
     public void advance(double atMs) {
         nowMs = atMs;
         timers.runDue(atMs);
     }
 
-    /** When {@link #advance} has something to do next. */
+    /** When {@link #advance} has the next record to evaluate; {@code Double.MAX_VALUE} if there is none. */
     public double nextDueMs() {
         return timers.nextDueMs();
     }
@@ -220,7 +234,7 @@
             cells.decrement(record.cell);
         }
         SourceReport best = record.bestReport();
-        publisher.move(record, best == null ? record.cell : best.cell());
+        publisher.moveToCell(record, best == null ? record.cell : best.cell());
         record.isCounted = record.isInUse();
         if (record.isCounted) {
             cells.increment(record.cell);
@@ -228,29 +242,29 @@
         publisher.publishCell(record.cell);
     }
 
-    /** What has changed since this was last asked, as the coordinator is to know it. */
+    /** The reports that have changed since the last call, in the form in which the coordinator receives them. */
     public List<SourceReport> takeChanges() {
         return publisher.takeChanges();
     }
 
     // For operators and snapshots
 
-    /** All records, the first seen first. */
+    /** All records, in the order in which the endpoints were first seen. */
     public Collection<EndpointRecord> records() {
         return table.all();
     }
 
-    /** All sources that have reported or been restored. */
+    /** All sources created so far. */
     public Collection<EndpointSource> sources() {
         return sources.all();
     }
 
-    /** By id, uid or address; null if there is none. */
+    /** Finds a record by id, uid or address; null if there is none. */
     public EndpointRecord find(String name) {
         return table.find(name);
     }
 
-    /** Counts since the start. */
+    /** The counters since the start of the process. */
     public Counts counts() {
         return new Counts(
                 table.all().size(),
@@ -262,11 +276,11 @@
                 evaluations);
     }
 
-    /** All that a snapshot keeps; absences and tombstones are kept with it. */
+    /** All reports, for a snapshot; it includes removals and tombstones. */
     public List<SnapshotEntry> snapshot() {
-        List<SnapshotEntry> kept = new ArrayList<>();
+        List<SnapshotEntry> stored = new ArrayList<>();
         for (EndpointRecord record : table.all()) {
-            record.entries.forEach((source, entry) -> kept.add(new SnapshotEntry(
+            record.entries.forEach((source, entry) -> stored.add(new SnapshotEntry(
                     source.name(),
                     source.kind(),
                     record.id(),
@@ -275,15 +289,18 @@
                     entry.isRemoved(),
                     record.seenMs)));
         }
-        return kept;
+        return stored;
     }
 
-    /** Takes up a snapshot that was saved then; its sources count as unavailable since, until they answer. */
+    /**
+     * Restores a snapshot that was saved at {@code savedMs}; its sources count as unavailable from that time until they
+     * answer.
+     */
     public void restore(List<SnapshotEntry> snapshot, double savedMs, double atMs) {
         nowMs = atMs;
         Set<EndpointRecord> touched = new LinkedHashSet<>();
-        for (SnapshotEntry kept : snapshot) {
-            EndpointRecord restored = restore(kept, savedMs);
+        for (SnapshotEntry stored : snapshot) {
+            EndpointRecord restored = restore(stored, savedMs);
             if (restored != null) {
                 touched.add(restored);
             }
@@ -291,20 +308,20 @@
         touched.forEach(this::evaluate);
     }
 
-    private EndpointRecord restore(SnapshotEntry kept, double savedMs) {
-        EndpointSource source = getOrCreateSource(kept.source(), kept.kind(), savedMs);
+    private EndpointRecord restore(SnapshotEntry stored, double savedMs) {
+        EndpointSource source = getOrCreateSource(stored.source(), stored.kind(), savedMs);
         source.restoreUnavailability(savedMs);
-        EndpointRecord record = table.findById(kept.id());
+        EndpointRecord record = table.findById(stored.id());
         if (record == null) {
-            // A report that ends an endpoint need not say where it was.
-            record = table.resolve(kept.report().withAddress(kept.address()), nowMs);
+            // A report that the endpoint is gone may lack the address, so the one stored with the entry is used.
+            record = table.resolve(stored.report().withAddress(stored.address()), nowMs);
         }
         if (record == null) {
             return null;
         }
-        applyReport(source, record, kept.report());
-        record.entries.get(source).restoreAbsence(kept.isRemoved(), savedMs);
-        record.seenMs = Math.min(record.seenMs, kept.seenMs());
+        applyReport(source, record, stored.report());
+        record.entries.get(source).restoreAbsence(stored.isRemoved(), savedMs);
+        record.seenMs = Math.min(record.seenMs, stored.seenMs());
         return record;
     }
 }
--- a/core/src/main/java/spartrail/endpoint/EndpointSource.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointSource.java
@@ -3,9 +3,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Where reports on endpoints come from: discovery is one source, so is each DNS name, and each file. */
+/** A source of reports on endpoints: discovery is one source, and so is each DNS name and each file. */
 public final class EndpointSource {
-    /** What a source may decide: discovery removes and drains endpoints of all sources; others add, and withdraw their own. */
+    /**
+     * The kind of a source, which determines its authority: discovery removes and drains the endpoints of all sources;
+     * other sources add endpoints and withdraw those that they have added.
+     */
     public enum Kind {
         DISCOVERY,
         DNS,
@@ -20,19 +23,19 @@
     private double firstAnswerMs = Double.NaN;
     private double reportLifetimeMs;
 
-    /** A new source counts as unavailable until it reports. */
+    /** Creates a source, which counts as unavailable until it reports. */
     EndpointSource(String name, Kind kind, double nowMs) {
         this.name = name;
         this.kind = kind;
         this.unavailableSinceMs = nowMs;
     }
 
-    /** The name, unique in a registry. */
+    /** The name, which is unique in a registry. */
     public String name() {
         return name;
     }
 
-    /** What the source may decide. */
+    /** The kind, which determines what the source may decide. */
     public Kind kind() {
         return kind;
     }
@@ -46,22 +49,22 @@
         return kind == Kind.DISCOVERY;
     }
 
-    /** Since when it does not answer; for a source that was only restored, since the snapshot. */
+    /** When the source became unavailable; for a source restored from a snapshot, when the snapshot was saved. */
     double unavailableSinceMs() {
         return unavailableSinceMs;
     }
 
-    /** When it first answered; NaN before that. */
+    /** When the source first answered; NaN before that. */
     double firstAnswerMs() {
         return firstAnswerMs;
     }
 
-    /** How long what it reports is valid. */
+    /** How long a report of this source is valid. */
     double reportLifetimeMs() {
         return reportLifetimeMs;
     }
 
-    /** The endpoints that it has reported on. */
+    /** The entries of the endpoints on which the source has reported. */
     Map<EndpointRecord, SourceEntry> entries() {
         return entries;
     }
@@ -79,7 +82,7 @@
         unavailableSinceMs = nowMs;
     }
 
-    /** The source has been silent at least since a snapshot was saved. */
+    /** Records that the source has not answered since a snapshot was saved, or for longer. */
     void restoreUnavailability(double savedMs) {
         unavailableSinceMs = Math.min(unavailableSinceMs, savedMs);
     }
--- a/core/src/main/java/spartrail/endpoint/EndpointSourceProvider.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointSourceProvider.java
@@ -4,11 +4,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** A kind of source beside discovery, found by the service loader; on the class path only where it is asked for. */
+/**
+ * Provides sources of one kind in addition to discovery. Implementations are found by the service loader and are on the
+ * class path only if the deployment uses them.
+ */
 public interface EndpointSourceProvider {
-    /** Where a started source reports; called from any thread. */
+    /** Receives the reports of the started sources; may be called from any thread. */
     interface Listener {
-        /** The source of this name reports; {@code isComplete} where it reports all that it knows. */
+        /**
+         * Called with an answer of a source; {@code isComplete} if the answer lists every endpoint that the source
+         * knows.
+         */
         void onReports(
                 String source,
                 EndpointSource.Kind kind,
@@ -16,13 +22,17 @@
                 List<SourceReport> reports,
                 double lifetimeMs);
 
-        /** The source of this name does not answer. */
+        /** Called when a source does not answer. */
         void onUnavailable(String source, EndpointSource.Kind kind);
     }
 
-    /** The section of the sources file that it takes. */
+    /** The name of the section of the sources file that configures this kind of source. */
     String section();
 
-    /** Starts it with that section; an IllegalArgumentException says in one line what is wrong with it. */
+    /**
+     * Starts the sources that the section describes; closing the result stops them.
+     *
+     * @throws IllegalArgumentException if the section is invalid, with a message of one line
+     */
     AutoCloseable start(Map<?, ?> settings, Listener listener) throws IOException;
 }
--- a/core/src/main/java/spartrail/endpoint/EndpointTable.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointTable.java
@@ -9,13 +9,15 @@
 import java.util.function.Predicate;
 
 /**
- * Which record a report belongs to.
+ * Finds or creates the record that a report belongs to.
  *
  * <ol>
- * <li>An endpoint is identified by discovery's uid; without one, by its address.
- * <li>A uid that comes to an address known without one takes that record over.
- * <li>A uid that comes to the address of another uid is another endpoint; entries of sources without uids go with the address.
- * <li>Addresses that are not allowed, and more endpoints than the limit, are refused and counted.
+ * <li>An endpoint is identified by discovery's uid or, if it has none, by its address.
+ * <li>A report with a new uid takes over the record at its address if that record has no uid yet.
+ * <li>A report with a new uid at the address of a record with another uid is about another endpoint; the entries of
+ * sources without uids move to the record that now has the address.
+ * <li>Reports with an address that is not allowed, and reports on new endpoints above the limit, are refused and
+ * counted.
  * </ol>
  */
 final class EndpointTable {
@@ -29,7 +31,10 @@
     private long refused;
     private long notAllowed;
 
-    /** {@code onDisplaced} is called with each record whose address another one has taken. */
+    /**
+     * Creates an empty table; {@code onDisplaced} is called with each record whose address another record has taken
+     * over.
+     */
     EndpointTable(
             MergeLimits limits,
             Predicate<String> isAllowed,
@@ -49,7 +54,7 @@
         return byId.get(id);
     }
 
-    /** By id, uid or address; null if there is none. */
+    /** Finds a record by id, uid or address; null if there is none. */
     EndpointRecord find(String name) {
         EndpointRecord record = byId.get(name);
         if (record == null) {
@@ -66,7 +71,7 @@
         return notAllowed;
     }
 
-    /** The record that the report is about, a new one where there is none; null where it is refused. */
+    /** Returns the record that the report is about, creating it if needed; null if the report is refused. */
     EndpointRecord resolve(SourceReport report, double nowMs) {
         if (report.address() != null && !isAllowed.test(report.address())) {
             notAllowed++;
@@ -78,7 +83,7 @@
         }
         if (report.address() != null && !report.address().equals(known.address())) {
             byAddress.remove(known.address(), known);
-            settle(known, report.address());
+            assignAddress(known, report.address());
         }
         return known;
     }
@@ -107,7 +112,7 @@
             return null;
         }
         String id = report.id() != null ? report.id() : report.address();
-        // A uid may be the address of another endpoint, which is known by it already.
+        // A uid may be spelled like the address of another endpoint whose id is that address.
         if (byId.containsKey(id)) {
             refused++;
             return null;
@@ -117,27 +122,30 @@
         if (report.id() != null) {
             byUid.put(report.id(), created);
         }
-        settle(created, report.address());
+        assignAddress(created, report.address());
         return created;
     }
 
-    /** The record is at this address from now on; the one that was there loses the entries of sources without uids. */
-    private void settle(EndpointRecord record, String address) {
-        EndpointRecord before = byAddress.put(address, record);
+    /**
+     * Assigns the address to the record. A record that had the address before hands over its entries of sources without
+     * uids.
+     */
+    private void assignAddress(EndpointRecord record, String address) {
+        EndpointRecord previous = byAddress.put(address, record);
         record.setAddress(address);
-        if (before == null || before == record) {
+        if (previous == null || previous == record) {
             return;
         }
-        for (Map.Entry<EndpointSource, SourceEntry> each : List.copyOf(before.entries.entrySet())) {
-            EndpointSource source = each.getKey();
+        for (Map.Entry<EndpointSource, SourceEntry> entry : List.copyOf(previous.entries.entrySet())) {
+            EndpointSource source = entry.getKey();
             if (!source.isDiscovery()) {
-                before.entries.remove(source);
-                source.entries().remove(before);
-                record.entries.put(source, each.getValue());
-                source.entries().put(record, each.getValue());
+                previous.entries.remove(source);
+                source.entries().remove(previous);
+                record.entries.put(source, entry.getValue());
+                source.entries().put(record, entry.getValue());
             }
         }
-        onDisplaced.accept(before);
+        onDisplaced.accept(previous);
     }
 
     void remove(EndpointRecord record) {
--- a/core/src/main/java/spartrail/endpoint/FlapHistory.java
+++ b/core/src/main/java/spartrail/endpoint/FlapHistory.java
@@ -1,6 +1,6 @@
 package spartrail.endpoint;
 
-/** How often an endpoint has been removed lately, as a count that decays exponentially. */
+/** The number of recent removals of an endpoint, as a count that decays exponentially. */
 final class FlapHistory {
     private double removals;
     private double updatedMs;
--- a/core/src/main/java/spartrail/endpoint/SnapshotEntry.java
+++ b/core/src/main/java/spartrail/endpoint/SnapshotEntry.java
@@ -1,10 +1,11 @@
 package spartrail.endpoint;
 
 /**
- * What a snapshot keeps of one source's report on one endpoint.
+ * The report of one source on one endpoint, as stored in a snapshot.
  *
- * @param id the registry's name of the endpoint
- * @param isRemoved whether the source has left it out and the absence counts
+ * @param id the name under which the registry knows the endpoint
+ * @param isRemoved whether the endpoint was missing from complete answers of the source and the absence counts as its
+ *        removal
  * @param seenMs when the endpoint was first seen
  */
 public record SnapshotEntry(
--- a/core/src/main/java/spartrail/endpoint/SourceEntry.java
+++ b/core/src/main/java/spartrail/endpoint/SourceEntry.java
@@ -1,10 +1,13 @@
 package spartrail.endpoint;
 
-/** What one source last reported on one endpoint, and since when its complete answers have left it out. */
+/**
+ * The last report of one source on one endpoint, and since when the endpoint has been missing from its complete
+ * answers.
+ */
 final class SourceEntry {
     private SourceReport report;
     private double stateSinceMs;
-    /** NaN while the source names the endpoint. */
+    /** NaN while the source lists the endpoint. */
     private double absentSinceMs = Double.NaN;
 
     private int absentAnswers;
@@ -18,7 +21,7 @@
         return report;
     }
 
-    /** Since when the source has reported the present state. */
+    /** When the source first reported the current state. */
     double stateSinceMs() {
         return stateSinceMs;
     }
@@ -35,12 +38,12 @@
         return !Double.isNaN(absentSinceMs);
     }
 
-    /** Whether the absence counts as the endpoint's end. */
+    /** Whether the absence counts as removal of the endpoint by this source. */
     boolean isRemoved() {
         return isRemoved;
     }
 
-    /** The source names the endpoint with this report. */
+    /** Stores a new report, which ends an absence. */
     void update(SourceReport newReport, double nowMs) {
         if (report != null && newReport.state() != report.state()) {
             stateSinceMs = nowMs;
@@ -51,7 +54,7 @@
         isRemoved = false;
     }
 
-    /** A complete answer lacks the endpoint. */
+    /** Counts a complete answer that lacks the endpoint. */
     void countAbsence(double nowMs) {
         if (!isAbsent()) {
             absentSinceMs = nowMs;
@@ -59,12 +62,12 @@
         absentAnswers++;
     }
 
-    /** The absence counts from now on, until the source names the endpoint again. */
+    /** Makes the absence count as a removal until the source lists the endpoint again. */
     void markRemoved() {
         isRemoved = true;
     }
 
-    /** Takes up the absence that a snapshot has kept. */
+    /** Restores the absence that a snapshot recorded. */
     void restoreAbsence(boolean removed, double savedMs) {
         isRemoved = removed;
         if (removed) {
--- a/core/src/main/java/spartrail/endpoint/SourceTable.java
+++ b/core/src/main/java/spartrail/endpoint/SourceTable.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** All sources by name. */
+/** All sources of a registry, by name. */
 final class SourceTable {
     private final Map<String, EndpointSource> sources = new LinkedHashMap<>();
 
--- a/core/src/main/java/spartrail/endpoint/StatusRules.java
+++ b/core/src/main/java/spartrail/endpoint/StatusRules.java
@@ -6,44 +6,47 @@
 import spartrail.model.Server;
 
 /**
- * Which rule decides the status of an endpoint; the first that fits does:
+ * Decides the status of an endpoint by the first of these rules that matches:
  *
  * <pre>
- *  1 discovery reports it draining                          DRAINING  at once, over all others
- *  2 discovery reports it gone, or a complete list of       GONE      at once, over all others; where a complete list takes a
- *    discovery lacks it                                               shard below the floor, after discoveryConfirmMs
- *  3 as 1 or 2, and discovery is unavailable                the same  a tombstone: other sources cannot lift it, but for one that
- *                                                                     left it out for a whole lifetime and names it again
- *  4 discovery lists it                                     LIVE
- *  5 as 4, discovery is unavailable for over freezeMs       SUSPECT   after suspectMs more GONE, where the floor allows
- *  6 another source names it                                LIVE      or JOINING for a while, if it has come and gone before
- *  7 no source names it any more, the floor allows          GONE
- *  8 the same, the floor does not                           LIVE      until confirmed by answers or time
- *  9 the sources that name it are unavailable               LIVE      then SUSPECT, then GONE, as in 5
+ *  1 discovery reports it draining                     DRAINING  at once, whatever other sources report
+ *  2 discovery reports it gone, or a complete list of  GONE      at once, whatever other sources report; if the absence
+ *    discovery lacks it                                          takes a shard below the floor, after
+ *                                                                discoveryConfirmMs
+ *  3 as 1 or 2, and discovery is unavailable           the same  a tombstone: another source lifts it only by listing
+ *                                                                the endpoint again after a whole report lifetime of
+ *                                                                absence
+ *  4 discovery lists it                                LIVE
+ *  5 as 4, discovery unavailable for over freezeMs     SUSPECT   GONE after another suspectMs, if the floor allows it
+ *  6 another source lists it                           LIVE      JOINING for a delay first, if it has flapped before
+ *  7 no source lists it any more, the floor allows     GONE
+ *    the removal
+ *  8 as 7, the floor does not allow the removal        LIVE      until the absence is confirmed by answers or time
+ *  9 the sources that list it are unavailable          LIVE      then SUSPECT, then GONE, as in 5
  * </pre>
  *
- * <p>Cost: by the sources that have reported on the endpoint, and the cells beside its own.
+ * <p>Cost: proportional to the sources that have reported on the endpoint, and to the neighboring cells.
  */
 class StatusRules {
-    /** Nothing changes the status by itself. */
+    /** The review time of a status that only a new report can change. */
     static final double NEVER_MS = Double.MAX_VALUE;
 
     private static final double MIN_REVIEW_INTERVAL_MS = 1000;
 
-    /** Recent removals below this count as none. */
-    private static final double LEAST_RECENT_REMOVALS = 0.5;
+    /** A decayed count of recent removals below this causes no delay. */
+    private static final double MIN_RECENT_REMOVALS = 0.5;
 
-    /** Makes the rules of a registry; a test makes others. */
+    /** Creates the rules of a registry; tests create faulty ones. */
     @FunctionalInterface
     interface Factory {
         StatusRules create(MergeLimits limits, CellOccupancy cells, SourceTable sources);
     }
 
     /**
-     * A status with the rule that decided it.
+     * A status and the rule that decided it.
      *
-     * @param reviewAtMs when it may change by itself
-     * @param isForgotten whether the record is no longer needed
+     * @param reviewAtMs when the status may change without a new report
+     * @param isForgotten whether the record can be deleted
      */
     record Verdict(Status status, String reason, double reviewAtMs, boolean isForgotten) {
         Verdict(Status status, String reason, double reviewAtMs) {
@@ -63,17 +66,19 @@
         this.sources = sources;
     }
 
-    /** How often the floor has kept an endpoint in use. */
+    /** How often an evaluation has kept an endpoint in use because of the floor. */
     long heldByFloor() {
         return heldByFloor;
     }
 
-    /** How often an endpoint that came back had to wait. */
+    /** How often an endpoint that returned has been delayed because it had flapped. */
     long flapsDamped() {
         return flapsDamped;
     }
 
-    /** Decides the status, and notes in the record which absences count and since when it waits. */
+    /**
+     * Decides the status; updates in the record which absences count as removals, and its join and first-seen times.
+     */
     Verdict evaluate(EndpointRecord record, double nowMs) {
         EndpointSource discovery = record.sourceOf(EndpointSource.Kind.DISCOVERY);
         if (discovery != null) {
@@ -87,7 +92,7 @@
 
     // Rules 1 to 5
 
-    /** Null where the other sources decide. */
+    /** Applies rules 1 to 5; returns null if the other sources decide. */
     private Verdict evaluateByDiscovery(EndpointRecord record, EndpointSource discovery, double nowMs) {
         SourceEntry entry = record.entries.get(discovery);
         String tombstone = discovery.isAvailable() ? "" : ", a tombstone while discovery is unavailable";
@@ -96,7 +101,7 @@
             return new Verdict(Status.DRAINING, "1 discovery reports it draining" + tombstone, NEVER_MS);
         }
         if (reported == Server.State.GONE || entry.isRemoved()) {
-            return gone(record, "2 discovery reports it gone" + tombstone, nowMs);
+            return evaluateGone(record, "2 discovery reports it gone" + tombstone, nowMs);
         }
         if (entry.isAbsent()) {
             return evaluateAbsenceFromDiscovery(record, entry, tombstone, nowMs);
@@ -104,10 +109,11 @@
         if (discovery.isAvailable()) {
             return new Verdict(Status.LIVE, "4 discovery lists it", NEVER_MS);
         }
-        if (isNamedByAvailableOther(record)) {
+        if (isListedByAvailableOther(record)) {
             return null;
         }
-        return frozen(record, lastUnavailableSinceMs(record), "5 discovery listed it and is unavailable", nowMs);
+        return evaluateUnavailable(
+                record, lastUnavailableSinceMs(record), "5 discovery listed it and is unavailable", nowMs);
     }
 
     private Verdict evaluateAbsenceFromDiscovery(
@@ -115,7 +121,7 @@
         double confirmedAtMs = entry.absentSinceMs() + limits.discoveryConfirmMs();
         if (nowMs >= confirmedAtMs || floorAllowsRemoval(record)) {
             entry.markRemoved();
-            return gone(record, "2 a complete list of discovery lacks it" + tombstone, nowMs);
+            return evaluateGone(record, "2 a complete list of discovery lacks it" + tombstone, nowMs);
         }
         heldByFloor++;
         return new Verdict(
@@ -124,7 +130,7 @@
                 confirmedAtMs);
     }
 
-    /** When the last of the sources that name it became unavailable. */
+    /** When the last of the sources that list the endpoint became unavailable. */
     private static double lastUnavailableSinceMs(EndpointRecord record) {
         return record.entries.entrySet().stream()
                 .filter(each -> !each.getValue().isAbsent())
@@ -133,7 +139,7 @@
                 .orElse(0);
     }
 
-    private static boolean isNamedByAvailableOther(EndpointRecord record) {
+    private static boolean isListedByAvailableOther(EndpointRecord record) {
         return record.entries.entrySet().stream()
                 .anyMatch(each -> !each.getKey().isDiscovery()
                         && each.getKey().isAvailable()
@@ -143,9 +149,9 @@
     // Rules 6 to 9
 
     private Verdict evaluateByOtherSources(EndpointRecord record, double nowMs) {
-        EndpointSource naming = null;
-        boolean isNamedByUnavailable = false;
-        boolean isLeftOut = false;
+        EndpointSource listingSource = null;
+        boolean isListedByUnavailable = false;
+        boolean hasAbsence = false;
         double unavailableSinceMs = Double.NEGATIVE_INFINITY;
         double confirmedAtMs = nowMs;
         for (Map.Entry<EndpointSource, SourceEntry> each : record.entries.entrySet()) {
@@ -155,33 +161,33 @@
                 continue;
             }
             if (entry.isAbsent()) {
-                isLeftOut = true;
-                // The last absence to be confirmed: until then another evaluation would change nothing.
+                hasAbsence = true;
+                // Every absence must be confirmed, so an evaluation before the last confirmation would change nothing.
                 confirmedAtMs = Math.max(confirmedAtMs, entry.absentSinceMs() + limits.confirmMs());
             } else if (source.isAvailable()) {
-                naming = source;
+                listingSource = source;
             } else {
-                isNamedByUnavailable = true;
+                isListedByUnavailable = true;
                 unavailableSinceMs = Math.max(unavailableSinceMs, source.unavailableSinceMs());
             }
         }
-        if (naming != null) {
-            return named(record, naming, nowMs);
+        if (listingSource != null) {
+            return evaluateListed(record, listingSource, nowMs);
         }
-        if (isNamedByUnavailable) {
-            return frozen(record, unavailableSinceMs, "9 the sources that name it are unavailable", nowMs);
+        if (isListedByUnavailable) {
+            return evaluateUnavailable(record, unavailableSinceMs, "9 the sources that name it are unavailable", nowMs);
         }
-        boolean isHeld = isLeftOut && record.isInUse() && !floorAllowsRemoval(record);
+        boolean isHeld = hasAbsence && record.isInUse() && !floorAllowsRemoval(record);
         if (isHeld && !areAbsencesConfirmed(record, nowMs)) {
             heldByFloor++;
             return new Verdict(Status.LIVE, "8 no source names it, held for the floor until confirmed", confirmedAtMs);
         }
         record.entries.values().stream().filter(SourceEntry::isAbsent).forEach(SourceEntry::markRemoved);
-        return gone(record, "7 no source names it any more", nowMs);
+        return evaluateGone(record, "7 no source names it any more", nowMs);
     }
 
-    private Verdict named(EndpointRecord record, EndpointSource naming, double nowMs) {
-        Verdict live = new Verdict(Status.LIVE, "6 " + naming + " names it", NEVER_MS);
+    private Verdict evaluateListed(EndpointRecord record, EndpointSource listingSource, double nowMs) {
+        Verdict live = new Verdict(Status.LIVE, "6 " + listingSource + " names it", NEVER_MS);
         switch (record.status()) {
             case JOINING -> {
                 return nowMs >= record.joinAtMs ? live : new Verdict(Status.JOINING, record.reason(), record.joinAtMs);
@@ -192,7 +198,7 @@
             }
             case GONE -> {
                 record.seenMs = nowMs;
-                return returned(record, naming, live, nowMs);
+                return evaluateReturn(record, listingSource, live, nowMs);
             }
             default -> {
                 return live;
@@ -200,7 +206,7 @@
         }
     }
 
-    private Verdict returned(EndpointRecord record, EndpointSource naming, Verdict live, double nowMs) {
+    private Verdict evaluateReturn(EndpointRecord record, EndpointSource listingSource, Verdict live, double nowMs) {
         double delayMs = flapDelayMs(record, nowMs);
         if (delayMs <= 0) {
             return live;
@@ -208,17 +214,20 @@
         flapsDamped++;
         record.joinAtMs = nowMs + delayMs;
         String reason = String.format(
-                Locale.ROOT, "6 %s names it again, it waits %.0f ms as it has come and gone", naming, delayMs);
+                Locale.ROOT, "6 %s names it again, it waits %.0f ms as it has come and gone", listingSource, delayMs);
         return new Verdict(Status.JOINING, reason, record.joinAtMs);
     }
 
-    /** How long an endpoint that comes back waits; not at all where a shard has nobody else. */
+    /**
+     * The delay of an endpoint that returns; 0 if a shard of its cell has fewer endpoints in use than the floor and so
+     * needs it at once.
+     */
     double flapDelayMs(EndpointRecord record, double nowMs) {
         if (!cells.eachShardHasAtLeast(record.cell, limits.floor())) {
             return 0;
         }
         double removals = record.flaps.recentRemovals(nowMs, limits.flapHalfLifeMs());
-        if (removals < LEAST_RECENT_REMOVALS) {
+        if (removals < MIN_RECENT_REMOVALS) {
             return 0;
         }
         return Math.min(limits.maxFlapDelayMs(), limits.flapDelayMs() * Math.pow(2, Math.round(removals) - 1));
@@ -226,8 +235,10 @@
 
     // Rules 5 and 9
 
-    /** Named only by sources that are unavailable: live, then suspect, then gone where the floor allows. */
-    private Verdict frozen(EndpointRecord record, double unavailableSinceMs, String reason, double nowMs) {
+    /**
+     * Evaluates an endpoint listed only by unavailable sources: LIVE, then SUSPECT, then GONE if the floor allows it.
+     */
+    private Verdict evaluateUnavailable(EndpointRecord record, double unavailableSinceMs, String reason, double nowMs) {
         double suspectAtMs = unavailableSinceMs + limits.freezeMs();
         if (nowMs < suspectAtMs) {
             boolean isLive = record.isInUse() || record.status() == Status.UNKNOWN;
@@ -239,16 +250,16 @@
             return new Verdict(Status.SUSPECT, reason + " for too long", endAtMs);
         }
         if (record.isInUse() && !floorAllowsRemoval(record)) {
-            // Evaluated again from time to time: the floor may allow the removal later.
+            // Evaluated again periodically, as the floor may allow the removal later.
             double reviewAtMs = nowMs + Math.max(MIN_REVIEW_INTERVAL_MS, limits.suspectMs());
             return new Verdict(Status.SUSPECT, reason + " for too long", reviewAtMs);
         }
-        return gone(record, reason + " for far too long", nowMs);
+        return evaluateGone(record, reason + " for far too long", nowMs);
     }
 
     // Absences
 
-    /** Whether every absence that does not count yet may count now. */
+    /** Whether every absence that does not count as a removal yet is confirmed. */
     private boolean areAbsencesConfirmed(EndpointRecord record, double nowMs) {
         for (SourceEntry entry : record.entries.values()) {
             if (entry.isAbsent() && !entry.isRemoved() && !isConfirmed(entry, nowMs)) {
@@ -262,17 +273,17 @@
         return entry.absentAnswers() >= limits.confirmAnswers() || nowMs >= entry.absentSinceMs() + limits.confirmMs();
     }
 
-    /** Whether each shard that its cell holds keeps the floor of endpoints in use without it. */
+    /** Whether each shard of the cell has at least the floor of endpoints in use without this endpoint. */
     private boolean floorAllowsRemoval(EndpointRecord record) {
         return !record.isCounted || cells.eachShardHasAtLeast(record.cell, limits.floor() + 1);
     }
 
     /**
-     * Whether a source that names the endpoint again ends discovery's last report on it. While discovery answers, none does; and a
-     * source that never heard of the drain would bring a drained endpoint back, so it must have left the endpoint out for as long
-     * as its reports are valid.
+     * Whether a source that lists the endpoint again overrides discovery's last report on it. No source does so while
+     * discovery is available. A source that does not know of the drain would bring a drained endpoint back, so the
+     * endpoint must have been absent from the source's answers for as long as its reports are valid.
      */
-    boolean mayLiftTombstone(EndpointSource source, EndpointRecord record, double leftOutSinceMs, double nowMs) {
+    boolean mayLiftTombstone(EndpointSource source, EndpointRecord record, double absentSinceMs, double nowMs) {
         EndpointSource discovery = record.sourceOf(EndpointSource.Kind.DISCOVERY);
         if (discovery == null) {
             return false;
@@ -283,18 +294,20 @@
             return false;
         }
         double tombstoneSinceMs = isListed ? entry.absentSinceMs() : entry.stateSinceMs();
-        double leftOutMs = nowMs - Math.max(leftOutSinceMs, tombstoneSinceMs);
-        return !sources.isDiscoveryAvailable() && leftOutMs >= source.reportLifetimeMs();
+        double absentMs = nowMs - Math.max(absentSinceMs, tombstoneSinceMs);
+        return !sources.isDiscoveryAvailable() && absentMs >= source.reportLifetimeMs();
     }
 
-    /** Gone; the record is forgotten when the retention is over and no source names the endpoint. */
-    private Verdict gone(EndpointRecord record, String reason, double nowMs) {
+    /**
+     * Evaluates an endpoint that is gone; its record is deleted after the retention if no source lists the endpoint.
+     */
+    private Verdict evaluateGone(EndpointRecord record, String reason, double nowMs) {
         double goneSinceMs = record.status() == Status.GONE ? record.statusSinceMs() : nowMs;
         double forgetAtMs = goneSinceMs + limits.retentionMs();
-        // A tombstone that is forgotten while another source still names the endpoint would bring it back.
-        boolean isNamed = record.entries.values().stream()
+        // Deleting a tombstone while another source still lists the endpoint would bring the endpoint back.
+        boolean isListed = record.entries.values().stream()
                 .anyMatch(entry -> !entry.isAbsent() && entry.report().state() == Server.State.LIVE);
-        if (nowMs >= forgetAtMs && sources.isDiscoveryAvailable() && !isNamed) {
+        if (nowMs >= forgetAtMs && sources.isDiscoveryAvailable() && !isListed) {
             return new Verdict(Status.GONE, reason, NEVER_MS, true);
         }
         return new Verdict(Status.GONE, reason, Math.max(nowMs, goneSinceMs) + limits.retentionMs());
