--- a/core/src/main/java/spartrail/endpoint/EndpointRegistry.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointRegistry.java
@@ -183,9 +183,8 @@
         nowMs = atMs;
         if (source.isAvailable()) {
             source.markUnavailable(atMs);
-            // From now on its reports age. An absence that only its further answers could confirm waits for them, or
-            // for
-            // the confirmation time.
+            // Its reports age from now on. An absence that needs further answers of this source to be confirmed stays
+            // unconfirmed until the source answers again or the confirmation time has passed.
             List.copyOf(source.entries().keySet()).forEach(this::evaluate);
         }
     }
--- a/core/src/main/java/spartrail/subset/RendezvousHash.java
+++ b/core/src/main/java/spartrail/subset/RendezvousHash.java
@@ -1,12 +1,13 @@
 package spartrail.subset;
 
 /**
- * Weighted rendezvous hashing (highest random weight): every node orders all servers by a score that only the two names and the
- * server's weight decide. A server's score does not depend on which others there are, so one that joins or leaves moves nothing
- * else in the order.
+ * Weighted rendezvous hashing (highest random weight): every node orders all servers by a score that depends only on
+ * the name of the node, the name of the server and the weight of the server. The score does not depend on the other
+ * servers, so a server that joins or leaves does not change the order of the rest.
  *
- * <p>The score is {@code -ln(u) / weight} with {@code u} uniform in (0, 1) by the hash of both names, lowest first: the order in
- * which exponential clocks of these rates ring, so a server of twice the weight is first twice as often.
+ * <p>The score is {@code -ln(u) / weight}, where {@code u} is derived from the hash of both names and is uniform in (0,
+ * 1); the lowest score is first. Scores are thus exponentially distributed with the weight as rate, so a server of
+ * twice the weight is first twice as often.
  */
 public final class RendezvousHash {
     private static final long FNV_OFFSET = 0xCBF29CE484222325L;
@@ -15,16 +16,16 @@
 
     private final long nodeHash;
 
-    /** The order of the node with this name. */
+    /** Creates the order of the node with this name. */
     public RendezvousHash(String node) {
         nodeHash = mixed(hash(node));
     }
 
-    /** Lowest goes first; a weight that is not above 0 counts as 1. */
+    /** The score of a server, of which the lowest is first; a weight of 0 or less counts as 1. */
     public double score(String server, double weight) {
         long mixed = mixed(nodeHash ^ hash(server));
         double uniform = ((mixed >>> 11) + 0.5) * UNIT;
-        // StrictMath: the same order on every machine.
+        // StrictMath gives the same result, and so the same order, on every machine.
         return -StrictMath.log(uniform) / (weight > 0 ? weight : 1);
     }
 
@@ -36,7 +37,7 @@
         return hash;
     }
 
-    /** The finalizer of SplitMix64: names that differ in one character end far apart. */
+    /** Applies the finalizer of SplitMix64, so that names that differ in one character get unrelated values. */
     private static long mixed(long value) {
         long mixed = (value ^ value >>> 30) * 0xBF58476D1CE4E5B9L;
         mixed = (mixed ^ mixed >>> 27) * 0x94D049BB133111EBL;
--- a/core/src/main/java/spartrail/subset/Replica.java
+++ b/core/src/main/java/spartrail/subset/Replica.java
@@ -1,14 +1,14 @@
 package spartrail.subset;
 
-/** A live server in this node's order; the same object in each group that it belongs to. */
+/** A live server with its score in this node's order. All groups that contain the server share one object. */
 final class Replica implements Comparable<Replica> {
     final String id;
     final String zone;
     final int cell;
     final double weight;
     final double score;
-    /** Groups of shards in whose subset it is. */
-    int selectedIn;
+    /** The number of replica groups that have selected this server. */
+    int selectedGroupCount;
 
     Replica(String id, String zone, int cell, double weight, double score) {
         this.id = id;
--- a/core/src/main/java/spartrail/subset/ReplicaGroup.java
+++ b/core/src/main/java/spartrail/subset/ReplicaGroup.java
@@ -9,13 +9,15 @@
 import java.util.Set;
 
 /**
- * The live replicas of the shards that the same cells hold, in this node's order, and which of them the node uses.
+ * The live replicas of a group of shards that are held by the same cells, in this node's order, and the replicas that
+ * the node selects from them.
  *
- * <p>Chosen are, along the order, the first replica of each of the first {@code leastZones} zones and the first of all others, up to
- * {@code replicasPerShard}. Such a choice is the first basis of a matroid, so a replica that joins or leaves exchanges one other at
- * the most; only where a zone more or less than {@code leastZones} is left are there more.
+ * <p>A selection has {@code replicasPerShard} replicas. It takes, in the node's order, the first replica of each of the
+ * first {@code leastZones} zones, and fills the remaining places with the first of the other replicas. Such a selection
+ * is the first basis of a matroid, so a replica that joins or leaves replaces at most one other replica. More are
+ * replaced only if the change takes the number of zones across {@code leastZones}.
  *
- * <p>Cost: a change of one replica takes time by the replicas of the group, and so does a selection.
+ * <p>Cost: a change of one replica and a selection each take time proportional to the replicas of the group.
  */
 final class ReplicaGroup {
     private final List<Replica> ordered = new ArrayList<>();
@@ -44,28 +46,28 @@
         }
     }
 
-    /** Chooses anew; the choice holds from {@link #applyChoice} on. */
+    /** Chooses the replicas for the present members; the choice takes effect with {@link #applyChoice}. */
     void choose(SubsetSettings settings) {
         sortIfNeeded();
         chosen = chooseReplicas(settings);
-        inclusionProbability = inclusionBound(settings);
+        inclusionProbability = computeInclusionBound(settings);
     }
 
-    /** Those selected so far, and those chosen now. */
+    /** The replicas selected until now, followed by those of the latest choice. */
     List<Replica> selectedAndChosen() {
         List<Replica> both = new ArrayList<>(selected);
         both.addAll(chosen);
         return both;
     }
 
-    /** What was chosen is selected, and each replica counts in how many groups it is. */
+    /** Makes the latest choice the selection, and updates the group counts of the replicas. */
     void applyChoice() {
-        selected.forEach(replica -> replica.selectedIn--);
+        selected.forEach(replica -> replica.selectedGroupCount--);
         selected = chosen;
-        selected.forEach(replica -> replica.selectedIn++);
+        selected.forEach(replica -> replica.selectedGroupCount++);
     }
 
-    /** The bound of {@link #inclusionBound} for the present choice; 0 without a replica. */
+    /** The result of {@link #computeInclusionBound} for the latest choice; 0 without replicas. */
     double inclusionProbability() {
         return inclusionProbability;
     }
@@ -73,7 +75,7 @@
     private List<Replica> chooseReplicas(SubsetSettings settings) {
         int wanted = Math.min(settings.replicasPerShard(), ordered.size());
         int zonesWanted = Math.min(settings.leastZones(), replicasInZone.size());
-        int freePlaces = wanted - Math.min(zonesWanted, wanted);
+        int placesForAnyZone = wanted - Math.min(zonesWanted, wanted);
         List<Replica> first = new ArrayList<>(wanted);
         Set<String> zones = new HashSet<>();
         for (Replica replica : ordered) {
@@ -82,32 +84,34 @@
             }
             if (zones.size() < zonesWanted && zones.add(replica.zone)) {
                 first.add(replica);
-            } else if (freePlaces > 0) {
-                freePlaces--;
+            } else if (placesForAnyZone > 0) {
+                placesForAnyZone--;
                 first.add(replica);
             }
         }
         return first;
     }
 
-    /** Those that the node uses, in order. */
+    /** The replicas that the node uses, in the node's order. */
     List<Replica> selected() {
         return selected;
     }
 
-    /** Those not chosen, in the order in which they follow. */
+    /** The replicas that are not selected, in the node's order. */
     List<Replica> spares() {
         Set<Replica> used = new HashSet<>(selected);
         return ordered.stream().filter(replica -> !used.contains(replica)).toList();
     }
 
     /**
-     * An upper bound of the probability that a node with a random name has a given replica in its subset, whichever it is. A
-     * replica is in for its place in the order, or as the first of its zone. The first is exactly wanted / size where weights are
-     * equal; else each of the draws takes it with at most its weight over what the heaviest draws before leave. The second needs
-     * that all draws miss all zones but {@code leastZones - 1}, and then that it is the first of its zone.
+     * Computes an upper bound, valid for each replica, of the probability that a node with a random name selects the
+     * replica. A replica is selected for its place in the order, or as the first of its zone. With equal weights the
+     * probability of the first case is exactly wanted / size. Otherwise each draw takes the replica with a probability
+     * of at most its weight divided by the weight that remains if all earlier draws took the heaviest replicas. The
+     * second case requires that all draws fall into only {@code leastZones - 1} zones, and that the replica is the
+     * first of its own zone.
      */
-    private double inclusionBound(SubsetSettings settings) {
+    private double computeInclusionBound(SubsetSettings settings) {
         int wanted = Math.min(settings.replicasPerShard(), ordered.size());
         if (wanted == ordered.size()) {
             return wanted == 0 ? 0 : 1;
@@ -123,19 +127,19 @@
         double byOrder = heaviest == lightest
                 ? wanted / (double) ordered.size()
                 : wanted * heaviest / Math.max(heaviest, totalWeight - (wanted - 1) * heaviest);
-        return Math.min(1, byOrder + zoneShare(settings, wanted, heaviest, lightest));
+        return Math.min(1, byOrder + computeZoneInclusionBound(settings, wanted, heaviest, lightest));
     }
 
-    private double zoneShare(SubsetSettings settings, int wanted, double heaviest, double lightest) {
-        int others = Math.min(settings.leastZones(), replicasInZone.size()) - 1;
-        if (others < 1) {
+    private double computeZoneInclusionBound(SubsetSettings settings, int wanted, double heaviest, double lightest) {
+        int otherZones = Math.min(settings.leastZones(), replicasInZone.size()) - 1;
+        if (otherZones < 1) {
             return 0;
         }
         List<Integer> sizes = new ArrayList<>(replicasInZone.values());
         sizes.sort(Collections.reverseOrder());
         double largest = 0;
         double choices = 1;
-        for (int i = 0; i < others; i++) {
+        for (int i = 0; i < otherZones; i++) {
             largest += sizes.get(i);
             choices *= (sizes.size() - i) / (double) (i + 1);
         }
--- a/core/src/main/java/spartrail/subset/SharingBound.java
+++ b/core/src/main/java/spartrail/subset/SharingBound.java
@@ -1,19 +1,22 @@
 package spartrail.subset;
 
 /**
- * How many of so many nodes choose the same server, as an upper bound that is exceeded with a stated probability. Nodes choose
- * independently of each other, each with a probability of at most p; by Chernoff's bound x of n do so with a probability of at most
- * {@code exp(-n KL(x/n, p))}.
+ * An upper bound of the number of nodes that select the same server, with a stated probability of being exceeded. The
+ * nodes select independently of each other, each with a probability of at most p. By Chernoff's bound, the probability
+ * that x or more of n nodes select the server is at most {@code exp(-n KL(x/n, p))}.
  */
 public final class SharingBound {
-    /** Of a thousand fleets of a thousand servers each, about one has a server that more nodes share. */
+    /**
+     * With this value, about one in a thousand fleets of a thousand servers has a server that more nodes share than the
+     * bound.
+     */
     public static final double EXCEEDANCE_PROBABILITY = 1e-6;
 
     private SharingBound() {}
 
     /**
-     * The least count that is exceeded with a probability of less than {@link #EXCEEDANCE_PROBABILITY}; at most all nodes, at least
-     * one.
+     * The smallest number of nodes that is exceeded with a probability of less than {@link #EXCEEDANCE_PROBABILITY};
+     * between 1 and the number of all nodes.
      */
     public static int nodesPerServer(int nodes, double inclusionProbability) {
         if (inclusionProbability >= 1 || nodes <= 1) {
--- a/core/src/main/java/spartrail/subset/SubsetChange.java
+++ b/core/src/main/java/spartrail/subset/SubsetChange.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * What a change of the list does to the subset, by the servers' names.
+ * The effect of a list change on the subset, as names of servers.
  *
- * @param joined now in it, and not before
- * @param displaced live servers that were in it and are not any more
+ * @param joined servers that are in the subset now and were not before
+ * @param displaced live servers that were in the subset before and are not any more
  */
 public record SubsetChange(List<String> joined, List<String> displaced) {}
--- a/core/src/main/java/spartrail/subset/SubsetFilter.java
+++ b/core/src/main/java/spartrail/subset/SubsetFilter.java
@@ -14,55 +14,57 @@
 import spartrail.subset.SubsetSelector.LiveServer;
 
 /**
- * Turns lists of all endpoints into lists of those that this node uses. Whoever reads them needs to know nothing of subsets.
+ * Converts lists of all endpoints into lists of the endpoints that this node uses, so that the reader of the lists does
+ * not have to deal with subsets.
  *
- * <p>A live server that leaves the subset is published as draining: it gets no new requests, those in flight are finished, and its
- * end is no failure. With the first list after the longest time that a request can be in flight, it is published as gone.
+ * <p>A live server that leaves the subset is published as draining: it receives no new requests, requests in flight are
+ * completed, and its removal does not count as a failure. It is published as gone with the first list after the maximum
+ * time that a request can be in flight.
  *
- * <p>Cost: by the endpoints of the list, and by the replicas of the shards that they hold.
+ * <p>Cost: proportional to the endpoints of the list and the replicas of the shards that they hold.
  */
 public final class SubsetFilter {
     private final SubsetSelector selector;
     private final double maxInFlightMs;
-    /** Every server that is not gone. */
+    /** All servers that are not gone, by name. */
     private final Map<String, Endpoint> known = new HashMap<>();
-    /** Servers that the reader knows. */
+    /** The servers that have been published and not yet published as gone. */
     private final Set<String> published = new HashSet<>();
-    /** When servers that are published as draining left the subset; the first to leave first. */
+    /** When each live server that is published as draining left the subset, the earliest first. */
     private final Map<String, Double> displacedMs = new LinkedHashMap<>();
-    /** Names of zones and kinds, one object each: a list repeats them in every line. */
-    private final Map<String, String> sharedNames = new HashMap<>();
+    /** One shared object per name of a zone or kind, as a list repeats the names in every entry. */
+    private final Map<String, String> internedNames = new HashMap<>();
 
-    /** A request may be in flight to a server for as long as {@code maxInFlightMs}. */
+    /** {@code maxInFlightMs} is the maximum time that a request to a server can be in flight. */
     public SubsetFilter(SubsetSelector selector, double maxInFlightMs) {
         this.selector = selector;
         this.maxInFlightMs = maxInFlightMs;
     }
 
     /**
-     * What this list, or change of a list, means for the node's own endpoints: always a change. Of a server that is named twice the
-     * last line counts.
+     * Returns the changes of this node's endpoints that follow from a complete list or a list of changes. If a list has
+     * several entries for a server, the last one counts.
      */
     public EndpointList toSubset(EndpointList list, double nowMs) {
         Map<String, Endpoint> named = new LinkedHashMap<>();
         list.endpoints().forEach(endpoint -> named.put(endpoint.id(), endpoint));
         Map<String, Endpoint> gone = update(named, list.isComplete());
-        SubsetChange change = select(named, gone);
-        Map<String, Endpoint> own = new LinkedHashMap<>();
-        named.values().forEach(endpoint -> passOn(endpoint, own, nowMs));
-        change.joined().forEach(id -> publishJoined(id, own));
-        change.displaced().forEach(id -> publishDisplaced(known.get(id), own, nowMs));
-        gone.values().forEach(endpoint -> publishGone(endpoint, own));
-        forgetDisplaced(own, nowMs);
-        return new EndpointList(list.version(), false, List.copyOf(own.values()));
+        SubsetChange subsetChange = select(named, gone);
+        Map<String, Endpoint> changes = new LinkedHashMap<>();
+        named.values().forEach(endpoint -> publishIfKnown(endpoint, changes, nowMs));
+        subsetChange.joined().forEach(id -> publishJoined(id, changes));
+        subsetChange.displaced().forEach(id -> publishDisplaced(known.get(id), changes, nowMs));
+        gone.values().forEach(endpoint -> publishGone(endpoint, changes));
+        forgetDisplaced(changes, nowMs);
+        return new EndpointList(list.version(), false, List.copyOf(changes.values()));
     }
 
-    /** How many of so many front nodes can use the same server. */
+    /** The number of front nodes, out of {@code nodes}, that can use the same server. */
     public int nodesPerServer(int nodes) {
         return selector.nodesPerServer(nodes);
     }
 
-    /** Keeps what the list says; returns the servers that it ends. */
+    /** Stores the entries of the list; returns the servers that are gone according to the list. */
     private Map<String, Endpoint> update(Map<String, Endpoint> named, boolean isComplete) {
         Map<String, Endpoint> gone = isComplete ? new HashMap<>(known) : new HashMap<>();
         for (Endpoint endpoint : named.values()) {
@@ -70,27 +72,27 @@
                 gone.put(endpoint.id(), known.getOrDefault(endpoint.id(), endpoint));
             } else {
                 gone.remove(endpoint.id());
-                known.put(endpoint.id(), withSharedNames(endpoint));
+                known.put(endpoint.id(), withInternedNames(endpoint));
             }
         }
         gone.keySet().forEach(known::remove);
         return gone;
     }
 
-    private Endpoint withSharedNames(Endpoint endpoint) {
+    private Endpoint withInternedNames(Endpoint endpoint) {
         return new Endpoint(
                 endpoint.id(),
                 endpoint.address(),
-                shared(endpoint.zone()),
-                shared(endpoint.kind()),
+                intern(endpoint.zone()),
+                intern(endpoint.kind()),
                 endpoint.cell(),
                 endpoint.state(),
                 endpoint.weight(),
                 endpoint.bootMs());
     }
 
-    private String shared(String name) {
-        return sharedNames.computeIfAbsent(name, same -> same);
+    private String intern(String name) {
+        return internedNames.computeIfAbsent(name, same -> same);
     }
 
     private SubsetChange select(Map<String, Endpoint> named, Map<String, Endpoint> gone) {
@@ -106,38 +108,41 @@
         return selector.apply(live, notLive);
     }
 
-    private void passOn(Endpoint endpoint, Map<String, Endpoint> own, double nowMs) {
+    private void publishIfKnown(Endpoint endpoint, Map<String, Endpoint> changes, double nowMs) {
         if (endpoint.state() == Server.State.GONE || !published.contains(endpoint.id())) {
             return;
         }
         if (endpoint.state() == Server.State.LIVE && !selector.isSelected(endpoint.id())) {
-            // Also one that drained and is back, while others have taken its place.
-            publishDisplaced(endpoint, own, nowMs);
+            // Includes a server that was draining and is live again after other servers have taken its place.
+            publishDisplaced(endpoint, changes, nowMs);
         } else {
-            own.put(endpoint.id(), endpoint);
+            changes.put(endpoint.id(), endpoint);
         }
     }
 
-    private void publishJoined(String id, Map<String, Endpoint> own) {
+    private void publishJoined(String id, Map<String, Endpoint> changes) {
         displacedMs.remove(id);
         published.add(id);
-        own.put(id, known.get(id));
+        changes.put(id, known.get(id));
     }
 
-    private void publishDisplaced(Endpoint endpoint, Map<String, Endpoint> own, double nowMs) {
+    private void publishDisplaced(Endpoint endpoint, Map<String, Endpoint> changes, double nowMs) {
         displacedMs.putIfAbsent(endpoint.id(), nowMs);
-        own.put(endpoint.id(), endpoint.withState(Server.State.DRAINING));
+        changes.put(endpoint.id(), endpoint.withState(Server.State.DRAINING));
     }
 
-    private void publishGone(Endpoint endpoint, Map<String, Endpoint> own) {
+    private void publishGone(Endpoint endpoint, Map<String, Endpoint> changes) {
         displacedMs.remove(endpoint.id());
         if (published.remove(endpoint.id())) {
-            own.put(endpoint.id(), endpoint.withState(Server.State.GONE));
+            changes.put(endpoint.id(), endpoint.withState(Server.State.GONE));
         }
     }
 
-    /** Servers that left the subset long ago are published as gone, or they would fill the reader's memory. */
-    private void forgetDisplaced(Map<String, Endpoint> own, double nowMs) {
+    /**
+     * Publishes as gone the servers that left the subset {@code maxInFlightMs} ago, so that the reader's memory is
+     * bounded.
+     */
+    private void forgetDisplaced(Map<String, Endpoint> changes, double nowMs) {
         Iterator<Map.Entry<String, Double>> oldest = displacedMs.entrySet().iterator();
         while (oldest.hasNext()) {
             Map.Entry<String, Double> next = oldest.next();
@@ -146,7 +151,7 @@
             }
             oldest.remove();
             published.remove(next.getKey());
-            own.put(next.getKey(), known.get(next.getKey()).withState(Server.State.GONE));
+            changes.put(next.getKey(), known.get(next.getKey()).withState(Server.State.GONE));
         }
     }
 }
--- a/core/src/main/java/spartrail/subset/SubsetSelector.java
+++ b/core/src/main/java/spartrail/subset/SubsetSelector.java
@@ -10,34 +10,37 @@
 import java.util.Set;
 
 /**
- * The servers that one front node uses, chosen from all live ones by names alone.
+ * Selects the subset of the live servers that one front node uses, by the names of the node and the servers, their
+ * weights and their zones.
  *
- * <p>Always:
+ * <p>Invariants:
  * <ol>
- * <li>A shard with a live replica has one in the subset; one with no more live replicas than wanted has all of them.
- * <li>They are in at least the wanted number of zones where the live replicas are.
- * <li>A server that is not live is not in it; the next in order takes its place at once.
- * <li>The same live servers give the same subset, whatever came before.
+ * <li>The subset has at least one replica of each shard that has a live replica. It has all live replicas of a shard
+ * that has no more of them than wanted.
+ * <li>The selected replicas of a shard are in at least the wanted number of zones, if its live replicas are.
+ * <li>A server that is not live is not in the subset; the next server in the order replaces it at once.
+ * <li>The same live servers give the same subset, whatever changes led to them.
  * </ol>
  *
- * <p>Cost: a change of one server takes time by the replicas of the shards that it holds, whatever the number of servers. Memory
- * is kept for every live server, as each may have to take the place of another. An instance belongs to one thread.
+ * <p>Cost: a change of one server takes time proportional to the replicas of the shards that it holds, independent of
+ * the total number of servers. Every live server takes memory, as it may have to replace another. An instance belongs
+ * to one thread.
  */
 public final class SubsetSelector {
     private final SubsetSettings settings;
-    private final RendezvousHash order;
+    private final RendezvousHash hash;
     private final int cells;
     private final int replicationFactor;
     private final List<ReplicaGroup> groups = new ArrayList<>();
     private final Map<String, Replica> live = new HashMap<>();
 
     /**
-     * Shard s is held by the cells (s + j) mod cells, j from 0 to the replication factor less one, so shards of the same s mod cells
-     * are one group.
+     * Creates an empty selector for the node with this name. Shard s is held by the cells (s + j) mod cells, for j from
+     * 0 to the replication factor minus one, so all shards with the same s mod cells form one group.
      */
     public SubsetSelector(String node, SubsetSettings settings, int shards, int cells, int replicationFactor) {
         this.settings = settings;
-        this.order = new RendezvousHash(node);
+        this.hash = new RendezvousHash(node);
         this.cells = Math.max(1, cells);
         this.replicationFactor = Math.min(replicationFactor, this.cells);
         for (int group = 0; group < Math.min(shards, this.cells); group++) {
@@ -45,10 +48,10 @@
         }
     }
 
-    /** A server that is live from now on, or still is, perhaps elsewhere or with another weight. */
+    /** A live server; its zone, cell or weight may differ from those reported before. */
     public record LiveServer(String id, String zone, int cell, double weight) {}
 
-    /** Takes what has changed: servers that are live, and the names of those that are not. */
+    /** Applies a change: the servers that are live now, and the names of the servers that are not live any more. */
     public SubsetChange apply(Collection<LiveServer> nowLive, Collection<String> notLive) {
         Set<ReplicaGroup> touched = new LinkedHashSet<>();
         notLive.forEach(id -> remove(id, touched));
@@ -78,7 +81,7 @@
 
     private void add(LiveServer server, Set<ReplicaGroup> touched) {
         Replica replica =
-                new Replica(server.id, server.zone, server.cell, server.weight, order.score(server.id, server.weight));
+                new Replica(server.id, server.zone, server.cell, server.weight, hash.score(server.id, server.weight));
         live.put(server.id, replica);
         for (ReplicaGroup group : groupsOf(replica.cell)) {
             group.add(replica);
@@ -87,14 +90,14 @@
     }
 
     private List<ReplicaGroup> groupsOf(int cell) {
-        List<ReplicaGroup> held = new ArrayList<>(replicationFactor);
+        List<ReplicaGroup> result = new ArrayList<>(replicationFactor);
         for (int offset = 0; offset < replicationFactor; offset++) {
             int group = Math.floorMod(cell - offset, cells);
             if (group < groups.size()) {
-                held.add(groups.get(group));
+                result.add(groups.get(group));
             }
         }
-        return held;
+        return result;
     }
 
     private SubsetChange select(Set<ReplicaGroup> touched) {
@@ -104,7 +107,7 @@
             group.choose(settings);
             for (Replica replica : group.selectedAndChosen()) {
                 candidates.add(replica.id);
-                if (replica.selectedIn > 0) {
+                if (replica.selectedGroupCount > 0) {
                     before.add(replica.id);
                 }
             }
@@ -122,35 +125,38 @@
         return new SubsetChange(joined, displaced);
     }
 
-    /** Whether this server is in the subset. */
+    /** Whether the server is in the subset. */
     public boolean isSelected(String id) {
         Replica replica = live.get(id);
-        return replica != null && replica.selectedIn > 0;
+        return replica != null && replica.selectedGroupCount > 0;
     }
 
-    /** The servers in the subset, each once, shard by shard. */
+    /** The names of the servers in the subset, each once, ordered by group of shards. */
     public Collection<String> selectedServers() {
         Set<String> ids = new LinkedHashSet<>();
         groups.forEach(group -> group.selected().forEach(replica -> ids.add(replica.id)));
         return ids;
     }
 
-    /** How many servers are live. */
+    /** The number of live servers. */
     public int liveServerCount() {
         return live.size();
     }
 
-    /** How many groups of shards there are: shard s belongs to group s mod that many; with more cells than shards, to its own. */
+    /**
+     * The number n of groups of shards, which is the lesser of the numbers of shards and cells; shard s is in group s
+     * mod n.
+     */
     public int groupCount() {
         return groups.size();
     }
 
-    /** Those chosen for the shards of a group, in order. */
+    /** The names of the replicas selected for the shards of a group, in the node's order. */
     public List<String> selectedReplicas(int group) {
         return groups.get(group).selected().stream().map(replica -> replica.id).toList();
     }
 
-    /** The zones of those chosen for the shards of a group. */
+    /** The number of zones of the replicas selected for the shards of a group. */
     public int zoneCount(int group) {
         return (int) groups.get(group).selected().stream()
                 .map(replica -> replica.zone)
@@ -158,14 +164,18 @@
                 .count();
     }
 
-    /** Those that follow, in the order in which they take the place of one that is no longer live. */
+    /**
+     * The live replicas of a group that are not selected, in the order in which they replace servers that are no longer
+     * live.
+     */
     public List<String> spares(int group) {
         return groups.get(group).spares().stream().map(replica -> replica.id).toList();
     }
 
     /**
-     * How many of so many nodes can have the same server in their subsets: exceeded with a probability of less than
-     * {@link SharingBound#EXCEEDANCE_PROBABILITY} for any one server. Cost: by the groups of shards.
+     * An upper bound of the number of nodes, out of {@code nodes}, that have the same server in their subsets. For any
+     * one server it is exceeded with a probability of less than {@link SharingBound#EXCEEDANCE_PROBABILITY}. Cost:
+     * proportional to the groups of shards.
      */
     public int nodesPerServer(int nodes) {
         double largest = 0;
--- a/core/src/main/java/spartrail/subset/SubsetSettings.java
+++ b/core/src/main/java/spartrail/subset/SubsetSettings.java
@@ -1,13 +1,17 @@
 package spartrail.subset;
 
 /**
- * How large a subset is.
+ * The size of a subset.
  *
- * @param replicasPerShard so many live replicas of each shard are chosen; all of them where there are fewer
- * @param leastZones they lie in so many zones at least, where the shard's live replicas do
+ * @param replicasPerShard the number of live replicas selected per shard; all of them if there are fewer
+ * @param leastZones the minimum number of zones of the selected replicas, as far as the shard's live replicas are in as
+ *        many
  */
 public record SubsetSettings(int replicasPerShard, int leastZones) {
-    /** An IllegalArgumentException names the setting, what was found and what is expected. */
+    /**
+     * Checks the settings; the message of an IllegalArgumentException has the setting, the value found and the values
+     * expected.
+     */
     public SubsetSettings {
         if (replicasPerShard < 1) {
             throw new IllegalArgumentException(
--- a/core/src/main/java/spartrail/subset/package-info.java
+++ b/core/src/main/java/spartrail/subset/package-info.java
@@ -1,8 +1,10 @@
 /**
- * Which of each shard's replicas this front node connects to: a bounded subset, chosen by names alone.
+ * Selects the replicas of each shard to which this front node connects: a subset of bounded size that depends on the
+ * names, weights and zones of the servers and the name of the node.
  *
- * <p>Endpoint lists come in, as discovery reports them; lists of the node's own endpoints only go out, and a count of front nodes
- * that can share a server. All of it is computed on the caller's thread, without I/O, clock or randomness: the same names and lists
- * give the same subset in every process. What never happens here: a walk over all servers for a change of one.
+ * <p>The input is endpoint lists as discovery reports them; the output is lists of the endpoints that this node uses,
+ * and a bound of the number of front nodes that share a server. Everything is computed on the caller's thread without
+ * I/O, clock or randomness, so the same names and lists give the same subset in every process. A change of one server
+ * never iterates over all servers.
  */
 package spartrail.subset;
--- a/core/src/test/java/spartrail/subset/SubsetSelectorTest.java
+++ b/core/src/test/java/spartrail/subset/SubsetSelectorTest.java
@@ -15,13 +15,13 @@
 import spartrail.subset.SubsetSelector.LiveServer;
 
 class SubsetSelectorTest {
-    private static final SubsetSettings FOUR_IN_TWO_ZONES = new SubsetSettings(4, 2);
+    private static final SubsetSettings FOUR_REPLICAS_IN_TWO_ZONES = new SubsetSettings(4, 2);
 
     private static LiveServer server(int number, String zone, int cell) {
         return new LiveServer("s-" + number, zone, cell, 1);
     }
 
-    /** So many servers of one shard, zones in turn. */
+    /** Servers of one shard, assigned to the zones in turn. */
     private static List<LiveServer> servers(int count, String... zones) {
         return IntStream.range(0, count)
                 .mapToObj(number -> server(number, zones[number % zones.length], 0))
@@ -35,16 +35,16 @@
     }
 
     @Test
-    void fewerThanWantedMeansAllAndNoneIsNone() {
-        assertThat(selector("n", FOUR_IN_TWO_ZONES, servers(3, "a")).selectedReplicas(0))
+    void allReplicasAreSelectedIfThereAreFewerThanWanted() {
+        assertThat(selector("n", FOUR_REPLICAS_IN_TWO_ZONES, servers(3, "a")).selectedReplicas(0))
                 .containsExactlyInAnyOrder("s-0", "s-1", "s-2");
-        assertThat(selector("n", FOUR_IN_TWO_ZONES, List.of()).selectedReplicas(0))
+        assertThat(selector("n", FOUR_REPLICAS_IN_TWO_ZONES, List.of()).selectedReplicas(0))
                 .isEmpty();
     }
 
     @Test
-    void theSparesFollowInTheirOrderAtOnce() {
-        SubsetSelector selector = selector("n", FOUR_IN_TWO_ZONES, servers(20, "a"));
+    void sparesReplaceLostReplicasInOrder() {
+        SubsetSelector selector = selector("n", FOUR_REPLICAS_IN_TWO_ZONES, servers(20, "a"));
         List<String> spares = selector.spares(0);
         List<String> chosen = selector.selectedReplicas(0);
         assertThat(selector.apply(List.of(), List.of(chosen.get(2))))
@@ -56,22 +56,22 @@
     }
 
     @Test
-    void whoComesBackTakesItsPlaceFromTheLastSpare() {
-        SubsetSelector selector = selector("n", FOUR_IN_TWO_ZONES, servers(20, "a"));
+    void aReplicaThatReturnsDisplacesTheLastSpare() {
+        SubsetSelector selector = selector("n", FOUR_REPLICAS_IN_TWO_ZONES, servers(20, "a"));
         String first = selector.selectedReplicas(0).get(0);
         String spare = selector.spares(0).get(0);
         selector.apply(List.of(), List.of(first));
-        LiveServer again = server(Integer.parseInt(first.substring(2)), "a", 0);
-        assertThat(selector.apply(List.of(again), List.of()))
+        LiveServer returned = server(Integer.parseInt(first.substring(2)), "a", 0);
+        assertThat(selector.apply(List.of(returned), List.of()))
                 .isEqualTo(new SubsetChange(List.of(first), List.of(spare)));
     }
 
     @Test
-    void twoZonesAreThereWhereTheShardHasThem() {
+    void theSelectionHasTwoZonesIfTheLiveReplicasHave() {
         List<LiveServer> servers = new ArrayList<>(servers(40, "a"));
         servers.add(server(99, "b", 0));
         for (int node = 0; node < 50; node++) {
-            SubsetSelector selector = selector("n" + node, FOUR_IN_TWO_ZONES, servers);
+            SubsetSelector selector = selector("n" + node, FOUR_REPLICAS_IN_TWO_ZONES, servers);
             assertThat(selector.selectedReplicas(0)).hasSize(4).contains("s-99");
             SubsetChange change = selector.apply(List.of(), List.of("s-99"));
             assertThat(change.joined()).hasSize(1);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void theSameServersGiveTheSameSubsetWhateverCameBefore() {
+    void theSubsetDoesNotDependOnEarlierChanges() {
         Random random = new Random(3);
         SubsetSelector selector = new SubsetSelector("n", new SubsetSettings(5, 3), 7, 7, 2);
         Map<String, LiveServer> live = new HashMap<>();
@@ -97,20 +97,22 @@
                 change = selector.apply(List.of(), List.of(server.id()));
                 selected.remove(server.id());
             }
-            assertThat(change.joined()).as("who was in it does not join").noneMatch(selected::contains);
+            assertThat(change.joined())
+                    .as("a server that was in the subset does not join")
+                    .noneMatch(selected::contains);
             selected.addAll(change.joined());
             selected.removeAll(change.displaced());
             SubsetSelector fresh = new SubsetSelector("n", new SubsetSettings(5, 3), 7, 7, 2);
             fresh.apply(live.values(), List.of());
             assertThat(selector.selectedServers()).containsExactlyInAnyOrderElementsOf(fresh.selectedServers());
             assertThat(selected)
-                    .as("what changes add up to")
+                    .as("the subset that results from all changes")
                     .containsExactlyInAnyOrderElementsOf(selector.selectedServers());
         }
     }
 
     @Test
-    void aChangeOfOneServerExchangesOneOfAShardAtMost() {
+    void aChangeOfOneServerReplacesAtMostOneReplicaPerShard() {
         Random random = new Random(4);
         SubsetSelector selector = selector("n", new SubsetSettings(6, 3), servers(60, "a", "b", "c", "d", "d", "d"));
         for (int step = 0; step < 2000; step++) {
@@ -120,49 +122,51 @@
             List<String> before = selector.selectedReplicas(0);
             boolean joins = random.nextInt(3) > 0;
             selector.apply(joins ? List.of(server) : List.of(), joins ? List.of() : List.of(server.id()));
-            List<String> opened = new ArrayList<>(selector.selectedReplicas(0));
-            opened.removeAll(before);
-            assertThat(opened).hasSizeLessThanOrEqualTo(1);
+            List<String> joined = new ArrayList<>(selector.selectedReplicas(0));
+            joined.removeAll(before);
+            assertThat(joined).hasSizeLessThanOrEqualTo(1);
         }
     }
 
     @Test
-    void aNodeThatJoinsMovesNothingOfOthersAndAServerOfTwiceTheWeightIsTakenTwiceAsOften() {
+    void aServerOfTwiceTheWeightIsSelectedByTwiceAsManyNodes() {
         List<LiveServer> servers = new ArrayList<>(servers(100, "a", "b"));
         servers.set(0, new LiveServer("s-0", "a", 0, 2));
-        int[] taken = new int[2];
+        int[] selections = new int[2];
         for (int node = 0; node < 20_000; node++) {
-            SubsetSelector selector = selector("node-" + node, FOUR_IN_TWO_ZONES, servers);
-            taken[0] += selector.isSelected("s-0") ? 1 : 0;
-            taken[1] += selector.isSelected("s-1") ? 1 : 0;
+            SubsetSelector selector = selector("node-" + node, FOUR_REPLICAS_IN_TWO_ZONES, servers);
+            selections[0] += selector.isSelected("s-0") ? 1 : 0;
+            selections[1] += selector.isSelected("s-1") ? 1 : 0;
         }
-        assertThat(taken[1]).isBetween(700, 900);
-        assertThat(taken[0] / (double) taken[1]).isBetween(1.8, 2.1);
+        assertThat(selections[1]).isBetween(700, 900);
+        assertThat(selections[0] / (double) selections[1]).isBetween(1.8, 2.1);
     }
 
     @Test
-    void noServerIsSharedByMoreNodesThanTheFigureSays() {
+    void noServerIsSharedByMoreNodesThanTheBound() {
         for (List<LiveServer> servers : List.of(
                 servers(40, "a", "b"),
                 servers(40, "a", "a", "a", "a", "b"),
                 servers(5, "a"),
-                weighted(servers(40, "a", "b", "c")))) {
+                withWeights(servers(40, "a", "b", "c")))) {
             Map<String, Integer> sharing = new HashMap<>();
-            int figure = 0;
+            int bound = 0;
             for (int node = 0; node < 1000; node++) {
-                SubsetSelector selector = selector("node-" + node, FOUR_IN_TWO_ZONES, servers);
+                SubsetSelector selector = selector("node-" + node, FOUR_REPLICAS_IN_TWO_ZONES, servers);
                 selector.selectedReplicas(0).forEach(id -> sharing.merge(id, 1, Integer::sum));
-                figure = selector.nodesPerServer(1000);
+                bound = selector.nodesPerServer(1000);
             }
-            int most = sharing.values().stream().mapToInt(count -> count).max().orElseThrow();
-            assertThat(most).isLessThanOrEqualTo(figure);
+            int maxSharing =
+                    sharing.values().stream().mapToInt(count -> count).max().orElseThrow();
+            assertThat(maxSharing).isLessThanOrEqualTo(bound);
         }
-        assertThat(selector("n", FOUR_IN_TWO_ZONES, servers(40, "a", "b")).nodesPerServer(1000))
-                .as("of 100 on average")
+        assertThat(selector("n", FOUR_REPLICAS_IN_TWO_ZONES, servers(40, "a", "b"))
+                        .nodesPerServer(1000))
+                .as("bound for an average of 100 nodes")
                 .isBetween(140, 180);
     }
 
-    private static List<LiveServer> weighted(List<LiveServer> servers) {
+    private static List<LiveServer> withWeights(List<LiveServer> servers) {
         return servers.stream()
                 .map(server -> new LiveServer(
                         server.id(), server.zone(), 0, server.id().endsWith("3") ? 4 : 1))
@@ -170,7 +174,7 @@
     }
 
     @Test
-    void theBoundOfSharingNodesIsPassedWithTheStatedChance() {
+    void theSharingBoundIsCloseToTheMeanAndBetweenOneAndAllNodes() {
         assertThat(SharingBound.nodesPerServer(100, 1)).isEqualTo(100);
         assertThat(SharingBound.nodesPerServer(1, 0.1)).isEqualTo(1);
         assertThat(SharingBound.nodesPerServer(0, 0)).isEqualTo(1);
@@ -179,7 +183,7 @@
     }
 
     @Test
-    void settingsThatNoSubsetCanKeepAreRefused() {
+    void invalidSettingsAreRejected() {
         assertThatThrownBy(() -> new SubsetSettings(0, 1))
                 .hasMessage("'replicasPerShard of subset': found 0, 1 or more is expected");
         assertThatThrownBy(() -> new SubsetSettings(2, 3))
