--- a/node/src/main/java/spartrail/discovery/IoTimers.java
+++ b/node/src/main/java/spartrail/discovery/IoTimers.java
@@ -4,19 +4,19 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The time that a discovery client goes by: the I/O thread's own, or one that a test holds. */
+/** The timers and the clock of a discovery client; tests replace them to control the time. */
 interface IoTimers {
-    /** Runs the task on the I/O thread after so long, unless the key is removed before. */
-    XnioExecutor.Key after(long ms, Runnable task);
+    /** Runs the task on the I/O thread after {@code ms} milliseconds, unless the returned key is removed before. */
+    XnioExecutor.Key schedule(long ms, Runnable task);
 
-    /** A clock that never steps. */
+    /** A monotonic clock, in nanoseconds. */
     long nanoTime();
 
-    /** The I/O thread's timers and the system's monotonic clock. */
+    /** Returns the timers of the I/O thread with the monotonic clock of the system. */
     static IoTimers of(XnioIoThread io) {
         return new IoTimers() {
             @Override
-            public XnioExecutor.Key after(long ms, Runnable task) {
+            public XnioExecutor.Key schedule(long ms, Runnable task) {
                 return io.executeAfter(task, ms, TimeUnit.MILLISECONDS);
             }
 
--- a/node/src/main/java/spartrail/discovery/package-info.java
+++ b/node/src/main/java/spartrail/discovery/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Discovery's endpoint list over HTTP. Lists and failures go out to a listener on the I/O thread on which everything here runs;
- * nothing here blocks, and nothing here ends service: without discovery the last list stays in use.
+ * Fetches discovery's endpoint list over HTTP. Everything runs on one I/O thread, on which a listener receives lists
+ * and failures. Nothing blocks, and no failure ends the service: while discovery is unavailable, the last list stays in
+ * use.
  */
 package spartrail.discovery;
--- a/node/src/test/java/spartrail/cli/SignalsTest.java
+++ b/node/src/test/java/spartrail/cli/SignalsTest.java
@@ -212,7 +212,7 @@
         int port = Integer.parseInt(awaitLine("serving on").replaceAll(".*:(\\d+), 4 servers known", "$1"));
         fleet.silent = true;
         fleet.publish(fleet.servers.get(0), "SERVING");
-        assertThat(awaitLine("cannot be had")).contains("no answer in time");
+        assertThat(awaitLine("unavailable: ")).contains("discovery").contains("no response in time");
         List<Socket> idle = new ArrayList<>();
         try {
             for (int i = 0; i < 2 * DESCRIPTORS; i++) {
--- a/node/src/test/java/spartrail/discovery/DiscoveryClientTest.java
+++ b/node/src/test/java/spartrail/discovery/DiscoveryClientTest.java
@@ -27,34 +27,34 @@
 import spartrail.endpoint.EndpointList;
 
 class DiscoveryClientTest {
-    private static final String LINE = "{\"uid\":\"%s\",\"endpoint\":\"127.0.0.1:9\",\"az\":\"a\",\"model\":\"m\","
+    private static final String ENTRY = "{\"uid\":\"%s\",\"endpoint\":\"127.0.0.1:9\",\"az\":\"a\",\"model\":\"m\","
             + "\"pod_group\":1,\"state\":\"%s\",\"capacity_hint\":1.0,\"boot_ms\":0}";
 
-    private static String list(long version, boolean all, String... lines) {
-        return "{\"rev\":" + version + ",\"all\":" + all + ",\"targets\":[" + String.join(",", lines) + "]}";
+    private static String list(long version, boolean isComplete, String... entries) {
+        return "{\"rev\":" + version + ",\"all\":" + isComplete + ",\"targets\":[" + String.join(",", entries) + "]}";
     }
 
-    private final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private final List<HttpServer> servers = new ArrayList<>();
     private XnioWorker worker;
     private DiscoveryClient client;
-    /** Whether time passes only as the test says. */
+    /** Whether the test controls the time. */
     private boolean isTimeManual;
 
     private ManualTimers timers;
 
-    /** Discovery that gives these answers, one to a call, and is silent from then on. */
-    private HttpServer discovery(String name, String... texts) throws IOException {
-        Queue<String> answers = new ConcurrentLinkedQueue<>(List.of(texts));
+    /** Starts discovery that sends one of these responses per request, and none to further requests. */
+    private HttpServer startDiscovery(String name, String... texts) throws IOException {
+        Queue<String> responses = new ConcurrentLinkedQueue<>(List.of(texts));
         HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
         server.createContext("/", exchange -> {
-            seen.add(name + "GET " + exchange.getRequestURI());
-            String answer = answers.poll();
-            if (answer == null) {
+            events.add(name + "GET " + exchange.getRequestURI());
+            String response = responses.poll();
+            if (response == null) {
                 return;
             }
-            byte[] body = answer.getBytes(StandardCharsets.UTF_8);
-            exchange.sendResponseHeaders(answer.equals("500") ? 500 : 200, body.length);
+            byte[] body = response.getBytes(StandardCharsets.UTF_8);
+            exchange.sendResponseHeaders(response.equals("500") ? 500 : 200, body.length);
             exchange.getResponseBody().write(body);
             exchange.close();
         });
@@ -63,18 +63,18 @@
         return server;
     }
 
-    /** Connections on which discovery has stopped half-way. */
-    private final Queue<Socket> silent = new ConcurrentLinkedQueue<>();
+    /** Connections on which discovery has stopped in the middle of a response. */
+    private final Queue<Socket> silentConnections = new ConcurrentLinkedQueue<>();
 
-    private void watch(HttpServer server) throws IOException {
-        watch(server.getAddress());
+    private void startClient(HttpServer server) throws IOException {
+        startClient(server.getAddress());
     }
 
-    private void watch(InetSocketAddress address) throws IOException {
-        watch(address, false);
+    private void startClient(InetSocketAddress address) throws IOException {
+        startClient(address, false);
     }
 
-    private void watch(InetSocketAddress address, boolean onRequest) throws IOException {
+    private void startClient(InetSocketAddress address, boolean isOnDemand) throws IOException {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         timers = new ManualTimers(worker.getIoThread());
         client = new DiscoveryClient(
@@ -82,31 +82,31 @@
                 isTimeManual ? timers : IoTimers.of(worker.getIoThread()),
                 new DefaultByteBufferPool(true, 1024),
                 address,
-                onRequest,
+                isOnDemand,
                 new DiscoveryClient.Listener() {
                     @Override
                     public void onEndpointUpdate(EndpointList list) {
-                        StringBuilder told =
+                        StringBuilder text =
                                 new StringBuilder(list.version() + (list.isComplete() ? " all" : " changes"));
-                        list.endpoints().forEach(line -> told.append(' ')
-                                .append(line.id())
+                        list.endpoints().forEach(endpoint -> text.append(' ')
+                                .append(endpoint.id())
                                 .append('=')
-                                .append(line.state()));
-                        seen.add(told.toString());
+                                .append(endpoint.state()));
+                        events.add(text.toString());
                     }
 
                     @Override
                     public void onDiscoveryUnavailable() {
-                        seen.add("not to be had");
+                        events.add("unavailable");
                     }
                 });
         worker.getIoThread().execute(client::start);
     }
 
-    private String trace(int lines) throws InterruptedException {
+    private String awaitEvents(int lines) throws InterruptedException {
         StringBuilder trace = new StringBuilder();
         for (int i = 0; i < lines; i++) {
-            trace.append(seen.poll(20, TimeUnit.SECONDS)).append('\n');
+            trace.append(events.poll(20, TimeUnit.SECONDS)).append('\n');
         }
         return trace.toString();
     }
@@ -124,69 +124,71 @@
     }
 
     @Test
-    void changesArriveInOrderAndEveryFailureIsReportedAsUnavailable() throws Exception {
-        watch(discovery(
+    void changesArriveInOrderAndEachFailureIsReportedAsUnavailable() throws Exception {
+        startClient(startDiscovery(
                 "",
-                list(41, true, LINE.formatted("s-1", "SERVING"), LINE.formatted("s-2", "SERVING")),
+                list(41, true, ENTRY.formatted("s-1", "SERVING"), ENTRY.formatted("s-2", "SERVING")),
                 list(42, false),
                 "no JSON",
                 "{\"rev\":7}",
-                list(40, true, LINE.formatted("s-old", "SERVING")),
-                list(43, false, LINE.formatted("s-1", "DRAINING"), LINE.formatted("s-2", "DELETED")),
+                list(40, true, ENTRY.formatted("s-old", "SERVING")),
+                list(43, false, ENTRY.formatted("s-1", "DRAINING"), ENTRY.formatted("s-2", "DELETED")),
                 "500",
-                list(44, true, LINE.formatted("s-3", "SERVING"))));
-        assertThat(trace(14))
+                list(44, true, ENTRY.formatted("s-3", "SERVING"))));
+        assertThat(awaitEvents(14))
                 .isEqualTo(
                         """
                 GET /discovery/hosts
                 41 all s-1=LIVE s-2=LIVE
                 GET /discovery/hosts?since=41&timeout_ms=4000
                 GET /discovery/hosts?since=42&timeout_ms=4000
-                not to be had
+                unavailable
                 GET /discovery/hosts?since=42&timeout_ms=50
-                not to be had
+                unavailable
                 GET /discovery/hosts?since=42&timeout_ms=50
                 GET /discovery/hosts?since=42&timeout_ms=4000
                 43 changes s-1=DRAINING s-2=GONE
                 GET /discovery/hosts?since=43&timeout_ms=4000
-                not to be had
+                unavailable
                 GET /discovery/hosts?since=43&timeout_ms=50
                 44 all s-3=LIVE
                 """);
     }
 
     @Test
-    void aSilentLongPollIsFollowedByShortPollsBeforeItsChangesMustBeKnown() throws Exception {
+    void aLongPollWithoutResponseIsFollowedByShortPollsInTime() throws Exception {
         isTimeManual = true;
-        watch(discovery("", list(41, true, LINE.formatted("s-1", "SERVING"))));
-        assertThat(trace(3)).endsWith("GET /discovery/hosts?since=41&timeout_ms=4000\n");
+        startClient(startDiscovery("", list(41, true, ENTRY.formatted("s-1", "SERVING"))));
+        assertThat(awaitEvents(3)).endsWith("GET /discovery/hosts?since=41&timeout_ms=4000\n");
         timers.advance(4601);
-        assertThat(seen).isEmpty();
+        assertThat(events).isEmpty();
         timers.advance(1);
-        assertThat(trace(2)).isEqualTo("not to be had\nGET /discovery/hosts?since=41&timeout_ms=50\n");
+        assertThat(awaitEvents(2)).isEqualTo("unavailable\nGET /discovery/hosts?since=41&timeout_ms=50\n");
         timers.advance(651);
-        assertThat(seen).isEmpty();
+        assertThat(events).isEmpty();
         timers.advance(1);
-        assertThat(trace(1)).isEqualTo("not to be had\n");
+        assertThat(awaitEvents(1)).isEqualTo("unavailable\n");
         timers.advance(200);
-        assertThat(trace(1)).isEqualTo("GET /discovery/hosts?since=41&timeout_ms=50\n");
-        assertThat(timers.nanoTime()).as("before the news count as told").isLessThan(6_000_000_000L);
+        assertThat(awaitEvents(1)).isEqualTo("GET /discovery/hosts?since=41&timeout_ms=50\n");
+        assertThat(timers.nanoTime())
+                .as("time before the changes must be known")
+                .isLessThan(6_000_000_000L);
     }
 
     @Test
-    void onRequestAPollAfterAFailedOneIsShort() throws Exception {
-        watch(
-                discovery(
+    void onDemandAPollAfterAFailedOneIsShort() throws Exception {
+        startClient(
+                startDiscovery(
                                 "",
-                                list(41, true, LINE.formatted("s-1", "SERVING")),
+                                list(41, true, ENTRY.formatted("s-1", "SERVING")),
                                 "500",
                                 list(42, false),
-                                list(43, false, LINE.formatted("s-1", "DRAINING")))
+                                list(43, false, ENTRY.formatted("s-1", "DRAINING")))
                         .getAddress(),
                 true);
-        assertThat(trace(4)).endsWith("GET /discovery/hosts?since=41&timeout_ms=4000\nnot to be had\n");
+        assertThat(awaitEvents(4)).endsWith("GET /discovery/hosts?since=41&timeout_ms=4000\nunavailable\n");
         worker.getIoThread().execute(client::start);
-        assertThat(trace(3))
+        assertThat(awaitEvents(3))
                 .isEqualTo(
                         """
                 GET /discovery/hosts?since=41&timeout_ms=50
@@ -195,12 +197,12 @@
                 """);
     }
 
-    /** Until discovery has stopped half-way on so many connections. */
-    private void awaitSilent(int connections) throws InterruptedException {
-        for (int tries = 0; silent.size() < connections && tries < 20_000; tries++) {
+    /** Waits until discovery has stopped in the middle of a response on this number of connections. */
+    private void awaitSilentConnections(int connections) throws InterruptedException {
+        for (int tries = 0; silentConnections.size() < connections && tries < 20_000; tries++) {
             TimeUnit.MILLISECONDS.sleep(1);
         }
-        assertThat(silent).hasSize(connections);
+        assertThat(silentConnections).hasSize(connections);
     }
 
     private enum End {
@@ -209,8 +211,11 @@
         SILENCE
     }
 
-    /** Discovery that writes these bytes to a call, so many at a time, and then ends the connection, resets it or says no more. */
-    private void raw(String bytes, int step, End end) throws IOException {
+    /**
+     * Starts discovery that writes these bytes to each request, {@code step} at a time, and then ends or resets the
+     * connection or stays silent.
+     */
+    private void startRawDiscovery(String bytes, int step, End end) throws IOException {
         ServerSocket listening = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
         Thread thread = new Thread(() -> {
             try (listening) {
@@ -224,62 +229,62 @@
                                         .getBytes(StandardCharsets.US_ASCII));
                     }
                     if (end == End.SILENCE) {
-                        silent.add(socket);
+                        silentConnections.add(socket);
                         continue;
                     }
                     socket.setSoLinger(end == End.RESET, 0);
                     socket.close();
                 }
             } catch (IOException e) {
-                seen.add(String.valueOf(e));
+                events.add(String.valueOf(e));
             }
         });
         thread.setDaemon(true);
         thread.start();
-        watch((InetSocketAddress) listening.getLocalSocketAddress());
+        startClient((InetSocketAddress) listening.getLocalSocketAddress());
     }
 
     @Test
-    void aBodyWithoutLengthIsCompleteAtTheEndOfItsStreamAndAResetIsAFailure() throws Exception {
-        String list = list(41, true, LINE.formatted("s-1", "SERVING")).replace(",", ",\n   ");
-        raw("HTTP/1.1 200 OK\r\n\r\n" + list, 4096, End.RESET);
-        assertThat(trace(1)).isEqualTo("not to be had\n");
+    void aBodyWithoutLengthEndsWithItsStreamAndAResetIsAFailure() throws Exception {
+        String list = list(41, true, ENTRY.formatted("s-1", "SERVING")).replace(",", ",\n   ");
+        startRawDiscovery("HTTP/1.1 200 OK\r\n\r\n" + list, 4096, End.RESET);
+        assertThat(awaitEvents(1)).isEqualTo("unavailable\n");
         close();
-        seen.clear();
-        raw("HTTP/1.1 200 OK\r\n\r\n" + list, 1, End.END);
-        assertThat(trace(1)).isEqualTo("41 all s-1=LIVE\n");
+        events.clear();
+        startRawDiscovery("HTTP/1.1 200 OK\r\n\r\n" + list, 1, End.END);
+        assertThat(awaitEvents(1)).isEqualTo("41 all s-1=LIVE\n");
     }
 
     @Test
-    void aBodyThatStallsIsGivenUpAndAskedForAgain() throws Exception {
+    void aBodyThatStallsTimesOutAndIsRequestedAgain() throws Exception {
         isTimeManual = true;
-        raw(
-                "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + list(41, true, LINE.formatted("s-1", "SERVING")),
+        startRawDiscovery(
+                "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + list(41, true, ENTRY.formatted("s-1", "SERVING")),
                 4096,
                 End.SILENCE);
-        awaitSilent(1);
+        awaitSilentConnections(1);
         timers.advance(602);
-        assertThat(trace(1)).isEqualTo("not to be had\n");
-        awaitSilent(2);
+        assertThat(awaitEvents(1)).isEqualTo("unavailable\n");
+        awaitSilentConnections(2);
         timers.advance(602);
-        assertThat(trace(1)).isEqualTo("not to be had\n");
-        assertThat(silent).as("connections, each for one call").hasSizeGreaterThan(1);
+        assertThat(awaitEvents(1)).isEqualTo("unavailable\n");
+        assertThat(silentConnections).as("connections, one per request").hasSizeGreaterThan(1);
     }
 
     @Test
-    void aClientThatMovesAsksForTheCompleteListAndWaitsForNothingAtTheOldAddress() throws Exception {
-        HttpServer second = discovery("2nd ", list(43, true, LINE.formatted("s-1", "DRAINING")));
-        HttpServer third = discovery(
+    void aClientThatMovesRequestsTheCompleteListAtOnce() throws Exception {
+        HttpServer second = startDiscovery("2nd ", list(43, true, ENTRY.formatted("s-1", "DRAINING")));
+        HttpServer third = startDiscovery(
                 "3rd ",
-                list(7, true, LINE.formatted("s-9", "SERVING")),
-                list(6, true, LINE.formatted("s-old", "SERVING")));
-        watch(discovery("", list(41, true, LINE.formatted("s-1", "SERVING"))));
-        assertThat(trace(3)).endsWith("GET /discovery/hosts?since=41&timeout_ms=4000\n");
+                list(7, true, ENTRY.formatted("s-9", "SERVING")),
+                list(6, true, ENTRY.formatted("s-old", "SERVING")));
+        startClient(startDiscovery("", list(41, true, ENTRY.formatted("s-1", "SERVING"))));
+        assertThat(awaitEvents(3)).endsWith("GET /discovery/hosts?since=41&timeout_ms=4000\n");
         worker.getIoThread().execute(() -> {
             client.moveTo(second.getAddress());
             client.moveTo(second.getAddress());
         });
-        assertThat(trace(3))
+        assertThat(awaitEvents(3))
                 .isEqualTo(
                         """
                 2nd GET /discovery/hosts
@@ -287,7 +292,7 @@
                 2nd GET /discovery/hosts?since=43&timeout_ms=4000
                 """);
         worker.getIoThread().execute(() -> client.moveTo(third.getAddress()));
-        assertThat(trace(4))
+        assertThat(awaitEvents(4))
                 .isEqualTo(
                         """
                 3rd GET /discovery/hosts
--- a/node/src/test/java/spartrail/discovery/ManualTimers.java
+++ b/node/src/test/java/spartrail/discovery/ManualTimers.java
@@ -7,7 +7,7 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** Time stands still until a test lets it pass; what is due then runs on the I/O thread, in order. */
+/** Timers whose time passes only when a test advances it; timers that become due run on the I/O thread in order. */
 final class ManualTimers implements IoTimers {
     private record Timer(long atNs, Runnable task) {}
 
@@ -20,7 +20,7 @@
     }
 
     @Override
-    public XnioExecutor.Key after(long ms, Runnable task) {
+    public XnioExecutor.Key schedule(long ms, Runnable task) {
         Timer timer = new Timer(nowNs + ms * 1_000_000, task);
         timers.add(timer);
         return () -> timers.remove(timer);
@@ -31,12 +31,12 @@
         return nowNs;
     }
 
-    /** Advances the time by so much, and returns when all that was due has run. */
+    /** Advances the time by {@code ms} milliseconds; returns when all timers due by then have run. */
     void advance(long ms) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         io.execute(() -> {
             long untilNs = nowNs + ms * 1_000_000;
-            for (Timer next = next(untilNs); next != null; next = next(untilNs)) {
+            for (Timer next = findNextDue(untilNs); next != null; next = findNextDue(untilNs)) {
                 timers.remove(next);
                 nowNs = Math.max(nowNs, next.atNs);
                 next.task.run();
@@ -47,7 +47,7 @@
         done.await();
     }
 
-    private Timer next(long untilNs) {
+    private Timer findNextDue(long untilNs) {
         return timers.stream()
                 .filter(timer -> timer.atNs <= untilNs)
                 .min(Comparator.comparingLong(Timer::atNs))
--- a/node/src/test/java/spartrail/discovery/RetryDelayTest.java
+++ b/node/src/test/java/spartrail/discovery/RetryDelayTest.java
@@ -10,25 +10,26 @@
 import spartrail.model.OpType;
 
 /**
- * How late a change can arrive: it must be known 6 s after discovery had it and could be reached, whatever polls
- * failed before. The worst case is an outage that ends just after a poll has begun which is answered no more.
+ * Checks the maximum delay of a change: it must reach the node within 6 s after discovery has it and can be reached,
+ * however many polls failed before. The worst case is an outage that ends just after the start of a poll that gets no
+ * response any more.
  */
 class RetryDelayTest {
-    private static final double MUST_BE_KNOWN_MS = 6000;
-    /** The first poll that is answered may take as long as one that is given up, connecting included. */
+    private static final double MAX_DELAY_MS = 6000;
+    /** The first successful poll may take as long as a poll that times out, including the time to connect. */
     private static final double RESPONSE_MS = DiscoveryClient.RETRY_TIMEOUT_MS;
 
     @Test
-    void theNextPollAfterAFailedOneIsAnsweredInTime() {
-        assertThat(DiscoveryClient.RETRY_TIMEOUT_MS + DiscoveryClient.RETRY_PAUSE_MS + RESPONSE_MS)
-                .isLessThan(MUST_BE_KNOWN_MS);
+    void aPollAfterAFailedOneGetsItsResponseInTime() {
+        assertThat(DiscoveryClient.RETRY_TIMEOUT_MS + DiscoveryClient.RETRY_DELAY_MS + RESPONSE_MS)
+                .isLessThan(MAX_DELAY_MS);
         assertThat(DiscoveryClient.LONG_POLL_TIMEOUT_MS + RESPONSE_MS)
-                .as("the long poll that fell silent is followed at once")
-                .isLessThan(MUST_BE_KNOWN_MS);
+                .as("the poll that follows a long poll without response at once")
+                .isLessThan(MAX_DELAY_MS);
     }
 
     @Test
-    void onRequestThePauseOfTheCoordinatorFitsIn() {
+    void onDemandTheDelayOfTheCoordinatorLeavesTimeForAPoll() {
         Random seeds = new Random(5);
         for (int node = 0; node < 100; node++) {
             Coordinator coordinator = new WindowCoordinator(new Random(seeds.nextLong()), List.of(new OpType()))
@@ -45,7 +46,7 @@
                 double pollMs = failure == 0 ? DiscoveryClient.LONG_POLL_TIMEOUT_MS : DiscoveryClient.RETRY_TIMEOUT_MS;
                 assertThat(pollMs + (nowMs - failedMs) + RESPONSE_MS)
                         .as("failure %d of node %d", failure, node)
-                        .isLessThan(MUST_BE_KNOWN_MS);
+                        .isLessThan(MAX_DELAY_MS);
             }
         }
     }
