--- a/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
+++ b/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
@@ -28,13 +28,14 @@
 import spartrail.model.NodeClock;
 
 /**
- * Stands between the discovery client and the coordinator's loop: what all sources report goes into one registry, and the endpoints
- * that change come out as changes of the endpoint list. A thread of its own owns the registry.
+ * Merges the endpoints of all sources between the discovery client and the coordinator's loop: passes the reports of
+ * all sources to one registry, and publishes the changed endpoints as changes of the endpoint list. A thread of this
+ * object owns the registry.
  */
 public final class EndpointSources implements DiscoveryClient.Listener, EndpointSourceProvider.Listener, AutoCloseable {
     private static final System.Logger LOG = System.getLogger("spartrail.endpoint.sources");
     private static final long EXPLAIN_TIMEOUT_S = 5;
-    /** Waits longer than this are for ever. */
+    /** No task is scheduled for longer delays than this. */
     private static final double MAX_WAIT_MS = 1e9;
 
     private static final long STARTED_LONG_AGO = -1;
@@ -50,53 +51,58 @@
         return thread;
     });
     private ScheduledFuture<?> nextAdvance;
-    /** Whether the reports at hand are discovery's, which may name any address. */
+    /** Whether the reports that are being applied are from discovery, which may list any address. */
     private boolean isFromDiscovery;
 
     private long version;
 
-    /** The listener knows this list already; it counts as discovery's report until discovery answers. */
+    /**
+     * Creates a registry with an initial list, which counts as discovery's report until discovery answers. The initial
+     * list is not published, as the listener knows it already.
+     */
     public EndpointSources(
             EndpointSourcesFile file,
             int cells,
             int replicationFactor,
             NodeClock clock,
-            EndpointList known,
+            EndpointList initialList,
             DiscoveryClient.Listener listener) {
         this.clock = clock;
         this.listener = listener;
-        this.registry = new EndpointRegistry(cells, replicationFactor, file.limits(), allowed(file, known));
+        this.registry =
+                new EndpointRegistry(cells, replicationFactor, file.limits(), createAddressFilter(file, initialList));
         this.discovery = registry.getOrCreateSource("discovery", EndpointSource.Kind.DISCOVERY, clock.nowMs());
-        applyFromDiscovery(true, known);
+        applyFromDiscovery(true, initialList);
         registry.markUnavailable(discovery, clock.nowMs());
         registry.takeChanges();
     }
 
-    /** What discovery names is allowed; the ranges of the file bound what other sources may name. */
-    private Predicate<String> allowed(EndpointSourcesFile file, EndpointList known) {
+    /** Allows all addresses that discovery lists; other sources may list addresses in the ranges of the file. */
+    private Predicate<String> createAddressFilter(EndpointSourcesFile file, EndpointList initialList) {
         Predicate<String> ranges = file.allowed();
-        Set<String> knownAddresses =
-                known.endpoints().stream().map(each -> text(each.address())).collect(Collectors.toSet());
+        Set<String> knownAddresses = initialList.endpoints().stream()
+                .map(endpoint -> formatAddress(endpoint.address()))
+                .collect(Collectors.toSet());
         return address -> ranges.test(address) || knownAddresses.contains(address) || isFromDiscovery;
     }
 
     private void applyFromDiscovery(boolean isComplete, EndpointList list) {
         isFromDiscovery = true;
-        registry.applyReports(discovery, isComplete, reports(list), 0, clock.nowMs());
+        registry.applyReports(discovery, isComplete, toReports(list), 0, clock.nowMs());
         isFromDiscovery = false;
     }
 
-    /** Starts the sources that the file names; each is found by the service loader. */
+    /** Starts the sources that the file configures; the service loader finds their providers. */
     public void start(EndpointSourcesFile file) throws IOException {
         for (EndpointSourceProvider provider : ServiceLoader.load(EndpointSourceProvider.class)) {
             Map<?, ?> settings = file.section(provider.section());
             if (settings != null) {
                 providers.add(provider.start(settings, this));
-                LOG.log(System.Logger.Level.INFO, "endpoints also from " + provider.section());
+                LOG.log(System.Logger.Level.INFO, "using additional endpoint sources: " + provider.section());
             }
         }
         if (file.section("dns") != null && providers.isEmpty()) {
-            throw new IllegalArgumentException("the members' file has 'dns', but no jar on the class path follows DNS");
+            throw new IllegalArgumentException("the members' file has 'dns', but no jar on the class path provides it");
         }
     }
 
@@ -104,7 +110,7 @@
     public void onEndpointUpdate(EndpointList list) {
         executor.execute(() -> {
             applyFromDiscovery(list.isComplete(), list);
-            // Also where nothing has changed: who asks for the list waits for an answer.
+            // Published even if nothing has changed, as the listener may be waiting for the response of discovery.
             publish(true);
         });
     }
@@ -127,8 +133,8 @@
             double lifetimeMs) {
         executor.execute(() -> {
             double nowMs = clock.nowMs();
-            EndpointSource from = registry.getOrCreateSource(source, kind, nowMs);
-            registry.applyReports(from, isComplete, reports, lifetimeMs, nowMs);
+            EndpointSource endpointSource = registry.getOrCreateSource(source, kind, nowMs);
+            registry.applyReports(endpointSource, isComplete, reports, lifetimeMs, nowMs);
             publish(false);
         });
     }
@@ -142,14 +148,14 @@
         });
     }
 
-    private List<SourceReport> reports(EndpointList list) {
-        return list.endpoints().stream().map(this::report).toList();
+    private List<SourceReport> toReports(EndpointList list) {
+        return list.endpoints().stream().map(this::toReport).toList();
     }
 
-    private SourceReport report(Endpoint endpoint) {
+    private SourceReport toReport(Endpoint endpoint) {
         return new SourceReport(
                 endpoint.id(),
-                endpoint.address() == null ? null : text(endpoint.address()),
+                endpoint.address() == null ? null : formatAddress(endpoint.address()),
                 endpoint.zone(),
                 endpoint.kind(),
                 endpoint.cell(),
@@ -159,28 +165,28 @@
                 0);
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     // Publication
 
-    /** Hands on what has changed, and comes back when time alone changes something. */
-    private void publish(boolean isAlways) {
+    /** Publishes the changes, and schedules the next call for when a status changes without a report. */
+    private void publish(boolean evenIfUnchanged) {
         registry.advance(clock.nowMs());
         List<Endpoint> changed = new ArrayList<>();
         for (SourceReport report : registry.takeChanges()) {
-            changed.add(endpoint(report));
-            log(report);
+            changed.add(toEndpoint(report));
+            logChange(report);
         }
-        if (isAlways || !changed.isEmpty()) {
+        if (evenIfUnchanged || !changed.isEmpty()) {
             version++;
             listener.onEndpointUpdate(new EndpointList(version, false, changed));
         }
-        scheduleNext();
+        scheduleNextAdvance();
     }
 
-    private Endpoint endpoint(SourceReport report) {
+    private Endpoint toEndpoint(SourceReport report) {
         return new Endpoint(
                 report.id(),
                 EndpointAddress.parse(report.address()),
@@ -189,22 +195,22 @@
                 report.cell(),
                 report.state(),
                 report.weight(),
-                report.startedMs() > 0 ? unixMs(report.startedMs()) : 0);
+                report.startedMs() > 0 ? toUnixMs(report.startedMs()) : 0);
     }
 
-    /** A time of the node's clock as Unix time. */
-    private long unixMs(double ms) {
+    /** Converts a time of the node's clock to Unix time. */
+    private long toUnixMs(double ms) {
         return System.currentTimeMillis() - Math.round(clock.nowMs() - ms);
     }
 
-    private void log(SourceReport report) {
+    private void logChange(SourceReport report) {
         LOG.log(
                 System.Logger.Level.INFO,
                 report.id() + " at " + report.address() + " is " + report.state() + ": "
                         + registry.find(report.id()).reason());
     }
 
-    private void scheduleNext() {
+    private void scheduleNextAdvance() {
         if (nextAdvance != null) {
             nextAdvance.cancel(false);
             nextAdvance = null;
@@ -216,7 +222,7 @@
         }
     }
 
-    /** What the registry knows of an endpoint, by id, uid or address. */
+    /** Explains the status of an endpoint, which is found by id, uid or address. */
     public String explain(String name) throws InterruptedException, ExecutionException, TimeoutException {
         return executor.submit(() -> explainNow(name)).get(EXPLAIN_TIMEOUT_S, TimeUnit.SECONDS);
     }
@@ -226,14 +232,14 @@
         return record == null ? name + ": no source has named it\n" : EndpointExplanation.of(record, clock.nowMs());
     }
 
-    /** Ends the sources and the thread. */
+    /** Stops the sources and the thread. */
     @Override
     public void close() {
         for (AutoCloseable provider : providers) {
             try {
                 provider.close();
             } catch (Exception e) {
-                LOG.log(System.Logger.Level.WARNING, "a source did not end: " + e.getMessage());
+                LOG.log(System.Logger.Level.WARNING, "cannot close an endpoint source: " + e.getMessage());
             }
         }
         executor.shutdownNow();
--- a/node/src/main/java/spartrail/endpoint/sources/EndpointSourcesFile.java
+++ b/node/src/main/java/spartrail/endpoint/sources/EndpointSourcesFile.java
@@ -15,8 +15,9 @@
 import spartrail.model.AddressRanges;
 
 /**
- * The file that names further sources of endpoints and how they are merged; its form is {@code deploy/members.schema.json}. Times
- * are milliseconds. What is wrong with a file is an IllegalArgumentException of one line with the place.
+ * The file that configures additional sources of endpoints and how they are merged; its schema is
+ * {@code deploy/members.schema.json}. Times are in milliseconds. An invalid file causes an IllegalArgumentException
+ * whose message is one line with the position.
  */
 public final class EndpointSourcesFile {
     private static final String ALLOW = "allow";
@@ -46,7 +47,7 @@
         this.allowed = new AddressRanges(tree.get(ALLOW) instanceof List<?> ranges ? ranges : List.of(), "/" + ALLOW);
     }
 
-    /** Reads and checks a file. */
+    /** Reads and validates a file. */
     public static EndpointSourcesFile read(Path path) throws IOException {
         String text = readText(path);
         try (JsonParser parser = new JsonFactory().createParser(text)) {
@@ -96,10 +97,10 @@
                 (int) readNumber(merge, "mostMembers", defaults.maxEndpoints()));
     }
 
-    private static double readNumber(Map<?, ?> merge, String name, double otherwise) {
+    private static double readNumber(Map<?, ?> merge, String name, double defaultValue) {
         Object value = merge.get(name);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (!(value instanceof Number number) || number.doubleValue() < 0) {
             throw new IllegalArgumentException(
@@ -108,17 +109,19 @@
         return number.doubleValue();
     }
 
-    /** The section of a kind of source, or null. */
+    /** The section for a kind of source, or null. */
     Map<?, ?> section(String name) {
         return tree.get(name) instanceof Map<?, ?> section ? section : null;
     }
 
-    /** How sources are merged. */
+    /** The limits for merging the sources. */
     MergeLimits limits() {
         return limits;
     }
 
-    /** Which addresses sources may name: IPv4 ranges such as 10.0.0.0/8; without them none that DNS names. */
+    /**
+     * Accepts the addresses that sources may list: IPv4 ranges such as 10.0.0.0/8; without ranges, no address from DNS.
+     */
     Predicate<String> allowed() {
         return allowed;
     }
--- a/node/src/test/java/spartrail/endpoint/sources/EndpointSourcesFileTest.java
+++ b/node/src/test/java/spartrail/endpoint/sources/EndpointSourcesFileTest.java
@@ -11,33 +11,33 @@
     @TempDir
     private Path folder;
 
-    private String read(String text) throws Exception {
+    private String readAndDescribe(String text) throws Exception {
         Path file = folder.resolve("members.json");
         Files.writeString(file, text.replace('\'', '"'));
         try {
-            EndpointSourcesFile read = EndpointSourcesFile.read(file);
-            return "floor " + read.limits().floor() + ", 10.1.2.3 "
-                    + read.allowed().test("10.1.2.3:80") + ", 10.2.0.1 "
-                    + read.allowed().test("10.2.0.1:80") + ", a name "
-                    + read.allowed().test("books.example.org:80");
+            EndpointSourcesFile sources = EndpointSourcesFile.read(file);
+            return "floor " + sources.limits().floor() + ", 10.1.2.3 "
+                    + sources.allowed().test("10.1.2.3:80") + ", 10.2.0.1 "
+                    + sources.allowed().test("10.2.0.1:80") + ", a name "
+                    + sources.allowed().test("books.example.org:80");
         } catch (IllegalArgumentException e) {
             return e.getMessage().replace(folder.toString(), "FOLDER");
         }
     }
 
     @Test
-    void errorsAreOneLineWithTheirPlace() throws Exception {
+    void errorsAreOneLineWithTheirPosition() throws Exception {
         assertThat(String.join(
                         "\n",
-                        read("{}"),
-                        read("{'allow':['10.1.0.0/16'],'merge':{'floor':3}}"),
-                        read("{'allow':['0.0.0.0/0']}"),
-                        read("{'allow':['ten/8']}"),
-                        read("{'merge':{'flor':3}}"),
-                        read("{'merge':{'floor':-1}}"),
-                        read("{'roll':{}}"),
-                        read("{\n'allow':"),
-                        read("[]")))
+                        readAndDescribe("{}"),
+                        readAndDescribe("{'allow':['10.1.0.0/16'],'merge':{'floor':3}}"),
+                        readAndDescribe("{'allow':['0.0.0.0/0']}"),
+                        readAndDescribe("{'allow':['ten/8']}"),
+                        readAndDescribe("{'merge':{'flor':3}}"),
+                        readAndDescribe("{'merge':{'floor':-1}}"),
+                        readAndDescribe("{'roll':{}}"),
+                        readAndDescribe("{\n'allow':"),
+                        readAndDescribe("[]")))
                 .isEqualTo(
                         """
                 floor 1, 10.1.2.3 false, 10.2.0.1 false, a name false
