--- a/dns/src/main/java/spartrail/dns/AliasChain.java
+++ b/dns/src/main/java/spartrail/dns/AliasChain.java
@@ -9,7 +9,7 @@
 import org.xbill.DNS.Record;
 import org.xbill.DNS.Section;
 
-/** Follows the aliases (CNAME) of a response from a name to its records of the wanted type. */
+/** Follows the aliases (CNAME records) in a response from a name to its records of the requested type. */
 final class AliasChain {
     private static final int MAX_LENGTH = 8;
 
@@ -20,7 +20,7 @@
     private double ttlMs;
     private boolean isTooLong;
 
-    /** Continues the chain of the entry. */
+    /** Continues the chain at the point that the entry has reached. */
     AliasChain(CacheEntry entry) {
         this.type = entry.type();
         this.name = entry.chainName;
@@ -28,12 +28,12 @@
         this.ttlMs = entry.chainTtlMs;
     }
 
-    /** The records of the wanted type; none where the chain leads out of the response. */
+    /** The records of the requested type; empty if the chain ends at a name that the response does not contain. */
     List<Record> records() {
         return records;
     }
 
-    /** The name that the chain has led to. */
+    /** The name that the chain has reached. */
     Name name() {
         return name;
     }
@@ -42,12 +42,12 @@
         return length;
     }
 
-    /** The least TTL of the chain. */
+    /** The minimum TTL of the records of the chain. */
     double ttlMs() {
         return ttlMs;
     }
 
-    /** Whether there are more aliases than are followed. */
+    /** Whether the chain has more than the maximum number of aliases. */
     boolean isTooLong() {
         return isTooLong;
     }
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Whether an alias has led to another name. */
+    /** Collects records of the current name or follows its alias; returns whether an alias has been followed. */
     private boolean followOnce(Message message) {
         for (Record record : message.getSection(Section.ANSWER)) {
             if (record.getDClass() != DClass.IN || !record.getName().equals(name)) {
--- a/dns/src/main/java/spartrail/dns/CacheEntry.java
+++ b/dns/src/main/java/spartrail/dns/CacheEntry.java
@@ -7,29 +7,33 @@
 import org.xbill.DNS.Record;
 import spartrail.model.TimerQueue;
 
-/** A name and type that is cached or asked for. The resolver and its queries share the fields that are not private. */
+/**
+ * The cache entry of a name and type, with the state of its query. The fields that are not private are shared by this
+ * package.
+ */
 final class CacheEntry {
-    /** The followed services that need it. */
+    /** The followed services that need this entry. */
     final Set<FollowedService> users = new LinkedHashSet<>();
     /** The query in flight, or null. */
     DnsQuery query;
-    /** Whether it waits for a query in flight to end. */
+    /** Whether the entry waits for a query of another entry to end, as too many are in flight. */
     boolean isQueued;
-    /** Queries sent for the present name of the chain. */
+    /** The number of queries sent for the current name of the chain. */
     int attempts;
-    /** Rounds of attempts in a row without an answer. */
+    /** The number of consecutive rounds of attempts without an answer. */
     int failures;
-    /** Aliases followed so far. */
+    /** The number of aliases followed so far. */
     int chainLength;
-    /** The name that the chain of aliases has led to. */
+    /** The name that the chain of aliases has reached. */
     Name chainName;
-    /** The least TTL of the chain. */
+    /** The minimum TTL of the records of the chain. */
     double chainTtlMs = Double.MAX_VALUE;
-    /** The server that was asked last, and when. */
+    /** The server that received the last query. */
     NameServer server;
 
+    /** When the last query was sent. */
     double sentMs;
-    /** When it is refreshed, or null. */
+    /** The timer of the next refresh, or null. */
     TimerQueue.Timer refresh;
 
     private final Name name;
@@ -51,7 +55,7 @@
         return type;
     }
 
-    /** Null before the first answer; empty where there is none. */
+    /** The cached records; null before the first answer, empty if the answer is that there are no records. */
     List<Record> records() {
         return records;
     }
@@ -72,17 +76,17 @@
         return nowMs >= expiresMs;
     }
 
-    /** Whether its records may be used, fresh or stale. */
+    /** Whether the records may be used, fresh or stale. */
     boolean isUsable(double nowMs, double maxStaleMs) {
         return hasAnswer() && nowMs < expiresMs + maxStaleMs;
     }
 
-    /** Whether the search for it has come to an end, with an answer or without. */
+    /** Whether there has been an answer or at least one round of attempts without an answer. */
     boolean isSettled() {
         return hasAnswer() || failures > 0;
     }
 
-    /** Whether it is asked for already, or waits to be. */
+    /** Whether a query is in flight or waiting to be sent. */
     boolean isPending() {
         return query != null || isQueued;
     }
@@ -94,7 +98,7 @@
         failures = 0;
     }
 
-    /** Begins the chain anew. */
+    /** Restarts the chain at the name of the entry. */
     void resetChain() {
         attempts = 0;
         chainLength = 0;
--- a/dns/src/main/java/spartrail/dns/DnsEndpointSourceProvider.java
+++ b/dns/src/main/java/spartrail/dns/DnsEndpointSourceProvider.java
@@ -14,13 +14,13 @@
 import spartrail.model.NodeClock;
 import spartrail.model.Server;
 
-/** DNS SRV names as sources: each name is one source and lists the endpoints of one cell. */
+/** Provides DNS SRV names as endpoint sources; each name is one source that lists the endpoints of one cell. */
 public final class DnsEndpointSourceProvider implements EndpointSourceProvider {
-    /** A domain that does not exist (RFC 2606): no additional address lies in it. */
+    /** A domain that does not exist (RFC 2606), so no additional address is within the bailiwick. */
     private static final String NO_BAILIWICK = "invalid";
 
     private static final Pattern IPV4 = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}");
-    private static final int PORTS = 65_536;
+    private static final int PORT_COUNT = 65_536;
 
     @Override
     public String section() {
@@ -29,8 +29,8 @@
 
     @Override
     public AutoCloseable start(Map<?, ?> settings, Listener listener) throws IOException {
-        List<InetSocketAddress> servers = servers(settings);
-        Map<String, Integer> cells = cells(settings);
+        List<InetSocketAddress> servers = parseServers(settings);
+        Map<String, Integer> cells = parseCells(settings);
         Resolver resolver = new Resolver(
                 servers,
                 settings.get("bailiwick") instanceof String text ? text : NO_BAILIWICK,
@@ -39,52 +39,53 @@
                 RandomGenerator.of("L64X128MixRandom"));
         NodeClock clock = new NodeClock();
         DnsTransport transport = new DnsTransport(
-                resolver, clock, srvTargets -> report(srvTargets, cells.get(srvTargets.name()), listener));
+                resolver, clock, srvTargets -> reportTargets(srvTargets, cells.get(srvTargets.name()), listener));
         transport.execute(() -> cells.keySet().forEach(name -> resolver.follow(name, clock.nowMs())));
         return transport;
     }
 
-    private static List<InetSocketAddress> servers(Map<?, ?> settings) {
+    private static List<InetSocketAddress> parseServers(Map<?, ?> settings) {
         List<InetSocketAddress> servers = new ArrayList<>();
-        for (Object server : list(settings, "servers")) {
-            servers.add(address(String.valueOf(server)));
+        for (Object server : requireList(settings, "servers")) {
+            servers.add(parseAddress(String.valueOf(server)));
         }
         return servers;
     }
 
-    /** The cell that each name lists. */
-    private static Map<String, Integer> cells(Map<?, ?> settings) {
+    /** Reads the cell of each SRV name. */
+    private static Map<String, Integer> parseCells(Map<?, ?> settings) {
         Map<String, Integer> cells = new LinkedHashMap<>();
-        for (Object entry : list(settings, "names")) {
+        for (Object entry : requireList(settings, "names")) {
             if (!(entry instanceof Map<?, ?> fields)
                     || !(fields.get("name") instanceof String name)
                     || !(fields.get("cell") instanceof Number cell)) {
-                throw new IllegalArgumentException("dns: an entry of 'names' has 'name' and 'cell'");
+                throw new IllegalArgumentException("dns: an entry of 'names' lacks a text 'name' or a number 'cell'");
             }
             cells.put(name, cell.intValue());
         }
         return cells;
     }
 
-    private static List<?> list(Map<?, ?> settings, String name) {
+    private static List<?> requireList(Map<?, ?> settings, String name) {
         if (settings.get(name) instanceof List<?> list && !list.isEmpty()) {
             return list;
         }
-        throw new IllegalArgumentException("dns: '" + name + "' is missing or empty");
+        throw new IllegalArgumentException(
+                "dns: '" + name + "' is missing or empty, an array with at least one element is expected");
     }
 
-    private static InetSocketAddress address(String text) {
+    private static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String host = text.substring(0, Math.max(0, colon));
-        int port = port(text.substring(colon + 1));
-        if (IPV4.matcher(host).matches() && port > 0 && port < PORTS) {
+        int port = parsePort(text.substring(colon + 1));
+        if (IPV4.matcher(host).matches() && port > 0 && port < PORT_COUNT) {
             return new InetSocketAddress(host, port);
         }
         throw new IllegalArgumentException("dns: found '" + text + "', a name server such as 127.0.0.1:53 is expected");
     }
 
-    /** The port, or -1 where the text is no number. */
-    private static int port(String text) {
+    /** The port, or -1 if the text is not a number. */
+    private static int parsePort(String text) {
         try {
             return Integer.parseInt(text);
         } catch (NumberFormatException e) {
@@ -92,7 +93,7 @@
         }
     }
 
-    private static void report(SrvTargets srvTargets, int cell, Listener listener) {
+    private static void reportTargets(SrvTargets srvTargets, int cell, Listener listener) {
         String source = "dns " + srvTargets.name();
         if (srvTargets.isUnavailable() || srvTargets.isStale()) {
             listener.onUnavailable(source, EndpointSource.Kind.DNS);
@@ -103,12 +104,12 @@
                 .average()
                 .orElse(0);
         List<SourceReport> reports = srvTargets.targets().stream()
-                .map(target -> report(target, cell, meanWeight))
+                .map(target -> toReport(target, cell, meanWeight))
                 .toList();
         listener.onReports(source, EndpointSource.Kind.DNS, srvTargets.isComplete(), reports, srvTargets.ttlMs());
     }
 
-    private static SourceReport report(SrvTargets.Target target, int cell, double meanWeight) {
+    private static SourceReport toReport(SrvTargets.Target target, int cell, double meanWeight) {
         double weight = meanWeight > 0 ? target.weight() / meanWeight : 1;
         return new SourceReport(
                 null, target.address(), "", "dns", cell, Server.State.LIVE, weight, Double.NaN, target.priority());
--- a/dns/src/main/java/spartrail/dns/DnsQuery.java
+++ b/dns/src/main/java/spartrail/dns/DnsQuery.java
@@ -3,12 +3,12 @@
 import java.net.InetSocketAddress;
 
 /**
- * One query to one name server, to be sent now.
+ * One query to one name server, which is to be sent now.
  *
- * @param number unique in its resolver
- * @param id the id in the message
- * @param message its bytes; over TCP the transport puts the length before them (RFC 1035, section 4.2.2)
- * @param timeoutMs the transport gives up after so long and reports it
+ * @param number identifies the query in its resolver
+ * @param id the id in the header of the message
+ * @param message the encoded message; over TCP the transport prepends its length (RFC 1035, section 4.2.2)
+ * @param timeoutMs after what time without a response the transport reports a timeout
  */
 public record DnsQuery(
         long number,
--- a/dns/src/main/java/spartrail/dns/DnsTransport.java
+++ b/dns/src/main/java/spartrail/dns/DnsTransport.java
@@ -14,10 +14,11 @@
 import spartrail.model.TimerQueue;
 
 /**
- * Carries out what a {@link Resolver} asks, on a thread of its own: a fresh UDP socket for each query, and one TCP connection for
- * each name server, kept for the next query. It decides nothing. Queries in flight are bounded by the resolver, so sockets are, too.
+ * Sends the queries of a {@link Resolver} and passes the results back, on a thread of its own: over a new UDP socket
+ * for each query, or over one TCP connection per name server, which is kept for further queries. The transport makes no
+ * decisions. The resolver bounds the queries in flight and thereby the number of sockets.
  */
-// close() waits for its thread and passes an interrupt on.
+// close() waits for the thread and may throw InterruptedException, about which the compiler warns.
 @SuppressWarnings("try")
 public final class DnsTransport implements Runnable, AutoCloseable {
     private static final System.Logger LOG = System.getLogger("spartrail.dns");
@@ -34,7 +35,7 @@
     private final Thread thread;
     private volatile boolean isClosed;
 
-    /** Targets that change are handed over on this transport's thread, which owns the resolver from here on. */
+    /** Starts the thread, which owns the resolver from now on and passes changed targets to {@code onTargets}. */
     public DnsTransport(Resolver resolver, NodeClock clock, Consumer<SrvTargets> onTargets) throws IOException {
         this.resolver = resolver;
         this.onTargets = onTargets;
@@ -57,8 +58,11 @@
             try {
                 runOnce();
             } catch (IOException | RuntimeException e) {
-                // One malformed response must not end the following of all names.
-                LOG.log(System.Logger.Level.ERROR, "exception, what was at hand is given up", e);
+                // One malformed response must not stop the thread and thereby the updates of all names.
+                LOG.log(
+                        System.Logger.Level.ERROR,
+                        "exception in the DNS loop; dropping the current event and continuing",
+                        e);
             }
         }
         selector.keys().forEach(key -> TransportLoop.close(key.channel()));
@@ -77,7 +81,7 @@
         runReadyExchanges();
     }
 
-    /** Each query may fail at once and leave further ones. */
+    /** Sends queries until none is left, as a query that fails at once may cause another one. */
     private void sendQueries() {
         List<DnsQuery> queries = resolver.takeQueries();
         while (!queries.isEmpty()) {
@@ -109,7 +113,7 @@
     private void send(DnsQuery query) {
         try {
             if (query.isTcp()) {
-                connection(query).send(query);
+                getOrOpenConnection(query).send(query);
             } else {
                 UdpExchange.start(loop, query);
             }
@@ -118,8 +122,8 @@
         }
     }
 
-    /** The server's connection, or a new one that takes its place. */
-    private TcpConnection connection(DnsQuery query) throws IOException {
+    /** Returns the server's connection; opens one if there is none, or if the query's id is in use on it. */
+    private TcpConnection getOrOpenConnection(DnsQuery query) throws IOException {
         TcpConnection connection = connections.get(query.server());
         if (connection == null || connection.hasInFlight(query.id())) {
             connection = new TcpConnection(loop, query.server(), closed -> connections.remove(closed.server(), closed));
@@ -128,7 +132,7 @@
         return connection;
     }
 
-    /** Ends the thread and closes all sockets. */
+    /** Stops the thread, which closes all sockets. */
     @Override
     public void close() throws InterruptedException {
         isClosed = true;
--- a/dns/src/main/java/spartrail/dns/FollowedService.java
+++ b/dns/src/main/java/spartrail/dns/FollowedService.java
@@ -1,6 +1,6 @@
 package spartrail.dns;
 
-/** An SRV name that is followed, and the targets that were last handed out. */
+/** An SRV name that is followed, and its targets as they were last published. */
 final class FollowedService {
     private final String name;
     private final CacheEntry entry;
@@ -19,7 +19,7 @@
         return entry;
     }
 
-    /** Whether the targets differ from the last ones, which they replace. */
+    /** Replaces the last targets; returns whether the new ones differ from them. */
     boolean replaceTargets(SrvTargets srvTargets) {
         if (srvTargets.equals(lastTargets)) {
             return false;
--- a/dns/src/main/java/spartrail/dns/NameServer.java
+++ b/dns/src/main/java/spartrail/dns/NameServer.java
@@ -2,7 +2,9 @@
 
 import java.net.InetSocketAddress;
 
-/** A name server with its smoothed round-trip time, in which a timeout counts as its wait. */
+/**
+ * A name server with its smoothed round-trip time; a query that fails raises it to at least the timeout of the query.
+ */
 final class NameServer {
     private static final double OLD_SHARE = 0.7;
     private static final double NEW_SHARE = 0.3;
@@ -18,7 +20,7 @@
         return address;
     }
 
-    /** 0 before the first response. */
+    /** The smoothed round-trip time; 0 before the first response or failure. */
     double smoothedMs() {
         return smoothedMs;
     }
--- a/dns/src/main/java/spartrail/dns/NameServerSelector.java
+++ b/dns/src/main/java/spartrail/dns/NameServerSelector.java
@@ -4,9 +4,12 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Which name server is asked next: the one that responds soonest, now and then another, not the one that has just failed. */
+/**
+ * Selects the server for the next query: usually the fastest one except the one that has just failed, sometimes a
+ * random one.
+ */
 final class NameServerSelector {
-    /** The share of queries that go to a server drawn at random, so that one that has recovered is found. */
+    /** The share of queries sent to a random server, so that a server that has recovered is used again. */
     private static final double EXPLORATION_SHARE = 0.05;
 
     private final List<NameServer> servers;
--- a/dns/src/main/java/spartrail/dns/QueryDispatcher.java
+++ b/dns/src/main/java/spartrail/dns/QueryDispatcher.java
@@ -15,12 +15,15 @@
 import org.xbill.DNS.Record;
 import org.xbill.DNS.Section;
 
-/** Queries in flight, of which there are so many at the most, those that are to be sent, and the entries that wait for one. */
+/**
+ * The queries in flight, whose number is limited, the queries to be sent, and the entries that wait until a query in
+ * flight ends.
+ */
 final class QueryDispatcher {
-    /** The largest UDP message that passes without fragments (DNS Flag Day 2020). */
+    /** The largest UDP message that is not fragmented on common networks (DNS Flag Day 2020). */
     private static final int EDNS_SIZE_BYTES = 1232;
 
-    private static final int IDS = 1 << 16;
+    private static final int ID_COUNT = 1 << 16;
     private static final int MAX_TIMEOUT_DOUBLINGS = 2;
 
     private final ResolverSettings settings;
@@ -47,19 +50,19 @@
         return inFlight.size();
     }
 
-    /** The entry whose query this is; null where it is no longer in flight. */
+    /** The entry of the query; null if the query is not in flight any more. */
     CacheEntry find(DnsQuery query) {
         return inFlight.get(query.number());
     }
 
-    /** The queries that are to be sent now. */
+    /** Returns the queries to be sent now, each once. */
     List<DnsQuery> takeUnsent() {
         List<DnsQuery> queries = List.copyOf(unsent);
         unsent.clear();
         return queries;
     }
 
-    /** Sends a query for the entry, now or when another one has ended. */
+    /** Sends a query for the entry now, or after another query has ended if too many are in flight. */
     void enqueue(CacheEntry entry, double nowMs) {
         if (inFlight.size() >= settings.maxInFlight()) {
             entry.isQueued = true;
@@ -69,7 +72,7 @@
         }
     }
 
-    /** Sends the queries that wait, as far as there is room. */
+    /** Sends the waiting queries up to the maximum number in flight. */
     void sendWaiting(double nowMs) {
         while (!waiting.isEmpty() && inFlight.size() < settings.maxInFlight()) {
             CacheEntry entry = waiting.poll();
@@ -78,7 +81,7 @@
         }
     }
 
-    /** Asks a name server once more; false where all attempts are used up. */
+    /** Sends another query for the entry; returns false if its attempts are used up. */
     boolean retry(CacheEntry entry, double nowMs) {
         if (entry.attempts >= settings.attempts()) {
             return false;
@@ -87,15 +90,15 @@
         return true;
     }
 
-    /** Asks the same name server over TCP. */
+    /** Sends a query to the same name server over TCP. */
     void retryOverTcp(CacheEntry entry, double nowMs) {
         send(entry, entry.server, true, nowMs);
     }
 
     private void send(CacheEntry entry, NameServer server, boolean isTcp, double nowMs) {
-        int id = random.nextInt(IDS);
-        byte[] message = message(id, entry).toWire();
-        double timeoutMs = timeoutMs(entry.attempts);
+        int id = random.nextInt(ID_COUNT);
+        byte[] message = createMessage(id, entry).toWire();
+        double timeoutMs = timeoutForAttemptMs(entry.attempts);
         entry.attempts++;
         entry.server = server;
         entry.sentMs = nowMs;
@@ -113,7 +116,7 @@
         counts.increment(isTcp ? ResolverCounts.SENT_TCP : ResolverCounts.SENT_UDP);
     }
 
-    private static Message message(int id, CacheEntry entry) {
+    private static Message createMessage(int id, CacheEntry entry) {
         Message message = new Message(id);
         message.getHeader().setFlag(Flags.RD);
         message.addRecord(Record.newRecord(entry.chainName, entry.type(), DClass.IN), Section.QUESTION);
@@ -121,12 +124,12 @@
         return message;
     }
 
-    private double timeoutMs(int attempts) {
+    private double timeoutForAttemptMs(int attempts) {
         int factor = 1 << Math.min(MAX_TIMEOUT_DOUBLINGS, attempts);
         return settings.timeoutMs() * factor;
     }
 
-    /** The entry's query has ended. */
+    /** Removes the entry's query, which has ended. */
     void complete(CacheEntry entry) {
         inFlight.remove(entry.query.number());
         entry.query = null;
--- a/dns/src/main/java/spartrail/dns/RecordCache.java
+++ b/dns/src/main/java/spartrail/dns/RecordCache.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 import org.xbill.DNS.Name;
 
-/** Entries by name and type. */
+/** Cache entries by name and type. */
 final class RecordCache {
     private final Map<String, CacheEntry> entries = new HashMap<>();
 
-    /** The key of a name and type: names are the same in upper and lower case. */
+    /** The key of a name and type; names are not case-sensitive. */
     static String key(Name name, int type) {
         return type + " " + name.toString().toLowerCase(Locale.ROOT);
     }
--- a/dns/src/main/java/spartrail/dns/Resolver.java
+++ b/dns/src/main/java/spartrail/dns/Resolver.java
@@ -22,30 +22,35 @@
 import spartrail.model.TimerQueue;
 
 /**
- * Follows SRV names (RFC 2782) over several name servers: what to ask whom next, and what the targets are now. No I/O, no clock;
- * the host sends the queries, hands in responses, timeouts and failures, and asks what is due.
+ * Follows SRV names (RFC 2782) over several name servers: decides which query to send next to which server, and
+ * determines the current targets. The resolver has no clock and does no I/O. Its host sends the queries, passes in
+ * responses, timeouts and failures, and calls {@link #advance} when something is due.
  *
  * <pre>
  * state      event                                   next
  * idle       refresh due, or needed for a service    in flight: one query at a time for a name and type
- * in flight  a response that fits                    cached for the least TTL of its chain, refreshed ahead of its end
- * in flight  one that says there is none             cached as none, by the SOA (RFC 2308)
- * in flight  truncated, over UDP                     in flight to the same server over TCP; what was cut is never used
- * in flight  a failure code, a timeout, TCP refused  in flight to the next server, with a longer wait, so many attempts
- * in flight  all attempts used up                    what is cached goes on stale (RFC 8767), next round after a backoff
- * in flight  what does not fit the query             dropped and counted; the true response is still waited for
- * stale      longer than allowed                     unavailable: nothing can be said of the name
+ * in flight  a valid response with records           cached for the minimum TTL of its chain, refreshed before expiry
+ * in flight  a valid response without records        cached as negative answer, for the time of the SOA (RFC 2308)
+ * in flight  truncated, over UDP                     in flight to the same server over TCP; truncated records are not
+ *                                                    used
+ * in flight  a failure code, a timeout, TCP refused  in flight to another server with a longer timeout, up to the
+ *                                                    maximum number of attempts
+ * in flight  all attempts used up                    cached records are used as stale (RFC 8767); the next round
+ *                                                    follows after a backoff
+ * in flight  a message that does not match           dropped and counted; the query stays in flight
+ * stale      longer than allowed                     unavailable: the targets of the name are unknown
  * </pre>
  *
- * <p>Cost: a response costs its records and the services that need them; {@link #advance} walks all services.
+ * <p>Cost: a response takes time proportional to its records and the services that need them; {@link #advance}
+ * iterates over all services and marks them for a check of their targets.
  */
 public final class Resolver {
     private static final int[] IPV4_ONLY = {Type.A};
     private static final int[] IPV4_AND_IPV6 = {Type.A, Type.AAAA};
     private static final int MAX_BACKOFF_DOUBLINGS = 20;
-    private static final double BACKOFF_LEAST_SHARE = 0.75;
+    private static final double MIN_BACKOFF_SHARE = 0.75;
     private static final double BACKOFF_JITTER_SHARE = 0.5;
-    private static final double REFRESH_LEAST_SHARE = 0.75;
+    private static final double MIN_REFRESH_SHARE = 0.75;
     private static final double REFRESH_JITTER_SHARE = 0.15;
 
     private final ResolverSettings settings;
@@ -62,8 +67,10 @@
     private double nowMs;
 
     /**
-     * Additional addresses of a response count only for names within {@code bailiwick}; AAAA is asked for only with
-     * {@code hasIpv6}.
+     * Creates a resolver that follows no name yet.
+     *
+     * @param bailiwick addresses in the additional section of a response are used only for names within this domain
+     * @param hasIpv6 whether AAAA records are queried in addition to A records
      */
     public Resolver(
             List<InetSocketAddress> nameServers,
@@ -89,56 +96,56 @@
         this.queries = new QueryDispatcher(nameServers, settings, random, counts);
     }
 
-    /** Follows this SRV name from now on; an IllegalArgumentException where it is no name. */
+    /** Follows this SRV name from now on; throws an IllegalArgumentException if it is not a valid name. */
     public void follow(String name, double atMs) {
         nowMs = atMs;
-        CacheEntry entry = cache.getOrCreate(parse(name), Type.SRV);
+        CacheEntry entry = cache.getOrCreate(parseName(name), Type.SRV);
         FollowedService service = services.computeIfAbsent(name, key -> new FollowedService(key, entry));
         entry.users.add(service);
-        askIfNeeded(entry);
+        queryIfNeeded(entry);
     }
 
-    private static Name parse(String name) {
+    private static Name parseName(String name) {
         try {
             return Name.fromString(name, Name.root);
         } catch (TextParseException e) {
-            throw new IllegalArgumentException("'" + name + "' is no name: " + e.getMessage(), e);
+            throw new IllegalArgumentException("'" + name + "' is not a valid DNS name: " + e.getMessage(), e);
         }
     }
 
     // Queries
 
-    /** Does what is due by now. */
+    /** Runs the timers that are due at this time. */
     public void advance(double atMs) {
         nowMs = atMs;
         timers.runDue(atMs);
-        // The records of a service may have become too old meanwhile.
+        // The records of any service may have expired in the meantime.
         touched.addAll(services.values());
     }
 
-    /** When {@link #advance} has something to do next. */
+    /** When the next timer of {@link #advance} is due; {@code Double.MAX_VALUE} if there is none. */
     public double nextMs() {
         return timers.nextDueMs();
     }
 
-    /** The queries that are to be sent now. */
+    /** Returns the queries to be sent now, each once. */
     public List<DnsQuery> takeQueries() {
         return queries.takeUnsent();
     }
 
-    /** Queries in flight. */
+    /** The number of queries in flight. */
     public int inFlight() {
         return queries.inFlight();
     }
 
-    private void askIfNeeded(CacheEntry entry) {
+    private void queryIfNeeded(CacheEntry entry) {
         boolean isScheduled = entry.refresh != null;
         if (!entry.isPending() && !entry.isFresh(nowMs) && !isScheduled) {
-            ask(entry);
+            startQuery(entry);
         }
     }
 
-    private void ask(CacheEntry entry) {
+    private void startQuery(CacheEntry entry) {
         entry.resetChain();
         cancelRefresh(entry);
         queries.enqueue(entry, nowMs);
@@ -148,15 +155,15 @@
         cancelRefresh(entry);
         entry.refresh = timers.schedule(atMs, () -> {
             entry.refresh = null;
-            refreshOrForget(entry);
+            refreshOrRemove(entry);
         });
     }
 
-    private void refreshOrForget(CacheEntry entry) {
+    private void refreshOrRemove(CacheEntry entry) {
         if (entry.users.isEmpty()) {
             cache.remove(entry);
         } else if (!entry.isPending()) {
-            ask(entry);
+            startQuery(entry);
         }
     }
 
@@ -169,7 +176,10 @@
 
     // Responses
 
-    /** What came for a query; whether it was its response. If not, the host goes on waiting. */
+    /**
+     * Passes in a message received for a query; returns false if it is not the response, so that the host keeps
+     * waiting.
+     */
     public boolean onResponse(DnsQuery query, byte[] bytes, InetSocketAddress from, double atMs) {
         nowMs = atMs;
         CacheEntry entry = queries.find(query);
@@ -191,7 +201,7 @@
         return true;
     }
 
-    /** The message, or null where the bytes are none. */
+    /** Decodes a message; returns null if the bytes are malformed. */
     private Message decode(byte[] bytes) {
         try {
             return new Message(bytes);
@@ -232,12 +242,12 @@
         queries.sendWaiting(nowMs);
     }
 
-    /** No response came in the query's time. */
+    /** Reports that no response arrived within the timeout of the query. */
     public void onTimeout(DnsQuery query, double atMs) {
         fail(query, ResolverCounts.TIMED_OUT, atMs);
     }
 
-    /** The connection was refused or broke, or there was no socket. */
+    /** Reports that the connection was refused or broken, or that no socket could be opened. */
     public void onFailure(DnsQuery query, double atMs) {
         fail(query, ResolverCounts.NO_CONNECTION, atMs);
     }
@@ -253,14 +263,17 @@
         }
     }
 
-    /** Another attempt, or the end of the round: what is cached is used on, and the next round begins after a backoff. */
+    /**
+     * Starts another attempt. After the last attempt, cached records stay in use and the next round follows after a
+     * backoff.
+     */
     private void retryOrBackOff(CacheEntry entry) {
         if (queries.retry(entry, nowMs)) {
             return;
         }
         entry.failures++;
         counts.increment(ResolverCounts.NO_SERVER_ANSWERS);
-        double jitter = BACKOFF_LEAST_SHARE + BACKOFF_JITTER_SHARE * random.nextDouble();
+        double jitter = MIN_BACKOFF_SHARE + BACKOFF_JITTER_SHARE * random.nextDouble();
         scheduleRefresh(entry, nowMs + backoffMs(entry.failures) * jitter);
         touched.addAll(entry.users);
         queries.sendWaiting(nowMs);
@@ -284,8 +297,8 @@
             return;
         }
         List<Record> records = chain.records();
-        boolean leadsOut = !chain.name().equals(entry.chainName);
-        if (records.isEmpty() && leadsOut) {
+        boolean hasLeftResponse = !chain.name().equals(entry.chainName);
+        if (records.isEmpty() && hasLeftResponse) {
             entry.chainName = chain.name();
             entry.chainTtlMs = chain.ttlMs();
             entry.attempts = 0;
@@ -300,20 +313,22 @@
         store(entry, records, ttlMs);
         if (entry.type() == Type.SRV) {
             storeAdditionalAddresses(entry, message);
-            records.forEach(record -> askForAddresses(entry, (SRVRecord) record));
+            records.forEach(record -> queryAddresses(entry, (SRVRecord) record));
         }
     }
 
     private void store(CacheEntry entry, List<Record> records, double ttlMs) {
         double boundedMs = Math.max(settings.minTtlMs(), Math.min(settings.maxTtlMs(), ttlMs));
         entry.store(records, boundedMs, nowMs);
-        // Ahead of its end, spread by chance, so that names that came together are not asked for together.
-        double share = REFRESH_LEAST_SHARE + REFRESH_JITTER_SHARE * random.nextDouble();
+        // Refreshed at a random time before expiry, so that names cached together are not queried together.
+        double share = MIN_REFRESH_SHARE + REFRESH_JITTER_SHARE * random.nextDouble();
         scheduleRefresh(entry, nowMs + Math.max(settings.minTtlMs(), boundedMs * share));
         touched.addAll(entry.users);
     }
 
-    /** Additional addresses are as good as asked for, within the bailiwick. */
+    /**
+     * Stores the addresses of targets in the additional section as if they had been queried, if within the bailiwick.
+     */
     private void storeAdditionalAddresses(CacheEntry srv, Message message) {
         Map<String, List<Record>> byKey = new LinkedHashMap<>();
         Set<String> wanted = targetNames(srv);
@@ -326,7 +341,7 @@
                 continue;
             }
             String key = RecordCache.key(record.getName(), record.getType());
-            byKey.computeIfAbsent(key, each -> new ArrayList<>()).add(record);
+            byKey.computeIfAbsent(key, unused -> new ArrayList<>()).add(record);
         }
         byKey.values().forEach(this::storeAddresses);
     }
@@ -349,7 +364,10 @@
         return isWantedType && record.getDClass() == DClass.IN;
     }
 
-    /** A name server that answers for one zone could name addresses of any other. */
+    /**
+     * Whether the name is in the bailiwick; otherwise a server of one zone could supply addresses for names of any
+     * zone.
+     */
     private boolean isInBailiwick(Name name) {
         return ("." + lowerCase(name)).endsWith(bailiwick);
     }
@@ -367,21 +385,21 @@
         store(entry, records, ttlMs);
     }
 
-    private void askForAddresses(CacheEntry srv, SRVRecord record) {
-        // A target of the root says that there is no such service (RFC 2782).
+    private void queryAddresses(CacheEntry srv, SRVRecord record) {
+        // The root as target means that the service is not available (RFC 2782).
         if (record.getTarget().equals(Name.root)) {
             return;
         }
         for (int type : addressTypes) {
             CacheEntry address = cache.getOrCreate(record.getTarget(), type);
             address.users.addAll(srv.users);
-            askIfNeeded(address);
+            queryIfNeeded(address);
         }
     }
 
     // Targets
 
-    /** The targets that have changed since this was last asked; none of a service whose first answers are on their way. */
+    /** The targets that have changed since the last call, without services whose first queries have no result yet. */
     public List<SrvTargets> takeChangedTargets(double atMs) {
         nowMs = atMs;
         List<SrvTargets> changed = new ArrayList<>();
@@ -399,7 +417,7 @@
         return changed;
     }
 
-    /** How often each thing has happened, by its text. */
+    /** The counters of events, by name. */
     public Map<String, Long> counts() {
         return counts.asMap();
     }
--- a/dns/src/main/java/spartrail/dns/ResolverCounts.java
+++ b/dns/src/main/java/spartrail/dns/ResolverCounts.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** How often each thing has happened, by the text under which it is shown. */
+/** Counters of events, by the name under which they are printed. */
 final class ResolverCounts {
     static final String SENT_UDP = "asked over UDP";
     static final String SENT_TCP = "asked over TCP";
@@ -29,7 +29,7 @@
         counts.merge(event, 1L, Long::sum);
     }
 
-    /** A response with a failure code. */
+    /** Counts a response with a failure code. */
     void incrementFailure(String code) {
         increment(FAILURE_CODE + code);
     }
--- a/dns/src/main/java/spartrail/dns/ResponseValidator.java
+++ b/dns/src/main/java/spartrail/dns/ResponseValidator.java
@@ -7,9 +7,12 @@
 import org.xbill.DNS.Record;
 import org.xbill.DNS.Section;
 
-/** Whether a message is the response to a query (RFC 5452, section 9). A test replaces it to show that each check matters. */
+/**
+ * Checks whether a message is the response to a query (RFC 5452, section 9). Tests override checks to show that each is
+ * needed.
+ */
 class ResponseValidator {
-    /** Whether the list of records was cut: it looks like a shorter one and must not be used. */
+    /** Whether the message is truncated; its records look like a shorter list and must not be used. */
     boolean isTruncated(Message message) {
         return message.getHeader().getFlag(Flags.TC);
     }
@@ -18,7 +21,7 @@
         return message.getHeader().getID() == query.id();
     }
 
-    /** Whether the message answers the question of the query, and no other. */
+    /** Whether the message is a response to exactly the question of the query. */
     boolean answersQuestion(DnsQuery query, Message message) {
         Record question = message.getQuestion();
         return message.getHeader().getFlag(Flags.QR)
--- a/dns/src/main/java/spartrail/dns/SrvTargetsBuilder.java
+++ b/dns/src/main/java/spartrail/dns/SrvTargetsBuilder.java
@@ -10,7 +10,7 @@
 import org.xbill.DNS.SRVRecord;
 import org.xbill.DNS.Type;
 
-/** Puts the targets of one service together from what is cached now. */
+/** Builds the targets of one service from the records that are cached now. */
 final class SrvTargetsBuilder {
     private final RecordCache cache;
     private final ResolverSettings settings;
@@ -28,12 +28,12 @@
         this.nowMs = nowMs;
     }
 
-    /** Whether targets were left out as there are too many. */
+    /** Whether targets were dropped because there are too many. */
     boolean hasTooManyTargets() {
         return hasTooManyTargets;
     }
 
-    /** The targets; null while the service's first answers are still on their way. */
+    /** Builds the targets; returns null while queries for the service have not had a first result. */
     SrvTargets build(FollowedService service) {
         CacheEntry entry = service.entry();
         if (!isUsable(entry)) {
@@ -42,7 +42,7 @@
         ttlMs = entry.ttlMs();
         for (Record record : entry.records()) {
             SRVRecord target = (SRVRecord) record;
-            // A target of the root says that there is no such service (RFC 2782).
+            // The root as target means that the service is not available (RFC 2782).
             if (target.getTarget().equals(Name.root)) {
                 continue;
             }
@@ -63,7 +63,7 @@
         return entry != null && entry.isUsable(nowMs, settings.maxStaleMs());
     }
 
-    /** Adds the target if its address is known; false while the address is still asked for. */
+    /** Adds the target if its address is known; returns false while the first query for the address has no result. */
     private boolean addTarget(SRVRecord target) {
         String address = null;
         boolean areAddressesKnown = true;
@@ -74,8 +74,8 @@
                 continue;
             }
             if (!entry.records().isEmpty()) {
-                String least = leastAddress(entry.records());
-                address = address == null ? least : address;
+                String smallest = smallestAddress(entry.records());
+                address = address == null ? smallest : address;
                 ttlMs = Math.min(ttlMs, entry.ttlMs());
             }
         }
@@ -96,17 +96,17 @@
         return entry != null && entry.isSettled();
     }
 
-    /** Of a server with several addresses the least, so that it is the same one each time. */
-    private static String leastAddress(List<Record> records) {
+    /** Selects the alphabetically smallest of several addresses, so that the selection is always the same. */
+    private static String smallestAddress(List<Record> records) {
         return records.stream()
-                .map(SrvTargetsBuilder::address)
+                .map(SrvTargetsBuilder::formatAddress)
                 .min(String::compareTo)
                 .orElseThrow();
     }
 
-    private static String address(Record record) {
-        if (record instanceof ARecord four) {
-            return four.getAddress().getHostAddress();
+    private static String formatAddress(Record record) {
+        if (record instanceof ARecord ipv4) {
+            return ipv4.getAddress().getHostAddress();
         }
         return "[" + ((AAAARecord) record).getAddress().getHostAddress() + "]";
     }
--- a/dns/src/main/java/spartrail/dns/TcpConnection.java
+++ b/dns/src/main/java/spartrail/dns/TcpConnection.java
@@ -14,16 +14,16 @@
 import spartrail.model.TimerQueue;
 
 /**
- * A connection to a name server with the queries in flight on it.
+ * A TCP connection to a name server, with the queries in flight on it.
  *
  * <pre>
  * state        event                                  next
- * connecting   connected                              open: what waits is written
- * open         a response                             open; with no further query in flight, idle
- * open         a query's timeout, the last of all     closed: the server may have swallowed more than this one
+ * connecting   connected                              open; the waiting queries are written
+ * open         a response                             open; idle if no query is in flight any more
+ * open         the last query in flight times out     closed: the server may have dropped more than this query
  * idle         a query                                open
  * idle         {@link #MAX_IDLE_MS} have passed       closed
- * any          refused, broken, ended by the server   closed: every query in flight has failed
+ * any          refused, broken, closed by the server  closed; every query in flight fails
  * </pre>
  */
 final class TcpConnection {
@@ -47,7 +47,7 @@
     private boolean isConnected;
     private TimerQueue.Timer idleTimeout;
 
-    /** Begins to connect; an IOException where that is not possible. */
+    /** Starts to connect; throws an IOException if that is not possible. */
     TcpConnection(TransportLoop loop, InetSocketAddress server, Consumer<TcpConnection> onClosed) throws IOException {
         this.loop = loop;
         this.server = server;
@@ -68,7 +68,7 @@
         return server;
     }
 
-    /** Whether a query of this id is in flight: two of one id could not be told apart. */
+    /** Whether a query with this id is in flight; the responses to two queries with one id could not be told apart. */
     boolean hasInFlight(int id) {
         return inFlight.containsKey(id);
     }
@@ -142,7 +142,7 @@
             }
             input.flip();
             if (isReadingLength) {
-                // Two octets of length: no response is longer than 64 KiB.
+                // The length has two octets, so no response exceeds 64 KiB.
                 input = ByteBuffer.allocate(Math.max(1, Short.toUnsignedInt(input.getShort())));
                 isReadingLength = false;
             } else {
@@ -155,7 +155,7 @@
     }
 
     private void onMessage(byte[] message) {
-        InFlight answered = inFlight.get(id(message));
+        InFlight answered = inFlight.get(readId(message));
         if (answered != null && loop.resolver().onResponse(answered.query(), message, server, loop.nowMs())) {
             inFlight.remove(answered.query().id());
             loop.timers().cancel(answered.timeout());
@@ -165,7 +165,7 @@
         }
     }
 
-    private static int id(byte[] message) {
+    private static int readId(byte[] message) {
         if (message.length < ID_BYTES) {
             return NO_ID;
         }
@@ -187,7 +187,7 @@
         TransportLoop.close(channel);
         List<InFlight> failed = List.copyOf(inFlight.values());
         inFlight.clear();
-        failed.forEach(each -> loop.timers().cancel(each.timeout()));
-        failed.forEach(each -> loop.resolver().onFailure(each.query(), loop.nowMs()));
+        failed.forEach(entry -> loop.timers().cancel(entry.timeout()));
+        failed.forEach(entry -> loop.resolver().onFailure(entry.query(), loop.nowMs()));
     }
 }
--- a/dns/src/main/java/spartrail/dns/TransportLoop.java
+++ b/dns/src/main/java/spartrail/dns/TransportLoop.java
@@ -4,7 +4,10 @@
 import spartrail.model.NodeClock;
 import spartrail.model.TimerQueue;
 
-/** What the exchanges of a transport share: its selector, clock and timers, and the resolver that they report to. */
+/**
+ * The objects shared by the exchanges of a transport: selector, clock, timers, and the resolver that receives the
+ * results.
+ */
 record TransportLoop(Selector selector, NodeClock clock, TimerQueue timers, Resolver resolver) {
     private static final System.Logger LOG = System.getLogger("spartrail.dns");
 
@@ -16,7 +19,7 @@
         try {
             channel.close();
         } catch (Exception e) {
-            LOG.log(System.Logger.Level.DEBUG, "closing", e);
+            LOG.log(System.Logger.Level.DEBUG, "cannot close a channel", e);
         }
     }
 }
--- a/dns/src/main/java/spartrail/dns/Ttl.java
+++ b/dns/src/main/java/spartrail/dns/Ttl.java
@@ -5,18 +5,21 @@
 import org.xbill.DNS.SOARecord;
 import org.xbill.DNS.Section;
 
-/** How long records are valid. */
+/** Calculates how long records are valid. */
 final class Ttl {
     private static final double MS_PER_S = 1000.0;
 
     private Ttl() {}
 
-    /** The lesser of what has been found so far and the TTL of the record. */
-    static double leastMs(double leastMs, Record record) {
-        return Math.min(leastMs, MS_PER_S * Math.max(0, record.getTTL()));
+    /** The minimum of {@code minSoFarMs} and the TTL of the record. */
+    static double leastMs(double minSoFarMs, Record record) {
+        return Math.min(minSoFarMs, MS_PER_S * Math.max(0, record.getTTL()));
     }
 
-    /** The lesser of the SOA's TTL and its minimum (RFC 2308, section 5); the other value where there is no SOA. */
+    /**
+     * The minimum of the SOA's TTL and its MINIMUM field (RFC 2308, section 5); {@code withoutSoaMs} if there is no
+     * SOA.
+     */
     static double negativeMs(Message message, double withoutSoaMs) {
         for (Record record : message.getSection(Section.AUTHORITY)) {
             if (record instanceof SOARecord soa) {
--- a/dns/src/main/java/spartrail/dns/UdpExchange.java
+++ b/dns/src/main/java/spartrail/dns/UdpExchange.java
@@ -8,8 +8,9 @@
 import spartrail.model.TimerQueue;
 
 /**
- * A query in flight over UDP, on a socket of its own and so from a port drawn by the system. It ends with the response, a failure
- * of the socket or the timeout; what is no response to the query is left to the resolver to drop and count.
+ * A query in flight over UDP. It has a socket of its own, so the system assigns a random port. The exchange ends with
+ * the response, a failure of the socket or the timeout. The resolver drops and counts datagrams that are not the
+ * response.
  */
 final class UdpExchange {
     private static final int MAX_DATAGRAM_BYTES = 4096;
@@ -19,7 +20,7 @@
     private final DatagramChannel channel;
     private final TimerQueue.Timer timeout;
 
-    /** Sends the query; an IOException where that is not possible. */
+    /** Sends the query; throws an IOException if that is not possible. */
     static void start(TransportLoop loop, DnsQuery query) throws IOException {
         new UdpExchange(loop, query);
     }
@@ -39,7 +40,7 @@
 
     private void send() throws IOException {
         channel.configureBlocking(false);
-        // Not connected: what comes from elsewhere is to be seen, counted and dropped.
+        // Not connected, so that datagrams from other addresses are received, counted and dropped.
         boolean isLocal = query.server().getAddress().isLoopbackAddress();
         channel.bind(new InetSocketAddress(isLocal ? "127.0.0.1" : "0.0.0.0", 0));
         channel.register(loop.selector(), SelectionKey.OP_READ, (Runnable) this::onReadable);
@@ -55,7 +56,7 @@
         try {
             receive();
         } catch (IOException e) {
-            // No such port, for instance: the timeout would find the same later.
+            // For instance, the port is unreachable. Without this the query would fail later by its timeout.
             close();
             loop.resolver().onFailure(query, loop.nowMs());
         }
--- a/dns/src/test/java/spartrail/dns/DnsZone.java
+++ b/dns/src/test/java/spartrail/dns/DnsZone.java
@@ -19,7 +19,10 @@
 import org.xbill.DNS.Type;
 import spartrail.model.TimerQueue;
 
-/** Name servers on a virtual clock, with records and behaviors that a test chooses, and a resolver that request them. */
+/**
+ * Simulated name servers on a virtual clock, whose records and behaviors a test sets, and a resolver that sends them
+ * queries.
+ */
 final class DnsZone {
     /** How a name server responds. */
     enum Behavior {
@@ -42,10 +45,10 @@
     final Map<String, List<String>> records = new HashMap<>();
     final Map<InetSocketAddress, Behavior> behaviors = new HashMap<>();
     boolean refusesTcp;
-    boolean sendsAdditional;
+    boolean hasAdditionalRecords;
     final Resolver resolver;
     final SplittableRandom random;
-    final StringBuilder seen = new StringBuilder();
+    final StringBuilder trace = new StringBuilder();
     private final TimerQueue wire = new TimerQueue();
     double nowMs;
     int queries;
@@ -55,14 +58,16 @@
         this(settings, seed, null);
     }
 
-    /** With a resolver that has a fault. */
-    DnsZone(ResolverSettings settings, long seed, Resolver other) {
+    /** Creates a zone with a resolver that may have a planted fault. */
+    DnsZone(ResolverSettings settings, long seed, Resolver faultyResolver) {
         random = new SplittableRandom(seed);
-        resolver = other != null ? other : new Resolver(List.of(FIRST, SECOND), "example.org", false, settings, random);
+        resolver = faultyResolver != null
+                ? faultyResolver
+                : new Resolver(List.of(FIRST, SECOND), "example.org", false, settings, random);
     }
 
-    /** An SRV name of so many targets and their addresses. */
-    void service(String name, int ttlS, int addressTtlS, int... targets) {
+    /** Adds an SRV name with these targets, and the addresses of the targets. */
+    void addService(String name, int ttlS, int addressTtlS, int... targets) {
         List<String> lines = new ArrayList<>();
         for (int target : targets) {
             lines.add(ttlS + " SRV 0 5 80 s" + target + ".example.org.");
@@ -80,36 +85,36 @@
         for (DnsQuery query : resolver.takeQueries()) {
             queries++;
             Behavior behavior = behaviors.getOrDefault(query.server(), Behavior.ANSWER);
-            boolean[] isOver = new boolean[1];
+            boolean[] isCompleted = new boolean[1];
             if (query.isTcp() && refusesTcp) {
                 wire.schedule(nowMs + ROUND_TRIP_MS, () -> resolver.onFailure(query, nowMs));
                 continue;
             }
             wire.schedule(nowMs + query.timeoutMs(), () -> {
-                if (!isOver[0]) {
+                if (!isCompleted[0]) {
                     resolver.onTimeout(query, nowMs);
                 }
             });
             if (behavior != Behavior.SILENT) {
                 double roundTripMs = behavior == Behavior.LATE ? query.timeoutMs() + 50 : ROUND_TRIP_MS;
-                wire.schedule(nowMs + roundTripMs, () -> isOver[0] |= respond(query, behavior));
+                wire.schedule(nowMs + roundTripMs, () -> isCompleted[0] |= respond(query, behavior));
             }
         }
         maxInFlight = Math.max(maxInFlight, resolver.inFlight());
     }
 
     private boolean respond(DnsQuery query, Behavior behavior) {
-        byte[] bytes = message(query, behavior);
+        byte[] bytes = createMessage(query, behavior);
         InetSocketAddress from = behavior == Behavior.SPOOF ? new InetSocketAddress("127.0.0.1", 9) : query.server();
         if (resolver.onResponse(query, bytes, from, nowMs)) {
             return true;
         }
-        // What was no answer is followed by the true one, but for noise.
+        // A message that the resolver drops is followed by the correct response, except after noise.
         return behavior != Behavior.NOISE
-                && resolver.onResponse(query, message(query, Behavior.ANSWER), query.server(), nowMs);
+                && resolver.onResponse(query, createMessage(query, Behavior.ANSWER), query.server(), nowMs);
     }
 
-    byte[] message(DnsQuery query, Behavior behavior) {
+    byte[] createMessage(DnsQuery query, Behavior behavior) {
         try {
             if (behavior == Behavior.NOISE) {
                 byte[] noise = new byte[random.nextInt(200)];
@@ -128,9 +133,9 @@
                 message.getHeader().setRcode(Rcode.SERVFAIL);
                 return message.toWire();
             }
-            List<String> lines = find(Type.string(query.type()) + " " + name);
+            List<String> lines = findRecords(Type.string(query.type()) + " " + name);
             if (behavior == Behavior.WRONG_ID || behavior == Behavior.WRONG_QUESTION || behavior == Behavior.SPOOF) {
-                // Whoever is not the server would have other servers queries.
+                // A forged response would make the resolver use another server.
                 lines = List.of(query.type() == Type.SRV ? "4 SRV 0 5 80 s66.example.org." : "6 A 10.0.0.66");
             }
             int count = 0;
@@ -139,23 +144,23 @@
                     message.getHeader().setFlag(Flags.TC);
                     break;
                 }
-                message.addRecord(record(name, line), Section.ANSWER);
+                message.addRecord(parseRecord(name, line), Section.ANSWER);
             }
             if (lines.isEmpty()) {
-                List<String> alias = find("CNAME " + name);
+                List<String> alias = findRecords("CNAME " + name);
                 if (!alias.isEmpty()) {
-                    message.addRecord(record(name, alias.get(0)), Section.ANSWER);
+                    message.addRecord(parseRecord(name, alias.get(0)), Section.ANSWER);
                 } else {
                     message.getHeader().setRcode(records.containsKey("NX " + name) ? Rcode.NXDOMAIN : Rcode.NOERROR);
                     message.addRecord(
-                            record(Name.fromString("example.org."), "60 SOA a. b. 1 2 3 4 2"), Section.AUTHORITY);
+                            parseRecord(Name.fromString("example.org."), "60 SOA a. b. 1 2 3 4 2"), Section.AUTHORITY);
                 }
             }
-            if (sendsAdditional) {
+            if (hasAdditionalRecords) {
                 for (Record answer : message.getSection(Section.ANSWER)) {
                     if (answer.getAdditionalName() != null) {
-                        for (String line : find("A " + answer.getAdditionalName())) {
-                            message.addRecord(record(answer.getAdditionalName(), line), Section.ADDITIONAL);
+                        for (String line : findRecords("A " + answer.getAdditionalName())) {
+                            message.addRecord(parseRecord(answer.getAdditionalName(), line), Section.ADDITIONAL);
                         }
                     }
                 }
@@ -166,44 +171,45 @@
         }
     }
 
-    private List<String> find(String key) {
+    private List<String> findRecords(String key) {
         return records.getOrDefault(key, List.of());
     }
 
-    private static Record record(Name name, String line) throws IOException {
+    private static Record parseRecord(Name name, String line) throws IOException {
         String[] words = line.split(" ", 3);
         return Record.fromString(name, Type.value(words[1]), DClass.IN, Long.parseLong(words[0]), words[2], Name.root);
     }
 
-    /** Goes on to this time and prints what the lists become. */
-    void until(double ms) {
-        print();
+    /** Advances the time and records the changes of the targets. */
+    void advanceTo(double ms) {
+        recordChanges();
         while (Math.min(wire.nextDueMs(), resolver.nextMs()) <= ms) {
             nowMs = Math.min(wire.nextDueMs(), resolver.nextMs());
             wire.runDue(nowMs);
             resolver.advance(nowMs);
             sendQueries();
-            print();
+            recordChanges();
         }
         nowMs = ms;
     }
 
-    void print() {
-        for (SrvTargets listing : resolver.takeChangedTargets(nowMs)) {
+    void recordChanges() {
+        for (SrvTargets srvTargets : resolver.takeChangedTargets(nowMs)) {
             TreeSet<String> targets = new TreeSet<>();
-            listing.targets()
+            srvTargets
+                    .targets()
                     .forEach(target ->
                             targets.add(target.address().replace("10.0.0.", "").replace(":80", "")));
-            seen.append(String.format(
+            trace.append(String.format(
                     Locale.ROOT,
                     "%9.0f %s %s%s%s%s good for %.0f%n",
                     nowMs,
-                    listing.name(),
+                    srvTargets.name(),
                     targets,
-                    listing.isComplete() ? "" : " not whole",
-                    listing.isStale() ? " stale" : "",
-                    listing.isUnavailable() ? " OUT" : "",
-                    listing.ttlMs()));
+                    srvTargets.isComplete() ? "" : " not whole",
+                    srvTargets.isStale() ? " stale" : "",
+                    srvTargets.isUnavailable() ? " OUT" : "",
+                    srvTargets.ttlMs()));
         }
     }
 }
--- a/dns/src/test/java/spartrail/dns/ResolverTest.java
+++ b/dns/src/test/java/spartrail/dns/ResolverTest.java
@@ -23,116 +23,118 @@
     private static final ResolverSettings SETTINGS =
             new ResolverSettings(1000, 3_600_000, 60_000, 1000, 8000, 60_000, 100, 4, 16, 100);
 
-    private static void same(String name, String seen) throws IOException {
-        try (InputStream kept = ResolverTest.class.getResourceAsStream("/expected/" + name + ".txt")) {
+    private static void compareWithExpected(String name, String actual) throws IOException {
+        try (InputStream expected = ResolverTest.class.getResourceAsStream("/expected/" + name + ".txt")) {
             Path folder = Files.createDirectories(Path.of("dns/target/seen"));
-            Files.writeString(folder.resolve(name + ".txt"), seen.strip() + "\n");
-            assertThat(seen.strip())
+            Files.writeString(folder.resolve(name + ".txt"), actual.strip() + "\n");
+            assertThat(actual.strip())
                     .as(name)
                     .isEqualTo(
-                            kept == null
+                            expected == null
                                     ? "there is no " + name + ".txt"
-                                    : new String(kept.readAllBytes(), StandardCharsets.UTF_8).strip());
+                                    : new String(expected.readAllBytes(), StandardCharsets.UTF_8).strip());
         }
     }
 
-    /** Each trouble by itself: what the list becomes, with both servers in trouble from 2 s to 8 s; lifetimes of 4 s. */
+    /** Records the targets for each behavior alone, which both servers have from 2 s to 8 s; the TTL is 4 s. */
     @Test
-    void failuresOfNameServersNeverEmptyAList() throws Exception {
-        StringBuilder seen = new StringBuilder();
+    void failuresOfNameServersNeverEmptyTheTargets() throws Exception {
+        StringBuilder trace = new StringBuilder();
         for (DnsZone.Behavior behavior : DnsZone.Behavior.values()) {
-            for (boolean refused :
+            for (boolean refusesTcp :
                     behavior == DnsZone.Behavior.TRUNCATE ? new boolean[] {false, true} : new boolean[1]) {
                 DnsZone zone = new DnsZone(SETTINGS, 1);
-                zone.service(BOOKS, 4, 30, 1, 2, 3);
+                zone.addService(BOOKS, 4, 30, 1, 2, 3);
                 zone.follow(BOOKS);
-                zone.until(2000);
+                zone.advanceTo(2000);
                 zone.behaviors.put(DnsZone.FIRST, behavior);
                 zone.behaviors.put(DnsZone.SECOND, behavior);
-                zone.refusesTcp = refused;
-                zone.until(8000);
+                zone.refusesTcp = refusesTcp;
+                zone.advanceTo(8000);
                 zone.behaviors.clear();
-                zone.until(20_000);
-                seen.append(behavior)
-                        .append(refused ? ", TCP refused" : "")
+                zone.advanceTo(20_000);
+                trace.append(behavior)
+                        .append(refusesTcp ? ", TCP refused" : "")
                         .append('\n')
-                        .append(zone.seen);
+                        .append(zone.trace);
             }
         }
-        same("troubles", seen.toString());
+        compareWithExpected("troubles", trace.toString());
     }
 
     @Test
-    void listingsFollowTheirRecords() throws Exception {
+    void targetsFollowChangesOfTheirRecords() throws Exception {
         DnsZone zone = new DnsZone(SETTINGS, 2);
-        zone.service(BOOKS, 4, 30, 1, 2, 3);
+        zone.addService(BOOKS, 4, 30, 1, 2, 3);
         zone.follow(BOOKS);
-        zone.until(3000);
-        zone.seen.append("shrinks\n");
-        zone.service(BOOKS, 4, 30, 1);
-        zone.until(9000);
-        zone.seen.append("is empty\n");
+        zone.advanceTo(3000);
+        zone.trace.append("shrinks\n");
+        zone.addService(BOOKS, 4, 30, 1);
+        zone.advanceTo(9000);
+        zone.trace.append("is empty\n");
         zone.records.remove("SRV " + BOOKS);
-        zone.until(15_000);
-        zone.seen.append("there is no such name\n");
+        zone.advanceTo(15_000);
+        zone.trace.append("there is no such name\n");
         zone.records.put("NX " + BOOKS, List.of());
-        zone.until(20_000);
-        zone.seen.append("an alias\n");
+        zone.advanceTo(20_000);
+        zone.trace.append("an alias\n");
         zone.records.put("CNAME " + BOOKS, List.of("2 CNAME _books._tcp.all.example.org."));
-        zone.service("_books._tcp.all.example.org.", 40, 30, 4, 5);
-        zone.until(24_000);
-        zone.seen.append("an alias of itself\n");
+        zone.addService("_books._tcp.all.example.org.", 40, 30, 4, 5);
+        zone.advanceTo(24_000);
+        zone.trace.append("an alias of itself\n");
         zone.records.put("CNAME " + BOOKS, List.of("2 CNAME " + BOOKS));
-        zone.until(40_000);
-        zone.seen.append("all are silent for longer than stale records last\n");
+        zone.advanceTo(40_000);
+        zone.trace.append("all are silent for longer than stale records last\n");
         zone.behaviors.put(DnsZone.FIRST, DnsZone.Behavior.SILENT);
         zone.behaviors.put(DnsZone.SECOND, DnsZone.Behavior.SILENT);
-        zone.until(130_000);
-        same("follows", zone.seen.toString());
+        zone.advanceTo(130_000);
+        compareWithExpected("follows", zone.trace.toString());
     }
 
     @Test
-    void queriesAreBoundedWhateverTheTtls() {
+    void queriesAreBoundedForExtremeTtls() {
         DnsZone zone = new DnsZone(SETTINGS, 3);
         for (int i = 0; i < 200; i++) {
             String name = "_books._tcp.c" + i + ".example.org.";
-            zone.service(name, 0, 0, i);
+            zone.addService(name, 0, 0, i);
             zone.follow(name);
         }
-        zone.until(10_000);
+        zone.advanceTo(10_000);
         assertThat(zone.maxInFlight).isLessThanOrEqualTo(16);
-        // No name or address is asked for more than once in its least lifetime of a second.
+        // Each name and address is queried at most once per minimum TTL of one second.
         assertThat(zone.queries).isLessThanOrEqualTo(200 * 2 * 11);
-        DnsZone age = new DnsZone(SETTINGS, 4);
-        age.service(BOOKS, Integer.MAX_VALUE, Integer.MAX_VALUE, 1);
-        age.follow(BOOKS);
-        age.until(7_200_000);
-        assertThat(age.queries).isBetween(4, 8);
+        DnsZone longTtlZone = new DnsZone(SETTINGS, 4);
+        longTtlZone.addService(BOOKS, Integer.MAX_VALUE, Integer.MAX_VALUE, 1);
+        longTtlZone.follow(BOOKS);
+        longTtlZone.advanceTo(7_200_000);
+        assertThat(longTtlZone.queries).isBetween(4, 8);
     }
 
     @Test
-    void additionalAddressesSaveQueriesUnlessTheyAreOutOfBailiwick() {
+    void additionalAddressesWithinTheBailiwickSaveQueries() {
         DnsZone zone = new DnsZone(SETTINGS, 5);
-        zone.sendsAdditional = true;
-        zone.service(BOOKS, 4, 30, 1, 2, 3);
+        zone.hasAdditionalRecords = true;
+        zone.addService(BOOKS, 4, 30, 1, 2, 3);
         zone.records.put("SRV " + BOOKS, List.of("4 SRV 0 5 80 s1.example.org.", "4 SRV 0 5 80 www.bank.example."));
         zone.records.put("A www.bank.example.", List.of("30 A 10.0.0.66"));
         zone.follow(BOOKS);
-        zone.until(100);
+        zone.advanceTo(100);
         assertThat(zone.resolver.counts().get("dropped: an address out of bailiwick"))
                 .isEqualTo(1);
         assertThat(zone.queries)
-                .as("the name, and the address that lies outside")
+                .as("queries for the name and for the address out of bailiwick")
                 .isEqualTo(2);
     }
 
-    /** Whatever an answer's bytes become, nothing is thrown, and the query is still open or decided. */
+    /**
+     * Alters the bytes of responses at random; the resolver must not throw, and each query must stay open or complete.
+     */
     @Test
-    void aHundredThousandMalformedMessagesDoNoHarm() {
+    void aHundredThousandMalformedMessagesAreHandled() {
         SplittableRandom random = new SplittableRandom(6);
         DnsZone zone = new DnsZone(SETTINGS, 6);
-        zone.service(BOOKS, 4, 30, 1, 2, 3);
-        zone.sendsAdditional = true;
+        zone.addService(BOOKS, 4, 30, 1, 2, 3);
+        zone.hasAdditionalRecords = true;
         zone.resolver.follow(BOOKS, 0);
         double nowMs = 0;
         List<DnsQuery> open = new ArrayList<>(zone.resolver.takeQueries());
@@ -144,7 +146,7 @@
                 continue;
             }
             DnsQuery query = open.get(random.nextInt(open.size()));
-            byte[] bytes = zone.message(query, DnsZone.Behavior.ANSWER);
+            byte[] bytes = zone.createMessage(query, DnsZone.Behavior.ANSWER);
             for (int change = random.nextInt(1, 6); change > 0; change--) {
                 switch (random.nextInt(3)) {
                     case 0 -> bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
@@ -164,27 +166,29 @@
         assertThat(zone.resolver.cachedEntries()).isLessThan(5000);
     }
 
-    // ---- Any order of troubles ----
+    // ---- Random sequences of failures ----
 
-    /** Lists against what the zone truly held lately; what broke, or null. */
-    private static String play(LongFunction<Resolver> make, long seed) {
+    /**
+     * Compares the targets with the records of the zone under random failures; returns the first violation, or null.
+     */
+    private static String findViolationForSeed(LongFunction<Resolver> factory, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        DnsZone zone = new DnsZone(SETTINGS, seed, make.apply(seed));
-        zone.sendsAdditional = seed % 2 == 0;
+        DnsZone zone = new DnsZone(SETTINGS, seed, factory.apply(seed));
+        zone.hasAdditionalRecords = seed % 2 == 0;
         int[] targets = {1, 2, 3, 4, 5};
-        zone.service(BOOKS, 4, 6, targets);
+        zone.addService(BOOKS, 4, 6, targets);
         zone.follow(BOOKS);
-        zone.until(50);
+        zone.advanceTo(50);
         for (int step = 0; step < 12; step++) {
             for (var server : List.of(DnsZone.FIRST, DnsZone.SECOND)) {
                 zone.behaviors.put(server, DnsZone.Behavior.values()[random.nextInt(DnsZone.Behavior.values().length)]);
             }
             zone.refusesTcp = random.nextBoolean();
-            int before = zone.seen.length();
-            zone.until(zone.nowMs + random.nextDouble(500, 5000));
-            String news = zone.seen.substring(before);
-            // The zone holds five targets all the time: a whole list of fewer is a mistake, in whatever trouble.
-            for (String line : news.split("\n")) {
+            int before = zone.trace.length();
+            zone.advanceTo(zone.nowMs + random.nextDouble(500, 5000));
+            String changes = zone.trace.substring(before);
+            // The zone always has five targets, so complete targets with fewer are a violation under any failure.
+            for (String line : changes.split("\n")) {
                 if (line.matches(".*[\\[ ]66[,\\]].*")) {
                     return "an address was taken from somebody else";
                 }
@@ -199,15 +203,15 @@
                 }
             }
         }
-        return zone.maxInFlight > SETTINGS.maxInFlight() ? "too many questions" : null;
+        return zone.maxInFlight > SETTINGS.maxInFlight() ? "too many queries in flight" : null;
     }
 
-    private static Resolver withoutFault(long seed) {
+    private static Resolver createResolver(long seed) {
         return new Resolver(
                 List.of(DnsZone.FIRST, DnsZone.SECOND), "example.org", false, SETTINGS, new SplittableRandom(seed));
     }
 
-    private static Resolver withValidator(long seed, ResponseValidator validator) {
+    private static Resolver createResolverWithValidator(long seed, ResponseValidator validator) {
         return new Resolver(
                 List.of(DnsZone.FIRST, DnsZone.SECOND),
                 "example.org",
@@ -217,27 +221,27 @@
                 validator);
     }
 
-    private static String hunt(LongFunction<Resolver> make, int seeds) {
+    private static String findFirstViolation(LongFunction<Resolver> factory, int seeds) {
         for (long seed = 1; seed <= seeds; seed++) {
-            String broken = play(make, seed);
-            if (broken != null) {
-                return "seed " + seed + ": " + broken;
+            String violation = findViolationForSeed(factory, seed);
+            if (violation != null) {
+                return "seed " + seed + ": " + violation;
             }
         }
         return "none";
     }
 
     @Test
-    void nothingBreaksOverSeededFailures() {
-        assertThat(hunt(ResolverTest::withoutFault, 2000)).isEqualTo("none");
+    void noInvariantIsViolatedUnderRandomFailures() {
+        assertThat(findFirstViolation(ResolverTest::createResolver, 2000)).isEqualTo("none");
     }
 
     @Test
-    void plantedFaultsAreCaught() throws Exception {
+    void plantedFaultsAreDetected() throws Exception {
         Map<String, LongFunction<Resolver>> faults = new TreeMap<>();
         faults.put(
                 "truncation ignored",
-                seed -> withValidator(seed, new ResponseValidator() {
+                seed -> createResolverWithValidator(seed, new ResponseValidator() {
                     @Override
                     boolean isTruncated(Message message) {
                         return false;
@@ -253,7 +257,7 @@
                         new SplittableRandom(seed)));
         faults.put(
                 "questions not compared",
-                seed -> withValidator(seed, new ResponseValidator() {
+                seed -> createResolverWithValidator(seed, new ResponseValidator() {
                     @Override
                     boolean hasId(DnsQuery query, Message message) {
                         return true;
@@ -264,21 +268,23 @@
                         return true;
                     }
                 }));
-        StringBuilder caught = new StringBuilder();
-        faults.forEach((name, make) -> caught.append(name)
+        StringBuilder violations = new StringBuilder();
+        faults.forEach((name, factory) -> violations
+                .append(name)
                 .append(": ")
-                .append(hunt(make, 500).replaceAll("seed [0-9]+: ", ""))
+                .append(findFirstViolation(factory, 500).replaceAll("seed [0-9]+: ", ""))
                 .append('\n'));
-        same("dns-faults", caught.toString());
+        compareWithExpected("dns-faults", violations.toString());
     }
 
-    /** dnsjava is asked for what we rely on: the types that records are read as. */
+    /** Checks a property of dnsjava on which the resolver relies: the classes of decoded records. */
     @Test
-    void recordsAreReadAsTheirTypes() throws Exception {
+    void recordsAreDecodedAsTheirTypes() throws Exception {
         DnsZone zone = new DnsZone(SETTINGS, 7);
-        zone.service(BOOKS, 4, 30, 1);
+        zone.addService(BOOKS, 4, 30, 1);
         zone.resolver.follow(BOOKS, 0);
-        Message message = new Message(zone.message(zone.resolver.takeQueries().get(0), DnsZone.Behavior.ANSWER));
+        Message message =
+                new Message(zone.createMessage(zone.resolver.takeQueries().get(0), DnsZone.Behavior.ANSWER));
         Record record = message.getSection(org.xbill.DNS.Section.ANSWER).get(0);
         assertThat(record).isInstanceOf(SRVRecord.class);
         assertThat(((SRVRecord) record).getPort()).isEqualTo(80);
