--- a/core/src/test/java/spartrail/endpoint/EndpointRegistryTest.java
+++ b/core/src/test/java/spartrail/endpoint/EndpointRegistryTest.java
@@ -1,8 +1,12 @@
 package spartrail.endpoint;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static spartrail.model.Server.State.DRAINING;
+import static spartrail.model.Server.State.GONE;
+import static spartrail.model.Server.State.LIVE;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -12,6 +16,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Function;
+import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 import spartrail.GoldenFile;
 import spartrail.model.Server;
@@ -25,8 +30,7 @@
     }
 
     private static SourceReport dnsReport(int number, int tier) {
-        return new SourceReport(
-                null, "10.0.0." + number + ":1", "a", "k", number % 3, Server.State.LIVE, 1, Double.NaN, tier);
+        return new SourceReport(null, "10.0.0." + number + ":1", "a", "k", number % 3, LIVE, 1, Double.NaN, tier);
     }
 
     /** Passes answers of sources to a registry and records what it publishes as a text. */
@@ -91,15 +95,14 @@
     @Test
     void discoveryOverridesDnsWhichCanOnlyAddEndpoints() throws Exception {
         RegistryDriver driver = new RegistryDriver();
-        driver.answerFromDiscovery(
-                0, discoveryReport(1, Server.State.LIVE, -1), discoveryReport(2, Server.State.LIVE, -1));
+        driver.answerFromDiscovery(0, discoveryReport(1, LIVE, -1), discoveryReport(2, LIVE, -1));
         driver.answerFromDns(
                 10,
                 dnsReport(1, 0),
                 dnsReport(2, 0),
                 dnsReport(3, 0),
-                new SourceReport(null, "192.0.2.1:1", "a", "k", 0, Server.State.LIVE, 1, Double.NaN, 0));
-        driver.sendDiscoveryChange(20, discoveryReport(1, Server.State.DRAINING, -1));
+                new SourceReport(null, "192.0.2.1:1", "a", "k", 0, LIVE, 1, Double.NaN, 0));
+        driver.sendDiscoveryChange(20, discoveryReport(1, DRAINING, -1));
         driver.answerFromDns(30, dnsReport(1, 0), dnsReport(2, 0), dnsReport(3, 0));
         driver.markUnavailable(40, driver.discovery);
         driver.answerFromDns(50, dnsReport(1, 0), dnsReport(2, 0), dnsReport(3, 0));
@@ -107,11 +110,9 @@
         driver.answerFromDns(200, dnsReport(1, 0), dnsReport(2, 0), dnsReport(3, 0));
         driver.answerFromDns(300, dnsReport(2, 0), dnsReport(3, 0));
         driver.answerFromDns(700, dnsReport(1, 0), dnsReport(2, 0), dnsReport(3, 0));
-        driver.answerFromDiscovery(
-                800, discoveryReport(1, Server.State.DRAINING, -1), discoveryReport(2, Server.State.LIVE, -1));
-        driver.answerFromDiscovery(
-                900, discoveryReport(2, Server.State.LIVE, -1), discoveryReport(1, Server.State.LIVE, 890));
-        driver.answerFromDiscovery(1000, discoveryReport(2, Server.State.LIVE, -1));
+        driver.answerFromDiscovery(800, discoveryReport(1, DRAINING, -1), discoveryReport(2, LIVE, -1));
+        driver.answerFromDiscovery(900, discoveryReport(2, LIVE, -1), discoveryReport(1, LIVE, 890));
+        driver.answerFromDiscovery(1000, discoveryReport(2, LIVE, -1));
         GoldenFile.same("members-law", driver.trace.toString());
     }
 
@@ -133,17 +134,13 @@
     void endpointsOfUnavailableSourcesStayLiveThenBecomeSuspectThenGone() throws Exception {
         RegistryDriver driver = new RegistryDriver();
         driver.answerFromDiscovery(
-                0,
-                discoveryReport(0, Server.State.LIVE, -1),
-                discoveryReport(3, Server.State.LIVE, -1),
-                discoveryReport(1, Server.State.LIVE, -1));
+                0, discoveryReport(0, LIVE, -1), discoveryReport(3, LIVE, -1), discoveryReport(1, LIVE, -1));
         driver.markUnavailable(100, driver.discovery);
         driver.advanceTo(5000);
         driver.trace
                 .append(EndpointExplanation.of(driver.registry.find("u0"), 5000))
                 .append(EndpointExplanation.of(driver.registry.find("u3"), 5000));
-        driver.answerFromDiscovery(
-                5100, discoveryReport(0, Server.State.LIVE, -1), discoveryReport(3, Server.State.LIVE, -1));
+        driver.answerFromDiscovery(5100, discoveryReport(0, LIVE, -1), discoveryReport(3, LIVE, -1));
         GoldenFile.same("members-out", driver.trace.toString());
     }
 
@@ -167,14 +164,14 @@
         RegistryDriver driver = new RegistryDriver();
         driver.answerFromDns(0, dnsReport(1, 0));
         // Discovery lists the endpoint that DNS has reported at this address.
-        driver.answerFromDiscovery(10, discoveryReport(1, Server.State.LIVE, -1));
+        driver.answerFromDiscovery(10, discoveryReport(1, LIVE, -1));
         // Another server takes over the address.
-        driver.sendDiscoveryChange(20, new SourceReport("u9", "10.0.0.1:1", "a", "k", 1, Server.State.LIVE, 1, 15, 0));
-        driver.sendDiscoveryChange(30, new SourceReport("u1", "10.0.0.7:1", "a", "k", 1, Server.State.LIVE, 1, 25, 0));
+        driver.sendDiscoveryChange(20, new SourceReport("u9", "10.0.0.1:1", "a", "k", 1, LIVE, 1, 15, 0));
+        driver.sendDiscoveryChange(30, new SourceReport("u1", "10.0.0.7:1", "a", "k", 1, LIVE, 1, 25, 0));
         // An endpoint of a worse tier stays on standby until its cell has no endpoint in use of a better tier.
         driver.answerFromDns(40, dnsReport(1, 0), dnsReport(4, 1));
-        driver.sendDiscoveryChange(50, new SourceReport("u9", null, "a", "k", 1, Server.State.GONE, 1, -1, 0));
-        driver.sendDiscoveryChange(60, new SourceReport("u1", null, "a", "k", 1, Server.State.DRAINING, 1, -1, 0));
+        driver.sendDiscoveryChange(50, new SourceReport("u9", null, "a", "k", 1, GONE, 1, -1, 0));
+        driver.sendDiscoveryChange(60, new SourceReport("u1", null, "a", "k", 1, DRAINING, 1, -1, 0));
         GoldenFile.same("members-identity", driver.trace.toString());
     }
 
@@ -182,13 +179,10 @@
     void aSnapshotRestoresReportsTombstonesAndFirstSeenTimes() {
         RegistryDriver driver = new RegistryDriver();
         driver.answerFromDiscovery(
-                0,
-                discoveryReport(0, Server.State.LIVE, -1),
-                discoveryReport(1, Server.State.LIVE, -1),
-                discoveryReport(2, Server.State.LIVE, -1));
+                0, discoveryReport(0, LIVE, -1), discoveryReport(1, LIVE, -1), discoveryReport(2, LIVE, -1));
         driver.answerFromDns(5, dnsReport(0, 0), dnsReport(1, 0), dnsReport(5, 0));
-        driver.sendDiscoveryChange(10, discoveryReport(1, Server.State.DRAINING, -1));
-        driver.sendDiscoveryChange(20, new SourceReport("u2", null, "a", "k", 2, Server.State.GONE, 1, -1, 0));
+        driver.sendDiscoveryChange(10, discoveryReport(1, DRAINING, -1));
+        driver.sendDiscoveryChange(20, new SourceReport("u2", null, "a", "k", 2, GONE, 1, -1, 0));
         RegistryDriver restored = new RegistryDriver();
         restored.registry.restore(driver.registry.snapshot(), 100, 200);
         restored.answerFromDns(210, dnsReport(0, 0), dnsReport(1, 0), dnsReport(2, 0), dnsReport(5, 0));
@@ -210,17 +204,13 @@
         List<SourceReport> all = new ArrayList<>();
         for (int i = 0; i < 2000; i++) {
             all.add(new SourceReport(
-                    "u" + i, "10.0." + i / 200 + "." + i % 200 + ":1", "a", "k", i % 400, Server.State.LIVE, 1, -1, 0));
+                    "u" + i, "10.0." + i / 200 + "." + i % 200 + ":1", "a", "k", i % 400, LIVE, 1, -1, 0));
         }
         registry.applyReports(discovery, true, all, 0, 0);
         registry.takeChanges();
         long before = registry.counts().evaluations();
         registry.applyReports(
-                discovery,
-                false,
-                List.of(new SourceReport("u7", null, "a", "k", 7, Server.State.DRAINING, 1, -1, 0)),
-                0,
-                10);
+                discovery, false, List.of(new SourceReport("u7", null, "a", "k", 7, DRAINING, 1, -1, 0)), 0, 10);
         assertThat(registry.counts().evaluations() - before).isEqualTo(1);
         assertThat(registry.takeChanges()).hasSize(1);
     }
@@ -238,27 +228,23 @@
         private final EndpointSource[] dns;
         private final SplittableRandom random;
         private double nowMs = 100;
+        private final Set<Integer> inUse = new HashSet<>();
+        private final double[] firstListedMs = new double[SERVERS];
+        private final int[] removals = new int[SERVERS];
+        private final int[][] absentAnswers = new int[2][SERVERS];
+        private final double[] unavailableSinceMs = new double[3];
+        /** Per source: the two DNS sources, then discovery. */
+        private final boolean[] isAvailable = new boolean[3];
         /** Per server: discovery's last report; null if there is none. */
         private final Server.State[] discoveryState = new Server.State[SERVERS];
-
         /** Per server: when discovery reported the state, or changed it from LIVE. */
         private final double[] discoveryStateMs = new double[SERVERS];
         /** Per DNS source and server: whether the source has ever listed the server. */
         private final boolean[][] isListed = new boolean[2][SERVERS];
         /** Per DNS source and server: since when the source has left it out; 0 while it lists the server. */
         private final double[][] absentSinceMs = new double[2][SERVERS];
-
-        private final int[][] absentAnswers = new int[2][SERVERS];
-        /** Per source: the two DNS sources, then discovery. */
-        private final boolean[] isAvailable = new boolean[3];
-
-        private final double[] unavailableSinceMs = new double[3];
-        private final Set<Integer> inUse = new HashSet<>();
-        private final double[] firstListedMs = new double[SERVERS];
         /** Per server: the times of its last four removals. */
         private final double[][] removedMs = new double[SERVERS][4];
-
-        private final int[] removals = new int[SERVERS];
         /** Per server: whether a DNS source may have lifted discovery's last report. */
         private final boolean[] mayBeLifted = new boolean[SERVERS];
 
@@ -270,7 +256,7 @@
                 registry.getOrCreateSource("dns0", EndpointSource.Kind.DNS, 100),
                 registry.getOrCreateSource("dns1", EndpointSource.Kind.DNS, 100)
             };
-            java.util.Arrays.fill(firstListedMs, Double.NaN);
+            Arrays.fill(firstListedMs, Double.NaN);
         }
 
         /** Returns the first violation, or null. */
@@ -308,7 +294,7 @@
                 int server = random.nextInt(SERVERS - 1);
                 Server.State state = Server.State.values()[random.nextInt(3)];
                 isAvailable[2] = true;
-                if (discoveryState[server] == null || discoveryState[server] == Server.State.LIVE) {
+                if (discoveryState[server] == null || discoveryState[server] == LIVE) {
                     discoveryStateMs[server] = nowMs;
                 }
                 discoveryState[server] = state;
@@ -342,7 +328,7 @@
                     absentAnswers[source][server]++;
                 }
             }
-            reports.add(new SourceReport(null, "192.0.2.9:1", "a", "k", 0, Server.State.LIVE, 1, Double.NaN, 0));
+            reports.add(new SourceReport(null, "192.0.2.9:1", "a", "k", 0, LIVE, 1, Double.NaN, 0));
             registry.applyReports(dns[source], true, reports, LIFETIME_MS, nowMs);
             return findViolationAfter(nowMs, source);
         }
@@ -353,11 +339,8 @@
             }
         }
 
-        /**
-         * Checks the changes after a step; returns a violation or null. {@code completeSource} is the DNS source whose
-         * complete answer has just been applied, or -1.
-         */
-        private String findViolationAfter(double atMs, int completeSource) {
+        /** Returns a violation in the latest changes, or null; {@code dnsSource} has just answered, or is -1. */
+        private String findViolationAfter(double atMs, int dnsSource) {
             int[] before = countInUsePerShard();
             Set<Integer> wasInUse = new HashSet<>(inUse);
             for (SourceReport report : registry.takeChanges()) {
@@ -365,7 +348,7 @@
                     return "an endpoint that is not allowed was handed on";
                 }
                 int server = report.address().charAt("10.0.0.".length()) - '0';
-                if (report.state() == Server.State.LIVE) {
+                if (report.state() == LIVE) {
                     inUse.add(server);
                     if (discoveryState[server] == null && report.startedMs() < firstListedMs[server]) {
                         return "one whose start no source reports was taken for warm";
@@ -379,8 +362,7 @@
                     }
                 } else if (inUse.remove(server)) {
                     removedMs[server][removals[server]++ % 4] = atMs;
-                    if (discoveryState[server] == null
-                            || discoveryState[server] == Server.State.LIVE && !isAvailable[2]) {
+                    if (discoveryState[server] == null || discoveryState[server] == LIVE && !isAvailable[2]) {
                         String early = findEarlyRemoval(server, atMs);
                         if (early != null) {
                             return early;
@@ -389,15 +371,11 @@
                 }
             }
             for (int server : inUse) {
-                if (discoveryState[server] != null
-                        && discoveryState[server] != Server.State.LIVE
-                        && !mayBeLifted[server]) {
+                if (discoveryState[server] != null && discoveryState[server] != LIVE && !mayBeLifted[server]) {
                     return "server " + server + " is in use though discovery last reported " + discoveryState[server];
                 }
             }
-            return completeSource < 0
-                    ? null
-                    : findFloorViolation(before, countInUsePerShard(), completeSource, wasInUse);
+            return dnsSource < 0 ? null : findFloorViolation(before, countInUsePerShard(), dnsSource, wasInUse);
         }
 
         /** Returns a violation if a removed server was still listed by a source whose reports are valid, or null. */
@@ -410,7 +388,7 @@
                     return "server " + server + " went though dns" + source + " names it";
                 }
             }
-            return discoveryState[server] == Server.State.LIVE
+            return discoveryState[server] == LIVE
                             && !isAvailable[2]
                             && atMs < unavailableSinceMs[2] + LIMITS.freezeMs() + LIMITS.suspectMs() - 1
                             && !mayBeLifted[server]
@@ -455,7 +433,7 @@
     }
 
     /** Returns the first seed with a violation and the violation, or "none". */
-    private static String findViolation(java.util.function.Supplier<EndpointRegistry> registries, int seeds) {
+    private static String findViolation(Supplier<EndpointRegistry> registries, int seeds) {
         for (long seed = 1; seed <= seeds; seed++) {
             String violation = new Observer(registries.get(), seed).runRandomEvents(60);
             if (violation != null) {
@@ -476,7 +454,7 @@
      */
     @Test
     void plantedFaultsAreDetected() throws Exception {
-        Map<String, java.util.function.Supplier<EndpointRegistry>> faults = new HashMap<>();
+        Map<String, Supplier<EndpointRegistry>> faults = new HashMap<>();
         Function<MergeLimits, EndpointRegistry> withLimits =
                 limits -> new EndpointRegistry(3, 2, limits, endpoint -> !endpoint.startsWith("192."));
         faults.put(
