--- a/core/src/main/java/spartrail/endpoint/EndpointPublisher.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointPublisher.java
@@ -38,11 +38,11 @@
     /** Publishes again all endpoints of a cell. Cost: proportional to the endpoints of the cell. */
     void publishCell(int cell) {
         Set<EndpointRecord> records = recordsInCell(cell);
-        int bestTier = bestTierInUse(records);
+        int bestTier = findBestTierInUse(records);
         records.forEach(record -> publish(record, bestTier));
     }
 
-    private static int bestTierInUse(Set<EndpointRecord> records) {
+    private static int findBestTierInUse(Set<EndpointRecord> records) {
         return records.stream()
                 .filter(EndpointRecord::isInUse)
                 .map(EndpointRecord::bestReport)
--- a/core/src/main/java/spartrail/endpoint/EndpointRecord.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointRecord.java
@@ -126,7 +126,7 @@
     }
 
     /** The first source of this kind that has reported on the endpoint, or null. */
-    EndpointSource sourceOf(EndpointSource.Kind kind) {
+    EndpointSource findSource(EndpointSource.Kind kind) {
         for (EndpointSource source : entries.keySet()) {
             if (source.kind() == kind) {
                 return source;
@@ -141,9 +141,9 @@
      */
     SourceReport bestReport() {
         SourceReport best = null;
-        for (Map.Entry<EndpointSource, SourceEntry> each : entries.entrySet()) {
-            SourceEntry entry = each.getValue();
-            if (each.getKey().isDiscovery()) {
+        for (Map.Entry<EndpointSource, SourceEntry> sourceAndEntry : entries.entrySet()) {
+            SourceEntry entry = sourceAndEntry.getValue();
+            if (sourceAndEntry.getKey().isDiscovery()) {
                 return entry.report();
             }
             boolean isNamed = !entry.isRemoved() && !entry.isAbsent();
--- a/core/src/main/java/spartrail/endpoint/EndpointRegistry.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointRegistry.java
@@ -152,12 +152,12 @@
      */
     private void evaluateLongestAbsentFirst(EndpointSource source, Set<EndpointRecord> records) {
         records.stream()
-                .sorted(Comparator.comparingInt(record -> -absentAnswers(source, record)))
+                .sorted(Comparator.comparingInt(record -> -countAbsentAnswers(source, record)))
                 .toList()
                 .forEach(this::evaluate);
     }
 
-    private static int absentAnswers(EndpointSource source, EndpointRecord record) {
+    private static int countAbsentAnswers(EndpointSource source, EndpointRecord record) {
         SourceEntry entry = record.entries.get(source);
         return entry == null ? 0 : entry.absentAnswers();
     }
@@ -267,11 +267,11 @@
     public Counts counts() {
         return new Counts(
                 table.all().size(),
-                table.refused(),
-                table.notAllowed(),
-                rules.heldByFloor(),
+                table.refusedCount(),
+                table.notAllowedCount(),
+                rules.heldByFloorCount(),
                 tombstonesLifted,
-                rules.flapsDamped(),
+                rules.flapsDampedCount(),
                 evaluations);
     }
 
--- a/core/src/main/java/spartrail/endpoint/EndpointTable.java
+++ b/core/src/main/java/spartrail/endpoint/EndpointTable.java
@@ -63,11 +63,11 @@
         return record == null ? byAddress.get(name) : record;
     }
 
-    long refused() {
+    long refusedCount() {
         return refused;
     }
 
-    long notAllowed() {
+    long notAllowedCount() {
         return notAllowed;
     }
 
--- a/core/src/main/java/spartrail/endpoint/StatusRules.java
+++ b/core/src/main/java/spartrail/endpoint/StatusRules.java
@@ -67,12 +67,12 @@
     }
 
     /** How often an evaluation has kept an endpoint in use because of the floor. */
-    long heldByFloor() {
+    long heldByFloorCount() {
         return heldByFloor;
     }
 
     /** How often an endpoint that returned has been delayed because it had flapped. */
-    long flapsDamped() {
+    long flapsDampedCount() {
         return flapsDamped;
     }
 
@@ -80,7 +80,7 @@
      * Decides the status; updates in the record which absences count as removals, and its join and first-seen times.
      */
     Verdict evaluate(EndpointRecord record, double nowMs) {
-        EndpointSource discovery = record.sourceOf(EndpointSource.Kind.DISCOVERY);
+        EndpointSource discovery = record.findSource(EndpointSource.Kind.DISCOVERY);
         if (discovery != null) {
             Verdict verdict = evaluateByDiscovery(record, discovery, nowMs);
             if (verdict != null) {
@@ -133,17 +133,17 @@
     /** When the last of the sources that list the endpoint became unavailable. */
     private static double lastUnavailableSinceMs(EndpointRecord record) {
         return record.entries.entrySet().stream()
-                .filter(each -> !each.getValue().isAbsent())
-                .mapToDouble(each -> each.getKey().unavailableSinceMs())
+                .filter(sourceAndEntry -> !sourceAndEntry.getValue().isAbsent())
+                .mapToDouble(sourceAndEntry -> sourceAndEntry.getKey().unavailableSinceMs())
                 .max()
                 .orElse(0);
     }
 
     private static boolean isListedByAvailableOther(EndpointRecord record) {
         return record.entries.entrySet().stream()
-                .anyMatch(each -> !each.getKey().isDiscovery()
-                        && each.getKey().isAvailable()
-                        && !each.getValue().isAbsent());
+                .anyMatch(sourceAndEntry -> !sourceAndEntry.getKey().isDiscovery()
+                        && sourceAndEntry.getKey().isAvailable()
+                        && !sourceAndEntry.getValue().isAbsent());
     }
 
     // Rules 6 to 9
@@ -154,9 +154,9 @@
         boolean hasAbsence = false;
         double unavailableSinceMs = Double.NEGATIVE_INFINITY;
         double confirmedAtMs = nowMs;
-        for (Map.Entry<EndpointSource, SourceEntry> each : record.entries.entrySet()) {
-            EndpointSource source = each.getKey();
-            SourceEntry entry = each.getValue();
+        for (Map.Entry<EndpointSource, SourceEntry> sourceAndEntry : record.entries.entrySet()) {
+            EndpointSource source = sourceAndEntry.getKey();
+            SourceEntry entry = sourceAndEntry.getValue();
             if (entry.isRemoved() || source.isDiscovery() && source.isAvailable()) {
                 continue;
             }
@@ -284,7 +284,7 @@
      * endpoint must have been absent from the source's answers for as long as its reports are valid.
      */
     boolean mayLiftTombstone(EndpointSource source, EndpointRecord record, double absentSinceMs, double nowMs) {
-        EndpointSource discovery = record.sourceOf(EndpointSource.Kind.DISCOVERY);
+        EndpointSource discovery = record.findSource(EndpointSource.Kind.DISCOVERY);
         if (discovery == null) {
             return false;
         }
--- a/core/src/main/java/spartrail/subset/ReplicaGroup.java
+++ b/core/src/main/java/spartrail/subset/ReplicaGroup.java
@@ -55,9 +55,9 @@
 
     /** The replicas selected until now, followed by those of the latest choice. */
     List<Replica> selectedAndChosen() {
-        List<Replica> both = new ArrayList<>(selected);
-        both.addAll(chosen);
-        return both;
+        List<Replica> result = new ArrayList<>(selected);
+        result.addAll(chosen);
+        return result;
     }
 
     /** Makes the latest choice the selection, and updates the group counts of the replicas. */
--- a/core/src/main/java/spartrail/subset/SubsetFilter.java
+++ b/core/src/main/java/spartrail/subset/SubsetFilter.java
@@ -46,12 +46,12 @@
      * several entries for a server, the last one counts.
      */
     public EndpointList toSubset(EndpointList list, double nowMs) {
-        Map<String, Endpoint> named = new LinkedHashMap<>();
-        list.endpoints().forEach(endpoint -> named.put(endpoint.id(), endpoint));
-        Map<String, Endpoint> gone = update(named, list.isComplete());
-        SubsetChange subsetChange = select(named, gone);
+        Map<String, Endpoint> listed = new LinkedHashMap<>();
+        list.endpoints().forEach(endpoint -> listed.put(endpoint.id(), endpoint));
+        Map<String, Endpoint> gone = updateKnown(listed, list.isComplete());
+        SubsetChange subsetChange = select(listed, gone);
         Map<String, Endpoint> changes = new LinkedHashMap<>();
-        named.values().forEach(endpoint -> publishIfKnown(endpoint, changes, nowMs));
+        listed.values().forEach(endpoint -> publishIfKnown(endpoint, changes, nowMs));
         subsetChange.joined().forEach(id -> publishJoined(id, changes));
         subsetChange.displaced().forEach(id -> publishDisplaced(known.get(id), changes, nowMs));
         gone.values().forEach(endpoint -> publishGone(endpoint, changes));
@@ -65,9 +65,9 @@
     }
 
     /** Stores the entries of the list; returns the servers that are gone according to the list. */
-    private Map<String, Endpoint> update(Map<String, Endpoint> named, boolean isComplete) {
+    private Map<String, Endpoint> updateKnown(Map<String, Endpoint> listed, boolean isComplete) {
         Map<String, Endpoint> gone = isComplete ? new HashMap<>(known) : new HashMap<>();
-        for (Endpoint endpoint : named.values()) {
+        for (Endpoint endpoint : listed.values()) {
             if (endpoint.state() == Server.State.GONE) {
                 gone.put(endpoint.id(), known.getOrDefault(endpoint.id(), endpoint));
             } else {
@@ -95,10 +95,10 @@
         return internedNames.computeIfAbsent(name, same -> same);
     }
 
-    private SubsetChange select(Map<String, Endpoint> named, Map<String, Endpoint> gone) {
+    private SubsetChange select(Map<String, Endpoint> listed, Map<String, Endpoint> gone) {
         List<LiveServer> live = new ArrayList<>();
         List<String> notLive = new ArrayList<>(gone.keySet());
-        for (Endpoint endpoint : named.values()) {
+        for (Endpoint endpoint : listed.values()) {
             if (endpoint.state() == Server.State.LIVE) {
                 live.add(new LiveServer(endpoint.id(), endpoint.zone(), endpoint.cell(), endpoint.weight()));
             } else if (endpoint.state() == Server.State.DRAINING) {
--- a/core/src/main/java/spartrail/subset/SubsetSelector.java
+++ b/core/src/main/java/spartrail/subset/SubsetSelector.java
@@ -72,7 +72,7 @@
     private void remove(String id, Set<ReplicaGroup> touched) {
         Replica replica = live.remove(id);
         if (replica != null) {
-            for (ReplicaGroup group : groupsOf(replica.cell)) {
+            for (ReplicaGroup group : findGroups(replica.cell)) {
                 group.remove(replica);
                 touched.add(group);
             }
@@ -83,13 +83,13 @@
         Replica replica =
                 new Replica(server.id, server.zone, server.cell, server.weight, hash.score(server.id, server.weight));
         live.put(server.id, replica);
-        for (ReplicaGroup group : groupsOf(replica.cell)) {
+        for (ReplicaGroup group : findGroups(replica.cell)) {
             group.add(replica);
             touched.add(group);
         }
     }
 
-    private List<ReplicaGroup> groupsOf(int cell) {
+    private List<ReplicaGroup> findGroups(int cell) {
         List<ReplicaGroup> result = new ArrayList<>(replicationFactor);
         for (int offset = 0; offset < replicationFactor; offset++) {
             int group = Math.floorMod(cell - offset, cells);
--- a/core/src/test/java/spartrail/endpoint/EndpointRegistryTest.java
+++ b/core/src/test/java/spartrail/endpoint/EndpointRegistryTest.java
@@ -186,11 +186,11 @@
         RegistryDriver restored = new RegistryDriver();
         restored.registry.restore(driver.registry.snapshot(), 100, 200);
         restored.answerFromDns(210, dnsReport(0, 0), dnsReport(1, 0), dnsReport(2, 0), dnsReport(5, 0));
-        assertThat(statusById(restored.registry)).isEqualTo("{10.0.0.5:1=LIVE, u0=LIVE, u1=DRAINING, u2=GONE}");
+        assertThat(describeStatuses(restored.registry)).isEqualTo("{10.0.0.5:1=LIVE, u0=LIVE, u1=DRAINING, u2=GONE}");
         assertThat(restored.registry.find("10.0.0.5:1").published().startedMs()).isEqualTo(5);
     }
 
-    private static String statusById(EndpointRegistry registry) {
+    private static String describeStatuses(EndpointRegistry registry) {
         Map<String, EndpointRecord.Status> statuses = new TreeMap<>();
         registry.records().forEach(record -> statuses.put(record.id(), record.status()));
         return statuses.toString();
--- a/core/src/test/java/spartrail/subset/SubsetFilterTest.java
+++ b/core/src/test/java/spartrail/subset/SubsetFilterTest.java
@@ -28,12 +28,12 @@
         idsInOrder.addAll(selector.spares(0));
     }
 
-    private Endpoint endpoint(int place, Server.State state) {
+    private Endpoint createEndpoint(int place, Server.State state) {
         return new Endpoint(idsInOrder.get(place), new InetSocketAddress("127.0.0.1", 9), "a", "std", 0, state, 1, 0);
     }
 
-    private Endpoint live(int place) {
-        return endpoint(place, Server.State.LIVE);
+    private Endpoint createLive(int place) {
+        return createEndpoint(place, Server.State.LIVE);
     }
 
     /** Applies a list and returns the published changes, each with the server's place in the node's order. */
@@ -50,44 +50,47 @@
 
     @Test
     void onlyServersInTheSubsetArePublished() {
-        assertThat(applyList(true, 0, live(5), live(3), live(2), live(0))).isEqualTo("0=LIVE 2=LIVE");
-        assertThat(applyList(false, 0, endpoint(3, Server.State.DRAINING))).isEmpty();
-        assertThat(applyList(false, 0, live(4))).isEmpty();
-        assertThat(applyList(false, 0, endpoint(2, Server.State.DRAINING))).isEqualTo("2=DRAINING 4=LIVE");
-        assertThat(applyList(false, 0, endpoint(2, Server.State.GONE))).isEqualTo("2=GONE");
-        assertThat(applyList(false, 0, endpoint(5, Server.State.GONE))).isEmpty();
+        assertThat(applyList(true, 0, createLive(5), createLive(3), createLive(2), createLive(0)))
+                .isEqualTo("0=LIVE 2=LIVE");
+        assertThat(applyList(false, 0, createEndpoint(3, Server.State.DRAINING)))
+                .isEmpty();
+        assertThat(applyList(false, 0, createLive(4))).isEmpty();
+        assertThat(applyList(false, 0, createEndpoint(2, Server.State.DRAINING)))
+                .isEqualTo("2=DRAINING 4=LIVE");
+        assertThat(applyList(false, 0, createEndpoint(2, Server.State.GONE))).isEqualTo("2=GONE");
+        assertThat(applyList(false, 0, createEndpoint(5, Server.State.GONE))).isEmpty();
     }
 
     @Test
     void aLiveServerThatLeavesTheSubsetDrainsAndIsGoneOnceNoRequestCanBeInFlight() {
-        applyList(true, 0, live(1), live(3), live(4));
-        assertThat(applyList(false, 100, live(0))).isEqualTo("0=LIVE 3=DRAINING");
-        assertThat(applyList(false, 1099, live(3)))
+        applyList(true, 0, createLive(1), createLive(3), createLive(4));
+        assertThat(applyList(false, 100, createLive(0))).isEqualTo("0=LIVE 3=DRAINING");
+        assertThat(applyList(false, 1099, createLive(3)))
                 .as("a server that is listed again continues to drain")
                 .isEqualTo("3=DRAINING");
         assertThat(applyList(false, 1100)).isEqualTo("3=GONE");
-        assertThat(applyList(false, 1200, endpoint(0, Server.State.GONE))).isEqualTo("0=GONE 3=LIVE");
+        assertThat(applyList(false, 1200, createEndpoint(0, Server.State.GONE))).isEqualTo("0=GONE 3=LIVE");
     }
 
     @Test
     void aDrainingServerThatRejoinsTheSubsetIsNotPublishedAsGone() {
-        applyList(true, 0, live(1), live(3), live(4));
-        applyList(false, 100, live(0));
-        assertThat(applyList(false, 200, endpoint(1, Server.State.GONE))).isEqualTo("1=GONE 3=LIVE");
+        applyList(true, 0, createLive(1), createLive(3), createLive(4));
+        applyList(false, 100, createLive(0));
+        assertThat(applyList(false, 200, createEndpoint(1, Server.State.GONE))).isEqualTo("1=GONE 3=LIVE");
         assertThat(applyList(false, 5000)).isEmpty();
     }
 
     @Test
     void serversMissingFromACompleteListAreGoneAndReplacedBySpares() {
-        applyList(true, 0, live(0), live(1), live(2), live(3));
-        assertThat(applyList(true, 10, live(3), live(2), endpoint(1, Server.State.DRAINING)))
+        applyList(true, 0, createLive(0), createLive(1), createLive(2), createLive(3));
+        assertThat(applyList(true, 10, createLive(3), createLive(2), createEndpoint(1, Server.State.DRAINING)))
                 .isEqualTo("0=GONE 1=DRAINING 2=LIVE 3=LIVE");
-        assertThat(applyList(true, 20, live(3), live(2))).isEqualTo("1=GONE 2=LIVE 3=LIVE");
+        assertThat(applyList(true, 20, createLive(3), createLive(2))).isEqualTo("1=GONE 2=LIVE 3=LIVE");
     }
 
     @Test
     void aNewProcessOfASelectedServerIsPublished() {
-        applyList(true, 0, live(0), live(1));
+        applyList(true, 0, createLive(0), createLive(1));
         Endpoint again = new Endpoint(
                 idsInOrder.get(0), new InetSocketAddress("127.0.0.1", 10), "a", "std", 0, Server.State.LIVE, 1, 77);
         assertThat(filter.toSubset(new EndpointList(2, false, List.of(again)), 1)
@@ -97,18 +100,19 @@
 
     @Test
     void theLastOfSeveralEntriesForAServerCounts() {
-        assertThat(applyList(true, 0, live(0), live(1), endpoint(0, Server.State.GONE), live(2)))
+        assertThat(applyList(
+                        true, 0, createLive(0), createLive(1), createEndpoint(0, Server.State.GONE), createLive(2)))
                 .isEqualTo("1=LIVE 2=LIVE");
-        assertThat(applyList(false, 1, endpoint(1, Server.State.DRAINING), live(1)))
+        assertThat(applyList(false, 1, createEndpoint(1, Server.State.DRAINING), createLive(1)))
                 .isEqualTo("1=LIVE");
     }
 
     @Test
     void aDrainedServerThatReturnsAfterItsReplacementIsPublishedAsGoneInTime() {
-        applyList(true, 0, live(2), live(3));
-        applyList(false, 10, endpoint(3, Server.State.DRAINING));
-        applyList(false, 20, live(0), live(1));
-        assertThat(applyList(false, 30, live(3))).isEqualTo("3=DRAINING");
+        applyList(true, 0, createLive(2), createLive(3));
+        applyList(false, 10, createEndpoint(3, Server.State.DRAINING));
+        applyList(false, 20, createLive(0), createLive(1));
+        assertThat(applyList(false, 30, createLive(3))).isEqualTo("3=DRAINING");
         assertThat(applyList(false, 1030)).isEqualTo("2=GONE 3=GONE");
     }
 }
--- a/core/src/test/java/spartrail/subset/SubsetSelectorTest.java
+++ b/core/src/test/java/spartrail/subset/SubsetSelectorTest.java
@@ -17,18 +17,18 @@
 class SubsetSelectorTest {
     private static final SubsetSettings FOUR_REPLICAS_IN_TWO_ZONES = new SubsetSettings(4, 2);
 
-    private static LiveServer server(int number, String zone, int cell) {
+    private static LiveServer createServer(int number, String zone, int cell) {
         return new LiveServer("s-" + number, zone, cell, 1);
     }
 
     /** Servers of one shard, assigned to the zones in turn. */
-    private static List<LiveServer> servers(int count, String... zones) {
+    private static List<LiveServer> createServers(int count, String... zones) {
         return IntStream.range(0, count)
-                .mapToObj(number -> server(number, zones[number % zones.length], 0))
+                .mapToObj(number -> createServer(number, zones[number % zones.length], 0))
                 .toList();
     }
 
-    private static SubsetSelector selector(String node, SubsetSettings settings, List<LiveServer> servers) {
+    private static SubsetSelector createSelector(String node, SubsetSettings settings, List<LiveServer> servers) {
         SubsetSelector selector = new SubsetSelector(node, settings, 1, 1, 1);
         selector.apply(servers, List.of());
         return selector;
@@ -36,15 +36,16 @@
 
     @Test
     void allReplicasAreSelectedIfThereAreFewerThanWanted() {
-        assertThat(selector("n", FOUR_REPLICAS_IN_TWO_ZONES, servers(3, "a")).selectedReplicas(0))
+        assertThat(createSelector("n", FOUR_REPLICAS_IN_TWO_ZONES, createServers(3, "a"))
+                        .selectedReplicas(0))
                 .containsExactlyInAnyOrder("s-0", "s-1", "s-2");
-        assertThat(selector("n", FOUR_REPLICAS_IN_TWO_ZONES, List.of()).selectedReplicas(0))
+        assertThat(createSelector("n", FOUR_REPLICAS_IN_TWO_ZONES, List.of()).selectedReplicas(0))
                 .isEmpty();
     }
 
     @Test
     void sparesReplaceLostReplicasInOrder() {
-        SubsetSelector selector = selector("n", FOUR_REPLICAS_IN_TWO_ZONES, servers(20, "a"));
+        SubsetSelector selector = createSelector("n", FOUR_REPLICAS_IN_TWO_ZONES, createServers(20, "a"));
         List<String> spares = selector.spares(0);
         List<String> chosen = selector.selectedReplicas(0);
         assertThat(selector.apply(List.of(), List.of(chosen.get(2))))
@@ -57,21 +58,21 @@
 
     @Test
     void aReplicaThatReturnsDisplacesTheLastSpare() {
-        SubsetSelector selector = selector("n", FOUR_REPLICAS_IN_TWO_ZONES, servers(20, "a"));
+        SubsetSelector selector = createSelector("n", FOUR_REPLICAS_IN_TWO_ZONES, createServers(20, "a"));
         String first = selector.selectedReplicas(0).get(0);
         String spare = selector.spares(0).get(0);
         selector.apply(List.of(), List.of(first));
-        LiveServer returned = server(Integer.parseInt(first.substring(2)), "a", 0);
+        LiveServer returned = createServer(Integer.parseInt(first.substring(2)), "a", 0);
         assertThat(selector.apply(List.of(returned), List.of()))
                 .isEqualTo(new SubsetChange(List.of(first), List.of(spare)));
     }
 
     @Test
     void theSelectionHasTwoZonesIfTheLiveReplicasHave() {
-        List<LiveServer> servers = new ArrayList<>(servers(40, "a"));
-        servers.add(server(99, "b", 0));
+        List<LiveServer> servers = new ArrayList<>(createServers(40, "a"));
+        servers.add(createServer(99, "b", 0));
         for (int node = 0; node < 50; node++) {
-            SubsetSelector selector = selector("n" + node, FOUR_REPLICAS_IN_TWO_ZONES, servers);
+            SubsetSelector selector = createSelector("n" + node, FOUR_REPLICAS_IN_TWO_ZONES, servers);
             assertThat(selector.selectedReplicas(0)).hasSize(4).contains("s-99");
             SubsetChange change = selector.apply(List.of(), List.of("s-99"));
             assertThat(change.joined()).hasSize(1);
@@ -114,11 +115,12 @@
     @Test
     void aChangeOfOneServerReplacesAtMostOneReplicaPerShard() {
         Random random = new Random(4);
-        SubsetSelector selector = selector("n", new SubsetSettings(6, 3), servers(60, "a", "b", "c", "d", "d", "d"));
+        SubsetSelector selector =
+                createSelector("n", new SubsetSettings(6, 3), createServers(60, "a", "b", "c", "d", "d", "d"));
         for (int step = 0; step < 2000; step++) {
             int number = random.nextInt(60);
             LiveServer server =
-                    server(number, List.of("a", "b", "c", "d", "d", "d").get(number % 6), 0);
+                    createServer(number, List.of("a", "b", "c", "d", "d", "d").get(number % 6), 0);
             List<String> before = selector.selectedReplicas(0);
             boolean joins = random.nextInt(3) > 0;
             selector.apply(joins ? List.of(server) : List.of(), joins ? List.of() : List.of(server.id()));
@@ -130,11 +132,11 @@
 
     @Test
     void aServerOfTwiceTheWeightIsSelectedByTwiceAsManyNodes() {
-        List<LiveServer> servers = new ArrayList<>(servers(100, "a", "b"));
+        List<LiveServer> servers = new ArrayList<>(createServers(100, "a", "b"));
         servers.set(0, new LiveServer("s-0", "a", 0, 2));
         int[] selections = new int[2];
         for (int node = 0; node < 20_000; node++) {
-            SubsetSelector selector = selector("node-" + node, FOUR_REPLICAS_IN_TWO_ZONES, servers);
+            SubsetSelector selector = createSelector("node-" + node, FOUR_REPLICAS_IN_TWO_ZONES, servers);
             selections[0] += selector.isSelected("s-0") ? 1 : 0;
             selections[1] += selector.isSelected("s-1") ? 1 : 0;
         }
@@ -145,14 +147,14 @@
     @Test
     void noServerIsSharedByMoreNodesThanTheBound() {
         for (List<LiveServer> servers : List.of(
-                servers(40, "a", "b"),
-                servers(40, "a", "a", "a", "a", "b"),
-                servers(5, "a"),
-                withWeights(servers(40, "a", "b", "c")))) {
+                createServers(40, "a", "b"),
+                createServers(40, "a", "a", "a", "a", "b"),
+                createServers(5, "a"),
+                withWeights(createServers(40, "a", "b", "c")))) {
             Map<String, Integer> sharing = new HashMap<>();
             int bound = 0;
             for (int node = 0; node < 1000; node++) {
-                SubsetSelector selector = selector("node-" + node, FOUR_REPLICAS_IN_TWO_ZONES, servers);
+                SubsetSelector selector = createSelector("node-" + node, FOUR_REPLICAS_IN_TWO_ZONES, servers);
                 selector.selectedReplicas(0).forEach(id -> sharing.merge(id, 1, Integer::sum));
                 bound = selector.nodesPerServer(1000);
             }
@@ -160,7 +162,7 @@
                     sharing.values().stream().mapToInt(count -> count).max().orElseThrow();
             assertThat(maxSharing).isLessThanOrEqualTo(bound);
         }
-        assertThat(selector("n", FOUR_REPLICAS_IN_TWO_ZONES, servers(40, "a", "b"))
+        assertThat(createSelector("n", FOUR_REPLICAS_IN_TWO_ZONES, createServers(40, "a", "b"))
                         .nodesPerServer(1000))
                 .as("bound for an average of 100 nodes")
                 .isBetween(140, 180);
--- a/dns/src/main/java/spartrail/dns/AliasChain.java
+++ b/dns/src/main/java/spartrail/dns/AliasChain.java
@@ -67,7 +67,7 @@
             }
             if (record.getType() == type) {
                 records.add(record);
-                ttlMs = Ttl.leastMs(ttlMs, record);
+                ttlMs = Ttl.minMs(ttlMs, record);
             } else if (record instanceof CNAMERecord alias) {
                 return followAlias(alias);
             }
@@ -82,7 +82,7 @@
         }
         length++;
         name = alias.getTarget();
-        ttlMs = Ttl.leastMs(ttlMs, alias);
+        ttlMs = Ttl.minMs(ttlMs, alias);
         return true;
     }
 }
--- a/dns/src/main/java/spartrail/dns/DnsTransport.java
+++ b/dns/src/main/java/spartrail/dns/DnsTransport.java
@@ -91,7 +91,7 @@
     }
 
     private void select() throws IOException {
-        double waitMs = Math.min(timers.nextDueMs(), resolver.nextMs()) - loop.nowMs();
+        double waitMs = Math.min(timers.nextDueMs(), resolver.nextDueMs()) - loop.nowMs();
         if (waitMs > 0 && tasks.isEmpty()) {
             selector.select((long) Math.ceil(Math.min(MAX_SELECT_MS, waitMs)));
         } else {
--- a/dns/src/main/java/spartrail/dns/NameServerSelector.java
+++ b/dns/src/main/java/spartrail/dns/NameServerSelector.java
@@ -21,12 +21,12 @@
     }
 
     NameServer select(CacheEntry entry) {
-        NameServer fastest = fastestFor(entry);
+        NameServer fastest = findFastestFor(entry);
         boolean explores = random.nextDouble() < EXPLORATION_SHARE;
         return explores ? servers.get(random.nextInt(servers.size())) : fastest;
     }
 
-    private NameServer fastestFor(CacheEntry entry) {
+    private NameServer findFastestFor(CacheEntry entry) {
         NameServer fastest = null;
         for (NameServer server : servers) {
             boolean hasJustFailed = server == entry.server && entry.attempts > 0 && servers.size() > 1;
--- a/dns/src/main/java/spartrail/dns/Resolver.java
+++ b/dns/src/main/java/spartrail/dns/Resolver.java
@@ -124,7 +124,7 @@
     }
 
     /** When the next timer of {@link #advance} is due; {@code Double.MAX_VALUE} if there is none. */
-    public double nextMs() {
+    public double nextDueMs() {
         return timers.nextDueMs();
     }
 
@@ -333,7 +333,7 @@
         Map<String, List<Record>> byKey = new LinkedHashMap<>();
         Set<String> wanted = targetNames(srv);
         for (Record record : message.getSection(Section.ADDITIONAL)) {
-            if (!isAddress(record) || !wanted.contains(lowerCase(record.getName()))) {
+            if (!isAddress(record) || !wanted.contains(toLowerCase(record.getName()))) {
                 continue;
             }
             if (!isInBailiwick(record.getName())) {
@@ -348,11 +348,11 @@
 
     private static Set<String> targetNames(CacheEntry srv) {
         Set<String> names = new LinkedHashSet<>();
-        srv.records().forEach(record -> names.add(lowerCase(((SRVRecord) record).getTarget())));
+        srv.records().forEach(record -> names.add(toLowerCase(((SRVRecord) record).getTarget())));
         return names;
     }
 
-    private static String lowerCase(Name name) {
+    private static String toLowerCase(Name name) {
         return name.toString().toLowerCase(Locale.ROOT);
     }
 
@@ -369,7 +369,7 @@
      * zone.
      */
     private boolean isInBailiwick(Name name) {
-        return ("." + lowerCase(name)).endsWith(bailiwick);
+        return ("." + toLowerCase(name)).endsWith(bailiwick);
     }
 
     private void storeAddresses(List<Record> records) {
@@ -380,7 +380,7 @@
         }
         double ttlMs = Double.MAX_VALUE;
         for (Record record : records) {
-            ttlMs = Ttl.leastMs(ttlMs, record);
+            ttlMs = Ttl.minMs(ttlMs, record);
         }
         store(entry, records, ttlMs);
     }
@@ -422,7 +422,7 @@
         return counts.asMap();
     }
 
-    int cachedEntries() {
+    int cachedEntryCount() {
         return cache.size();
     }
 }
--- a/dns/src/main/java/spartrail/dns/SrvTargetsBuilder.java
+++ b/dns/src/main/java/spartrail/dns/SrvTargetsBuilder.java
@@ -74,7 +74,7 @@
                 continue;
             }
             if (!entry.records().isEmpty()) {
-                String smallest = smallestAddress(entry.records());
+                String smallest = selectSmallestAddress(entry.records());
                 address = address == null ? smallest : address;
                 ttlMs = Math.min(ttlMs, entry.ttlMs());
             }
@@ -97,7 +97,7 @@
     }
 
     /** Selects the alphabetically smallest of several addresses, so that the selection is always the same. */
-    private static String smallestAddress(List<Record> records) {
+    private static String selectSmallestAddress(List<Record> records) {
         return records.stream()
                 .map(SrvTargetsBuilder::formatAddress)
                 .min(String::compareTo)
--- a/dns/src/main/java/spartrail/dns/Ttl.java
+++ b/dns/src/main/java/spartrail/dns/Ttl.java
@@ -12,7 +12,7 @@
     private Ttl() {}
 
     /** The minimum of {@code minSoFarMs} and the TTL of the record. */
-    static double leastMs(double minSoFarMs, Record record) {
+    static double minMs(double minSoFarMs, Record record) {
         return Math.min(minSoFarMs, MS_PER_S * Math.max(0, record.getTTL()));
     }
 
--- a/dns/src/test/java/spartrail/dns/DnsZone.java
+++ b/dns/src/test/java/spartrail/dns/DnsZone.java
@@ -183,8 +183,8 @@
     /** Advances the time and records the changes of the targets. */
     void advanceTo(double ms) {
         recordChanges();
-        while (Math.min(wire.nextDueMs(), resolver.nextMs()) <= ms) {
-            nowMs = Math.min(wire.nextDueMs(), resolver.nextMs());
+        while (Math.min(wire.nextDueMs(), resolver.nextDueMs()) <= ms) {
+            nowMs = Math.min(wire.nextDueMs(), resolver.nextDueMs());
             wire.runDue(nowMs);
             resolver.advance(nowMs);
             sendQueries();
--- a/dns/src/test/java/spartrail/dns/ResolverTest.java
+++ b/dns/src/test/java/spartrail/dns/ResolverTest.java
@@ -163,7 +163,7 @@
             zone.resolver.takeChangedTargets(nowMs);
             assertThat(zone.resolver.inFlight()).isLessThanOrEqualTo(16);
         }
-        assertThat(zone.resolver.cachedEntries()).isLessThan(5000);
+        assertThat(zone.resolver.cachedEntryCount()).isLessThan(5000);
     }
 
     // ---- Random sequences of failures ----
--- a/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
+++ b/node/src/main/java/spartrail/endpoint/sources/EndpointSources.java
@@ -79,7 +79,7 @@
 
     /** Allows all addresses that discovery lists; other sources may list addresses in the ranges of the file. */
     private Predicate<String> createAddressFilter(EndpointSourcesFile file, EndpointList initialList) {
-        Predicate<String> ranges = file.allowed();
+        Predicate<String> ranges = file.allowedAddresses();
         Set<String> knownAddresses = initialList.endpoints().stream()
                 .map(endpoint -> formatAddress(endpoint.address()))
                 .collect(Collectors.toSet());
--- a/node/src/main/java/spartrail/endpoint/sources/EndpointSourcesFile.java
+++ b/node/src/main/java/spartrail/endpoint/sources/EndpointSourcesFile.java
@@ -38,13 +38,14 @@
 
     private final Map<?, ?> tree;
     private final MergeLimits limits;
-    private final Predicate<String> allowed;
+    private final Predicate<String> allowedAddresses;
 
     private EndpointSourcesFile(Map<?, ?> tree) {
         this.tree = tree;
         checkNames(tree, SECTIONS, "/");
         this.limits = readLimits(tree.get(MERGE) instanceof Map<?, ?> merge ? merge : Map.of());
-        this.allowed = new AddressRanges(tree.get(ALLOW) instanceof List<?> ranges ? ranges : List.of(), "/" + ALLOW);
+        this.allowedAddresses =
+                new AddressRanges(tree.get(ALLOW) instanceof List<?> ranges ? ranges : List.of(), "/" + ALLOW);
     }
 
     /** Reads and validates a file. */
@@ -122,7 +123,7 @@
     /**
      * Accepts the addresses that sources may list: IPv4 ranges such as 10.0.0.0/8; without ranges, no address from DNS.
      */
-    Predicate<String> allowed() {
-        return allowed;
+    Predicate<String> allowedAddresses() {
+        return allowedAddresses;
     }
 }
--- a/node/src/test/java/spartrail/discovery/DiscoveryClientTest.java
+++ b/node/src/test/java/spartrail/discovery/DiscoveryClientTest.java
@@ -30,7 +30,7 @@
     private static final String ENTRY = "{\"uid\":\"%s\",\"endpoint\":\"127.0.0.1:9\",\"az\":\"a\",\"model\":\"m\","
             + "\"pod_group\":1,\"state\":\"%s\",\"capacity_hint\":1.0,\"boot_ms\":0}";
 
-    private static String list(long version, boolean isComplete, String... entries) {
+    private static String listJson(long version, boolean isComplete, String... entries) {
         return "{\"rev\":" + version + ",\"all\":" + isComplete + ",\"targets\":[" + String.join(",", entries) + "]}";
     }
 
@@ -127,14 +127,14 @@
     void changesArriveInOrderAndEachFailureIsReportedAsUnavailable() throws Exception {
         startClient(startDiscovery(
                 "",
-                list(41, true, ENTRY.formatted("s-1", "SERVING"), ENTRY.formatted("s-2", "SERVING")),
-                list(42, false),
+                listJson(41, true, ENTRY.formatted("s-1", "SERVING"), ENTRY.formatted("s-2", "SERVING")),
+                listJson(42, false),
                 "no JSON",
                 "{\"rev\":7}",
-                list(40, true, ENTRY.formatted("s-old", "SERVING")),
-                list(43, false, ENTRY.formatted("s-1", "DRAINING"), ENTRY.formatted("s-2", "DELETED")),
+                listJson(40, true, ENTRY.formatted("s-old", "SERVING")),
+                listJson(43, false, ENTRY.formatted("s-1", "DRAINING"), ENTRY.formatted("s-2", "DELETED")),
                 "500",
-                list(44, true, ENTRY.formatted("s-3", "SERVING"))));
+                listJson(44, true, ENTRY.formatted("s-3", "SERVING"))));
         assertThat(awaitEvents(14))
                 .isEqualTo(
                         """
@@ -158,7 +158,7 @@
     @Test
     void aLongPollWithoutResponseIsFollowedByShortPollsInTime() throws Exception {
         isTimeManual = true;
-        startClient(startDiscovery("", list(41, true, ENTRY.formatted("s-1", "SERVING"))));
+        startClient(startDiscovery("", listJson(41, true, ENTRY.formatted("s-1", "SERVING"))));
         assertThat(awaitEvents(3)).endsWith("GET /discovery/hosts?since=41&timeout_ms=4000\n");
         timers.advance(4601);
         assertThat(events).isEmpty();
@@ -180,10 +180,10 @@
         startClient(
                 startDiscovery(
                                 "",
-                                list(41, true, ENTRY.formatted("s-1", "SERVING")),
+                                listJson(41, true, ENTRY.formatted("s-1", "SERVING")),
                                 "500",
-                                list(42, false),
-                                list(43, false, ENTRY.formatted("s-1", "DRAINING")))
+                                listJson(42, false),
+                                listJson(43, false, ENTRY.formatted("s-1", "DRAINING")))
                         .getAddress(),
                 true);
         assertThat(awaitEvents(4)).endsWith("GET /discovery/hosts?since=41&timeout_ms=4000\nunavailable\n");
@@ -246,7 +246,7 @@
 
     @Test
     void aBodyWithoutLengthEndsWithItsStreamAndAResetIsAFailure() throws Exception {
-        String list = list(41, true, ENTRY.formatted("s-1", "SERVING")).replace(",", ",\n   ");
+        String list = listJson(41, true, ENTRY.formatted("s-1", "SERVING")).replace(",", ",\n   ");
         startRawDiscovery("HTTP/1.1 200 OK\r\n\r\n" + list, 4096, End.RESET);
         assertThat(awaitEvents(1)).isEqualTo("unavailable\n");
         close();
@@ -259,7 +259,8 @@
     void aBodyThatStallsTimesOutAndIsRequestedAgain() throws Exception {
         isTimeManual = true;
         startRawDiscovery(
-                "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + list(41, true, ENTRY.formatted("s-1", "SERVING")),
+                "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n"
+                        + listJson(41, true, ENTRY.formatted("s-1", "SERVING")),
                 4096,
                 End.SILENCE);
         awaitSilentConnections(1);
@@ -273,12 +274,12 @@
 
     @Test
     void aClientThatMovesRequestsTheCompleteListAtOnce() throws Exception {
-        HttpServer second = startDiscovery("2nd ", list(43, true, ENTRY.formatted("s-1", "DRAINING")));
+        HttpServer second = startDiscovery("2nd ", listJson(43, true, ENTRY.formatted("s-1", "DRAINING")));
         HttpServer third = startDiscovery(
                 "3rd ",
-                list(7, true, ENTRY.formatted("s-9", "SERVING")),
-                list(6, true, ENTRY.formatted("s-old", "SERVING")));
-        startClient(startDiscovery("", list(41, true, ENTRY.formatted("s-1", "SERVING"))));
+                listJson(7, true, ENTRY.formatted("s-9", "SERVING")),
+                listJson(6, true, ENTRY.formatted("s-old", "SERVING")));
+        startClient(startDiscovery("", listJson(41, true, ENTRY.formatted("s-1", "SERVING"))));
         assertThat(awaitEvents(3)).endsWith("GET /discovery/hosts?since=41&timeout_ms=4000\n");
         worker.getIoThread().execute(() -> {
             client.moveTo(second.getAddress());
--- a/node/src/test/java/spartrail/endpoint/sources/EndpointSourcesFileTest.java
+++ b/node/src/test/java/spartrail/endpoint/sources/EndpointSourcesFileTest.java
@@ -17,9 +17,9 @@
         try {
             EndpointSourcesFile sources = EndpointSourcesFile.read(file);
             return "floor " + sources.limits().floor() + ", 10.1.2.3 "
-                    + sources.allowed().test("10.1.2.3:80") + ", 10.2.0.1 "
-                    + sources.allowed().test("10.2.0.1:80") + ", a name "
-                    + sources.allowed().test("books.example.org:80");
+                    + sources.allowedAddresses().test("10.1.2.3:80") + ", 10.2.0.1 "
+                    + sources.allowedAddresses().test("10.2.0.1:80") + ", a name "
+                    + sources.allowedAddresses().test("books.example.org:80");
         } catch (IllegalArgumentException e) {
             return e.getMessage().replace(folder.toString(), "FOLDER");
         }
