--- a/core/src/main/java/spartrail/endpoint/CellOccupancy.java
+++ b/core/src/main/java/spartrail/endpoint/CellOccupancy.java
@@ -2,8 +2,8 @@
 
 /**
  * Counts the endpoints in use in each cell. Shard s is held by the cells (s + j) mod cells, for j from 0 to the
- * replication factor minus one, so each cell holds as many shards (modulo the number of cells) as the replication
- * factor.
+ * replication factor minus one, so the replication factor is also the number of values of s mod cells whose
+ * shards a cell holds.
  *
  * <p>Cost: {@link #eachShardHasAtLeast} reads the neighboring cells, a number of reads equal to the square of the
  * replication factor and independent of the size of the fleet.
--- a/core/src/main/java/spartrail/subset/SubsetSettings.java
+++ b/core/src/main/java/spartrail/subset/SubsetSettings.java
@@ -4,8 +4,7 @@
  * The size of a subset.
  *
  * @param replicasPerShard the number of live replicas selected per shard; all of them if there are fewer
- * @param leastZones the minimum number of zones of the selected replicas, as far as the shard's live replicas are in as
- *        many
+ * @param leastZones the minimum number of zones of the selected replicas; fewer if the live replicas are in fewer zones
  */
 public record SubsetSettings(int replicasPerShard, int leastZones) {
     /**
