--- a/core/src/main/java/spartrail/coordination/AdmissionControl.java
+++ b/core/src/main/java/spartrail/coordination/AdmissionControl.java
@@ -42,8 +42,8 @@
         maxRetryAfterMs = maxMs;
     }
 
-    boolean admits(Multiget multiget) {
-        if (cannotBeAnsweredInTime(multiget)) {
+    boolean mayAdmit(Multiget multiget) {
+        if (hasTooLittleTime(multiget)) {
             return false;
         }
         OpType op = multiget.opType;
@@ -63,7 +63,7 @@
      * An attempt that can't be answered in the time it has takes capacity and earns nothing, or little once its latency objective
      * is missed. That a client leaves little time does not show that it has tried before, unless it says so.
      */
-    private boolean cannotBeAnsweredInTime(Multiget multiget) {
+    private boolean hasTooLittleTime(Multiget multiget) {
         OpType op = multiget.opType;
         boolean objectiveMissed =
                 multiget.clientRetry && multiget.clientTimeLeftMs <= op.timeoutMs - op.latencyObjectiveMs;
--- a/core/src/main/java/spartrail/coordination/Completion.java
+++ b/core/src/main/java/spartrail/coordination/Completion.java
@@ -43,7 +43,7 @@
 
     /** Takes the answer of an open part. */
     void recordAnswer(Part part) {
-        close(part);
+        removeFromOpenParts(part);
         part.answered = true;
         part.multiget.answeredWeight += part.weight;
         part.multiget.connectionsResetBy.clear();
@@ -53,18 +53,18 @@
     }
 
     /** No more answer of this part can come; its multiget may still be answered without it. */
-    void lose(Part part) {
+    void failPart(Part part) {
         abandon(part);
         answerIfPossible(part.multiget);
     }
 
     private void abandon(Part part) {
         queues.dequeue(part);
-        close(part);
+        removeFromOpenParts(part);
         part.abandoned |= !part.answered;
     }
 
-    private static void close(Part part) {
+    private static void removeFromOpenParts(Part part) {
         if (part.isOpen()) {
             part.multiget.openParts--;
             part.multiget.openWeight -= part.weight;
@@ -78,10 +78,10 @@
         boolean hasOpenParts = multiget.openParts > 0;
         double minimumWeight = minimumWeight(multiget);
         if (hasWeight(multiget, multiget.opType.completeWeight)) {
-            answer(multiget, Multiget.Answer.COMPLETE);
+            giveAnswer(multiget, Multiget.Answer.COMPLETE);
         } else if (hasWeight(multiget, minimumWeight)
                 && (!hasOpenParts || context.nowMs() >= objectiveTimerMs(multiget))) {
-            answer(multiget, Multiget.Answer.PARTIAL);
+            giveAnswer(multiget, Multiget.Answer.PARTIAL);
         } else if (multiget.answeredWeight + multiget.openWeight < minimumWeight - WEIGHT_TOLERANCE) {
             // What can still come is not enough.
             giveUp(multiget);
@@ -97,7 +97,7 @@
         return multiget.answeredWeight >= weight - WEIGHT_TOLERANCE;
     }
 
-    private void answer(Multiget multiget, Multiget.Answer answer) {
+    private void giveAnswer(Multiget multiget, Multiget.Answer answer) {
         multiget.answer = answer;
         context.decisions().answers.add(multiget);
         finish(multiget);
@@ -158,7 +158,7 @@
         OpType op = multiget.opType;
         if (hasWeight(multiget, minimumWeight(multiget))
                 && op.partialShare * multiget.answeredWeight / op.completeWeight > op.lateShare) {
-            answer(multiget, Multiget.Answer.PARTIAL);
+            giveAnswer(multiget, Multiget.Answer.PARTIAL);
         } else if (op.lateShare == 0 || op.lateShare < unsentWeight(multiget)) {
             // Late work goes first by its key and makes all behind it late too, so what is left of it may take no more
             // than the
@@ -179,7 +179,7 @@
             return;
         }
         if (hasWeight(multiget, minimumWeight(multiget))) {
-            answer(multiget, Multiget.Answer.PARTIAL);
+            giveAnswer(multiget, Multiget.Answer.PARTIAL);
         } else {
             giveUp(multiget);
         }
--- a/core/src/main/java/spartrail/coordination/ConcurrencyLimiter.java
+++ b/core/src/main/java/spartrail/coordination/ConcurrencyLimiter.java
@@ -33,7 +33,7 @@
     void recordOutcome(Attempt attempt, Attempt.Outcome outcome, double tookMs) {
         Server server = attempt.server;
         OpType op = attempt.part.multiget.opType;
-        boolean overloaded = outcome == Attempt.Outcome.FULL || countsAsTimedOut(attempt, outcome, tookMs);
+        boolean overloaded = outcome == Attempt.Outcome.FULL || isTimeout(attempt, outcome, tookMs);
         if (overloaded && attempt.sentMs >= server.limitHalvedMs) {
             server.concurrencyLimit = Math.max(1, server.concurrencyLimit / 2);
             server.limitHalvedMs = context.nowMs();
@@ -45,7 +45,7 @@
     }
 
     /** A part that was lost says nothing of a queue; it does not count where later ones were answered. */
-    private static boolean countsAsTimedOut(Attempt attempt, Attempt.Outcome outcome, double tookMs) {
+    private static boolean isTimeout(Attempt attempt, Attempt.Outcome outcome, double tookMs) {
         if (outcome == Attempt.Outcome.TIMED_OUT) {
             return true;
         }
--- a/core/src/main/java/spartrail/coordination/EndpointTracker.java
+++ b/core/src/main/java/spartrail/coordination/EndpointTracker.java
@@ -55,11 +55,11 @@
     }
 
     /** See {@link Coordinator#onEndpointUpdate}; attempts at servers that are gone go to the listener for overdue ones. */
-    void update(List<Server> update, boolean complete, boolean fresh, Consumer<Attempt> onOverdue) {
+    void updateServers(List<Server> update, boolean complete, boolean fresh, Consumer<Attempt> onOverdue) {
         if (complete) {
             table.servers().forEach(server -> server.state = Server.State.GONE);
         }
-        update.forEach(this::update);
+        update.forEach(this::updateServer);
         table.assignReplicas();
         slowStart.updateServiceRates();
         if (fresh) {
@@ -75,13 +75,13 @@
         }
     }
 
-    private void update(Server listed) {
+    private void updateServer(Server listed) {
         Server server = table.getOrCreate(listed.id);
-        boolean known = server.concurrencyLimit > 0;
+        boolean isKnown = server.concurrencyLimit > 0;
         boolean restarted = listed.startedAtMs > server.startedAtMs;
-        boolean endedUnannounced =
+        boolean hasEndedWithoutDraining =
                 server.state == Server.State.LIVE && (listed.state == Server.State.GONE || restarted);
-        if (known && endedUnannounced) {
+        if (isKnown && hasEndedWithoutDraining) {
             crashGuard.recordCrash();
         }
         server.zone = listed.zone;
@@ -89,7 +89,7 @@
         server.cell = listed.cell;
         server.state = listed.state;
         server.weight = listed.weight;
-        if (restarted || !known) {
+        if (restarted || !isKnown) {
             server.startedAtMs = listed.startedAtMs;
             limiter.reset(server);
             OutlierDetector.reset(server);
--- a/core/src/main/java/spartrail/coordination/Hedging.java
+++ b/core/src/main/java/spartrail/coordination/Hedging.java
@@ -50,27 +50,28 @@
             return;
         }
         double presumedLostMs = presumedLostMs(attempt);
-        boolean presumedLost = attempt.server.lastAnsweredSentMs > attempt.sentMs || context.nowMs() >= presumedLostMs;
+        boolean isPresumedLost =
+                attempt.server.lastAnsweredSentMs > attempt.sentMs || context.nowMs() >= presumedLostMs;
         boolean hasToken = !context.hasJustResumed() && tokens >= 1 && replicas.select(part) != null;
-        if (!ServerCrashGuard.isSuspected(part.multiget) && presumedLost && (attempt.server.ejected || hasToken)) {
+        if (!ServerCrashGuard.isSuspected(part.multiget) && isPresumedLost && (attempt.server.ejected || hasToken)) {
             tokens -= attempt.server.ejected ? 0 : 1;
             queues.enqueue(part);
             releaseQueue.release(List.of(part.shard));
             return;
         }
         double nextTickMs = context.nowMs() + EventContext.TICK_INTERVAL_MS;
-        double nextCheckMs = presumedLost ? nextTickMs : Math.min(nextTickMs, presumedLostMs);
+        double nextCheckMs = isPresumedLost ? nextTickMs : Math.min(nextTickMs, presumedLostMs);
         context.timers.schedule(nextCheckMs, part.multiget.timers, () -> onOverdue(attempt, releaseQueue));
     }
 
     private boolean mayBeHedged(Attempt attempt) {
         Part part = attempt.part;
-        boolean latest = part.attempts.get(part.attempts.size() - 1) == attempt;
+        boolean isLatest = part.attempts.get(part.attempts.size() - 1) == attempt;
         return attempt.isInFlight()
                 && !part.multiget.finished
                 && part.isOpen()
                 && !part.queued
-                && latest
+                && isLatest
                 && retryPolicy.mayRetry(part);
     }
 
@@ -80,7 +81,7 @@
      */
     private double presumedLostMs(Attempt attempt) {
         Part part = attempt.part;
-        boolean straggler = part.multiget.openParts <= STRAGGLER_SHARE * part.multiget.parts.size();
-        return attempt.sentMs + (straggler ? 0 : latencies.overdueAfterMs(part));
+        boolean isStraggler = part.multiget.openParts <= STRAGGLER_SHARE * part.multiget.parts.size();
+        return attempt.sentMs + (isStraggler ? 0 : latencies.overdueAfterMs(part));
     }
 }
--- a/core/src/main/java/spartrail/coordination/ReleaseOrder.java
+++ b/core/src/main/java/spartrail/coordination/ReleaseOrder.java
@@ -24,10 +24,10 @@
     /** Sets the key of a multiget whose objective deadline is known. */
     static void assignKey(Multiget multiget) {
         multiget.deadlineWindow = (long) Math.floor(multiget.objectiveDeadlineMs / DEADLINE_WINDOW_MS);
-        multiget.rank = rank(multiget.id);
+        multiget.rank = computeRank(multiget.id);
     }
 
-    private static int rank(long id) {
+    private static int computeRank(long id) {
         long mixed = (id + 0x9E3779B97F4A7C15L) * 0xBF58476D1CE4E5B9L;
         return (int) ((mixed ^ mixed >>> 31) & (RANK_COUNT - 1));
     }
--- a/core/src/main/java/spartrail/coordination/ReleaseQueue.java
+++ b/core/src/main/java/spartrail/coordination/ReleaseQueue.java
@@ -76,7 +76,7 @@
         // A retry that was harmless when it joined the queue need not be so when it leaves.
         if (!part.attempts.isEmpty() && !retryPolicy.mayRetry(part)) {
             if (!part.hasAttemptInFlight()) {
-                completion.lose(part);
+                completion.failPart(part);
             }
             addHeads(part.shard, heads);
             return;
--- a/core/src/main/java/spartrail/coordination/ReplicaSelector.java
+++ b/core/src/main/java/spartrail/coordination/ReplicaSelector.java
@@ -30,20 +30,20 @@
      */
     Server select(Part part) {
         List<Server> replicas = part.shard.replicas;
-        List<Server> healthy = ServerTable.matching(
+        List<Server> healthy = ServerTable.findMatching(
                 replicas, server -> OutlierDetector.isHealthy(server) && !part.wasAttemptedAt(server));
-        Server best = leastLoaded(part, healthy);
+        Server best = findLeastLoaded(part, healthy);
         if (best == null) {
-            best = leastLoaded(
+            best = findLeastLoaded(
                     part,
-                    ServerTable.matching(
+                    ServerTable.findMatching(
                             replicas, server -> outliers.hasAnsweredRecently(server) && !part.wasAttemptedAt(server)));
         }
-        return best == null && healthy.isEmpty() ? leastLoaded(part, replicas) : best;
+        return best == null && healthy.isEmpty() ? findLeastLoaded(part, replicas) : best;
     }
 
     /** Ties go to the server that can take more of the multiget's parts in one batch, then to the one picked longest ago. */
-    private Server leastLoaded(Part part, List<Server> replicas) {
+    private Server findLeastLoaded(Part part, List<Server> replicas) {
         Server best = null;
         int bestBatches = 0;
         int bestShared = 0;
@@ -52,12 +52,12 @@
                 continue;
             }
             int batches = server.batchesInFlight + (hasOpenBatch(server) ? 0 : 1);
-            int shared = partsForSameBatch(part, server);
-            boolean better = best == null
+            int shared = countPartsForSameBatch(part, server);
+            boolean isBetter = best == null
                     || batches < bestBatches
                     || batches == bestBatches && shared > bestShared
                     || batches == bestBatches && shared == bestShared && server.lastPickNumber < best.lastPickNumber;
-            if (better) {
+            if (isBetter) {
                 best = server;
                 bestBatches = batches;
                 bestShared = shared;
@@ -70,7 +70,7 @@
         return server.state == Server.State.LIVE
                 && freeCapacity(server) > 0
                 && !part.isInFlightAt(server)
-                && slowStart.allows(part, server);
+                && slowStart.maySend(part, server);
     }
 
     /**
@@ -91,7 +91,7 @@
     }
 
     /** How many queued parts of the same multiget could travel in the same batch. */
-    private int partsForSameBatch(Part part, Server server) {
+    private int countPartsForSameBatch(Part part, Server server) {
         if (table.maxPartsPerBatch() == 1) {
             return 0;
         }
@@ -101,7 +101,7 @@
                 parts++;
             }
         }
-        int places = server.concurrencyLimit - server.inFlight.size();
-        return Math.min(parts, Math.min(places, table.maxPartsPerBatch()));
+        int freeSlots = server.concurrencyLimit - server.inFlight.size();
+        return Math.min(parts, Math.min(freeSlots, table.maxPartsPerBatch()));
     }
 }
--- a/core/src/main/java/spartrail/coordination/RetryBudget.java
+++ b/core/src/main/java/spartrail/coordination/RetryBudget.java
@@ -47,7 +47,7 @@
      * Whether one more retry is within the budget. Whoever checks the budget sees attempts some loop iterations later, so the
      * window is taken longer for retries and shorter for requests.
      */
-    boolean allowsRetry() {
+    boolean mayRetry() {
         int retriesMade = retries.countSince(context.nowMs() - windowMs - context.loopIntervalMs()) + 1;
         int requestsSeen = requests.countSince(context.nowMs() - windowMs + 2 * context.loopIntervalMs());
         return windowMs <= 0
--- a/core/src/main/java/spartrail/coordination/RetryPolicy.java
+++ b/core/src/main/java/spartrail/coordination/RetryPolicy.java
@@ -37,7 +37,7 @@
         OpType op = part.multiget.opType;
         if (part.hasAttemptInFlight() && !mayHedge(part)
                 || part.attempts.size() >= maxAttempts(op)
-                || !budget.allowsRetry()) {
+                || !budget.mayRetry()) {
             return false;
         }
         return switch (op.idempotency) {
--- a/core/src/main/java/spartrail/coordination/RetryScheduler.java
+++ b/core/src/main/java/spartrail/coordination/RetryScheduler.java
@@ -18,11 +18,11 @@
     }
 
     /** A part without an attempt in flight goes back to its place in the queue, or is lost to its multiget. */
-    void retryOrLose(Part part) {
+    void retryOrFail(Part part) {
         if (retryPolicy.mayRetry(part)) {
             queues.enqueue(part);
         } else {
-            completion.lose(part);
+            completion.failPart(part);
         }
     }
 
@@ -33,11 +33,11 @@
         }
         multiget.awaitingFirstAnswer = false;
         for (Part part : multiget.parts) {
-            boolean waiting = !multiget.finished && part.isOpen() && !part.queued && !part.hasAttemptInFlight();
-            if (waiting && part.attempts.isEmpty()) {
+            boolean isIdle = !multiget.finished && part.isOpen() && !part.queued && !part.hasAttemptInFlight();
+            if (isIdle && part.attempts.isEmpty()) {
                 queues.enqueue(part);
-            } else if (waiting) {
-                retryOrLose(part);
+            } else if (isIdle) {
+                retryOrFail(part);
             }
         }
         releaseQueue.releaseShardsOf(multiget);
--- a/core/src/main/java/spartrail/coordination/ServerCrashGuard.java
+++ b/core/src/main/java/spartrail/coordination/ServerCrashGuard.java
@@ -43,10 +43,10 @@
      * that part's answer, or after the expected latency where no connection was reset.
      */
     boolean shouldSendFirstPartAlone(Multiget multiget) {
-        return multiget.parts.size() > 1 && (areServersCrashing() || isWide(multiget));
+        return multiget.parts.size() > 1 && (hasRecentCrashes() || isWide(multiget));
     }
 
-    private boolean areServersCrashing() {
+    private boolean hasRecentCrashes() {
         return crashes.countSince(context.nowMs() - CRASH_WINDOW_MS) >= SUSPICIOUS_CRASHES;
     }
 
--- a/core/src/main/java/spartrail/coordination/ServerTable.java
+++ b/core/src/main/java/spartrail/coordination/ServerTable.java
@@ -33,11 +33,11 @@
     }
 
     /** Walks all servers; for ticks and endpoint updates only. */
-    List<Server> matching(Predicate<Server> condition) {
-        return matching(servers.values(), condition);
+    List<Server> findMatching(Predicate<Server> condition) {
+        return findMatching(servers.values(), condition);
     }
 
-    static List<Server> matching(Collection<Server> servers, Predicate<Server> condition) {
+    static List<Server> findMatching(Collection<Server> servers, Predicate<Server> condition) {
         return servers.stream().filter(condition).toList();
     }
 
--- a/core/src/main/java/spartrail/coordination/SlowStart.java
+++ b/core/src/main/java/spartrail/coordination/SlowStart.java
@@ -82,7 +82,7 @@
     }
 
     /** Whether this part may be sent to this server, which may be warming up. */
-    boolean allows(Part part, Server server) {
+    boolean maySend(Part part, Server server) {
         if (!isWarmingUp(server)) {
             return true;
         }
@@ -101,13 +101,13 @@
      * turn for all that may pass it.
      */
     private boolean isOfAllowedRank(Part part, double capacity) {
-        double root = (Math.sqrt(9 + 4 * capacity * corePartsPerMs) - 3) / 2;
-        List<Server> warmingReplicas = ServerTable.matching(
+        double sqrtAllowedParts = (Math.sqrt(9 + 4 * capacity * corePartsPerMs) - 3) / 2;
+        List<Server> warmingReplicas = ServerTable.findMatching(
                 part.shard.replicas, replica -> OutlierDetector.isHealthy(replica) && isWarmingUp(replica));
-        int sharing = Math.max(1, warmingReplicas.size());
+        int warmingReplicaCount = Math.max(1, warmingReplicas.size());
         int replicas = Math.max(table.replicationFactor(), part.shard.replicas.size());
-        double demand = frontNodes * meanPartsPerMs * collapseAfterMs * replicas / sharing;
-        return part.multiget.rank < ReleaseOrder.RANK_COUNT * root * root / demand;
+        double demand = frontNodes * meanPartsPerMs * collapseAfterMs * replicas / warmingReplicaCount;
+        return part.multiget.rank < ReleaseOrder.RANK_COUNT * sqrtAllowedParts * sqrtAllowedParts / demand;
     }
 
     /** Updates what warm servers take from this node; once a tick and with each endpoint update. */
@@ -115,7 +115,7 @@
         corePartsPerMs =
                 1 / opTypes.stream().mapToDouble(this::unloadedLatencyMs).max().orElse(1);
         DoubleSummaryStatistics rates =
-                table.matching(server -> OutlierDetector.isHealthy(server) && !isWarmingUp(server)).stream()
+                table.findMatching(server -> OutlierDetector.isHealthy(server) && !isWarmingUp(server)).stream()
                         .mapToDouble(server -> server.answerRate)
                         .summaryStatistics();
         meanPartsPerMs = Math.max(corePartsPerMs / frontNodes, rates.getAverage());
--- a/core/src/main/java/spartrail/coordination/WindowCoordinator.java
+++ b/core/src/main/java/spartrail/coordination/WindowCoordinator.java
@@ -134,7 +134,7 @@
         multiget.clientDeadlineMs = nowMs + multiget.clientTimeLeftMs;
         multiget.objectiveDeadlineMs = nowMs + multiget.opType.latencyObjectiveMs;
         ReleaseOrder.assignKey(multiget);
-        if (!admission.admits(multiget)) {
+        if (!admission.mayAdmit(multiget)) {
             latencies.recordRejection(multiget.opType);
             completion.giveUp(multiget);
             return context.decisions();
@@ -186,9 +186,9 @@
         recordOutcome(attempt, outcome, tookMs);
         Multiget multiget = attempt.part.multiget;
         if (!multiget.finished && attempt.part.isOpen()) {
-            continuePart(attempt, outcome);
-            boolean nothingLeft = multiget.attemptsInFlight == 0 && multiget.queuedShards.isEmpty();
-            if (multiget.awaitingFirstAnswer && !multiget.finished && nothingLeft) {
+            handlePartOutcome(attempt, outcome);
+            boolean hasNothingPending = multiget.attemptsInFlight == 0 && multiget.queuedShards.isEmpty();
+            if (multiget.awaitingFirstAnswer && !multiget.finished && hasNothingPending) {
                 completion.giveUp(multiget);
             }
         }
@@ -197,7 +197,7 @@
     }
 
     /** Answers or retries the open part of an attempt that has ended. */
-    private void continuePart(Attempt attempt, Attempt.Outcome outcome) {
+    private void handlePartOutcome(Attempt attempt, Attempt.Outcome outcome) {
         Part part = attempt.part;
         if (outcome == Attempt.Outcome.ANSWERED) {
             completion.recordAnswer(part);
@@ -207,7 +207,7 @@
                 crashGuard.recordConnectionReset(part.multiget, attempt.server);
             }
             if (!ServerCrashGuard.isSuspected(part.multiget)) {
-                retryScheduler.retryOrLose(part);
+                retryScheduler.retryOrFail(part);
             }
         }
     }
@@ -215,8 +215,8 @@
     /** Lets each concern learn from an outcome. The latency estimates change last, as the others compare with them. */
     private void recordOutcome(Attempt attempt, Attempt.Outcome outcome, double tookMs) {
         Server server = attempt.server;
-        boolean ofFormerProcess = attempt.sentMs < server.startedAtMs;
-        if (ofFormerProcess) {
+        boolean isFromFormerProcess = attempt.sentMs < server.startedAtMs;
+        if (isFromFormerProcess) {
             return;
         }
         boolean answered = outcome == Attempt.Outcome.ANSWERED;
@@ -251,7 +251,7 @@
     @Override
     public Decisions onEndpointUpdate(List<Server> servers, boolean complete, boolean fresh, double nowMs) {
         context.beginEvent(nowMs);
-        endpoints.update(servers, complete, fresh, this::onOverdue);
+        endpoints.updateServers(servers, complete, fresh, this::onOverdue);
         releaseQueue.release(table.shards());
         return context.decisions();
     }
@@ -282,7 +282,7 @@
     /** Does the periodic work over all servers. */
     private void onTick() {
         if (!context.hasJustResumed()) {
-            List<Server> live = table.matching(server -> server.state == Server.State.LIVE);
+            List<Server> live = table.findMatching(server -> server.state == Server.State.LIVE);
             outliers.beginTick(live);
             for (Server server : live) {
                 outliers.updateEjection(server);
@@ -301,7 +301,7 @@
     }
 
     /** Timers that are pending; for tests. */
-    int pendingTimers() {
+    int pendingTimerCount() {
         return context.timers.size();
     }
 }
--- a/core/src/test/java/spartrail/coordination/CoordinatorScript.java
+++ b/core/src/test/java/spartrail/coordination/CoordinatorScript.java
@@ -49,15 +49,15 @@
 
     /** Adds an op type of three times the priority weight. */
     OpType addHighPriorityOpType() {
-        OpType vital = new CoordinatorScript().opType;
-        vital.name = "vital";
-        vital.priorityWeight = 3;
-        opTypes.add(vital);
-        return vital;
+        OpType highPriority = new CoordinatorScript().opType;
+        highPriority.name = "vital";
+        highPriority.priorityWeight = 3;
+        opTypes.add(highPriority);
+        return highPriority;
     }
 
     /** Starts the coordinator with one server a cell, and with hedging, cancellation and Retry-After allowed. */
-    CoordinatorScript withFleet(int shards, int cells, int replicationFactor, int maxPartsPerBatch) {
+    CoordinatorScript startFleet(int shards, int cells, int replicationFactor, int maxPartsPerBatch) {
         coordinator = new WindowCoordinator(new Random(7), opTypes)
                 .configureFrontNodes(2, 5)
                 .configureLayout(shards, cells, replicationFactor, maxPartsPerBatch)
@@ -68,14 +68,14 @@
         for (int cell = 0; cell < cells; cell++) {
             servers.add(server("s" + cell, cell, Server.State.LIVE, -1));
         }
-        return print("list", coordinator.onEndpointUpdate(servers, true, true, nowMs));
+        return recordDecisions("list", coordinator.onEndpointUpdate(servers, true, true, nowMs));
     }
 
-    static Server server(String id, int cell, Server.State state, double bornMs) {
+    static Server server(String id, int cell, Server.State state, double startedAtMs) {
         Server server = new Server(id);
         server.cell = cell;
         server.state = state;
-        server.startedAtMs = bornMs;
+        server.startedAtMs = startedAtMs;
         return server;
     }
 
@@ -85,23 +85,23 @@
         return server;
     }
 
-    CoordinatorScript endpointUpdate(boolean complete, boolean fresh, Server... servers) {
-        return print("list", coordinator.onEndpointUpdate(List.of(servers), complete, fresh, nowMs));
+    CoordinatorScript updateEndpoints(boolean complete, boolean fresh, Server... servers) {
+        return recordDecisions("list", coordinator.onEndpointUpdate(List.of(servers), complete, fresh, nowMs));
     }
 
-    CoordinatorScript place(long id, int... shards) {
-        return place(opType, id, 2000, shards);
+    CoordinatorScript submit(long id, int... shards) {
+        return submit(opType, id, 2000, shards);
     }
 
     /** Places multigets of these ids, each of one part of the same shard. */
-    CoordinatorScript placeEach(long firstId, long lastId, int shard) {
+    CoordinatorScript submitEach(long firstId, long lastId, int shard) {
         for (long id = firstId; id <= lastId; id++) {
-            place(id, shard);
+            submit(id, shard);
         }
         return this;
     }
 
-    CoordinatorScript place(OpType placedType, long id, double clientTimeLeftMs, int... shards) {
+    CoordinatorScript submit(OpType placedType, long id, double clientTimeLeftMs, int... shards) {
         Multiget multiget = new Multiget();
         multiget.id = id;
         multiget.opType = placedType;
@@ -117,45 +117,45 @@
             part.weight = 1.0 / shards.length;
             multiget.parts.add(part);
         }
-        return print("place " + id, coordinator.submit(multiget, nowMs));
+        return recordDecisions("place " + id, coordinator.submit(multiget, nowMs));
     }
 
     /** The outcome of an attempt, named as in the trace. */
-    CoordinatorScript outcome(String name, Attempt.Outcome outcome) {
+    CoordinatorScript reportOutcome(String name, Attempt.Outcome outcome) {
         Attempt attempt = attempts.get(name);
         if (attempt == null) {
             return this;
         }
-        return print(
+        return recordDecisions(
                 name + " " + traceName(outcome),
                 coordinator.onOutcome(attempt, outcome, nowMs - attempt.sentMs, nowMs));
     }
 
     /** The same outcome for all attempts in flight at a server. */
-    CoordinatorScript outcomeOfAllAt(String server, Attempt.Outcome outcome) {
+    CoordinatorScript reportOutcomeForAllAt(String server, Attempt.Outcome outcome) {
         List.copyOf(attempts.keySet()).stream()
                 .filter(name -> attempts.get(name).isInFlight()
                         && attempts.get(name).server.id.equals(server))
-                .forEach(name -> outcome(name, outcome));
+                .forEach(name -> reportOutcome(name, outcome));
         return this;
     }
 
-    CoordinatorScript clientGone(long id) {
-        return print("gone " + id, coordinator.onClientGone(multigets.get(id), nowMs));
+    CoordinatorScript closeClient(long id) {
+        return recordDecisions("gone " + id, coordinator.onClientGone(multigets.get(id), nowMs));
     }
 
-    CoordinatorScript discoveryUnavailable() {
-        return print("unlisted", coordinator.onDiscoveryUnavailable(nowMs));
+    CoordinatorScript reportDiscoveryUnavailable() {
+        return recordDecisions("unlisted", coordinator.onDiscoveryUnavailable(nowMs));
     }
 
     /** Advances the time, with the timer events that the coordinator asks for. */
-    CoordinatorScript advance(double ms) {
-        double until = nowMs + ms;
+    CoordinatorScript advance(double durationMs) {
+        double until = nowMs + durationMs;
         while (nowMs + coordinator.timeToNextTimerMs(nowMs) <= until) {
             nowMs += coordinator.timeToNextTimerMs(nowMs);
             Decisions decisions = coordinator.onTimer(nowMs);
-            if (!text(decisions).isEmpty()) {
-                print("wait", decisions);
+            if (!describe(decisions).isEmpty()) {
+                recordDecisions("wait", decisions);
             }
         }
         nowMs = until;
@@ -163,29 +163,29 @@
     }
 
     /** Pauses the process; timers run first after it, events that arrived meanwhile later. */
-    CoordinatorScript pauseProcess(double ms) {
+    CoordinatorScript pauseProcess(double durationMs) {
         coordinator.timeToNextTimerMs(nowMs);
-        nowMs += ms;
-        return print("back", coordinator.onTimer(nowMs));
+        nowMs += durationMs;
+        return recordDecisions("back", coordinator.onTimer(nowMs));
     }
 
     /** Records until when the frame of an attempt may begin. */
-    CoordinatorScript traceSendDeadline(String name) {
+    CoordinatorScript recordSendDeadline(String name) {
         trace.append(String.format(
                 Locale.ROOT, "%5.0f %s leaves by %.0f%n", nowMs, name, attempts.get(name).sendDeadlineMs));
         return this;
     }
 
-    private CoordinatorScript print(String call, Decisions decisions) {
-        trace.append(String.format(Locale.ROOT, "%5.0f %s ->%s%n", nowMs, call, text(decisions)));
+    private CoordinatorScript recordDecisions(String call, Decisions decisions) {
+        trace.append(String.format(Locale.ROOT, "%5.0f %s ->%s%n", nowMs, call, describe(decisions)));
         return this;
     }
 
-    private String text(Decisions decisions) {
+    private String describe(Decisions decisions) {
         StringBuilder text = new StringBuilder();
         for (Attempt attempt : decisions.attempts) {
-            text.append(' ').append(name(attempt)).append('@').append(attempt.server.id);
-            attempts.put(name(attempt), attempt);
+            text.append(' ').append(attemptName(attempt)).append('@').append(attempt.server.id);
+            attempts.put(attemptName(attempt), attempt);
         }
         for (Multiget multiget : decisions.answers) {
             text.append(" [")
@@ -194,7 +194,7 @@
                     .append(traceName(multiget.answer))
                     .append(']');
         }
-        decisions.cancellations.forEach(attempt -> text.append(" x").append(name(attempt)));
+        decisions.cancellations.forEach(attempt -> text.append(" x").append(attemptName(attempt)));
         return text.append(decisions.watchEndpoints ? " follow" : "").toString();
     }
 
@@ -212,13 +212,13 @@
     }
 
     /** Multiget, shard, number of the attempt. */
-    private static String name(Attempt attempt) {
+    private static String attemptName(Attempt attempt) {
         Part part = attempt.part;
         return part.multiget.id + "." + part.shard.number + "#" + attempt.number;
     }
 
     /** Compares the record with the trace of this name. */
-    void assertTraceIs(String name) {
+    void assertTraceMatches(String name) {
         try (InputStream resource = CoordinatorScript.class.getResourceAsStream("/traces/" + name + ".txt")) {
             String expected = resource == null ? "" : new String(resource.readAllBytes(), StandardCharsets.UTF_8);
             assertThat(trace.toString()).isEqualToNormalizingNewlines(expected);
--- a/core/src/test/java/spartrail/coordination/WarmUpFleet.java
+++ b/core/src/test/java/spartrail/coordination/WarmUpFleet.java
@@ -39,7 +39,7 @@
         final WindowCoordinator coordinator;
         final OpType opType = new CoordinatorScript().opType;
         final double partsPerMs;
-        long wakes;
+        long timerRequests;
 
         HollowNode(Node node, int cells) {
             opType.latency.meanLatencyMs = serviceMs;
@@ -94,9 +94,9 @@
                         nowMs + tookMs,
                         () -> carryOut(coordinator.onOutcome(attempt, Attempt.Outcome.ANSWERED, tookMs, nowMs)));
             }
-            long wake = ++wakes;
+            long timerRequest = ++timerRequests;
             schedule(nowMs + Math.max(0.01, coordinator.timeToNextTimerMs(nowMs)), () -> {
-                if (wake == wakes) {
+                if (timerRequest == timerRequests) {
                     carryOut(coordinator.onTimer(nowMs));
                 }
             });
@@ -107,9 +107,9 @@
     private final double serviceMs;
     private final int cores;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final Deque<Double> window = new ArrayDeque<>();
+    private final Deque<Double> recentAttempts = new ArrayDeque<>();
     private double nowMs;
-    private long number;
+    private long nextEventNumber;
     private double worstOverload;
 
     WarmUpFleet(long seed, double serviceMs, int cores) {
@@ -118,25 +118,26 @@
         this.cores = cores;
     }
 
-    private void schedule(double ms, Runnable action) {
-        events.add(new Event(ms, number++, action));
+    private void schedule(double atMs, Runnable action) {
+        events.add(new Event(atMs, nextEventNumber++, action));
     }
 
-    private static double capacityShare(double ms) {
-        return Math.min(1, MIN_CAPACITY_SHARE + (1 - MIN_CAPACITY_SHARE) * (ms - RESTART_MS) / WARM_UP_MS);
+    private static double capacityShare(double atMs) {
+        return Math.min(1, MIN_CAPACITY_SHARE + (1 - MIN_CAPACITY_SHARE) * (atMs - RESTART_MS) / WARM_UP_MS);
     }
 
-    private void recordAttempt(double ms) {
-        window.add(ms);
-        while (window.peek() < ms - COLLAPSE_AFTER_MS) {
-            window.poll();
+    private void recordAttempt(double atMs) {
+        recentAttempts.add(atMs);
+        while (recentAttempts.peek() < atMs - COLLAPSE_AFTER_MS) {
+            recentAttempts.poll();
         }
-        double budget = COLLAPSE_MULTIPLE * capacityShare(ms) * cores / serviceMs * COLLAPSE_AFTER_MS;
-        worstOverload = Math.max(worstOverload, window.size() / (budget + 2 * Math.sqrt(budget) + 2));
+        double allowedAttempts = COLLAPSE_MULTIPLE * capacityShare(atMs) * cores / serviceMs * COLLAPSE_AFTER_MS;
+        worstOverload =
+                Math.max(worstOverload, recentAttempts.size() / (allowedAttempts + 2 * Math.sqrt(allowedAttempts) + 2));
     }
 
     /** The most attempts at the restarted server in any window, over its capacity with chance allowed for; above 1 it collapses. */
-    double worstOverload(List<Node> nodes, int cells) {
+    double simulateWorstOverload(List<Node> nodes, int cells) {
         nodes.forEach(node -> new HollowNode(node, cells));
         while (events.peek().atMs < RESTART_MS + WARM_UP_MS) {
             Event next = events.poll();
--- a/core/src/test/java/spartrail/coordination/WarmUpFleetTest.java
+++ b/core/src/test/java/spartrail/coordination/WarmUpFleetTest.java
@@ -14,11 +14,11 @@
     private static final int REPLICAS = 8;
 
     /** Nodes of which some have several times the queries of others; together they use this share of the warm servers. */
-    private static List<WarmUpFleet.Node> unevenNodes(
+    private static List<WarmUpFleet.Node> createUnevenNodes(
             int count,
             double utilization,
             int cores,
-            int leastReplicas,
+            int minReplicas,
             double minAssumedShare,
             double maxAssumedShare,
             long seed) {
@@ -34,12 +34,12 @@
             nodes.add(new WarmUpFleet.Node(
                     (int) Math.max(1, Math.round(assumedNodes)),
                     utilization * cores * REPLICAS / SERVICE_MS * weight / sum,
-                    leastReplicas + random.nextInt(REPLICAS - leastReplicas + 1)));
+                    minReplicas + random.nextInt(REPLICAS - minReplicas + 1)));
         }
         return nodes;
     }
 
-    private static double worstOverload(
+    private static double simulateWorstOverload(
             int count,
             double utilization,
             int cores,
@@ -48,17 +48,17 @@
             double maxAssumedShare,
             long seed) {
         return new WarmUpFleet(seed, SERVICE_MS, cores)
-                .worstOverload(
-                        unevenNodes(count, utilization, cores, REPLICAS, minAssumedShare, maxAssumedShare, seed),
+                .simulateWorstOverload(
+                        createUnevenNodes(count, utilization, cores, REPLICAS, minAssumedShare, maxAssumedShare, seed),
                         cells);
     }
 
     @Test
-    void nodesThatAssumeOtherCountsDoNotOverloadAServerThatWarmsUp() {
+    void nodesThatAssumeWrongNodeCountsDoNotOverloadAServerThatWarmsUp() {
         for (int count : new int[] {20, 30}) {
             for (int cores : new int[] {1, 4}) {
                 for (double utilization : new double[] {0.3, 0.6, 0.8}) {
-                    assertThat(worstOverload(count, utilization, cores, REPLICAS, 0.5, 1.5, count))
+                    assertThat(simulateWorstOverload(count, utilization, cores, REPLICAS, 0.5, 1.5, count))
                             .as("%d nodes, %d cores, %.1f used", count, cores, utilization)
                             .isLessThan(1);
                 }
@@ -71,7 +71,7 @@
      * has, or as on average, where each node's count of all nodes is wrong by up to a half, or everyone's is.
      */
     @Test
-    void nodesThatShareAServerByTheirSubsetsDoNotOverloadItWhileItWarmsUp() {
+    void nodesWhoseSubsetsShareAServerDoNotOverloadItWhileItWarmsUp() {
         double inclusion = REPLICAS / 248.0;
         int mean = (int) Math.round(3900 * inclusion);
         int most = SharingBound.nodesPerServer(3900, inclusion);
@@ -79,13 +79,13 @@
         double more = SharingBound.nodesPerServer(3900 * 3 / 2, inclusion) / (double) mean;
         for (int cores : new int[] {1, 4}) {
             for (double utilization : new double[] {0.3, 0.6, 0.8}) {
-                assertThat(worstOverload(most, utilization, cores, 1, 1, 1, 1))
+                assertThat(simulateWorstOverload(most, utilization, cores, 1, 1, 1, 1))
                         .as("%d sharing, %d cores, %.1f used", most, cores, utilization)
                         .isLessThan(1);
-                assertThat(worstOverload(mean, utilization, cores, 1, half, more, 2))
+                assertThat(simulateWorstOverload(mean, utilization, cores, 1, half, more, 2))
                         .as("counts differ, %d cores, %.1f used", cores, utilization)
                         .isLessThan(1);
-                assertThat(worstOverload(mean, utilization, cores, 1, half, half, 3))
+                assertThat(simulateWorstOverload(mean, utilization, cores, 1, half, half, 3))
                         .as("half counted, %d cores, %.1f used", cores, utilization)
                         .isLessThan(1);
             }
@@ -94,14 +94,14 @@
 
     /** Lists that differ: each node's names from half to all of the replicas, the cold one among them. */
     @Test
-    void nodesWhoseEndpointListsDifferDoNotOverloadIt() {
+    void nodesWhoseEndpointListsDifferDoNotOverloadAServerThatWarmsUp() {
         int mean = (int) Math.round(3900 * REPLICAS / 248.0);
         for (int count : new int[] {20, 30, mean}) {
             for (int cores : new int[] {1, 4}) {
                 for (double utilization : new double[] {0.3, 0.6, 0.8}) {
                     List<WarmUpFleet.Node> nodes =
-                            unevenNodes(count, utilization, cores, REPLICAS / 2, 0.5, 1.5, count);
-                    assertThat(new WarmUpFleet(count, SERVICE_MS, cores).worstOverload(nodes, 1))
+                            createUnevenNodes(count, utilization, cores, REPLICAS / 2, 0.5, 1.5, count);
+                    assertThat(new WarmUpFleet(count, SERVICE_MS, cores).simulateWorstOverload(nodes, 1))
                             .as("%d nodes, %d cores, %.1f used", count, cores, utilization)
                             .isLessThan(1);
                 }
@@ -113,7 +113,7 @@
     void nodesWithSeveralServersInACellDoNotOverloadOneThatWarmsUp() {
         for (int count : new int[] {20, 30, 60}) {
             for (double utilization : new double[] {0.3, 0.6, 0.8}) {
-                assertThat(worstOverload(count, utilization, 1, 1, 0.5, 1.5, count))
+                assertThat(simulateWorstOverload(count, utilization, 1, 1, 0.5, 1.5, count))
                         .as("%d nodes, %.1f used", count, utilization)
                         .isLessThan(1);
             }
@@ -122,7 +122,7 @@
 
     /** Shows that the check fails where it should: the same fleet, each of whose nodes assumes to be alone. */
     @Test
-    void nodesThatEachAssumeToBeAloneOverloadIt() {
-        assertThat(worstOverload(30, 0.6, 1, REPLICAS, 0, 0, 30)).isGreaterThan(1);
+    void nodesThatEachAssumeToBeTheOnlyNodeOverloadAServerThatWarmsUp() {
+        assertThat(simulateWorstOverload(30, 0.6, 1, REPLICAS, 0, 0, 30)).isGreaterThan(1);
     }
 }
--- a/core/src/test/java/spartrail/coordination/WindowCoordinatorFaultsTest.java
+++ b/core/src/test/java/spartrail/coordination/WindowCoordinatorFaultsTest.java
@@ -13,165 +13,165 @@
 class WindowCoordinatorFaultsTest {
 
     @Test
-    void anOverdueAttemptIsHedgedElsewhereAndTheLoserIsCancelled() {
+    void anOverdueAttemptIsHedgedAtAnotherReplicaAndCancelledWhenThatOneAnswers() {
         new CoordinatorScript()
-                .withFleet(1, 2, 2, 1)
-                .place(1, 0)
+                .startFleet(1, 2, 2, 1)
+                .submit(1, 0)
                 .advance(200)
-                .outcome("1.0#1", Outcome.ANSWERED)
-                .outcome("1.0#0", Outcome.CANCELLED)
-                .assertTraceIs("copy");
+                .reportOutcome("1.0#1", Outcome.ANSWERED)
+                .reportOutcome("1.0#0", Outcome.CANCELLED)
+                .assertTraceMatches("copy");
     }
 
     @Test
-    void anAttemptOvertakenByLaterAnswersIsHedgedEarly() {
+    void anAttemptIsHedgedEarlyAfterTheServerAnsweredALaterOne() {
         new CoordinatorScript()
-                .withFleet(1, 2, 2, 1)
-                .place(1, 0)
-                .place(2, 0)
+                .startFleet(1, 2, 2, 1)
+                .submit(1, 0)
+                .submit(2, 0)
                 .advance(1)
-                .place(3, 0)
+                .submit(3, 0)
                 .advance(50)
-                .outcome("3.0#0", Outcome.ANSWERED)
+                .reportOutcome("3.0#0", Outcome.ANSWERED)
                 .advance(100)
-                .outcome("2.0#0", Outcome.ANSWERED)
-                .assertTraceIs("overtaken");
+                .reportOutcome("2.0#0", Outcome.ANSWERED)
+                .assertTraceMatches("overtaken");
     }
 
     @Test
-    void nothingIsHedgedWhereParallelAttemptsAreForbidden() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(1, 2, 2, 1);
+    void noAttemptIsHedgedWhereParallelAttemptsAreForbidden() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(1, 2, 2, 1);
         script.coordinator.configureAttempts(2, false, false);
-        script.place(1, 0)
+        script.submit(1, 0)
                 .advance(320)
-                .outcome("1.0#0", Outcome.TIMED_OUT)
+                .reportOutcome("1.0#0", Outcome.TIMED_OUT)
                 .advance(100)
-                .outcome("1.0#1", Outcome.ANSWERED)
-                .assertTraceIs("no-parallel");
+                .reportOutcome("1.0#1", Outcome.ANSWERED)
+                .assertTraceMatches("no-parallel");
     }
 
     @Test
-    void aServerThatFailsQuicklyAttractsNoWork() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(1, 3, 3, 1);
+    void aServerThatFailsQuicklyIsAvoided() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(1, 3, 3, 1);
         for (int i = 1; i < 10; i++) {
-            script.place(i, 0).advance(2);
+            script.submit(i, 0).advance(2);
             for (int server = 0; server < 3; server++) {
-                script.outcomeOfAllAt("s" + server, server == 0 ? Outcome.ERROR : Outcome.ANSWERED);
+                script.reportOutcomeForAllAt("s" + server, server == 0 ? Outcome.ERROR : Outcome.ANSWERED);
             }
             script.advance(100);
         }
-        script.assertTraceIs("fast-errors");
+        script.assertTraceMatches("fast-errors");
     }
 
     @Test
     void underOverloadTheLowestPriorityIsRejectedFirst() {
         CoordinatorScript script = new CoordinatorScript();
         OpType highPriority = script.addHighPriorityOpType();
-        script.withFleet(1, 1, 1, 1);
+        script.startFleet(1, 1, 1, 1);
         for (int i = 1; i < 7; i++) {
-            script.place(i, 0);
+            script.submit(i, 0);
         }
-        script.advance(500).place(7, 0).place(highPriority, 8, 2000, 0).assertTraceIs("overload");
+        script.advance(500).submit(7, 0).submit(highPriority, 8, 2000, 0).assertTraceMatches("overload");
     }
 
     @Test
-    void aMultigetWithTooLittleTimeIsRejectedAndOneWithLittleIsNot() {
+    void aMultigetWithTooLittleTimeLeftIsRejectedAndOneWithJustEnoughIsAdmitted() {
         CoordinatorScript script = new CoordinatorScript();
         script.opType.lateShare = 0;
-        script.withFleet(1, 1, 1, 1)
-                .place(script.opType, 1, 50, 0)
-                .place(script.opType, 2, 900, 0)
-                .assertTraceIs("little-time");
+        script.startFleet(1, 1, 1, 1)
+                .submit(script.opType, 1, 50, 0)
+                .submit(script.opType, 2, 900, 0)
+                .assertTraceMatches("little-time");
     }
 
     @Test
     void noAttemptIsStartedForAClientThatHasGone() {
         new CoordinatorScript()
-                .withFleet(1, 3, 3, 1)
-                .place(1, 0)
-                .clientGone(1)
-                .outcomeOfAllAt("s0", Outcome.RESET)
+                .startFleet(1, 3, 3, 1)
+                .submit(1, 0)
+                .closeClient(1)
+                .reportOutcomeForAllAt("s0", Outcome.RESET)
                 .advance(3000)
-                .place(2, 0)
+                .submit(2, 0)
                 .advance(100)
-                .clientGone(2)
+                .closeClient(2)
                 .advance(3000)
-                .outcomeOfAllAt("s1", Outcome.ERROR)
+                .reportOutcomeForAllAt("s1", Outcome.ERROR)
                 .advance(3000)
-                .assertTraceIs("gone");
+                .assertTraceMatches("gone");
     }
 
     @Test
     void theEndpointListIsPolledAgainWithBackoff() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(1, 2, 2, 1);
+        CoordinatorScript script = new CoordinatorScript().startFleet(1, 2, 2, 1);
         script.coordinator.configureEndpointPolling(true, 10_000);
-        script.endpointUpdate(true, false, server("s0", 0, Server.State.LIVE, -1))
+        script.updateEndpoints(true, false, server("s0", 0, Server.State.LIVE, -1))
                 .advance(300)
-                .discoveryUnavailable()
+                .reportDiscoveryUnavailable()
                 .advance(1000)
-                .discoveryUnavailable()
+                .reportDiscoveryUnavailable()
                 .advance(2000)
-                .endpointUpdate(false, true)
+                .updateEndpoints(false, true)
                 .advance(6000)
-                .assertTraceIs("list");
+                .assertTraceMatches("list");
     }
 
     @Test
-    void aRetryThatCannotBeSentBlocksNothing() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(1, 2, 2, 1);
-        script.placeEach(1, 8, 0);
+    void aRetryThatCannotBeSentDoesNotBlockThePartsBehindIt() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(1, 2, 2, 1);
+        script.submitEach(1, 8, 0);
         script.advance(10)
-                .outcomeOfAllAt("s1", Outcome.FULL)
-                .place(9, 0)
-                .place(10, 0)
+                .reportOutcomeForAllAt("s1", Outcome.FULL)
+                .submit(9, 0)
+                .submit(10, 0)
                 .advance(10)
-                .outcome("1.0#0", Outcome.ANSWERED)
-                .outcome("3.0#0", Outcome.ANSWERED)
-                .assertTraceIs("repeat-blocked");
+                .reportOutcome("1.0#0", Outcome.ANSWERED)
+                .reportOutcome("3.0#0", Outcome.ANSWERED)
+                .assertTraceMatches("repeat-blocked");
     }
 
     @Test
-    void withEmptyQueuesAdmissionGoesByRecentLatencyWhichFades() {
+    void withEmptyQueuesAdmissionDependsOnRecentLatencyUntilItIsOutdated() {
         CoordinatorScript script = new CoordinatorScript();
         OpType highPriority = script.addHighPriorityOpType();
-        script.withFleet(4, 4, 1, 1);
-        script.place(1, 0).place(2, 1).place(3, 2).place(4, 3).advance(900);
+        script.startFleet(4, 4, 1, 1);
+        script.submit(1, 0).submit(2, 1).submit(3, 2).submit(4, 3).advance(900);
         for (int i = 0; i < 4; i++) {
-            script.outcomeOfAllAt("s" + i, Outcome.ANSWERED);
+            script.reportOutcomeForAllAt("s" + i, Outcome.ANSWERED);
         }
-        script.place(5, 0)
-                .place(highPriority, 6, 2000, 1)
+        script.submit(5, 0)
+                .submit(highPriority, 6, 2000, 1)
                 .advance(9000)
-                .place(7, 0)
-                .assertTraceIs("crowded");
+                .submit(7, 0)
+                .assertTraceMatches("crowded");
     }
 
     @Test
-    void theLatencyOfOneEjectedServerRejectsNothing() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(4, 4, 1, 1);
+    void theLatencyOfAnEjectedServerDoesNotCauseRejections() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(4, 4, 1, 1);
         script.coordinator.configureAttempts(1, false, false);
         for (int i = 1; i < 5; i++) {
-            script.place(i, 0).advance(900).outcomeOfAllAt("s0", Outcome.ANSWERED);
+            script.submit(i, 0).advance(900).reportOutcomeForAllAt("s0", Outcome.ANSWERED);
         }
-        script.place(5, 1).assertTraceIs("one-ill");
+        script.submit(5, 1).assertTraceMatches("one-ill");
     }
 
     @Test
-    void aMultigetResetByTwoServersSendsNothingFurtherUntilAPartIsAnswered() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(3, 6, 6, 1);
-        script.place(1, 0, 1, 2)
-                .place(2, 0, 1, 2)
+    void aMultigetThatTwoServersResetSendsNoMorePartsUntilOneIsAnswered() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(3, 6, 6, 1);
+        script.submit(1, 0, 1, 2)
+                .submit(2, 0, 1, 2)
                 .advance(10)
-                .outcome("1.0#0", Outcome.RESET)
-                .outcome("1.1#0", Outcome.RESET)
-                .outcome("1.0#1", Outcome.RESET)
-                .outcome("1.2#0", Outcome.RESET);
-        script.outcome("2.0#0", Outcome.RESET)
-                .outcome("2.1#0", Outcome.RESET)
-                .outcome("2.0#1", Outcome.RESET)
+                .reportOutcome("1.0#0", Outcome.RESET)
+                .reportOutcome("1.1#0", Outcome.RESET)
+                .reportOutcome("1.0#1", Outcome.RESET)
+                .reportOutcome("1.2#0", Outcome.RESET);
+        script.reportOutcome("2.0#0", Outcome.RESET)
+                .reportOutcome("2.1#0", Outcome.RESET)
+                .reportOutcome("2.0#1", Outcome.RESET)
                 .advance(50)
-                .outcome("2.2#0", Outcome.ANSWERED)
-                .assertTraceIs("broken-off");
+                .reportOutcome("2.2#0", Outcome.ANSWERED)
+                .assertTraceMatches("broken-off");
     }
 
     private static int[] wideShards() {
@@ -179,140 +179,142 @@
     }
 
     @Test
-    void aWideMultigetThatCrashesServersCrashesOneAndIsGivenUp() {
+    void aWideMultigetIsGivenUpAfterItsFirstPartCrashesAServer() {
         new CoordinatorScript()
-                .withFleet(33, 33, 3, 1)
-                .place(1, wideShards())
+                .startFleet(33, 33, 3, 1)
+                .submit(1, wideShards())
                 .advance(10)
-                .outcome("1.0#0", Outcome.RESET)
-                .assertTraceIs("wide-killer");
+                .reportOutcome("1.0#0", Outcome.RESET)
+                .assertTraceMatches("wide-killer");
     }
 
     @Test
-    void aWideMultigetGoesOnWithItsFirstAnswerOrAfterTheExpectedLatency() {
+    void aWideMultigetSendsItsOtherPartsAfterTheFirstAnswerOrTheExpectedLatency() {
         new CoordinatorScript()
-                .withFleet(33, 33, 3, 1)
-                .place(1, wideShards())
+                .startFleet(33, 33, 3, 1)
+                .submit(1, wideShards())
                 .advance(60)
-                .outcome("1.0#0", Outcome.ANSWERED)
-                .place(2, wideShards())
+                .reportOutcome("1.0#0", Outcome.ANSWERED)
+                .submit(2, wideShards())
                 .advance(125)
-                .assertTraceIs("wide");
+                .assertTraceMatches("wide");
     }
 
     @Test
     void whileServersCrashEveryMultigetSendsOnePartFirst() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(8, 8, 2, 1);
-        script.endpointUpdate(
+        CoordinatorScript script = new CoordinatorScript().startFleet(8, 8, 2, 1);
+        script.updateEndpoints(
                 false,
                 true,
                 server("s5", 5, Server.State.GONE, -1),
                 server("s6", 6, Server.State.LIVE, 990),
                 server("s7", 7, Server.State.GONE, -1));
-        script.place(1, 0, 1, 2)
+        script.submit(1, 0, 1, 2)
                 .advance(50)
-                .outcome("1.0#0", Outcome.ANSWERED)
+                .reportOutcome("1.0#0", Outcome.ANSWERED)
                 .advance(20_000)
-                .place(2, 0, 1, 2)
-                .assertTraceIs("deaths");
+                .submit(2, 0, 1, 2)
+                .assertTraceMatches("deaths");
     }
 
     @Test
-    void aBadPathToOneZoneIsDistinguishedFromASlowdownOfAll() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(1, 4, 4, 1);
+    void serversOfASlowZoneAreAvoidedEvenIfTheyAreHalfOfAll() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(1, 4, 4, 1);
         script.coordinator.configureAttempts(1, false, false);
-        script.endpointUpdate(
+        script.updateEndpoints(
                 true,
                 true,
                 serverInZone("s0", 0, "a"),
                 serverInZone("s1", 1, "a"),
                 serverInZone("s2", 2, "b"),
                 serverInZone("s3", 3, "b"));
-        script.placeEach(1, 4, 0)
+        script.submitEach(1, 4, 0)
                 .advance(60)
-                .outcomeOfAllAt("s0", Outcome.ANSWERED)
-                .outcomeOfAllAt("s1", Outcome.ANSWERED)
+                .reportOutcomeForAllAt("s0", Outcome.ANSWERED)
+                .reportOutcomeForAllAt("s1", Outcome.ANSWERED)
                 .advance(740)
-                .outcomeOfAllAt("s2", Outcome.ANSWERED)
-                .outcomeOfAllAt("s3", Outcome.ANSWERED);
-        script.advance(100).placeEach(5, 7, 0).assertTraceIs("zones");
+                .reportOutcomeForAllAt("s2", Outcome.ANSWERED)
+                .reportOutcomeForAllAt("s3", Outcome.ANSWERED);
+        script.advance(100).submitEach(5, 7, 0).assertTraceMatches("zones");
     }
 
     @Test
     void aClientRetryPastItsLatencyObjectiveIsRejectedWithRetryAfter() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(1, 1, 1, 1);
+        CoordinatorScript script = new CoordinatorScript().startFleet(1, 1, 1, 1);
         script.clientRetry = true;
-        script.place(script.opType, 1, 1100, 0).place(script.opType, 2, 1000, 0).assertTraceIs("spent");
+        script.submit(script.opType, 1, 1100, 0)
+                .submit(script.opType, 2, 1000, 0)
+                .assertTraceMatches("spent");
     }
 
     @Test
-    void aMultigetWithAnIdempotencyKeyIsRejectedOnlyWhereItsClientReturnsWithinTheWindow() {
+    void aMultigetWithAnIdempotencyKeyIsRejectedOnlyIfItsClientCanRetryWithinTheDeduplicationWindow() {
         CoordinatorScript script = new CoordinatorScript();
         script.opType.idempotency = OpType.Idempotency.IDEMPOTENCY_KEY;
         script.opType.deduplicationWindowMs = 1000;
-        script.withFleet(1, 1, 1, 1)
-                .place(1, 0)
-                .place(2, 0)
+        script.startFleet(1, 1, 1, 1)
+                .submit(1, 0)
+                .submit(2, 0)
                 .advance(100)
-                .outcome("1.0#0", Outcome.ERROR)
+                .reportOutcome("1.0#0", Outcome.ERROR)
                 .advance(750)
-                .outcome("2.0#0", Outcome.ERROR)
-                .assertTraceIs("deduped-back");
+                .reportOutcome("2.0#0", Outcome.ERROR)
+                .assertTraceMatches("deduped-back");
     }
 
     @Test
     void theLastOfManyPartsIsHedgedEarly() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(10, 10, 2, 1);
-        script.place(1, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9)
-                .place(2, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9)
+        CoordinatorScript script = new CoordinatorScript().startFleet(10, 10, 2, 1);
+        script.submit(1, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9)
+                .submit(2, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9)
                 .advance(100);
         for (int i = 0; i < 9; i++) {
-            script.outcome("1." + i + "#0", Outcome.ANSWERED);
+            script.reportOutcome("1." + i + "#0", Outcome.ANSWERED);
         }
-        script.advance(22).assertTraceIs("straggler");
+        script.advance(22).assertTraceMatches("straggler");
     }
 
     @Test
-    void aLateMultigetGoesOnWhereLittleIsLeftToSend() {
+    void aLateMultigetIsContinuedIfLittleOfItIsUnsent() {
         CoordinatorScript script = new CoordinatorScript();
-        script.withFleet(5, 5, 1, 1).place(1, 0, 1, 2, 3, 4).place(2, 0, 1).advance(10);
-        script.endpointUpdate(false, true, server("s0", 0, Server.State.DRAINING, -1))
-                .outcome("1.0#0", Outcome.CONNECT_FAILED)
-                .outcome("2.0#0", Outcome.CONNECT_FAILED)
+        script.startFleet(5, 5, 1, 1).submit(1, 0, 1, 2, 3, 4).submit(2, 0, 1).advance(10);
+        script.updateEndpoints(false, true, server("s0", 0, Server.State.DRAINING, -1))
+                .reportOutcome("1.0#0", Outcome.CONNECT_FAILED)
+                .reportOutcome("2.0#0", Outcome.CONNECT_FAILED)
                 .advance(1000)
-                .assertTraceIs("late-rest");
+                .assertTraceMatches("late-rest");
     }
 
     @Test
     void aPauseOfTheProcessEjectsNoServer() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(2, 4, 2, 1);
-        script.place(1, 0, 1)
+        CoordinatorScript script = new CoordinatorScript().startFleet(2, 4, 2, 1);
+        script.submit(1, 0, 1)
                 .advance(10)
                 .pauseProcess(1500)
-                .outcome("1.0#0", Outcome.ANSWERED)
-                .outcome("1.1#0", Outcome.ANSWERED)
+                .reportOutcome("1.0#0", Outcome.ANSWERED)
+                .reportOutcome("1.1#0", Outcome.ANSWERED)
                 .advance(100)
-                .place(2, 0, 1)
-                .assertTraceIs("own-gap");
+                .submit(2, 0, 1)
+                .assertTraceMatches("own-gap");
     }
 
     @Test
-    void aChangeOfSettingsKeepsWhatIsLearnedAndWaitsForALongerBudgetWindow() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(1, 3, 3, 1);
+    void aSettingsChangeKeepsLearnedStateAndALongerBudgetWindowDelaysRetries() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(1, 3, 3, 1);
         script.coordinator.configureAttempts(4, false, true).configureRetryBudget(1000, 1, 0);
-        script.endpointUpdate(false, true, server("s2", 2, Server.State.LIVE, 990));
+        script.updateEndpoints(false, true, server("s2", 2, Server.State.LIVE, 990));
         // s0 cannot be reached, and the retry at s2, which warms up, is its share there for the first second.
-        script.place(1, 0).outcome("1.0#0", Outcome.CONNECT_FAILED).advance(150);
+        script.submit(1, 0).reportOutcome("1.0#0", Outcome.CONNECT_FAILED).advance(150);
         script.opType.latencyObjectiveMs = 1500;
         script.coordinator
                 .configureAttempts(4, false, true)
                 .configureRetryBudget(2000, 1, 0)
                 .configureSlowStart(0.2, 10_000, 2, 1000);
-        script.placeEach(2, 4, 0)
+        script.submitEach(2, 4, 0)
                 .advance(900)
-                .outcome("2.0#0", Outcome.ERROR)
+                .reportOutcome("2.0#0", Outcome.ERROR)
                 .advance(100)
-                .outcome("3.0#0", Outcome.ERROR)
-                .assertTraceIs("switch");
+                .reportOutcome("3.0#0", Outcome.ERROR)
+                .assertTraceMatches("switch");
     }
 }
--- a/core/src/test/java/spartrail/coordination/WindowCoordinatorTest.java
+++ b/core/src/test/java/spartrail/coordination/WindowCoordinatorTest.java
@@ -14,124 +14,124 @@
 
     @Test
     void queuedPartsAreReleasedInTheSameOrderAtEveryShard() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(2, 2, 1, 1);
-        script.place(1, 0, 1).place(2, 0, 1).place(3, 0, 1).place(4, 0, 1);
-        script.place(5, 0, 1).place(6, 1, 0).place(7, 0, 1);
+        CoordinatorScript script = new CoordinatorScript().startFleet(2, 2, 1, 1);
+        script.submit(1, 0, 1).submit(2, 0, 1).submit(3, 0, 1).submit(4, 0, 1);
+        script.submit(5, 0, 1).submit(6, 1, 0).submit(7, 0, 1);
         script.advance(60)
-                .outcome("1.0#0", Outcome.ANSWERED)
-                .outcome("2.0#0", Outcome.ANSWERED)
-                .outcome("1.1#0", Outcome.ANSWERED)
-                .outcome("2.1#0", Outcome.ANSWERED)
-                .assertTraceIs("release-order");
+                .reportOutcome("1.0#0", Outcome.ANSWERED)
+                .reportOutcome("2.0#0", Outcome.ANSWERED)
+                .reportOutcome("1.1#0", Outcome.ANSWERED)
+                .reportOutcome("2.1#0", Outcome.ANSWERED)
+                .assertTraceMatches("release-order");
     }
 
     @Test
-    void anEarlierWindowGoesFirstWhateverTheRank() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(1, 1, 1, 1);
-        script.place(1, 0)
-                .place(2, 0)
-                .place(3, 0)
-                .place(4, 0)
-                .place(9, 0)
+    void partsOfAnEarlierDeadlineWindowAreReleasedFirstWhateverTheirRank() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(1, 1, 1, 1);
+        script.submit(1, 0)
+                .submit(2, 0)
+                .submit(3, 0)
+                .submit(4, 0)
+                .submit(9, 0)
                 .advance(300)
-                .place(8, 0);
-        script.outcome("1.0#0", Outcome.FULL)
+                .submit(8, 0);
+        script.reportOutcome("1.0#0", Outcome.FULL)
                 .advance(10)
-                .outcome("2.0#0", Outcome.ANSWERED)
-                .outcome("3.0#0", Outcome.ANSWERED)
-                .outcome("4.0#0", Outcome.ANSWERED)
-                .assertTraceIs("window-order");
+                .reportOutcome("2.0#0", Outcome.ANSWERED)
+                .reportOutcome("3.0#0", Outcome.ANSWERED)
+                .reportOutcome("4.0#0", Outcome.ANSWERED)
+                .assertTraceMatches("window-order");
     }
 
     @Test
-    void theLeastLoadedReplicaIsPickedAndTiesGoInTurn() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(1, 3, 3, 1);
-        script.placeEach(1, 4, 0)
+    void theLeastLoadedReplicaIsPickedAndEquallyLoadedOnesInTurn() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(1, 3, 3, 1);
+        script.submitEach(1, 4, 0)
                 .advance(50)
-                .outcome("2.0#0", Outcome.ANSWERED)
-                .place(5, 0)
-                .place(6, 0)
-                .assertTraceIs("least-loaded");
+                .reportOutcome("2.0#0", Outcome.ANSWERED)
+                .submit(5, 0)
+                .submit(6, 0)
+                .assertTraceMatches("least-loaded");
     }
 
     @Test
-    void partsThatCanShareABatchDo() {
+    void partsOfOneMultigetAreSentInSharedBatches() {
         new CoordinatorScript()
-                .withFleet(4, 4, 4, 3)
-                .place(1, 0, 1, 2, 3)
+                .startFleet(4, 4, 4, 3)
+                .submit(1, 0, 1, 2, 3)
                 .advance(5)
-                .place(2, 0, 1)
-                .assertTraceIs("calls");
+                .submit(2, 0, 1)
+                .assertTraceMatches("calls");
     }
 
     @Test
-    void aLimitGrowsWithQuickAnswersAndHalvesOnFullAndLate() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(1, 1, 1, 1);
-        script.placeEach(1, 8, 0);
-        script.advance(50).outcome("1.0#0", Outcome.ANSWERED).outcome("2.0#0", Outcome.ANSWERED);
-        script.advance(5).outcome("3.0#0", Outcome.FULL).assertTraceIs("limit");
+    void aConcurrencyLimitGrowsWithQuickAnswersAndIsHalvedWhenTheServerIsFull() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(1, 1, 1, 1);
+        script.submitEach(1, 8, 0);
+        script.advance(50).reportOutcome("1.0#0", Outcome.ANSWERED).reportOutcome("2.0#0", Outcome.ANSWERED);
+        script.advance(5).reportOutcome("3.0#0", Outcome.FULL).assertTraceMatches("limit");
     }
 
     // ---- Rules ----
 
     @Test
-    void everyMultigetGetsOneFinalAnswerInItsTime() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(2, 2, 1, 1);
-        script.endpointUpdate(false, true, server("s1", 1, Server.State.GONE, -1))
-                .place(1, 0, 1)
-                .place(2, 0)
+    void everyMultigetGetsOneFinalAnswerBeforeTheClientDeadline() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(2, 2, 1, 1);
+        script.updateEndpoints(false, true, server("s1", 1, Server.State.GONE, -1))
+                .submit(1, 0, 1)
+                .submit(2, 0)
                 .advance(2500)
-                .outcome("1.0#0", Outcome.TIMED_OUT)
-                .assertTraceIs("final-answer");
+                .reportOutcome("1.0#0", Outcome.TIMED_OUT)
+                .assertTraceMatches("final-answer");
     }
 
     @Test
     void aNonIdempotentPartIsRetriedOnlyIfItNeverRan() {
         CoordinatorScript script = new CoordinatorScript();
         script.opType.idempotency = OpType.Idempotency.NON_IDEMPOTENT;
-        script.withFleet(1, 3, 3, 1)
-                .place(1, 0)
-                .place(2, 0)
+        script.startFleet(1, 3, 3, 1)
+                .submit(1, 0)
+                .submit(2, 0)
                 .advance(500)
-                .outcome("1.0#0", Outcome.CONNECT_FAILED)
-                .outcome("2.0#0", Outcome.RESET)
-                .outcome("1.0#1", Outcome.FULL)
-                .outcome("1.0#2", Outcome.ERROR)
-                .assertTraceIs("non-retriable");
+                .reportOutcome("1.0#0", Outcome.CONNECT_FAILED)
+                .reportOutcome("2.0#0", Outcome.RESET)
+                .reportOutcome("1.0#1", Outcome.FULL)
+                .reportOutcome("1.0#2", Outcome.ERROR)
+                .assertTraceMatches("non-retriable");
     }
 
     @Test
-    void aPartWithAnIdempotencyKeyIsRetriedOnlyWithinItsWindow() {
+    void aPartWithAnIdempotencyKeyIsRetriedOnlyWithinItsDeduplicationWindow() {
         CoordinatorScript script = new CoordinatorScript();
         script.opType.idempotency = OpType.Idempotency.IDEMPOTENCY_KEY;
         script.opType.deduplicationWindowMs = 400;
-        script.withFleet(1, 3, 3, 1)
-                .place(1, 0)
-                .place(2, 0)
+        script.startFleet(1, 3, 3, 1)
+                .submit(1, 0)
+                .submit(2, 0)
                 .advance(100)
-                .outcome("1.0#0", Outcome.ERROR)
+                .reportOutcome("1.0#0", Outcome.ERROR)
                 .advance(350)
-                .outcome("1.0#1", Outcome.ERROR)
-                .outcome("2.0#0", Outcome.RESET)
-                .assertTraceIs("deduped");
+                .reportOutcome("1.0#1", Outcome.ERROR)
+                .reportOutcome("2.0#0", Outcome.RESET)
+                .assertTraceMatches("deduped");
     }
 
     /** A first attempt whose connection comes up late would run long after the second one. */
     @Test
-    void everyAttemptOfAPartWithAnIdempotencyKeyIsSentWithinTheWindowOfTheFirst() {
+    void everyAttemptOfAPartWithAnIdempotencyKeyIsSentWithinTheDeduplicationWindowOfTheFirst() {
         CoordinatorScript script = new CoordinatorScript();
         script.opType.idempotency = OpType.Idempotency.IDEMPOTENCY_KEY;
         script.opType.deduplicationWindowMs = 400;
-        script.withFleet(1, 3, 3, 1)
-                .place(1, 0)
-                .place(2, 0)
-                .traceSendDeadline("1.0#0")
+        script.startFleet(1, 3, 3, 1)
+                .submit(1, 0)
+                .submit(2, 0)
+                .recordSendDeadline("1.0#0")
                 .advance(100)
-                .outcome("1.0#0", Outcome.ERROR)
-                .traceSendDeadline("1.0#1")
-                .outcome("2.0#0", Outcome.CONNECT_FAILED)
-                .traceSendDeadline("2.0#1")
-                .assertTraceIs("deduped-leave");
+                .reportOutcome("1.0#0", Outcome.ERROR)
+                .recordSendDeadline("1.0#1")
+                .reportOutcome("2.0#0", Outcome.CONNECT_FAILED)
+                .recordSendDeadline("2.0#1")
+                .assertTraceMatches("deduped-leave");
     }
 
     @Test
@@ -139,100 +139,100 @@
         CoordinatorScript script = new CoordinatorScript();
         script.opType.idempotency = OpType.Idempotency.IDEMPOTENCY_KEY;
         script.opType.deduplicationWindowMs = 100;
-        script.withFleet(1, 1, 1, 1).placeEach(1, 6, 0);
+        script.startFleet(1, 1, 1, 1).submitEach(1, 6, 0);
         script.advance(50)
-                .outcome("1.0#0", Outcome.ERROR)
-                .outcome("2.0#0", Outcome.FULL)
+                .reportOutcome("1.0#0", Outcome.ERROR)
+                .reportOutcome("2.0#0", Outcome.FULL)
                 .advance(100)
-                .outcome("3.0#0", Outcome.ANSWERED)
-                .outcome("4.0#0", Outcome.ANSWERED)
-                .outcome("5.0#0", Outcome.ANSWERED)
-                .outcome("6.0#0", Outcome.ANSWERED)
-                .assertTraceIs("repeat-held");
+                .reportOutcome("3.0#0", Outcome.ANSWERED)
+                .reportOutcome("4.0#0", Outcome.ANSWERED)
+                .reportOutcome("5.0#0", Outcome.ANSWERED)
+                .reportOutcome("6.0#0", Outcome.ANSWERED)
+                .assertTraceMatches("repeat-held");
     }
 
     @Test
-    void aDrainingOrGoneServerGetsNothingNew() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(1, 2, 2, 1);
-        script.place(1, 0)
-                .place(2, 0)
-                .endpointUpdate(false, true, server("s0", 0, Server.State.DRAINING, -1))
-                .place(3, 0)
-                .endpointUpdate(true, true, server("s0", 0, Server.State.LIVE, -1))
-                .place(4, 0)
-                .place(5, 0)
-                .assertTraceIs("drain");
+    void aDrainingOrGoneServerGetsNoNewAttempts() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(1, 2, 2, 1);
+        script.submit(1, 0)
+                .submit(2, 0)
+                .updateEndpoints(false, true, server("s0", 0, Server.State.DRAINING, -1))
+                .submit(3, 0)
+                .updateEndpoints(true, true, server("s0", 0, Server.State.LIVE, -1))
+                .submit(4, 0)
+                .submit(5, 0)
+                .assertTraceMatches("drain");
     }
 
     @Test
     void aServerThatWarmsUpGetsThisNodesShareOfItsCapacity() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(1, 2, 2, 1);
-        script.endpointUpdate(false, true, server("s0", 0, Server.State.LIVE, 900))
-                .placeEach(1, 3, 0)
+        CoordinatorScript script = new CoordinatorScript().startFleet(1, 2, 2, 1);
+        script.updateEndpoints(false, true, server("s0", 0, Server.State.LIVE, 900))
+                .submitEach(1, 3, 0)
                 .advance(50)
-                .outcomeOfAllAt("s0", Outcome.ANSWERED)
-                .outcomeOfAllAt("s1", Outcome.ANSWERED)
-                .place(4, 0)
-                .place(5, 0)
+                .reportOutcomeForAllAt("s0", Outcome.ANSWERED)
+                .reportOutcomeForAllAt("s1", Outcome.ANSWERED)
+                .submit(4, 0)
+                .submit(5, 0)
                 .advance(50)
-                .outcomeOfAllAt("s0", Outcome.ANSWERED)
-                .outcomeOfAllAt("s1", Outcome.ANSWERED)
+                .reportOutcomeForAllAt("s0", Outcome.ANSWERED)
+                .reportOutcomeForAllAt("s1", Outcome.ANSWERED)
                 .advance(5000)
-                .placeEach(6, 8, 0)
-                .assertTraceIs("cold");
+                .submitEach(6, 8, 0)
+                .assertTraceMatches("cold");
     }
 
     @Test
-    void ofManyNodesEachSendsAServerThatWarmsUpMultigetsOfTheLowerRanks() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(2, 2, 2, 1);
+    void withManyNodesOnlyMultigetsOfLowRanksAreSentToServersThatWarmUp() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(2, 2, 2, 1);
         script.coordinator.configureFrontNodes(20, 5);
-        script.endpointUpdate(
+        script.updateEndpoints(
                 true, true, server("s0", 0, Server.State.LIVE, 990), server("s1", 1, Server.State.LIVE, 990));
         script.advance(3000);
         for (int i = 1; i < 13; i++) {
-            script.place(i, 0, 1).advance(20);
+            script.submit(i, 0, 1).advance(20);
         }
-        script.assertTraceIs("cold-ranks");
+        script.assertTraceMatches("cold-ranks");
     }
 
     @Test
-    void retriesKeepTheStatedBudget() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(1, 3, 3, 1);
+    void retriesStayWithinTheRetryBudget() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(1, 3, 3, 1);
         script.coordinator.configureRetryBudget(1000, 1, 0.25);
-        script.place(1, 0)
-                .place(2, 0)
+        script.submit(1, 0)
+                .submit(2, 0)
                 .advance(10)
-                .outcome("1.0#0", Outcome.ERROR)
-                .outcome("2.0#0", Outcome.ERROR)
-                .outcome("1.0#1", Outcome.ERROR)
-                .assertTraceIs("budget");
+                .reportOutcome("1.0#0", Outcome.ERROR)
+                .reportOutcome("2.0#0", Outcome.ERROR)
+                .reportOutcome("1.0#1", Outcome.ERROR)
+                .assertTraceMatches("budget");
     }
 
     @Test
-    void aQueuedFirstAttemptIsNoRetryInTheBudget() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(1, 1, 1, 1);
+    void aQueuedFirstAttemptIsNotCountedAsARetry() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(1, 1, 1, 1);
         script.coordinator.configureRetryBudget(1000, 1, 0);
-        script.placeEach(1, 5, 0).advance(50);
-        script.outcome("1.0#0", Outcome.ANSWERED)
-                .outcome("2.0#0", Outcome.ERROR)
-                .outcome("3.0#0", Outcome.ERROR)
-                .assertTraceIs("budget-held");
+        script.submitEach(1, 5, 0).advance(50);
+        script.reportOutcome("1.0#0", Outcome.ANSWERED)
+                .reportOutcome("2.0#0", Outcome.ERROR)
+                .reportOutcome("3.0#0", Outcome.ERROR)
+                .assertTraceMatches("budget-held");
     }
 
     @Test
     void aPartialAnswerIsGivenAtTheLatencyObjectiveAndNotMarkedComplete() {
         CoordinatorScript script = new CoordinatorScript();
         script.opType.minimumWeight = 0.6;
-        script.withFleet(3, 3, 1, 1)
-                .place(1, 0, 1, 2)
-                .place(2, 0, 1, 2)
+        script.startFleet(3, 3, 1, 1)
+                .submit(1, 0, 1, 2)
+                .submit(2, 0, 1, 2)
                 .advance(50)
-                .outcome("1.0#0", Outcome.ANSWERED)
-                .outcome("1.1#0", Outcome.ANSWERED)
-                .outcome("2.0#0", Outcome.ANSWERED)
+                .reportOutcome("1.0#0", Outcome.ANSWERED)
+                .reportOutcome("1.1#0", Outcome.ANSWERED)
+                .reportOutcome("2.0#0", Outcome.ANSWERED)
                 .advance(1200)
-                .outcome("2.1#0", Outcome.ANSWERED)
-                .assertTraceIs("partial");
+                .reportOutcome("2.1#0", Outcome.ANSWERED)
+                .assertTraceMatches("partial");
     }
 
     // ---- Unusual but legal ----
@@ -242,140 +242,143 @@
         CoordinatorScript script = new CoordinatorScript();
         script.opType.idempotency = OpType.Idempotency.IDEMPOTENCY_KEY;
         script.opType.deduplicationWindowMs = 100;
-        script.withFleet(2, 1, 1, 1)
-                .place(1, 0, 1)
-                .place(2, 0, 1)
-                .place(3, 0, 1)
+        script.startFleet(2, 1, 1, 1)
+                .submit(1, 0, 1)
+                .submit(2, 0, 1)
+                .submit(3, 0, 1)
                 .advance(20)
-                .outcome("2.0#0", Outcome.FULL)
-                .outcome("1.0#0", Outcome.ERROR)
-                .outcome("1.1#0", Outcome.ERROR)
+                .reportOutcome("2.0#0", Outcome.FULL)
+                .reportOutcome("1.0#0", Outcome.ERROR)
+                .reportOutcome("1.1#0", Outcome.ERROR)
                 .advance(100)
-                .outcome("2.1#0", Outcome.ANSWERED)
-                .assertTraceIs("given-up");
+                .reportOutcome("2.1#0", Outcome.ANSWERED)
+                .assertTraceMatches("given-up");
     }
 
     @Test
     void hundredsOfChangesAmongThousandsOfServersAreApplied() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(4000, 2000, 4, 4);
+        CoordinatorScript script = new CoordinatorScript().startFleet(4000, 2000, 4, 4);
         Server[] draining = new Server[500];
         for (int i = 0; i < draining.length; i++) {
             draining[i] = server("s" + i, i, Server.State.DRAINING, -1);
         }
-        script.endpointUpdate(false, true, draining)
-                .place(1, 0, 498, 499, 500, 2000)
-                .place(2, 100)
-                .assertTraceIs("many-changes");
+        script.updateEndpoints(false, true, draining)
+                .submit(1, 0, 498, 499, 500, 2000)
+                .submit(2, 100)
+                .assertTraceMatches("many-changes");
     }
 
     @Test
-    void theLongestMultigetsArePlaced() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(200, 100, 3, 4);
+    void aMultigetOfTwoHundredPartsIsSent() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(200, 100, 3, 4);
         int[] all = new int[200];
         for (int i = 0; i < all.length; i++) {
             all[i] = i;
         }
-        script.place(1, all).advance(50).outcome("1.0#0", Outcome.ANSWERED).assertTraceIs("longest");
+        script.submit(1, all)
+                .advance(50)
+                .reportOutcome("1.0#0", Outcome.ANSWERED)
+                .assertTraceMatches("longest");
     }
 
     @Test
-    void slowFirstAnswersDoNotRejectAnOpTypeForGood() {
+    void anOpTypeRejectedAfterSlowFirstAnswersIsAdmittedAgain() {
         CoordinatorScript script = new CoordinatorScript();
         script.opType.latency.meanLatencyMs = 1990;
         script.opType.latency.unloadedLatencyMs = 1100;
-        script.withFleet(1, 2, 2, 1)
-                .place(1, 0)
+        script.startFleet(1, 2, 2, 1)
+                .submit(1, 0)
                 .advance(1500)
-                .place(2, 0)
+                .submit(2, 0)
                 .advance(100)
-                .outcome("2.0#0", Outcome.ANSWERED)
-                .place(3, 0)
+                .reportOutcome("2.0#0", Outcome.ANSWERED)
+                .submit(3, 0)
                 .advance(100)
-                .outcome("3.0#0", Outcome.ANSWERED)
+                .reportOutcome("3.0#0", Outcome.ANSWERED)
                 .advance(800)
-                .place(4, 0)
+                .submit(4, 0)
                 .advance(100)
-                .outcome("4.0#0", Outcome.ANSWERED)
-                .place(5, 0)
-                .assertTraceIs("barred");
+                .reportOutcome("4.0#0", Outcome.ANSWERED)
+                .submit(5, 0)
+                .assertTraceMatches("barred");
     }
 
     @Test
     void theUnloadedLatencyFallsWithTheMeanWhereNoServerIsIdle() {
         CoordinatorScript script = new CoordinatorScript();
         script.opType.latency.unloadedLatencyMs = 1100;
-        script.withFleet(1, 1, 1, 1)
-                .place(1, 0)
+        script.startFleet(1, 1, 1, 1)
+                .submit(1, 0)
                 .advance(500)
-                .place(2, 0)
-                .place(3, 0)
+                .submit(2, 0)
+                .submit(3, 0)
                 .advance(100)
-                .outcome("3.0#0", Outcome.ANSWERED)
-                .place(4, 0)
-                .assertTraceIs("light");
+                .reportOutcome("3.0#0", Outcome.ANSWERED)
+                .submit(4, 0)
+                .assertTraceMatches("light");
     }
 
     @Test
-    void aMalformedAnswerIsOneFailureOfItsServerHoweverManyPartsItEnds() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(1, 2, 2, 1);
-        script.placeEach(1, 6, 0)
+    void aMalformedAnswerCountsAsOneFailureOfItsServerHoweverManyPartsItEnds() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(1, 2, 2, 1);
+        script.submitEach(1, 6, 0)
                 .advance(20)
-                .outcomeOfAllAt("s0", Outcome.MALFORMED)
-                .outcomeOfAllAt("s1", Outcome.ANSWERED)
+                .reportOutcomeForAllAt("s0", Outcome.MALFORMED)
+                .reportOutcomeForAllAt("s1", Outcome.ANSWERED)
                 .advance(100)
-                .place(7, 0)
-                .place(8, 0)
-                .assertTraceIs("spoilt");
+                .submit(7, 0)
+                .submit(8, 0)
+                .assertTraceMatches("spoilt");
     }
 
     @Test
-    void aMultigetWithMalformedAnswersFromTwoServersGoesOn() {
+    void malformedAnswersFromSeveralServersAreRetried() {
         new CoordinatorScript()
-                .withFleet(3, 6, 2, 1)
-                .place(1, 0, 1, 2)
+                .startFleet(3, 6, 2, 1)
+                .submit(1, 0, 1, 2)
                 .advance(10)
-                .outcome("1.0#0", Outcome.MALFORMED)
-                .outcome("1.1#0", Outcome.MALFORMED)
-                .outcome("1.2#0", Outcome.MALFORMED)
-                .assertTraceIs("spoilt-twice");
+                .reportOutcome("1.0#0", Outcome.MALFORMED)
+                .reportOutcome("1.1#0", Outcome.MALFORMED)
+                .reportOutcome("1.2#0", Outcome.MALFORMED)
+                .assertTraceMatches("spoilt-twice");
     }
 
     @Test
-    void nothingIsRememberedOfRemovedServersAndFinishedMultigets() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(1, 2, 2, 1);
+    void removedServersAndTimersOfFinishedMultigetsAreForgotten() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(1, 2, 2, 1);
         WindowCoordinator coordinator = (WindowCoordinator) script.coordinator;
         for (int age = 1; age <= 100; age++) {
             String before = "s" + (age < 3 ? age - 1 : "0." + (age - 2));
-            script.endpointUpdate(
+            script.updateEndpoints(
                     false,
                     true,
                     server("s0." + age, 0, Server.State.LIVE, script.nowMs),
                     server(before, 0, Server.State.GONE, -1));
-            script.place(age, 0)
+            script.submit(age, 0)
                     .advance(20)
-                    .outcome(age + ".0#0", age % 3 == 0 ? Outcome.ERROR : Outcome.ANSWERED)
-                    .outcome(age + ".0#1", Outcome.ANSWERED)
+                    .reportOutcome(age + ".0#0", age % 3 == 0 ? Outcome.ERROR : Outcome.ANSWERED)
+                    .reportOutcome(age + ".0#1", Outcome.ANSWERED)
                     .advance(1000);
         }
         script.advance(5000);
         assertThat(coordinator.knownServerIds()).containsExactly("s0.99", "s0.100");
-        assertThat(coordinator.pendingTimers()).isZero();
+        assertThat(coordinator.pendingTimerCount()).isZero();
     }
 
     @Test
-    void unusualOrdersOfEventsEndInOneAnswer() {
-        CoordinatorScript script = new CoordinatorScript().withFleet(2, 2, 1, 1);
-        script.place(1, 0)
-                .endpointUpdate(true, true, server("s1", 1, Server.State.LIVE, -1))
+    void repeatedAndOutOfOrderEventsLeadToAtMostOneAnswerPerMultiget() {
+        CoordinatorScript script = new CoordinatorScript().startFleet(2, 2, 1, 1);
+        script.submit(1, 0)
+                .updateEndpoints(true, true, server("s1", 1, Server.State.LIVE, -1))
                 .advance(50)
-                .outcome("1.0#0", Outcome.ANSWERED)
-                .outcome("1.0#0", Outcome.ANSWERED)
-                .clientGone(1);
-        script.place(2, 1).clientGone(2).clientGone(2).outcome("2.1#0", Outcome.CANCELLED);
-        script.place(script.opType, 3, 0, 1);
-        script.endpointUpdate(false, true, server("s0", 0, Server.State.LIVE, 1040))
-                .place(4, 0)
+                .reportOutcome("1.0#0", Outcome.ANSWERED)
+                .reportOutcome("1.0#0", Outcome.ANSWERED)
+                .closeClient(1);
+        script.submit(2, 1).closeClient(2).closeClient(2).reportOutcome("2.1#0", Outcome.CANCELLED);
+        script.submit(script.opType, 3, 0, 1);
+        script.updateEndpoints(false, true, server("s0", 0, Server.State.LIVE, 1040))
+                .submit(4, 0)
                 .advance(2100)
-                .assertTraceIs("odd");
+                .assertTraceMatches("odd");
     }
 }
