--- a/core/src/main/java/spartrail/coordination/AdmissionControl.java
+++ b/core/src/main/java/spartrail/coordination/AdmissionControl.java
@@ -8,24 +8,29 @@
 import spartrail.model.Shard;
 
 /**
- * Rejects multigets that can't be answered in time before they cost anything. Under overload all of the work would be served too
- * late otherwise; op types of low priority are rejected first.
+ * Rejects multigets that can't be answered in time before any of their parts is sent. Without it, under overload, all
+ * multigets would be answered too late. Op types of low priority are rejected first.
  */
 final class AdmissionControl {
-    /** How long what was seen of the queues at servers counts. */
+    /** The queueing observed at servers loses its weight over this time. */
     private static final double EVIDENCE_LIFETIME_MS = 3000;
-    /** The op types of the lowest priority may use this share of their latency objective, those of the highest all of it. */
+    /**
+     * The share of its latency objective that an op type of the lowest priority may use; one of the highest may use all
+     * of it.
+     */
     private static final double MIN_OBJECTIVE_SHARE = 0.4;
 
     private final EventContext context;
     private final LatencyEstimator latencies;
     private final PriorityScale priorities;
     private final SlowStart slowStart;
-    /** How long parts wait at servers beyond the unloaded latency, its mean deviation, and when that was last seen. */
+    /** Mean time that parts are queued at servers: their latency beyond the unloaded latency. */
     private double serverQueueingMs;
-
+    /** Mean deviation of the time that parts are queued at servers. */
     private double serverQueueingDeviationMs;
+    /** Time of the last answer that the two averages include. */
     private double lastEvidenceMs;
+
     private boolean retryAfterAllowed;
     private double maxRetryAfterMs;
 
@@ -60,8 +65,9 @@
     }
 
     /**
-     * An attempt that can't be answered in the time it has takes capacity and earns nothing, or little once its latency objective
-     * is missed. That a client leaves little time does not show that it has tried before, unless it says so.
+     * Whether the client leaves too little time for an answer, or retries after its latency objective is missed.
+     * Attempts for such a multiget use capacity, but the answer has no value or little. Little time left does not show
+     * by itself that the client has tried before; only the client's retry mark shows that.
      */
     private boolean hasTooLittleTime(Multiget multiget) {
         OpType op = multiget.opType;
@@ -86,21 +92,23 @@
     }
 
     /**
-     * With many front nodes none of them queues anything, and the queues that all of them cause at the servers would reject
-     * nothing. What answers of any op type take beyond the unloaded latency shows these queues. Where nothing is admitted nothing
-     * is learned, so the evidence fades with its age.
+     * Returns how long parts were recently queued at servers, plus the mean deviation. With many front nodes, queues
+     * build up at the servers while the nodes' own queues stay empty, so the nodes' queues alone would not lead to
+     * rejections. The latency of answers of any op type beyond the unloaded latency shows the queues at the servers.
+     * While nothing is admitted there are no new answers, so the result decreases with its age.
      */
     private double recentServerQueueingMs() {
         double freshness = 1 - Math.min(1, (context.nowMs() - lastEvidenceMs) / EVIDENCE_LIFETIME_MS);
         return (serverQueueingMs + serverQueueingDeviationMs) * freshness;
     }
 
-    /** Takes an answer, before the latency estimates have taken it. */
+    /** Records an answer. Must be called before the latency estimates include it. */
     void recordAnswer(Attempt attempt, double tookMs) {
         Server server = attempt.server;
         OpType op = attempt.part.multiget.opType;
         lastEvidenceMs = context.nowMs();
-        // The latency of an ejected server, or of one that warms up, would look like queues everywhere.
+        // An ejected server, or one that warms up, is slow for its own reasons; its latency would look like queues
+        // everywhere.
         double queueingMs = server.ejected
                 ? 0
                 : slowStart.capacityShare(server) * Math.max(0, tookMs - op.latency.unloadedLatencyMs);
@@ -109,7 +117,10 @@
         serverQueueingMs += (queueingMs - serverQueueingMs) * LatencyEstimator.SMOOTHING;
     }
 
-    /** The Retry-After of a rejected multiget: when the parts that are queued now have left; 0 where clients take none. */
+    /**
+     * Returns the Retry-After of a rejected multiget: the expected time until the parts that are queued now are
+     * released; 0 if clients don't heed a Retry-After.
+     */
     double retryAfterMs(Multiget multiget) {
         if (!retryAfterAllowed) {
             return 0;
--- a/core/src/main/java/spartrail/coordination/Completion.java
+++ b/core/src/main/java/spartrail/coordination/Completion.java
@@ -6,13 +6,21 @@
 import spartrail.model.OpType;
 import spartrail.model.Part;
 
-/** When a multiget is answered, completely or in part, rejected or failed. Each multiget gets one final answer. */
+/**
+ * Decides when a multiget is answered, completely or in part, rejected or failed. Each multiget gets one final answer.
+ */
 final class Completion {
-    /** A sum of weights may fall short by rounding. */
+    /** Rounding may make a sum of weights too small by this much. */
     private static final double WEIGHT_TOLERANCE = 1e-4 / 2;
-    /** So many loop iterations before the objective's deadline a partial answer still leaves in time. */
+    /**
+     * A partial answer is decided this many event loop iterations before the objective's deadline, so that it is sent
+     * in time.
+     */
     private static final int OBJECTIVE_MARGIN_ITERATIONS = 3;
-    /** So many loop iterations before the client's deadline the final answer still leaves in time. */
+    /**
+     * The final answer is decided this many event loop iterations before the client's deadline, so that it is sent in
+     * time.
+     */
     private static final int CLIENT_MARGIN_ITERATIONS = 2;
 
     private final EventContext context;
@@ -41,7 +49,7 @@
         return multiget.objectiveDeadlineMs - OBJECTIVE_MARGIN_ITERATIONS * context.loopIntervalMs();
     }
 
-    /** Takes the answer of an open part. */
+    /** Records that an open part was answered, and answers its multiget if that is possible now. */
     void recordAnswer(Part part) {
         removeFromOpenParts(part);
         part.answered = true;
@@ -52,7 +60,7 @@
         answerIfPossible(part.multiget);
     }
 
-    /** No more answer of this part can come; its multiget may still be answered without it. */
+    /** Gives up a part that can no longer be answered; its multiget may still be answered without it. */
     void failPart(Part part) {
         abandon(part);
         answerIfPossible(part.multiget);
@@ -83,12 +91,12 @@
                 && (!hasOpenParts || context.nowMs() >= objectiveTimerMs(multiget))) {
             giveAnswer(multiget, Multiget.Answer.PARTIAL);
         } else if (multiget.answeredWeight + multiget.openWeight < minimumWeight - WEIGHT_TOLERANCE) {
-            // What can still come is not enough.
+            // Even if all open parts were answered, the weight would be too low.
             giveUp(multiget);
         }
     }
 
-    /** The least weight that an answer may be given from. */
+    /** Returns the least answered weight with which a multiget may be answered. */
     private static double minimumWeight(Multiget multiget) {
         return Math.min(multiget.opType.minimumWeight, multiget.opType.completeWeight);
     }
@@ -103,7 +111,10 @@
         finish(multiget);
     }
 
-    /** Ends a multiget: nothing of it is sent any more, and what is in flight is cancelled where that is allowed. */
+    /**
+     * Ends a multiget: no more parts of it are sent, and its attempts in flight are cancelled if cancellation is
+     * allowed.
+     */
     void finish(Multiget multiget) {
         multiget.finished = true;
         for (Part part : multiget.parts) {
@@ -122,18 +133,21 @@
         }
     }
 
-    /** Answers a multiget that is given up: rejected only where a retry by its client is harmless, else failed. */
+    /** Gives up a multiget: it is rejected if a retry by its client is harmless, otherwise it fails. */
     void giveUp(Multiget multiget) {
         double retryAfterMs = admission.retryAfterMs(multiget);
-        boolean mayRetry = clientMayRetry(multiget, retryAfterMs);
+        boolean mayRetry = mayClientRetry(multiget, retryAfterMs);
         multiget.answer = mayRetry ? Multiget.Answer.REJECTED : Multiget.Answer.FAILED;
         multiget.retryAfterMs = mayRetry ? retryAfterMs : 0;
         context.decisions().answers.add(multiget);
         finish(multiget);
     }
 
-    /** One with an idempotency key that may have run is rejected where its client returns within the deduplication window. */
-    private boolean clientMayRetry(Multiget multiget, double retryAfterMs) {
+    /**
+     * Whether a retry by the client is harmless. A multiget with an idempotency key that may have run is rejected only
+     * if its client retries within the deduplication window.
+     */
+    private boolean mayClientRetry(Multiget multiget, double retryAfterMs) {
         OpType op = multiget.opType;
         if (op.idempotency == OpType.Idempotency.IDEMPOTENT) {
             return true;
@@ -144,13 +158,16 @@
         return multiget.parts.stream().flatMap(part -> part.attempts.stream()).allMatch(isHarmless);
     }
 
-    /** At the latency objective an answer that may be given is given, and what would earn nothing later is given up. */
+    /**
+     * Handles a missed latency objective: gives a partial answer if it is allowed and worth more than a late one, and
+     * gives up a multiget whose late answer is not worth the remaining work.
+     */
     private void onLatencyObjective(Multiget multiget) {
         if (multiget.finished) {
             return;
         }
         if (context.isResuming()) {
-            // Answers that came while the process was paused are read first.
+            // Answers that arrived during the pause are handled first.
             double retryMs = context.nowMs() + context.loopIntervalMs();
             context.timers.schedule(retryMs, multiget.timers, () -> onLatencyObjective(multiget));
             return;
@@ -160,9 +177,8 @@
                 && op.partialShare * multiget.answeredWeight / op.completeWeight > op.lateShare) {
             giveAnswer(multiget, Multiget.Answer.PARTIAL);
         } else if (op.lateShare == 0 || op.lateShare < unsentWeight(multiget)) {
-            // Late work goes first by its key and makes all behind it late too, so what is left of it may take no more
-            // than the
-            // share that a late answer earns.
+            // Late parts come first in release order and delay all parts behind them. A late multiget may therefore
+            // have no more unsent weight than the share of its value that a late answer has.
             giveUp(multiget);
         }
     }
@@ -173,7 +189,7 @@
                 .sum();
     }
 
-    /** At the client's deadline the final answer is given whatever is still open. */
+    /** Gives the final answer at the client's deadline, even if parts are still open. */
     private void onClientDeadline(Multiget multiget) {
         if (multiget.finished) {
             return;
--- a/core/src/main/java/spartrail/coordination/ConcurrencyLimiter.java
+++ b/core/src/main/java/spartrail/coordination/ConcurrencyLimiter.java
@@ -5,13 +5,14 @@
 import spartrail.model.Server;
 
 /**
- * The concurrency limit of each server: one more for a quick answer while the limit binds, half for an attempt that timed out or
- * found the server full. Queues at servers, where nothing puts them in release order, stay short.
+ * Sets the concurrency limit of each server. A quick answer raises a limit by one if the limit is reached; an attempt
+ * that timed out or was rejected by a full server halves it. This keeps the queues at the servers short, because they
+ * are not in release order.
  */
 final class ConcurrencyLimiter {
     private static final int INITIAL_LIMIT = 4;
     private static final int INITIAL_WARM_UP_LIMIT = 2;
-    /** A limit grows by answers that took at most this many times the unloaded latency. */
+    /** An answer raises the limit only if it took at most this many times the unloaded latency. */
     private static final double GROWTH_LATENCY_RATIO = 2;
     /** An attempt that took more than this share of its latency objective counts as timed out. */
     private static final double TIMEOUT_OBJECTIVE_SHARE = 0.15;
@@ -24,12 +25,15 @@
         this.slowStart = slowStart;
     }
 
-    /** The limit of a server process of which nothing is known yet. */
+    /** Sets the initial limit of a server process that nothing is known about. */
     void reset(Server server) {
         server.concurrencyLimit = slowStart.isWarmingUp(server) ? INITIAL_WARM_UP_LIMIT : INITIAL_LIMIT;
     }
 
-    /** Halves at most once for what was sent before the last halving. */
+    /**
+     * Adjusts the limit for an outcome. An attempt that was sent before the last halving does not halve the limit
+     * again.
+     */
     void recordOutcome(Attempt attempt, Attempt.Outcome outcome, double tookMs) {
         Server server = attempt.server;
         OpType op = attempt.part.multiget.opType;
@@ -44,7 +48,10 @@
         }
     }
 
-    /** A part that was lost says nothing of a queue; it does not count where later ones were answered. */
+    /**
+     * Whether an outcome counts as a timeout. An attempt that ended in another way without an answer does not count if
+     * the server has answered a later one: its part may have been lost, which says nothing about a queue at the server.
+     */
     private static boolean isTimeout(Attempt attempt, Attempt.Outcome outcome, double tookMs) {
         if (outcome == Attempt.Outcome.TIMED_OUT) {
             return true;
--- a/core/src/main/java/spartrail/coordination/EndpointTracker.java
+++ b/core/src/main/java/spartrail/coordination/EndpointTracker.java
@@ -8,15 +8,15 @@
 import spartrail.model.Server;
 
 /**
- * Keeps the servers as the endpoint list names them, and says when the list's changes are to be asked for.
+ * Applies the endpoint list to the server table, and decides when to request the list's changes.
  *
- * <p>Cost: an update walks all servers, as does forgetting removed ones once a tick.
+ * <p>Cost: each update visits all servers, and so does the removal of old servers once a tick.
  */
 final class EndpointTracker {
     private static final double FIRST_POLL_SPREAD_MS = 200;
     private static final double FIRST_BACKOFF_MS = 300;
     private static final double MAX_BACKOFF_MS = 2400;
-    /** The longest backoff is the longest poll interval over this. */
+    /** The longest backoff, and the time between two polls, is the longest poll interval divided by this. */
     private static final double POLLS_PER_INTERVAL = 2;
 
     private final EventContext context;
@@ -54,7 +54,10 @@
         maxPollIntervalMs = newMaxIntervalMs > 0 ? newMaxIntervalMs : Double.MAX_VALUE;
     }
 
-    /** See {@link Coordinator#onEndpointUpdate}; attempts at servers that are gone go to the listener for overdue ones. */
+    /**
+     * See {@link Coordinator#onEndpointUpdate}; passes each attempt in flight at a server that is gone to {@code
+     * onOverdue}.
+     */
     void updateServers(List<Server> update, boolean complete, boolean fresh, Consumer<Attempt> onOverdue) {
         if (complete) {
             table.servers().forEach(server -> server.state = Server.State.GONE);
@@ -97,15 +100,18 @@
         }
     }
 
-    /** Polls again, less and less often and not in step with other nodes, so that a weak discovery service is not flooded. */
+    /**
+     * Schedules another poll, with exponential backoff and jitter so that the nodes together don't overload a weak
+     * discovery service.
+     */
     void onDiscoveryUnavailable() {
         nextPollMs = context.nowMs() + backoffMs * (0.5 + random.nextDouble());
         backoffMs = Math.min(Math.min(MAX_BACKOFF_MS, maxPollIntervalMs / POLLS_PER_INTERVAL), 2 * backoffMs);
     }
 
     /**
-     * Forgets servers that were removed long ago, so that memory stays bounded. One that is back soon is still known, with the
-     * attempts that count while it warms up.
+     * Forgets servers that were removed long ago, so that memory stays bounded. A server that is listed again before
+     * that keeps its state, including the attempts that count while it warms up.
      */
     void forgetRemovedServers() {
         for (Server server : table.servers()) {
@@ -118,7 +124,7 @@
         outliers.retainZonesOf(table.servers());
     }
 
-    /** Asks for the list's changes when it is time. */
+    /** Requests the list's changes if the next poll is due. */
     void pollIfDue() {
         if (polled && context.nowMs() >= nextPollMs) {
             context.decisions().watchEndpoints = true;
--- a/core/src/main/java/spartrail/coordination/EventContext.java
+++ b/core/src/main/java/spartrail/coordination/EventContext.java
@@ -4,8 +4,8 @@
 import spartrail.model.TimerQueue;
 
 /**
- * What the collaborators of one coordinator share while an event is handled: its time, the decisions that it leads to, and the
- * timers. Also detects that the process itself was paused.
+ * State that the classes of one coordinator share while an event is handled: the time of the event, the decisions made
+ * for it, and the timers. Also detects that the process itself was paused.
  */
 final class EventContext {
     /** Interval of the periodic work over all servers. */
@@ -22,7 +22,7 @@
         loopIntervalMs = intervalMs;
     }
 
-    /** Starts an event: decisions are collected anew. */
+    /** Starts an event, with no decisions yet. */
     void beginEvent(double eventMs) {
         nowMs = eventMs;
         if (nowMs > expectedWakeMs + TICK_INTERVAL_MS) {
@@ -32,7 +32,10 @@
         decisions = new Decisions();
     }
 
-    /** The time until the next timer or this tick, whichever comes first; a later next event shows a pause of the process. */
+    /**
+     * Returns the time until the next timer or the next tick, whichever comes first. If the next event comes much later
+     * than that, the process was paused.
+     */
     double timeToNextTimerMs(double atMs, double nextTickMs) {
         expectedWakeMs = Math.max(atMs, Math.min(nextTickMs, timers.nextDueMs()));
         return expectedWakeMs - atMs;
@@ -46,19 +49,20 @@
         return decisions;
     }
 
-    /** The shortest time between two iterations of the caller's event loop. */
+    /** Returns the shortest time between two iterations of the caller's event loop. */
     double loopIntervalMs() {
         return loopIntervalMs;
     }
 
-    /** Whether this is the event that ended a pause of the process. */
+    /** Whether this event is the first one after a pause of the process. */
     boolean isResuming() {
         return nowMs == resumedMs;
     }
 
     /**
-     * Whether the process was paused less than a tick ago. It then finds all that arrived meanwhile at once, some of it behind
-     * its own timers, and would take its own pause for slow servers; until the tick is over it only takes answers.
+     * Whether a pause of the process ended less than a tick ago. Messages that arrived during the pause are then
+     * handled all at once, some of them after timers that were due later, and the pause would look like slow servers.
+     * Until a tick has passed, answers are accepted but are not used to judge servers.
      */
     boolean hasJustResumed() {
         return nowMs < resumedMs + TICK_INTERVAL_MS;
--- a/core/src/main/java/spartrail/coordination/Hedging.java
+++ b/core/src/main/java/spartrail/coordination/Hedging.java
@@ -5,16 +5,16 @@
 import spartrail.model.Part;
 
 /**
- * Hedged requests: a part whose attempt is overdue joins its queue again for a copy at another replica.
+ * Sends hedged requests: queues a part again whose attempt is overdue, for a second attempt at another replica.
  *
- * <p>Copies feed an overload. They take tokens from a bucket that first attempts fill if they were never queued: where parts are
- * queued there is no capacity to spare, and copies dry up. Copies for attempts at ejected servers, which are few by their limits,
- * take no token.
+ * <p>Hedged requests make an overload worse, so each one takes a token from a bucket. Only first attempts that were not
+ * queued add tokens: queued parts show that there is no spare capacity, and the bucket then runs empty. Hedged requests
+ * for attempts at ejected servers take no token; the concurrency limits of these servers keep them few.
  */
 final class Hedging {
     private static final double MAX_TOKENS = 20;
     private static final double TOKENS_PER_FIRST_ATTEMPT = 0.4;
-    /** Where no more than this share of the parts is open, each of them decides when the multiget is answered. */
+    /** If at most this share of a multiget's parts is open, the time of the answer depends on each of these parts. */
     private static final double STRAGGLER_SHARE = 0.1;
 
     private final EventContext context;
@@ -43,7 +43,10 @@
         }
     }
 
-    /** Hedges an attempt that is presumed lost, or checks it again later; what joins a queue is then to be released. */
+    /**
+     * Queues the part of an attempt that is presumed lost for a hedged request and releases the queue, or schedules
+     * another check.
+     */
     void onOverdue(Attempt attempt, ReleaseQueue releaseQueue) {
         Part part = attempt.part;
         if (!mayBeHedged(attempt)) {
@@ -76,8 +79,9 @@
     }
 
     /**
-     * When an attempt is presumed lost, unless the server answers something sent later before; at once for the last few parts,
-     * which decide when all the others are answered and are few to copy.
+     * Returns the time from which an attempt is presumed lost; it is presumed lost earlier if the server answers an
+     * attempt that was sent later. For the last few open parts this is the time of sending: the multiget's answer
+     * depends on them alone, and few hedged requests are needed.
      */
     private double presumedLostMs(Attempt attempt) {
         Part part = attempt.part;
--- a/core/src/main/java/spartrail/coordination/OutlierDetector.java
+++ b/core/src/main/java/spartrail/coordination/OutlierDetector.java
@@ -10,20 +10,27 @@
 import spartrail.model.Server;
 
 /**
- * Ejects servers whose answers, failures or silence are far behind those of the other servers.
+ * Ejects servers whose answers, failures or silence are much worse than those of the other servers.
  *
- * <p>A server's relative latency is the time of its answers over the mean latency of their op types. Failures count as slow
- * answers. The verdict decays, so that a server that has recovered is found by the first attempts of a low concurrency limit.
- * Cost: each tick walks all servers once and sorts their relative latencies.
+ * <p>A server's relative latency is the latency of its answers divided by the mean latency of their op types. Failures
+ * count as slow answers. The relative latency decays to 1, so that an ejected server gets a few attempts again, under a
+ * low concurrency limit, which show whether it has recovered. Cost: each tick visits all servers once and sorts their
+ * relative latencies.
  */
 final class OutlierDetector {
     /** The time over which relative latencies decay to 1. */
     static final double DECAY_MS = 4000;
-    /** Longer for zones, as all servers of a zone would be tried again at once. */
+    /**
+     * The time over which relative latencies of zones decay to 1. It is longer because all servers of a zone are tried
+     * again at the same time.
+     */
     private static final double ZONE_DECAY_MS = 12_000;
-    /** A server this many times slower than the median server is ejected. */
+    /** A server is ejected if it is this many times slower than the median server, or its zone than the best zone. */
     private static final double EJECTION_RATIO = 3;
-    /** What a failure counts as: servers that fail quickly must not attract work. */
+    /**
+     * The least relative latency that a failure counts as. Without it, a server that fails quickly would get more
+     * attempts.
+     */
     private static final double FAILURE_RELATIVE_LATENCY = 5;
 
     private static final double MAX_RELATIVE_LATENCY = 2 * FAILURE_RELATIVE_LATENCY;
@@ -37,9 +44,9 @@
     private final EventContext context;
     private final LatencyEstimator latencies;
     private final Map<String, Double> zoneRelativeLatencies = new LinkedHashMap<>();
-    /** Relative latencies of the median server and of the best zone in this tick. */
+    /** Relative latency of the median server in this tick. */
     private double median;
-
+    /** Relative latency of the best zone in this tick. */
     private double bestZone;
 
     OutlierDetector(EventContext context, LatencyEstimator latencies) {
@@ -51,25 +58,25 @@
         return server.state == Server.State.LIVE && !server.ejected;
     }
 
-    /** Ejected or not, it has answered lately. */
+    /** Whether a server, ejected or not, has answered recently. */
     boolean hasAnsweredRecently(Server server) {
         return context.nowMs() - server.lastAnswerMs < RECENT_ANSWER_MS;
     }
 
-    /** A new process has the server's name: nothing that was seen of the old one holds. */
+    /** Resets the state of a server that has restarted; observations of the old process do not apply to the new one. */
     static void reset(Server server) {
         server.relativeLatency = 1;
         server.ejected = false;
     }
 
-    /** Notes that a server answers, whatever the answer's latency tells. */
+    /** Records that a server has answered, whatever the latency of the answer. */
     void recordSignOfLife(Attempt attempt) {
         Server server = attempt.server;
         server.lastAnswerMs = context.nowMs();
         server.lastAnsweredSentMs = Math.max(server.lastAnsweredSentMs, attempt.sentMs);
     }
 
-    /** Takes the outcome of an attempt whose time was so many times the mean latency. */
+    /** Records the outcome of an attempt; {@code relativeLatency} is its time divided by the mean latency. */
     void recordOutcome(Attempt attempt, Attempt.Outcome outcome, double tookMs, double relativeLatency) {
         Server server = attempt.server;
         double asFailure = Math.max(relativeLatency, FAILURE_RELATIVE_LATENCY);
@@ -77,17 +84,18 @@
         switch (outcome) {
             case ANSWERED -> recordRelativeLatency(server, relativeLatency);
             case CANCELLED -> {
-                // A server that loses half of its parts and answers the rest quickly looks healthy by its answers.
+                // By its answers alone, a server that loses half of its parts and answers the others quickly looks
+                // healthy.
                 boolean overdue = tookMs > latencies.overdueAfterMs(attempt.part);
                 recordRelativeLatency(server, overdue ? asFailure : noBetterThanBefore);
             }
             case ERROR, RESET, TIMED_OUT -> recordRelativeLatency(server, asFailure);
             case MALFORMED -> {
-                // One malformed answer ends all attempts on its connection, which would count as many failures.
+                // A malformed answer ends all attempts on its connection; they count as one failure, not as many.
                 boolean alreadyCounted = server.lastMalformedMs == context.nowMs();
                 recordRelativeLatency(server, alreadyCounted ? noBetterThanBefore : asFailure);
             }
-                // Each attempt at a machine that is down costs its part the time that connecting may take.
+                // Each attempt at a machine that is down delays its part by up to the connect timeout.
             case CONNECT_FAILED -> server.relativeLatency = MAX_RELATIVE_LATENCY;
             default -> {}
         }
@@ -101,7 +109,10 @@
                 server.zone, sample, (before, latest) -> before + (latest - before) * LatencyEstimator.SMOOTHING);
     }
 
-    /** The recorded relative latency, or how long the oldest attempt waits where nothing was answered since. */
+    /**
+     * Returns the recorded relative latency; if that is greater, the time without an answer while an attempt was in
+     * flight, divided by the expected latency.
+     */
     private double currentRelativeLatency(Server server) {
         if (server.inFlight.isEmpty()) {
             return server.relativeLatency;
@@ -113,9 +124,10 @@
     }
 
     /**
-     * Starts a tick, in which {@link #updateEjection} is called for each live server. Servers are compared with the median one, as a
-     * slowdown of all is no fault of some. Zones are compared with the best zone: a bad path to half of the servers would make its
-     * slowness the median, and a zone has samples enough where each of its servers is seldom met.
+     * Starts a tick, in which {@link #updateEjection} is called for each live server. Servers are compared with the
+     * median server, so that a slowdown of all servers ejects none of them. Zones are compared with the best zone, for
+     * two reasons: a slow path to half of the servers would make the median slow too, and a zone has enough samples
+     * even if each of its servers gets few attempts.
      */
     void beginTick(List<Server> live) {
         median = medianRelativeLatency(live);
@@ -144,7 +156,7 @@
         return sorted.length == 0 ? 1 : Math.max(1, sorted[sorted.length / 2]);
     }
 
-    /** Forgets the zones that none of these servers is in. */
+    /** Forgets the zones in which none of these servers is. */
     void retainZonesOf(Collection<Server> servers) {
         zoneRelativeLatencies.keySet().removeIf(zone -> servers.stream()
                 .noneMatch(server -> Objects.equals(server.zone, zone)));
--- a/core/src/main/java/spartrail/coordination/PartQueues.java
+++ b/core/src/main/java/spartrail/coordination/PartQueues.java
@@ -2,7 +2,7 @@
 
 import spartrail.model.Part;
 
-/** Puts parts into the queues of their shards and takes them out again. */
+/** Adds parts to the queues of their shards and removes them. */
 final class PartQueues {
     private final EventContext context;
 
@@ -10,7 +10,7 @@
         this.context = context;
     }
 
-    /** Puts a part in its place in its shard's queue. */
+    /** Adds a part to its shard's queue, in release order. */
     void enqueue(Part part) {
         part.queued = true;
         part.queuedSinceMs = context.nowMs();
@@ -18,7 +18,7 @@
         part.multiget.queuedShards.add(part.shard);
     }
 
-    /** Takes a part out of its shard's queue if it is there. */
+    /** Removes a part from its shard's queue if it is queued. */
     void dequeue(Part part) {
         if (part.queued) {
             part.queued = false;
--- a/core/src/main/java/spartrail/coordination/PriorityScale.java
+++ b/core/src/main/java/spartrail/coordination/PriorityScale.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import spartrail.model.OpType;
 
-/** Ranks op types by their priority weights. */
+/** Compares the priority weights of op types. */
 final class PriorityScale {
     /** Shared with the caller, which replaces op types when settings change. */
     private final List<OpType> opTypes;
@@ -12,7 +12,7 @@
         this.opTypes = opTypes;
     }
 
-    /** The priority weight of an op type over the highest one. */
+    /** Returns the priority weight of an op type divided by the highest priority weight. */
     double relativePriority(OpType op) {
         double highest = opTypes.stream()
                 .mapToDouble(other -> other.priorityWeight)
--- a/core/src/main/java/spartrail/coordination/ReleaseOrder.java
+++ b/core/src/main/java/spartrail/coordination/ReleaseOrder.java
@@ -5,11 +5,13 @@
 import spartrail.model.Part;
 
 /**
- * The order in which queued parts are released, the same at every shard: the window of the latency objective, then a rank hashed
- * from the multiget's id.
+ * The order in which queued parts are released, the same at every shard: by the window that contains the deadline of
+ * the latency objective, then by a rank that is hashed from the multiget's id.
  */
 final class ReleaseOrder {
-    /** Ranks are 0 to this count, exclusive; a power of two. */
+    /**
+     * Ranks are from 0 to this count, exclusive. The count is a power of two, as the rank is the low bits of a hash.
+     */
     static final int RANK_COUNT = 32_768;
 
     private static final double DEADLINE_WINDOW_MS = 250;
@@ -21,7 +23,7 @@
 
     private ReleaseOrder() {}
 
-    /** Sets the key of a multiget whose objective deadline is known. */
+    /** Sets the release key of a multiget; its objective deadline must be set before. */
     static void assignKey(Multiget multiget) {
         multiget.deadlineWindow = (long) Math.floor(multiget.objectiveDeadlineMs / DEADLINE_WINDOW_MS);
         multiget.rank = computeRank(multiget.id);
--- a/core/src/main/java/spartrail/coordination/ReleaseQueue.java
+++ b/core/src/main/java/spartrail/coordination/ReleaseQueue.java
@@ -11,12 +11,12 @@
 import spartrail.model.Shard;
 
 /**
- * The ordinary path: releases queued parts in release order while a replica has free capacity, and starts their attempts.
+ * Releases queued parts in release order while a replica has free capacity, and starts their attempts.
  *
- * <p>Cost: the heads of the given shards' queues and the replicas of the parts released.
+ * <p>Cost: visits the heads of the given shards' queues and the replicas of the released parts.
  */
 final class ReleaseQueue {
-    /** An attempt that may not be hedged is timed out after this many times the time after which it is overdue. */
+    /** The timeout of an attempt that may not be hedged is this many times the time after which it is overdue. */
     private static final double SINGLE_ATTEMPT_TIMEOUT_FACTOR = 2;
 
     private final EventContext context;
@@ -30,7 +30,10 @@
     private final Consumer<Attempt> onOverdue;
     private long pickNumber;
 
-    /** The listeners take each attempt when it has started, and when it may be overdue. */
+    /**
+     * Calls {@code onStarted} with each attempt that starts, and {@code onOverdue} with each attempt that may be
+     * overdue.
+     */
     ReleaseQueue(
             EventContext context,
             ServerTable table,
@@ -52,18 +55,21 @@
         this.onOverdue = onOverdue;
     }
 
-    /** Releases what it can of the shards of a multiget. */
+    /** Releases parts from the queues of a multiget's shards while a replica has free capacity for them. */
     void releaseShardsOf(Multiget multiget) {
         release(multiget.parts.stream().map(part -> part.shard).toList());
     }
 
-    /** Releases parts from these shards' queues, the first in order first, while a replica has free capacity for them. */
+    /**
+     * Releases parts from the queues of these shards, in release order across all of them, while a replica has free
+     * capacity.
+     */
     void release(Collection<Shard> shards) {
         TreeSet<Part> heads = new TreeSet<>(ReleaseOrder.COMPARATOR);
         shards.forEach(shard -> addHeads(shard, heads));
         while (!heads.isEmpty()) {
             Part next = heads.pollFirst();
-            // A part that was given up while others were released must not be sent any more.
+            // The part may have been given up while other parts were released; it must not be sent then.
             Server server = next.queued ? replicas.select(next) : null;
             if (server != null) {
                 release(next, server, heads);
@@ -73,7 +79,7 @@
 
     private void release(Part part, Server server, TreeSet<Part> heads) {
         queues.dequeue(part);
-        // A retry that was harmless when it joined the queue need not be so when it leaves.
+        // A retry that was allowed when the part was queued may no longer be allowed.
         if (!part.attempts.isEmpty() && !retryPolicy.mayRetry(part)) {
             if (!part.hasAttemptInFlight()) {
                 completion.failPart(part);
@@ -92,8 +98,9 @@
     }
 
     /**
-     * The parts of a queue that may be released next: its first, and those behind retries. A retry that may not go to the one
-     * replica with free capacity would block all behind it.
+     * Adds the parts of a queue that may be released next: the retries at its head and the first part that is no retry.
+     * If only the head were tried, a retry that may not go to the only replica with free capacity would block all parts
+     * behind it.
      */
     private static void addHeads(Shard shard, TreeSet<Part> heads) {
         for (Part part : shard.queue) {
@@ -115,7 +122,8 @@
         server.lastPickNumber = ++pickNumber;
         onStarted.accept(attempt);
         part.attempts.add(attempt);
-        // A first attempt whose connection comes up late would run long after a second one.
+        // Without this limit, a first attempt whose connection is established late could run long after a second
+        // attempt.
         attempt.sendDeadlineMs = part.deduplicationEndMs() - context.loopIntervalMs();
         context.decisions().attempts.add(attempt);
         context.timers.schedule(
@@ -145,7 +153,7 @@
         attempt.batch.inFlight++;
     }
 
-    /** Takes an attempt that has ended out of what is in flight. */
+    /** Removes an attempt that has ended from the attempts in flight. */
     static void removeInFlight(Attempt attempt) {
         attempt.server.inFlight.remove(attempt);
         attempt.part.multiget.attemptsInFlight--;
--- a/core/src/main/java/spartrail/coordination/ReplicaSelector.java
+++ b/core/src/main/java/spartrail/coordination/ReplicaSelector.java
@@ -6,10 +6,11 @@
 import spartrail.model.Shard;
 
 /**
- * Selects the replica for a part: the one with the fewest batches of this node in flight that has free capacity.
+ * Selects a replica for a part: among the replicas with free capacity, the one with the fewest batches of this node in
+ * flight.
  *
- * <p>Cost: walks the replicas of one shard, which for each walk the attempts of the part, a few; where batches carry several
- * parts, for each also the shards of the replica.
+ * <p>Cost: visits each replica of one shard, and for each replica the few attempts of the part. If a batch may carry
+ * several parts, it also visits the shards of each replica.
  */
 final class ReplicaSelector {
     private final EventContext context;
@@ -25,8 +26,10 @@
     }
 
     /**
-     * The replica to send this part to now; null if none has free capacity. Healthy replicas that have not been tried come first.
-     * Ejected ones that still answer come next, as the healthy ones would be overloaded while these are spared all work.
+     * Returns the replica to send this part to now, or null if no replica has free capacity. Prefers healthy replicas
+     * at which the part has had no attempt. Ejected replicas that still answer come next: if they got no work at all,
+     * the healthy ones would be overloaded. If every healthy replica has already been tried, any replica may be
+     * selected.
      */
     Server select(Part part) {
         List<Server> replicas = part.shard.replicas;
@@ -42,7 +45,10 @@
         return best == null && healthy.isEmpty() ? findLeastLoaded(part, replicas) : best;
     }
 
-    /** Ties go to the server that can take more of the multiget's parts in one batch, then to the one picked longest ago. */
+    /**
+     * Among equally loaded servers, returns the one that can take more of the multiget's parts in one batch; if that is
+     * equal too, the one picked longest ago.
+     */
     private Server findLeastLoaded(Part part, List<Server> replicas) {
         Server best = null;
         int bestBatches = 0;
@@ -74,8 +80,10 @@
     }
 
     /**
-     * Parts that may be sent to a server now. Where batches carry several parts, a busy server opens one at half its limit: under
-     * load each answer would free one place, every part would travel alone, and the cost of batches would use up the capacity.
+     * Returns the number of parts that may be sent to a server now. If a batch may carry several parts, a busy server
+     * is sent a further batch only while its attempts in flight are below half its limit. Otherwise, under load, each
+     * answer would free one slot, every part would be sent in a batch of its own, and the cost per batch would use up
+     * the capacity.
      */
     private int freeCapacity(Server server) {
         boolean opensFurtherBatch = table.maxPartsPerBatch() > 1 && !server.inFlight.isEmpty() && !hasOpenBatch(server);
@@ -90,7 +98,7 @@
                 && server.latestBatch.size < table.maxPartsPerBatch();
     }
 
-    /** How many queued parts of the same multiget could travel in the same batch. */
+    /** Returns how many queued parts of the part's multiget could be sent to this server in the same batch. */
     private int countPartsForSameBatch(Part part, Server server) {
         if (table.maxPartsPerBatch() == 1) {
             return 0;
--- a/core/src/main/java/spartrail/coordination/RetryBudget.java
+++ b/core/src/main/java/spartrail/coordination/RetryBudget.java
@@ -3,7 +3,10 @@
 import spartrail.model.Multiget;
 import spartrail.model.SlidingWindowCounter;
 
-/** The stated bound on retries and hedged requests: in each window a minimum, and a ratio of what clients requested. */
+/**
+ * Limits retries and hedged requests: in each window, to a minimum plus a ratio of the multigets and parts that clients
+ * requested.
+ */
 final class RetryBudget {
     private final EventContext context;
     private final SlidingWindowCounter retries = new SlidingWindowCounter();
@@ -19,8 +22,8 @@
     }
 
     /**
-     * See {@link Coordinator#configureRetryBudget}. Events older than the old window are no longer counted, so after a change to a
-     * longer window retries are held back until the new window is fully counted.
+     * See {@link Coordinator#configureRetryBudget}. Events older than the old window are discarded already, so after a
+     * change to a longer window no retry is allowed until the longer window is completely recorded.
      */
     void configure(double newWindowMs, double minimum, double ratio) {
         if (inUse && newWindowMs > windowMs) {
@@ -44,8 +47,8 @@
     }
 
     /**
-     * Whether one more retry is within the budget. Whoever checks the budget sees attempts some loop iterations later, so the
-     * window is taken longer for retries and shorter for requests.
+     * Whether one more retry is within the budget. An external check of the budget sees attempts some event loop
+     * iterations later, so retries are counted over a longer window and requests over a shorter one.
      */
     boolean mayRetry() {
         int retriesMade = retries.countSince(context.nowMs() - windowMs - context.loopIntervalMs()) + 1;
--- a/core/src/main/java/spartrail/coordination/RetryPolicy.java
+++ b/core/src/main/java/spartrail/coordination/RetryPolicy.java
@@ -4,9 +4,9 @@
 import spartrail.model.OpType;
 import spartrail.model.Part;
 
-/** Whether a part may have another attempt: by its idempotency, its number of attempts and the retry budget. */
+/** Decides whether a part may have another attempt, by its idempotency, its number of attempts and the retry budget. */
 final class RetryPolicy {
-    /** Most attempts of a part of the lowest priority, where a part may have as many. */
+    /** Most attempts of a part of the lowest priority, unless the configured maximum is lower. */
     private static final int MIN_MAX_ATTEMPTS = 2;
 
     private final EventContext context;
@@ -27,7 +27,7 @@
         hedgingAllowed = newHedgingAllowed;
     }
 
-    /** Whether two attempts of this part may be in flight at a time. */
+    /** Whether two attempts of this part may be in flight at the same time. */
     boolean mayHedge(Part part) {
         return hedgingAllowed && part.multiget.opType.idempotency != OpType.Idempotency.NON_IDEMPOTENT;
     }
@@ -47,7 +47,7 @@
         };
     }
 
-    /** Attempts that a part of this op type may have, by its relative priority. */
+    /** Returns the most attempts that a part of this op type may have: the higher its relative priority, the more. */
     private int maxAttempts(OpType op) {
         int byPriority = (int) Math.ceil((maxAttemptsPerPart - MIN_MAX_ATTEMPTS) * priorities.relativePriority(op));
         return Math.min(maxAttemptsPerPart, MIN_MAX_ATTEMPTS + byPriority);
--- a/core/src/main/java/spartrail/coordination/RetryScheduler.java
+++ b/core/src/main/java/spartrail/coordination/RetryScheduler.java
@@ -3,7 +3,7 @@
 import spartrail.model.Multiget;
 import spartrail.model.Part;
 
-/** Puts parts back into their queues when an attempt has failed, and the parts that waited for a first answer. */
+/** Queues parts again after a failed attempt, and queues the parts that were held back until the first answer. */
 final class RetryScheduler {
     private final PartQueues queues;
     private final RetryPolicy retryPolicy;
@@ -17,7 +17,7 @@
         this.releaseQueue = releaseQueue;
     }
 
-    /** A part without an attempt in flight goes back to its place in the queue, or is lost to its multiget. */
+    /** Queues a part without an attempt in flight again if it may be retried; otherwise gives the part up. */
     void retryOrFail(Part part) {
         if (retryPolicy.mayRetry(part)) {
             queues.enqueue(part);
@@ -26,7 +26,10 @@
         }
     }
 
-    /** Sends the parts that waited for the first answer, unless a connection was reset. */
+    /**
+     * Queues the parts that were held back until the first answer, unless a server has reset a connection of the
+     * multiget.
+     */
     void sendRemainingParts(Multiget multiget) {
         if (multiget.finished || !multiget.awaitingFirstAnswer || !multiget.connectionsResetBy.isEmpty()) {
             return;
--- a/core/src/main/java/spartrail/coordination/ServerCrashGuard.java
+++ b/core/src/main/java/spartrail/coordination/ServerCrashGuard.java
@@ -6,17 +6,18 @@
 import spartrail.model.SlidingWindowCounter;
 
 /**
- * Limits the harm of multigets whose parts crash servers: such a one does so with its first attempts, and a wide one would take
- * the fleet along at once. Only single multigets are suspected, no op type, so a wrong suspicion costs one answer's time.
+ * Limits the harm of multigets whose parts crash servers. Such a multiget crashes servers with its first attempts, and
+ * one with many parts could crash most of the fleet at once. Suspicion applies to single multigets, never to an op
+ * type, so a wrong suspicion delays one multiget by the time of one answer.
  */
 final class ServerCrashGuard {
-    /** A multiget of fewer parts is not wide. */
+    /** A multiget with fewer parts than this is not wide. */
     private static final int MIN_WIDE_PARTS = 32;
     /** A multiget whose batches could reach this share of the servers is wide. */
     private static final double WIDE_SERVER_SHARE = 0.25;
-    /** Connections reset by so many servers, nothing answered, make a multiget suspected. */
+    /** A multiget is suspected if this many servers have reset its connections and none of its parts was answered. */
     private static final int SUSPICIOUS_RESETS = 2;
-    /** So many crashes within the window make every multiget send one part first. */
+    /** After this many crashes within the window, every multiget sends one part first. */
     private static final int SUSPICIOUS_CRASHES = 3;
 
     private static final double CRASH_WINDOW_MS = 20_000;
@@ -32,15 +33,15 @@
         this.queues = queues;
     }
 
-    /** Takes a server that ended or started anew without having drained. */
+    /** Records that a server has ended or restarted without draining first. */
     void recordCrash() {
         crashes.discardBefore(context.nowMs() - CRASH_WINDOW_MS);
         crashes.add(context.nowMs(), 1);
     }
 
     /**
-     * Whether a multiget is to send its first part alone: a wide one, and any while servers crash. The other parts follow with
-     * that part's answer, or after the expected latency where no connection was reset.
+     * Whether a multiget must send its first part alone: a wide multiget always, any other while servers crash. The
+     * other parts are sent when the first one is answered, or after the expected latency if no connection was reset.
      */
     boolean shouldSendFirstPartAlone(Multiget multiget) {
         return multiget.parts.size() > 1 && (hasRecentCrashes() || isWide(multiget));
@@ -55,12 +56,12 @@
         return multiget.parts.size() >= Math.max(MIN_WIDE_PARTS, widePartCount);
     }
 
-    /** Whether nothing further of a multiget is sent: it is given up when nothing of it is in flight any more. */
+    /** Whether no more parts of a multiget are sent. It is given up when none of its attempts is in flight any more. */
     static boolean isSuspected(Multiget multiget) {
         return multiget.awaitingFirstAnswer && !multiget.connectionsResetBy.isEmpty();
     }
 
-    /** Takes a connection that a server reset while a part was in flight on it. */
+    /** Records that a server has reset a connection while a part of the multiget was in flight on it. */
     void recordConnectionReset(Multiget multiget, Server server) {
         multiget.connectionsResetBy.add(server);
         if (multiget.answeredWeight == 0 && multiget.connectionsResetBy.size() >= SUSPICIOUS_RESETS) {
--- a/core/src/main/java/spartrail/coordination/ServerTable.java
+++ b/core/src/main/java/spartrail/coordination/ServerTable.java
@@ -32,7 +32,7 @@
         return servers.size();
     }
 
-    /** Walks all servers; for ticks and endpoint updates only. */
+    /** Returns the servers that match; visits all servers, so only ticks and endpoint updates may call it. */
     List<Server> findMatching(Predicate<Server> condition) {
         return findMatching(servers.values(), condition);
     }
@@ -53,7 +53,7 @@
         return layout.replicationFactor;
     }
 
-    /** Most parts that one batch may carry. */
+    /** Returns the most parts that one batch may carry. */
     int maxPartsPerBatch() {
         return maxPartsPerBatch;
     }
--- a/core/src/main/java/spartrail/coordination/SlowStart.java
+++ b/core/src/main/java/spartrail/coordination/SlowStart.java
@@ -7,16 +7,22 @@
 import spartrail.model.Server;
 
 /**
- * Limits the attempts at servers that are warming up to this node's share of what they can take at their age, so that the front
- * nodes together don't overload a server that has just started.
+ * Limits this node's attempts at a server that warms up to the node's share of the capacity that the server has at its
+ * age, so that the front nodes together don't overload a server that has just started.
  *
- * <p>Cost: a constant for each replica asked about, except that the replicas of the shard are walked where this node's share is
- * less than a part; all servers are walked once a tick.
+ * <p>Cost: constant for each check of a replica; if this node's share is less than one part, a check also visits the
+ * replicas of the shard. All servers are visited once a tick.
  */
 final class SlowStart {
-    /** Share of the allowance that is used, as the service time of a part is known roughly. */
+    /**
+     * Share of the computed allowance that is used; it is below 1 because the service time of a part is only an
+     * estimate.
+     */
     private static final double ALLOWANCE_SAFETY = 0.8;
-    /** The busiest server counts as at most this many times the mean: among many servers seen seldom it is busiest by chance. */
+    /**
+     * The highest answer rate of a server counts as at most this many times the mean. If there are many servers with
+     * few answers each, a higher maximum is due to chance.
+     */
     private static final double MAX_BUSIEST_PER_MEAN = 2;
 
     private final EventContext context;
@@ -28,11 +34,13 @@
     private double warmUpMs;
     private double collapseMultiple = 1;
     private double collapseAfterMs;
-    /** Parts in a millisecond that one core serves. */
+    /** Parts that one core serves per millisecond. */
     private double corePartsPerMs;
-    /** Parts in a millisecond that a warm server answers this node on average, at least this node's share of a core. */
+    /**
+     * Parts per millisecond that a warm server answers this node on average; at least this node's share of one core.
+     */
     private double meanPartsPerMs;
-    /** Parts in a millisecond that the busiest warm server answers this node. */
+    /** Parts per millisecond that the busiest warm server answers this node. */
     private double busiestPartsPerMs;
 
     SlowStart(EventContext context, LatencyEstimator latencies, ServerTable table, List<OpType> opTypes) {
@@ -54,12 +62,12 @@
         collapseAfterMs = collapseMs;
     }
 
-    /** How long a server has to be overloaded until it collapses. */
+    /** Returns the time after which an overloaded server collapses. */
     double collapseAfterMs() {
         return collapseAfterMs;
     }
 
-    /** The least share of its full capacity that a server has at its age. */
+    /** Returns the least share of its full capacity that a server has at its age. */
     double capacityShare(Server server) {
         if (!isWarmingUp(server)) {
             return 1;
@@ -81,7 +89,7 @@
         server.answersThisTick++;
     }
 
-    /** Whether this part may be sent to this server, which may be warming up. */
+    /** Whether this part may be sent to this server now; always true if the server is not warming up. */
     boolean maySend(Part part, Server server) {
         if (!isWarmingUp(server)) {
             return true;
@@ -91,16 +99,19 @@
         if (recentAttempts + 1 <= ALLOWANCE_SAFETY * capacity * busiestPartsPerMs) {
             return true;
         }
-        return server.warmUpAttempts.oldestMs() >= context.nowMs() && isOfAllowedRank(part, capacity);
+        return server.warmUpAttempts.oldestMs() >= context.nowMs() && hasAllowedRank(part, capacity);
     }
 
     /**
-     * Where this node's share is less than one part, multigets of the lowest ranks pass, the same ones at every server: as many
-     * as keep the demand of all nodes, with three standard deviations, within the server's capacity. Without this, a fleet that
-     * starts anew would stand idle. The replicas of a shard that are warming up share what passes, as an idle one is the next in
-     * turn for all that may pass it.
+     * Whether the rank of the part's multiget is low enough. The rank decides if this node's share is less than one
+     * part.
+     *
+     * <p>Multigets of the lowest ranks are allowed, the same ones at every server: as many as keep the demand of all
+     * nodes, plus three standard deviations, within the server's capacity. Without this rule, nodes would send nothing
+     * to a fleet whose servers have all just started. The replicas of the shard that are warming up divide the allowed
+     * parts among them, because each allowed part goes to an idle replica.
      */
-    private boolean isOfAllowedRank(Part part, double capacity) {
+    private boolean hasAllowedRank(Part part, double capacity) {
         double sqrtAllowedParts = (Math.sqrt(9 + 4 * capacity * corePartsPerMs) - 3) / 2;
         List<Server> warmingReplicas = ServerTable.findMatching(
                 part.shard.replicas, replica -> OutlierDetector.isHealthy(replica) && isWarmingUp(replica));
@@ -110,7 +121,7 @@
         return part.multiget.rank < ReleaseOrder.RANK_COUNT * sqrtAllowedParts * sqrtAllowedParts / demand;
     }
 
-    /** Updates what warm servers take from this node; once a tick and with each endpoint update. */
+    /** Updates the rates at which warm servers answer this node; called once a tick and with each endpoint update. */
     void updateServiceRates() {
         corePartsPerMs =
                 1 / opTypes.stream().mapToDouble(this::unloadedLatencyMs).max().orElse(1);
@@ -127,7 +138,7 @@
         return op.latency.unloadedLatencyMs > 0 ? op.latency.unloadedLatencyMs : latencies.meanLatencyMs(op);
     }
 
-    /** Closes the tick's count of answers of a server. */
+    /** Adds the answers of this tick to the average answer rate of a server, and resets their count. */
     void updateAnswerRate(Server server) {
         double tickRate = server.answersThisTick / EventContext.TICK_INTERVAL_MS;
         server.answerRate += (tickRate - server.answerRate) * EventContext.TICK_INTERVAL_MS / OutlierDetector.DECAY_MS;
--- a/core/src/main/java/spartrail/coordination/WindowCoordinator.java
+++ b/core/src/main/java/spartrail/coordination/WindowCoordinator.java
@@ -12,26 +12,28 @@
 import spartrail.model.Shard;
 
 /**
- * All decisions of a front node, put together from one class for each concern.
+ * Makes all decisions of a front node. Each concern has a class of its own; this class connects them.
  *
- * <p>The ordinary path is {@link #submit} and {@link ReleaseQueue}: each part joins its shard's queue under the key of its
- * multiget ({@link ReleaseOrder}), and leaves in this order as soon as a replica is under its concurrency limit, for the replica
- * that {@link ReplicaSelector} picks.
+ * <p>The main path is {@link #submit} and {@link ReleaseQueue}. Each part is added to its shard's queue, which is
+ * sorted by the key of the part's multiget ({@link ReleaseOrder}). The first part is released as soon as a replica is
+ * below its concurrency limit, and is sent to the replica that {@link ReplicaSelector} selects.
  *
- * <p>Beside it stand
+ * <p>The other concerns are
  *
  * <ol>
- *   <li>{@link AdmissionControl}: rejects what can't be answered in time, by priority;
- *   <li>{@link RetryPolicy}, {@link RetryBudget}, {@link RetryScheduler} and {@link Hedging}: further attempts, within the rules
- *       of idempotency and budget; {@link ServerCrashGuard} holds them back where a multiget seems to crash servers;
- *   <li>{@link OutlierDetector}: health of servers, from answers and silence, against the other servers;
- *   <li>{@link SlowStart}: this node's share of what servers that warm up can take; {@link ConcurrencyLimiter};
- *   <li>{@link Completion}: when to answer, completely, in part or not;
+ *   <li>{@link AdmissionControl}: rejects multigets that can't be answered in time, those of low priority first;
+ *   <li>{@link RetryPolicy}, {@link RetryBudget}, {@link RetryScheduler} and {@link Hedging}: further attempts, as far
+ *       as idempotency and the retry budget allow; {@link ServerCrashGuard} holds them back if a multiget seems to
+ *       crash servers;
+ *   <li>{@link OutlierDetector}: ejects servers whose answers, failures or silence are much worse than those of others;
+ *   <li>{@link SlowStart}: limits attempts at servers that warm up to this node's share of their capacity; {@link
+ *       ConcurrencyLimiter}: limits the attempts in flight at each server;
+ *   <li>{@link Completion}: decides when a multiget is answered, completely or in part, rejected or failed;
  *   <li>{@link EndpointTracker}: follows the endpoint list.
  * </ol>
  *
- * <p>Each event sets the time of the {@link EventContext}, and returns the decisions collected there. Cost: an event of a
- * multiget or an attempt goes over its own parts and their replicas only; what concerns all servers is done once a tick.
+ * <p>Each event sets the time of the {@link EventContext}, and returns the decisions collected there. Cost: an event of
+ * a multiget or an attempt visits only its own parts and their replicas; work over all servers is done once a tick.
  */
 public final class WindowCoordinator implements Coordinator {
     private final EventContext context = new EventContext();
@@ -52,7 +54,7 @@
     private final EndpointTracker endpoints;
     private double nextTickMs;
 
-    /** Op types may be replaced in the list while it serves. */
+    /** The caller may replace op types in the list while the coordinator is in use. */
     public WindowCoordinator(RandomGenerator random, List<OpType> opTypes) {
         PriorityScale priorities = new PriorityScale(opTypes);
         slowStart = new SlowStart(context, latencies, table, opTypes);
@@ -196,7 +198,7 @@
         return context.decisions();
     }
 
-    /** Answers or retries the open part of an attempt that has ended. */
+    /** Records the answer of the attempt's part, or retries the part. The attempt has ended; the part is still open. */
     private void handlePartOutcome(Attempt attempt, Attempt.Outcome outcome) {
         Part part = attempt.part;
         if (outcome == Attempt.Outcome.ANSWERED) {
@@ -212,7 +214,10 @@
         }
     }
 
-    /** Lets each concern learn from an outcome. The latency estimates change last, as the others compare with them. */
+    /**
+     * Passes an outcome to each concern. The latency estimates are updated last because the other concerns compare the
+     * outcome with the estimates from before it.
+     */
     private void recordOutcome(Attempt attempt, Attempt.Outcome outcome, double tookMs) {
         Server server = attempt.server;
         boolean isFromFormerProcess = attempt.sentMs < server.startedAtMs;
@@ -228,7 +233,7 @@
             return;
         }
         limiter.recordOutcome(attempt, outcome, tookMs);
-        // A server that warms up is as slow as its age says; ejected for it, it would never get its share.
+        // A server that warms up is slow because of its age. If it were ejected for that, it would never get its share.
         double relativeLatency = slowStart.capacityShare(server)
                 * tookMs
                 / Math.max(1, latencies.meanLatencyMs(attempt.part.multiget.opType));
@@ -295,12 +300,12 @@
         releaseQueue.release(table.shards());
     }
 
-    /** Ids of the servers that are remembered, in the order of their first listing; for tests. */
+    /** Returns the ids of the servers that are remembered, in the order of their first listing; for tests. */
     List<String> knownServerIds() {
         return table.servers().stream().map(server -> server.id).toList();
     }
 
-    /** Timers that are pending; for tests. */
+    /** Returns the number of pending timers; for tests. */
     int pendingTimerCount() {
         return context.timers.size();
     }
--- a/core/src/test/java/spartrail/coordination/CoordinatorScript.java
+++ b/core/src/test/java/spartrail/coordination/CoordinatorScript.java
@@ -19,13 +19,13 @@
 import spartrail.model.Part;
 import spartrail.model.Server;
 
-/** Plays a script of events to a coordinator and records its decisions, to be compared with a trace in the resources. */
+/** Reports scripted events to a coordinator and records its decisions, which a test compares with a trace file. */
 final class CoordinatorScript {
     final OpType opType = new OpType();
     final List<OpType> opTypes = new ArrayList<>(List.of(opType));
     Coordinator coordinator;
     double nowMs = 1000;
-    /** Whether multigets placed from here on are marked as retries by their clients. */
+    /** Whether multigets submitted from now on are marked as retries by their clients. */
     boolean clientRetry;
 
     private final StringBuilder trace = new StringBuilder();
@@ -47,7 +47,7 @@
         opType.latency.latencyDeviationMs = 20;
     }
 
-    /** Adds an op type of three times the priority weight. */
+    /** Adds an op type with three times the priority weight of the first one. */
     OpType addHighPriorityOpType() {
         OpType highPriority = new CoordinatorScript().opType;
         highPriority.name = "vital";
@@ -56,7 +56,7 @@
         return highPriority;
     }
 
-    /** Starts the coordinator with one server a cell, and with hedging, cancellation and Retry-After allowed. */
+    /** Starts the coordinator with one server per cell, and with hedging, cancellation and Retry-After allowed. */
     CoordinatorScript startFleet(int shards, int cells, int replicationFactor, int maxPartsPerBatch) {
         coordinator = new WindowCoordinator(new Random(7), opTypes)
                 .configureFrontNodes(2, 5)
@@ -93,7 +93,7 @@
         return submit(opType, id, 2000, shards);
     }
 
-    /** Places multigets of these ids, each of one part of the same shard. */
+    /** Submits multigets with these ids, each with one part of the same shard. */
     CoordinatorScript submitEach(long firstId, long lastId, int shard) {
         for (long id = firstId; id <= lastId; id++) {
             submit(id, shard);
@@ -120,7 +120,7 @@
         return recordDecisions("place " + id, coordinator.submit(multiget, nowMs));
     }
 
-    /** The outcome of an attempt, named as in the trace. */
+    /** Reports the outcome of an attempt, named as in the trace; does nothing if that attempt was never started. */
     CoordinatorScript reportOutcome(String name, Attempt.Outcome outcome) {
         Attempt attempt = attempts.get(name);
         if (attempt == null) {
@@ -131,7 +131,7 @@
                 coordinator.onOutcome(attempt, outcome, nowMs - attempt.sentMs, nowMs));
     }
 
-    /** The same outcome for all attempts in flight at a server. */
+    /** Reports the same outcome for all attempts in flight at a server. */
     CoordinatorScript reportOutcomeForAllAt(String server, Attempt.Outcome outcome) {
         List.copyOf(attempts.keySet()).stream()
                 .filter(name -> attempts.get(name).isInFlight()
@@ -148,28 +148,28 @@
         return recordDecisions("unlisted", coordinator.onDiscoveryUnavailable(nowMs));
     }
 
-    /** Advances the time, with the timer events that the coordinator asks for. */
+    /** Advances the time, and runs the timers of the coordinator that become due meanwhile. */
     CoordinatorScript advance(double durationMs) {
-        double until = nowMs + durationMs;
-        while (nowMs + coordinator.timeToNextTimerMs(nowMs) <= until) {
+        double untilMs = nowMs + durationMs;
+        while (nowMs + coordinator.timeToNextTimerMs(nowMs) <= untilMs) {
             nowMs += coordinator.timeToNextTimerMs(nowMs);
             Decisions decisions = coordinator.onTimer(nowMs);
             if (!describe(decisions).isEmpty()) {
                 recordDecisions("wait", decisions);
             }
         }
-        nowMs = until;
+        nowMs = untilMs;
         return this;
     }
 
-    /** Pauses the process; timers run first after it, events that arrived meanwhile later. */
+    /** Simulates a pause of the process. The timers run first after it; events that arrived during the pause follow. */
     CoordinatorScript pauseProcess(double durationMs) {
         coordinator.timeToNextTimerMs(nowMs);
         nowMs += durationMs;
         return recordDecisions("back", coordinator.onTimer(nowMs));
     }
 
-    /** Records until when the frame of an attempt may begin. */
+    /** Records the latest time at which the frame of an attempt may begin. */
     CoordinatorScript recordSendDeadline(String name) {
         trace.append(String.format(
                 Locale.ROOT, "%5.0f %s leaves by %.0f%n", nowMs, name, attempts.get(name).sendDeadlineMs));
@@ -198,7 +198,7 @@
         return text.append(decisions.watchEndpoints ? " follow" : "").toString();
     }
 
-    /** The recorded traces keep the names that outcomes and answers had when they were made. */
+    /** Returns the name of an outcome in the trace files, which contain earlier names of some outcomes and answers. */
     private static String traceName(Attempt.Outcome outcome) {
         return outcome == Attempt.Outcome.MALFORMED ? "GARBLED" : outcome.name();
     }
@@ -211,13 +211,13 @@
         };
     }
 
-    /** Multiget, shard, number of the attempt. */
+    /** Names an attempt by its multiget, shard and number. */
     private static String attemptName(Attempt attempt) {
         Part part = attempt.part;
         return part.multiget.id + "." + part.shard.number + "#" + attempt.number;
     }
 
-    /** Compares the record with the trace of this name. */
+    /** Checks that the recorded decisions equal the trace file of this name. */
     void assertTraceMatches(String name) {
         try (InputStream resource = CoordinatorScript.class.getResourceAsStream("/traces/" + name + ".txt")) {
             String expected = resource == null ? "" : new String(resource.readAllBytes(), StandardCharsets.UTF_8);
--- a/core/src/test/java/spartrail/coordination/WarmUpFleet.java
+++ b/core/src/test/java/spartrail/coordination/WarmUpFleet.java
@@ -14,8 +14,9 @@
 import spartrail.model.Server;
 
 /**
- * Many front nodes' decisions on one shard, one of whose servers restarts and warms up, and the attempts of all of them there. The
- * decisions are those of real coordinators; servers answer after their service time, a server that warms up later by its age.
+ * Simulates many front nodes that send queries to one shard, one of whose servers restarts and warms up, and counts the
+ * attempts of all nodes at that server. The decisions are those of real coordinators. Servers answer after their
+ * service time; the one that warms up takes longer, by its age.
  */
 final class WarmUpFleet {
     static final double MIN_CAPACITY_SHARE = 0.05;
@@ -25,7 +26,10 @@
     private static final double LOOP_INTERVAL_MS = 5;
     private static final double RESTART_MS = 20_000;
 
-    /** A front node: how many nodes it assumes, its rate of queries, and how many of the replicas its endpoint list names. */
+    /**
+     * A front node: the number of nodes that it assumes, its rate of queries, and the number of replicas in its
+     * endpoint list.
+     */
     record Node(int assumedNodes, double partsPerMs, int replicas) {}
 
     private record Event(double atMs, long number, Runnable action) implements Comparable<Event> {
@@ -136,7 +140,10 @@
                 Math.max(worstOverload, recentAttempts.size() / (allowedAttempts + 2 * Math.sqrt(allowedAttempts) + 2));
     }
 
-    /** The most attempts at the restarted server in any window, over its capacity with chance allowed for; above 1 it collapses. */
+    /**
+     * Runs the simulation. Returns the most attempts at the restarted server in any window, divided by its capacity
+     * plus a margin for chance; above 1 the server collapses.
+     */
     double simulateWorstOverload(List<Node> nodes, int cells) {
         nodes.forEach(node -> new HollowNode(node, cells));
         while (events.peek().atMs < RESTART_MS + WARM_UP_MS) {
--- a/core/src/test/java/spartrail/coordination/WarmUpFleetTest.java
+++ b/core/src/test/java/spartrail/coordination/WarmUpFleetTest.java
@@ -8,12 +8,18 @@
 import org.junit.jupiter.api.Test;
 import spartrail.subset.SharingBound;
 
-/** A server that warms up collapses under the attempts of all front nodes together, so their sum is checked here. */
+/**
+ * A server that warms up collapses if all front nodes together send it too many attempts, so the sum over all nodes is
+ * checked.
+ */
 class WarmUpFleetTest {
     private static final double SERVICE_MS = 20;
     private static final int REPLICAS = 8;
 
-    /** Nodes of which some have several times the queries of others; together they use this share of the warm servers. */
+    /**
+     * Creates nodes with different query rates, some several times as high as others. Together the nodes use this share
+     * of the capacity of the warm servers.
+     */
     private static List<WarmUpFleet.Node> createUnevenNodes(
             int count,
             double utilization,
@@ -67,8 +73,10 @@
     }
 
     /**
-     * Of 3,900 nodes, those that have the cold server in their subsets: as many as the figure counts, which one server in a million
-     * has, or as on average, where each node's count of all nodes is wrong by up to a half, or everyone's is.
+     * The nodes are those of 3,900 that have the restarted server in their subsets. Three cases: the number of nodes
+     * that {@link SharingBound} computes, which at most one server in a million exceeds; the average number, where each
+     * node's count of all nodes is wrong by up to a half; the average number, where every node counts half of all
+     * nodes.
      */
     @Test
     void nodesWhoseSubsetsShareAServerDoNotOverloadItWhileItWarmsUp() {
@@ -92,7 +100,7 @@
         }
     }
 
-    /** Lists that differ: each node's names from half to all of the replicas, the cold one among them. */
+    /** Each node's endpoint list contains half to all of the replicas, and always the restarted server. */
     @Test
     void nodesWhoseEndpointListsDifferDoNotOverloadAServerThatWarmsUp() {
         int mean = (int) Math.round(3900 * REPLICAS / 248.0);
@@ -120,7 +128,7 @@
         }
     }
 
-    /** Shows that the check fails where it should: the same fleet, each of whose nodes assumes to be alone. */
+    /** Shows that the check detects an overload: each node of the same fleet assumes that it is the only one. */
     @Test
     void nodesThatEachAssumeToBeTheOnlyNodeOverloadAServerThatWarmsUp() {
         assertThat(simulateWorstOverload(30, 0.6, 1, REPLICAS, 0, 0, 30)).isGreaterThan(1);
--- a/core/src/test/java/spartrail/coordination/WindowCoordinatorFaultsTest.java
+++ b/core/src/test/java/spartrail/coordination/WindowCoordinatorFaultsTest.java
@@ -9,7 +9,7 @@
 import spartrail.model.OpType;
 import spartrail.model.Server;
 
-/** Decisions while servers, clients or the process itself are faulty, and under overload. */
+/** Decisions under overload, and while servers, clients or the process itself are faulty. */
 class WindowCoordinatorFaultsTest {
 
     @Test
@@ -303,7 +303,8 @@
         CoordinatorScript script = new CoordinatorScript().startFleet(1, 3, 3, 1);
         script.coordinator.configureAttempts(4, false, true).configureRetryBudget(1000, 1, 0);
         script.updateEndpoints(false, true, server("s2", 2, Server.State.LIVE, 990));
-        // s0 cannot be reached, and the retry at s2, which warms up, is its share there for the first second.
+        // s0 cannot be reached, so the retry goes to s1. s2 warms up; one attempt is this node's share there in the
+        // first second.
         script.submit(1, 0).reportOutcome("1.0#0", Outcome.CONNECT_FAILED).advance(150);
         script.opType.latencyObjectiveMs = 1500;
         script.coordinator
--- a/core/src/test/java/spartrail/coordination/WindowCoordinatorTest.java
+++ b/core/src/test/java/spartrail/coordination/WindowCoordinatorTest.java
@@ -10,7 +10,7 @@
 
 class WindowCoordinatorTest {
 
-    // ---- The ordinary path ----
+    // ---- Release order, replicas and limits ----
 
     @Test
     void queuedPartsAreReleasedInTheSameOrderAtEveryShard() {
@@ -72,7 +72,7 @@
         script.advance(5).reportOutcome("3.0#0", Outcome.FULL).assertTraceMatches("limit");
     }
 
-    // ---- Rules ----
+    // ---- Rules that always hold ----
 
     @Test
     void everyMultigetGetsOneFinalAnswerBeforeTheClientDeadline() {
@@ -116,7 +116,7 @@
                 .assertTraceMatches("deduped");
     }
 
-    /** A first attempt whose connection comes up late would run long after the second one. */
+    /** If its connection is established late, a first attempt could otherwise run long after the second one. */
     @Test
     void everyAttemptOfAPartWithAnIdempotencyKeyIsSentWithinTheDeduplicationWindowOfTheFirst() {
         CoordinatorScript script = new CoordinatorScript();
@@ -235,7 +235,7 @@
                 .assertTraceMatches("partial");
     }
 
-    // ---- Unusual but legal ----
+    // ---- Unusual but valid input ----
 
     @Test
     void aPartGivenUpDuringTheReleaseIsNotSent() {
