--- a/core/src/main/java/spartrail/model/Attempt.java
+++ b/core/src/main/java/spartrail/model/Attempt.java
@@ -1,12 +1,12 @@
 package spartrail.model;
 
-/** One attempt of a part at one server. */
+/** One attempt to get a part answered by one server. */
 public final class Attempt {
     /** How an attempt ended. */
     public enum Outcome {
         ANSWERED(true),
         ERROR(true),
-        /** The server rejected it at its capacity. */
+        /** The server rejected the part because it was at its capacity. */
         FULL(false),
         TIMED_OUT(true),
         CONNECT_FAILED(false),
@@ -14,10 +14,10 @@
         RESET(true),
         CANCELLED(true),
         NOT_SENT(false),
-        /** Its answer, or that of another part on the same connection, could not be decoded. */
+        /** The answer, or that to another part on the same connection, could not be decoded. */
         MALFORMED(true);
 
-        /** False where the outcome proves that the part never ran. */
+        /** False if the outcome proves that the part never ran. */
         public final boolean mayHaveRun;
 
         Outcome(boolean mayHaveRun) {
@@ -27,23 +27,26 @@
 
     public final Part part;
     public final Server server;
-    /** 0 for the part's first attempt. */
+    /** Number of the attempt within its part; 0 for the first one. */
     public final int number;
 
     public final double sentMs;
     public final double timeoutMs;
-    /** Its frame may begin until then: a retry that is sent after its deduplication window would take effect twice. */
+    /**
+     * The latest time at which its frame may begin. A retry that is sent after its deduplication window would take
+     * effect twice.
+     */
     public double sendDeadlineMs = Double.POSITIVE_INFINITY;
 
     public AttemptBatch batch;
-    /** Null while it is in flight. */
+    /** Null while the attempt is in flight. */
     public Outcome outcome;
 
     public boolean cancelRequested;
-    /** Whether the server had nothing else of this node in flight. */
+    /** Whether the server had no other attempt of this node in flight at the start of this one. */
     public boolean serverWasIdle;
 
-    /** Starts an attempt. */
+    /** An attempt in flight, without a batch yet. */
     public Attempt(Part part, Server server, int number, double sentMs, double timeoutMs) {
         this.part = part;
         this.server = server;
@@ -52,12 +55,12 @@
         this.timeoutMs = timeoutMs;
     }
 
-    /** Whether it has had no outcome yet. */
+    /** Whether the attempt has had no outcome yet. */
     public boolean isInFlight() {
         return outcome == null;
     }
 
-    /** Whether its outcome proves that the part never ran. */
+    /** Whether the outcome proves that the part never ran; false while the attempt is in flight. */
     public boolean hasNotRun() {
         return outcome != null && !outcome.mayHaveRun;
     }
--- a/core/src/main/java/spartrail/model/Layout.java
+++ b/core/src/main/java/spartrail/model/Layout.java
@@ -5,13 +5,15 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Which cells hold which shards: shard s is held by the cells (s + j) mod cells, j from 0 to replicationFactor - 1. */
+/**
+ * The assignment of shards to cells: shard s is held by the cells (s + j) mod cells, j from 0 to replicationFactor - 1.
+ */
 public final class Layout {
     public final List<Shard> shards = new ArrayList<>();
     private final int cells;
     public final int replicationFactor;
 
-    /** Shards whose queues are in this order. */
+    /** Creates the shards; their queues are sorted in this order. */
     public Layout(int shardCount, int cells, int replicationFactor, Comparator<Part> order) {
         for (int i = 0; i < shardCount; i++) {
             shards.add(new Shard(i, order));
@@ -20,7 +22,9 @@
         this.replicationFactor = Math.min(replicationFactor, this.cells);
     }
 
-    /** Assigns shards and servers to each other; only live servers are replicas. Walks all servers and their shards. */
+    /**
+     * Assigns shards and servers to each other; only live servers become replicas. Visits all servers and their shards.
+     */
     public void assignReplicas(Collection<Server> servers) {
         shards.forEach(shard -> shard.replicas.clear());
         for (Server server : servers) {
--- a/core/src/main/java/spartrail/model/MalformedMessageException.java
+++ b/core/src/main/java/spartrail/model/MalformedMessageException.java
@@ -1,15 +1,17 @@
 package spartrail.model;
 
-/** A message from a client, a server or a peer that its protocol does not allow; the message says what is wrong with it. */
+/**
+ * Thrown for a message from a client, a server or a peer that violates its protocol; the exception message says how.
+ */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** A message that breaks a rule of the protocol. */
+    /** For a message that violates a rule of the protocol. */
     public MalformedMessageException(String problem) {
         super(problem);
     }
 
-    /** A message that could not be decoded, with the decoder's own exception. */
+    /** For a message that could not be decoded; the cause is the exception of the decoder. */
     public MalformedMessageException(String problem, Throwable cause) {
         super(problem, cause);
     }
--- a/core/src/main/java/spartrail/model/Multiget.java
+++ b/core/src/main/java/spartrail/model/Multiget.java
@@ -5,25 +5,25 @@
 import java.util.List;
 import java.util.Set;
 
-/** A request of a client, answered from parts. A front end may extend it by what it needs. */
+/** A request of a client, answered from parts. A front end may subclass it to add state of its own. */
 public class Multiget {
-    /** How a multiget was answered. */
+    /** The kind of final answer. */
     public enum Answer {
         COMPLETE,
         PARTIAL,
-        /** Given up where a retry by the client is harmless. */
+        /** Given up; a retry by the client is harmless. */
         REJECTED,
         FAILED
     }
 
     public long id;
-    /** Its number at this node; a protocol without one uses the id. */
+    /** The number of the multiget at this node; a protocol without such numbers uses the id. */
     public long number;
 
     public OpType opType;
     public String tenant;
     public String key;
-    /** Whether the client marks it as a retry. */
+    /** Whether the client has marked the multiget as a retry. */
     public boolean clientRetry;
 
     public boolean write;
@@ -32,36 +32,36 @@
     public double costMs;
     public List<Part> parts = new ArrayList<>();
 
-    /** Key in every queue: the deadline window, then the rank. */
+    /** The release key, the same in every queue: the deadline window, then the rank. */
     public long deadlineWindow;
 
     public int rank;
-    /** When its latency objective is missed. */
+    /** The time from which the latency objective is missed. */
     public double objectiveDeadlineMs;
 
-    /** When the client stops waiting. */
+    /** The time at which the client stops waiting. */
     public double clientDeadlineMs;
 
     public double answeredWeight;
-    /** Parts that are neither answered nor abandoned, and their weight. */
+    /** Number of parts that are neither answered nor abandoned. */
     public int openParts;
-
+    /** Total weight of the open parts. */
     public double openWeight;
-    /** Shards with a queued part of it. */
+    /** Shards in whose queues a part of the multiget is. */
     public final Set<Shard> queuedShards = new HashSet<>();
-    /** Its attempts that have had no outcome yet. */
+    /** Number of attempts that have had no outcome yet. */
     public int attemptsInFlight;
-    /** Servers that reset the connection of one of its attempts since a part was last answered. */
+    /** Servers that have reset a connection with an attempt of the multiget, since a part was last answered. */
     public final Set<Server> connectionsResetBy = new HashSet<>();
-    /** Nothing more of it is sent until one of its parts is answered. */
+    /** If set, no more parts are sent until one is answered. */
     public boolean awaitingFirstAnswer;
-    /** Timers that are cancelled when it is finished. */
+    /** Timers that are cancelled when the multiget is finished. */
     public final List<TimerQueue.Timer> timers = new ArrayList<>();
 
-    /** Whether its final answer is decided or its client has gone. */
+    /** Whether the final answer is decided, or the client has gone. */
     public boolean finished;
 
     public Answer answer;
-    /** The Retry-After of a rejection; 0 for none. */
+    /** The Retry-After of a rejection; 0 if it carries none. */
     public double retryAfterMs;
 }
--- a/core/src/main/java/spartrail/model/NodeClock.java
+++ b/core/src/main/java/spartrail/model/NodeClock.java
@@ -1,12 +1,12 @@
 package spartrail.model;
 
 /**
- * The clock of a node: Unix time in milliseconds with fractions, as it was at the start, moved on by a clock
- * that never steps. With a clock that begins at the node's start, a server that started shortly before would
- * have a negative start time and be taken for warm.
+ * The clock of a node: the Unix time at its start in milliseconds with fractions, advanced by a clock that never steps.
+ * With a clock that begins at 0, a server that started shortly before the node would have a negative start time and be
+ * treated as warm.
  *
- * <p>Drills let the machine's clock stand ahead or behind (property {@code spartrail.clock.aheadMs}, milliseconds) and this one
- * run fast or slow ({@code spartrail.clock.pace}, 1 is right).
+ * <p>Drills can offset the machine's clock (property {@code spartrail.clock.aheadMs}, milliseconds) and make this clock
+ * run fast or slow (property {@code spartrail.clock.pace}, 1 is the correct rate).
  */
 public final class NodeClock {
     private static final long AHEAD_MS = Long.getLong("spartrail.clock.aheadMs", 0);
@@ -15,17 +15,17 @@
     private final double startMs = unixMs();
     private final long startNs = System.nanoTime();
 
-    /** The present time on this clock. */
+    /** Returns the current time on this clock. */
     public double nowMs() {
         return startMs + (System.nanoTime() - startNs) / 1e6 * RATE;
     }
 
-    /** The time on this clock of a Unix time on the machine's. */
+    /** Converts a Unix time of the machine's clock to this clock. */
     public double toNodeTimeMs(long unixMs) {
         return nowMs() - (unixMs() - unixMs);
     }
 
-    /** The Unix time by the machine's clock, which may step. */
+    /** Returns the Unix time of the machine's clock, which may step. */
     public static long unixMs() {
         return System.currentTimeMillis() + AHEAD_MS;
     }
--- a/core/src/main/java/spartrail/model/OpType.java
+++ b/core/src/main/java/spartrail/model/OpType.java
@@ -1,8 +1,9 @@
 package spartrail.model;
 
 /**
- * One kind of multiget, as the settings describe it, with the latency that a coordinator has seen of it. Where settings change
- * while a node runs, another op type takes its place that shares these statistics; multigets in hand keep the one they came with.
+ * A kind of multiget, as the settings describe it, with the latency statistics of a coordinator. If the settings change
+ * while a node runs, a new op type that shares the statistics replaces the old one; multigets in progress keep the old
+ * one.
  */
 public final class OpType {
     /** Whether a part may run twice. */
@@ -16,40 +17,39 @@
     public String name;
     public double priorityWeight;
     public double latencyObjectiveMs;
-    /** The time that clients usually wait. */
+    /** The time that clients usually wait for an answer. */
     public double timeoutMs;
-    /** Share of its value that an answer after the latency objective still has. */
+    /** Share of its value that an answer keeps after the latency objective. */
     public double lateShare;
 
     public Idempotency idempotency;
     public double deduplicationWindowMs;
-    /** Answered weight from which an answer is complete. */
+    /** Least answered weight of a complete answer. */
     public double completeWeight;
-    /** Answered weight from which a partial answer may be given. */
+    /** Least answered weight of a partial answer. */
     public double minimumWeight;
-    /** Share of its value that a partial answer has, by its weight. */
+    /** Factor for the value of a partial answer, which is proportional to the answered weight. */
     public double partialShare;
 
-    /** What is seen of its answers. */
     public final LatencyStatistics latency;
 
-    /** One that nothing has been seen of. */
+    /** An op type without statistics yet. */
     public OpType() {
         this(new LatencyStatistics());
     }
 
-    /** One that shares the statistics of one of the same name. */
+    /** An op type that shares the statistics of the one that it replaces. */
     public OpType(LatencyStatistics latency) {
         this.latency = latency;
     }
 
-    /** What a coordinator learns from answers, whatever the settings say; 0 where nothing is known. */
+    /** What a coordinator learns from answers, independent of the settings; 0 if nothing is known. */
     public static final class LatencyStatistics {
         public double meanLatencyMs;
         public double latencyDeviationMs;
-        /** Latency of servers that have nothing else of this node in flight. */
+        /** Latency of servers that have no other attempt of this node in flight. */
         public double unloadedLatencyMs;
-        /** When a multiget was rejected that no answer has followed since. */
+        /** Time of the first rejection since the last answer; {@link Double#MAX_VALUE} if there was none. */
         public double rejectedSinceMs = Double.MAX_VALUE;
     }
 }
--- a/core/src/main/java/spartrail/model/Part.java
+++ b/core/src/main/java/spartrail/model/Part.java
@@ -4,10 +4,11 @@
 import java.util.List;
 
 /**
- * The share of a multiget that one shard answers.
+ * The part of a multiget that one shard answers.
  *
- * <p>Cost: each method walks its attempts, a few. {@link #wasAttemptedAt} and {@link #isInFlightAt} are called for every replica of
- * every part, so they are plain loops: streams took most of the processor time where a shard has hundreds of replicas.
+ * <p>Cost: each method visits the few attempts of the part. {@link #wasAttemptedAt} and {@link #isInFlightAt} are
+ * called for every replica of every part, so they are plain loops: streams took most of the processor time for shards
+ * with hundreds of replicas.
  */
 public final class Part {
     public long id;
@@ -15,7 +16,7 @@
     public Shard shard;
     public double weight;
     public double costMs;
-    /** Whether it is in its shard's queue. */
+    /** Whether the part is in its shard's queue. */
     public boolean queued;
 
     public double queuedSinceMs;
@@ -23,12 +24,12 @@
     public boolean abandoned;
     public final List<Attempt> attempts = new ArrayList<>();
 
-    /** Whether an answer is still waited for. */
+    /** Whether the part still needs an answer. */
     public boolean isOpen() {
         return !answered && !abandoned;
     }
 
-    /** Whether an attempt has had no outcome yet. */
+    /** Whether an attempt of the part has had no outcome yet. */
     public boolean hasAttemptInFlight() {
         for (Attempt attempt : attempts) {
             if (attempt.isInFlight()) {
@@ -38,7 +39,9 @@
         return false;
     }
 
-    /** The end of the deduplication window of the attempts that may have run; infinite where there is none. */
+    /**
+     * Returns the earliest end of a deduplication window of the attempts that may have run; infinite if there is none.
+     */
     public double deduplicationEndMs() {
         if (multiget.opType.idempotency != OpType.Idempotency.IDEMPOTENCY_KEY) {
             return Double.POSITIVE_INFINITY;
@@ -50,7 +53,7 @@
                 .orElse(Double.POSITIVE_INFINITY);
     }
 
-    /** Whether an attempt was made at this server, whatever became of it. */
+    /** Whether the part has had an attempt at this server, with any outcome or none yet. */
     public boolean wasAttemptedAt(Server server) {
         for (Attempt attempt : attempts) {
             if (attempt.server == server) {
--- a/core/src/main/java/spartrail/model/Server.java
+++ b/core/src/main/java/spartrail/model/Server.java
@@ -6,20 +6,21 @@
 import java.util.Set;
 
 /**
- * A server of the endpoint list, with what this node has in flight there and has seen of it.
+ * A server of the endpoint list, with this node's attempts in flight there and what the node has observed of it.
  *
- * <p>The fields are public as decisions read them for each replica of each part, of which there may be hundreds; a map beside the
- * server would be looked up as often. Each group names the class of {@code spartrail.coordination} that writes it.
+ * <p>The fields are public because decisions read them for each replica of each part, and a shard may have hundreds of
+ * replicas; state in a separate map would need a look-up each time. Each group of fields names the class of {@code
+ * spartrail.coordination} that writes it.
  */
 public final class Server {
-    /** What the endpoint list says of the process. */
+    /** The state of the server process in the endpoint list. */
     public enum State {
         LIVE,
         DRAINING,
         GONE
     }
 
-    // EndpointTracker, from the endpoint list.
+    // Written by EndpointTracker, from the endpoint list.
 
     public final String id;
     public String zone;
@@ -27,53 +28,56 @@
     public int cell;
     public State state = State.LIVE;
     public double weight = 1;
-    /** Time of its latest start on the node's clock; negative where the list names none. */
+    /** Time of the latest start of the process, on the node's clock; negative if the list gives none. */
     public double startedAtMs = -1;
-    /** The shards it holds. */
+    /** The shards that the server holds. */
     public List<Shard> shards = new ArrayList<>();
 
-    /** Ticks since it was last listed. */
+    /** Number of ticks since the server was last listed. */
     public int ticksSinceRemoval;
 
-    // ReleaseQueue: what is in flight there.
+    // Written by ReleaseQueue.
 
     /** Attempts in flight, in order of sending. */
     public final Set<Attempt> inFlight = new LinkedHashSet<>();
 
-    /** Batches that carry them. */
+    /** Number of batches with an attempt in flight. */
     public int batchesInFlight;
     /** The latest batch; attempts of the same event loop iteration may still join it. */
     public AttemptBatch latestBatch;
-    /** Number of the latest pick, so that equal replicas are picked in turn. */
+    /** Sequence number of the latest pick, by which equally loaded replicas are picked in turn. */
     public long lastPickNumber;
-    // ConcurrencyLimiter.
+
+    // Written by ConcurrencyLimiter.
 
     /** Most attempts that may be in flight; 0 until the server is first listed. */
     public int concurrencyLimit;
 
     public double limitHalvedMs;
-    // OutlierDetector.
 
-    /** Latency of its answers over the mean of their op types; 1 is as usual. */
+    // Written by OutlierDetector.
+
+    /** Latency of the answers divided by the mean latency of their op types; 1 is normal. */
     public double relativeLatency = 1;
 
     public double lastAnswerMs;
-    /** When the latest sent of the answered attempts was sent. */
+    /** The latest time of sending among the answered attempts. */
     public double lastAnsweredSentMs;
 
     public boolean ejected;
-    /** When an answer of it could last not be decoded. */
+    /** Time of the last answer that could not be decoded. */
     public double lastMalformedMs;
-    // SlowStart.
 
-    /** Parts answered in this tick, and in a millisecond lately. */
-    public int answersThisTick;
+    // Written by SlowStart.
 
+    /** Number of parts answered in this tick. */
+    public int answersThisTick;
+    /** Moving average of the parts answered per millisecond. */
     public double answerRate;
-    /** Attempts while it warms up, as far back as they count. */
+    /** Attempts while the server warms up, as far back as they count. */
     public final SlidingWindowCounter warmUpAttempts = new SlidingWindowCounter();
 
-    /** One that nothing is known of. */
+    /** A server that nothing is known about. */
     public Server(String id) {
         this.id = id;
     }
--- a/core/src/main/java/spartrail/model/Shard.java
+++ b/core/src/main/java/spartrail/model/Shard.java
@@ -10,10 +10,10 @@
     public final int number;
     public final List<Server> replicas = new ArrayList<>();
     public final TreeSet<Part> queue;
-    /** How long parts were lately queued, a moving average. */
+    /** Moving average of the time that parts were queued. */
     public double queueDelayMs;
 
-    /** A shard without replicas. */
+    /** A shard without replicas, with an empty queue in this order. */
     public Shard(int number, Comparator<Part> queueOrder) {
         this.number = number;
         this.queue = new TreeSet<>(queueOrder);
--- a/core/src/main/java/spartrail/model/SlidingWindowCounter.java
+++ b/core/src/main/java/spartrail/model/SlidingWindowCounter.java
@@ -3,20 +3,20 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Counts events in a sliding window. Times are added and asked for in ascending order; each event is touched twice. */
+/** Counts events in a sliding window. Times of events and queries must ascend. Each event is added and removed once. */
 public final class SlidingWindowCounter {
     private record Entry(double atMs, int count) {}
 
     private final Deque<Entry> entries = new ArrayDeque<>();
     private int total;
 
-    /** Adds events at a time. */
+    /** Adds a number of events at a time. */
     public void add(double atMs, int count) {
         entries.add(new Entry(atMs, count));
         total += count;
     }
 
-    /** The events at this time or later; earlier ones are discarded. */
+    /** Returns the number of events at this time or later, and discards earlier ones. */
     public int countSince(double fromMs) {
         discardBefore(fromMs);
         return total;
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Time of the oldest event that is not discarded; infinite without one. */
+    /** Returns the time of the oldest event that is not discarded; infinite if there is none. */
     public double oldestMs() {
         return entries.isEmpty() ? Double.POSITIVE_INFINITY : entries.peek().atMs;
     }
--- a/core/src/main/java/spartrail/model/TimerQueue.java
+++ b/core/src/main/java/spartrail/model/TimerQueue.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.TreeSet;
 
-/** Timers in order of time, then of scheduling. Each operation costs the logarithm of their number. */
+/** Timers, sorted by time and then by the order of scheduling. Each operation costs the logarithm of their number. */
 public final class TimerQueue {
     /** An action that is due at a time. */
     public record Timer(double dueMs, long sequence, Runnable action) {}
@@ -20,12 +20,15 @@
         return timer;
     }
 
-    /** Schedules an action and adds its timer to those of its owner, to be cancelled with them. */
+    /** Schedules an action and adds its timer to its owner's timers, which are cancelled together. */
     public void schedule(double dueMs, Collection<Timer> owned, Runnable action) {
         owned.add(schedule(dueMs, action));
     }
 
-    /** Cancels a timer. One that is due long after its owner has ended would keep the owner in memory until then. */
+    /**
+     * Cancels a timer. A timer that is not cancelled keeps its owner in memory until it is due, long after the owner
+     * has ended.
+     */
     public void cancel(Timer timer) {
         timers.remove(timer);
     }
@@ -36,17 +39,17 @@
         owned.clear();
     }
 
-    /** The number of timers that are pending. */
+    /** Returns the number of pending timers. */
     public int size() {
         return timers.size();
     }
 
-    /** When the next timer is due; {@link Double#MAX_VALUE} without one. */
+    /** Returns the time at which the next timer is due; {@link Double#MAX_VALUE} if there is none. */
     public double nextDueMs() {
         return timers.isEmpty() ? Double.MAX_VALUE : timers.first().dueMs;
     }
 
-    /** Runs the timers that are due, those that become due meanwhile too. */
+    /** Runs the timers that are due, including those that become due meanwhile. */
     public void runDue(double nowMs) {
         while (nextDueMs() <= nowMs) {
             timers.pollFirst().action.run();
