--- a/core/src/main/java/spartrail/json/JsonTree.java
+++ b/core/src/main/java/spartrail/json/JsonTree.java
@@ -9,16 +9,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads a JSON value whose form is not known beforehand: maps, lists, numbers, strings, booleans; where the format has them, bytes. */
+/**
+ * Reads a JSON value of unknown structure into maps, lists, numbers, strings and booleans; for formats that have them,
+ * also byte arrays.
+ */
 public final class JsonTree {
     private JsonTree() {}
 
-    /** What is wrong with a text that is no JSON, without the source and the place. */
+    /** Returns the error message of the parser without the source and the location. */
     public static String describe(JsonProcessingException e) {
         return e.getOriginalMessage().replaceAll("\\s*\\(.*", "");
     }
 
-    /** The value that begins at the parser's current token. */
+    /** Reads the value that begins at the parser's current token. */
     public static Object readValue(JsonParser parser) throws IOException {
         return switch (parser.currentToken()) {
             case START_ARRAY -> {
--- a/core/src/main/java/spartrail/json/package-info.java
+++ b/core/src/main/java/spartrail/json/package-info.java
@@ -1,5 +1,5 @@
 /**
- * JSON whose form is not known beforehand, read from a parser into maps, lists and plain values. No I/O of its own, no state; any
- * thread may use it. Nothing is written here.
+ * JSON of unknown structure, read from a parser into maps, lists and plain values. The package only reads. It has no
+ * I/O of its own and no state, so any thread may use it.
  */
 package spartrail.json;
--- a/core/src/test/java/spartrail/GoldenFile.java
+++ b/core/src/test/java/spartrail/GoldenFile.java
@@ -8,20 +8,22 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Compares what a test prints with the trace of its name in the repository. */
+/** Compares the output of a test with the trace file of the same name in the test resources. */
 public final class GoldenFile {
     private GoldenFile() {}
 
-    /** Fails where the text is not that of the file; what was seen is kept beside the build for a look at the difference. */
-    public static void assertMatches(String name, String seen) throws IOException {
-        try (InputStream kept = GoldenFile.class.getResourceAsStream("/traces/" + name + ".txt")) {
-            String expected = kept == null
-                    ? "there is no " + name + ".txt"
-                    : new String(kept.readAllBytes(), StandardCharsets.UTF_8);
-            // What was seen lies there for whoever has to look at a difference.
+    /**
+     * Fails if the actual text differs from the file. Writes the actual text to {@code core/target/seen} in either
+     * case, so that a difference can be inspected.
+     */
+    public static void assertMatches(String name, String actual) throws IOException {
+        try (InputStream resource = GoldenFile.class.getResourceAsStream("/traces/" + name + ".txt")) {
+            String expected = resource == null
+                    ? "/traces/" + name + ".txt does not exist"
+                    : new String(resource.readAllBytes(), StandardCharsets.UTF_8);
             Path folder = Files.createDirectories(Path.of("core/target/seen"));
-            Files.writeString(folder.resolve(name + ".txt"), seen.strip() + "\n");
-            assertThat(seen.strip()).as(name).isEqualTo(expected.strip());
+            Files.writeString(folder.resolve(name + ".txt"), actual.strip() + "\n");
+            assertThat(actual.strip()).as(name).isEqualTo(expected.strip());
         }
     }
 }
