--- a/node/src/main/java/spartrail/sim/SimHost.java
+++ b/node/src/main/java/spartrail/sim/SimHost.java
@@ -15,42 +15,45 @@
 import java.util.Map;
 import spartrail.json.JsonTree;
 
-/** Hosts instances on the simulator's wire: for each line of events it writes a line of actions. */
+/**
+ * Runs coordinator instances for the simulator: reads a batch of events from each input line and writes the resulting
+ * actions as one line.
+ */
 public final class SimHost {
     private final JsonFactory json = new JsonFactory();
     private final Writer out;
     private final PrintStream err;
     private final Map<Integer, SimNode> nodes = new HashMap<>();
-    /** Server lists by number, which the wire shares among instances. */
-    private final Map<Integer, List<?>> rosters = new HashMap<>();
+    /** Server lists by number. The protocol sends a list once for all instances. */
+    private final Map<Integer, List<?>> serverLists = new HashMap<>();
 
-    /** Writes actions to one stream and failures to the other. */
+    /** Writes actions to {@code out} and error messages to {@code err}. */
     public SimHost(Writer out, PrintStream err) {
         this.out = out;
         this.err = err;
     }
 
-    /** Serves until the end of input and returns the exit status. */
+    /** Handles the input until its end. Returns the exit status: 0, or 2 after an invalid line. */
     public int run(Reader input) throws IOException {
         BufferedReader in = new BufferedReader(input, 1 << 16);
-        int number = 0;
+        int lineNumber = 0;
         for (String line = in.readLine(); line != null; line = in.readLine()) {
-            number++;
+            lineNumber++;
             Map<?, ?> batch;
             try {
                 batch = parseBatch(line);
             } catch (JsonProcessingException e) {
-                return reject(number, "no JSON: " + JsonTree.describe(e));
+                return reportInvalidLine(lineNumber, "invalid JSON: " + JsonTree.describe(e));
             } catch (IllegalArgumentException e) {
-                return reject(number, "no batch: " + e.getMessage());
+                return reportInvalidLine(lineNumber, "invalid batch: " + e.getMessage());
             }
             handleBatch(batch);
         }
         return 0;
     }
 
-    private int reject(int number, String reason) {
-        err.println("line " + number + ": " + reason);
+    private int reportInvalidLine(int lineNumber, String problem) {
+        err.println("line " + lineNumber + ": " + problem + "; stopping");
         return 2;
     }
 
@@ -58,28 +61,29 @@
         Object value;
         try (JsonParser parser = json.createParser(line)) {
             if (parser.nextToken() == null) {
-                throw new IllegalArgumentException("the line is empty");
+                throw new IllegalArgumentException("expected one JSON value, found an empty line");
             }
             value = JsonTree.readValue(parser);
             if (parser.nextToken() != null) {
-                throw new IllegalArgumentException("more than one value on the line");
+                throw new IllegalArgumentException("expected one JSON value, found more text after the first");
             }
         }
         if (!(value instanceof Map<?, ?> batch)
                 || !(batch.get("t") instanceof Number)
                 || !(batch.get("groups") instanceof List<?> groups)) {
-            throw new IllegalArgumentException("an object with a number 't' and an array 'groups' is expected");
+            throw new IllegalArgumentException("expected an object with a number 't' and an array 'groups'");
         }
         for (Object entry : groups) {
             if (!(entry instanceof Map<?, ?> group) || !(group.get("items") instanceof List<?> items)) {
-                throw new IllegalArgumentException("a group is an object with an array 'items'");
+                throw new IllegalArgumentException("expected each group to be an object with an array 'items'");
             }
             for (Object item : items) {
                 if (!(item instanceof List<?> event) || event.isEmpty() || !(event.get(0) instanceof String)) {
-                    throw new IllegalArgumentException("an event is an array that begins with its name");
+                    throw new IllegalArgumentException("expected each event to be an array that begins with its name");
                 }
                 if (!"ROSTER".equals(event.get(0)) && !(group.get("i") instanceof Integer)) {
-                    throw new IllegalArgumentException("a group names its instance by a number 'i'");
+                    throw new IllegalArgumentException(
+                            "expected a group with an integer 'i', found 'i' " + group.get("i"));
                 }
             }
         }
@@ -88,32 +92,32 @@
 
     private void handleBatch(Map<?, ?> batch) throws IOException {
         double nowMs = 1000 * ((Number) batch.get("t")).doubleValue();
-        Map<Integer, SimNode> touched = new LinkedHashMap<>();
+        Map<Integer, SimNode> updatedNodes = new LinkedHashMap<>();
         for (Object entry : (List<?>) batch.get("groups")) {
             Map<?, ?> group = (Map<?, ?>) entry;
             for (Object item : (List<?>) group.get("items")) {
                 List<?> event = (List<?>) item;
                 if ("ROSTER".equals(event.get(0))) {
-                    rosters.put(((Number) event.get(1)).intValue(), (List<?>) event.get(2));
+                    serverLists.put(((Number) event.get(1)).intValue(), (List<?>) event.get(2));
                 } else {
-                    Integer i = (Integer) group.get("i");
-                    SimNode node = nodes.computeIfAbsent(i, number -> new SimNode(rosters, err));
+                    Integer instance = (Integer) group.get("i");
+                    SimNode node = nodes.computeIfAbsent(instance, number -> new SimNode(serverLists, err));
                     node.handleEvent(event, nowMs);
-                    touched.put(i, node);
+                    updatedNodes.put(instance, node);
                 }
             }
         }
         JsonGenerator reply = json.createGenerator(out).disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
         reply.writeStartObject();
         reply.writeArrayFieldStart("groups");
-        for (Map.Entry<Integer, SimNode> entry : touched.entrySet()) {
-            List<List<Object>> actions = entry.getValue().actions(nowMs);
+        for (Map.Entry<Integer, SimNode> entry : updatedNodes.entrySet()) {
+            List<List<Object>> actions = entry.getValue().takeActions(nowMs);
             if (!actions.isEmpty()) {
                 reply.writeStartObject();
                 reply.writeNumberField("i", entry.getKey());
                 reply.writeArrayFieldStart("cmds");
                 for (List<Object> action : actions) {
-                    write(reply, action);
+                    writeAction(reply, action);
                 }
                 reply.writeEndArray();
                 reply.writeEndObject();
@@ -126,7 +130,7 @@
         out.flush();
     }
 
-    private static void write(JsonGenerator reply, List<Object> action) throws IOException {
+    private static void writeAction(JsonGenerator reply, List<Object> action) throws IOException {
         reply.writeStartArray();
         for (Object value : action) {
             if (value instanceof Double number) {
--- a/node/src/main/java/spartrail/sim/SimNode.java
+++ b/node/src/main/java/spartrail/sim/SimNode.java
@@ -14,7 +14,10 @@
 import spartrail.model.Part;
 import spartrail.model.Server;
 
-/** One instance on the simulator's wire: keeps its timer and the multigets in hand, and maps names and units. */
+/**
+ * One coordinator instance under the simulator. Keeps its timer and its multigets in progress, and converts the names
+ * and units of the protocol.
+ */
 final class SimNode {
     private static final Map<String, Attempt.Outcome> OUTCOMES = Map.of(
             "S",
@@ -36,32 +39,35 @@
     private static final Map<String, Server.State> STATES =
             Map.of("live", Server.State.LIVE, "quiescing", Server.State.DRAINING, "dead", Server.State.GONE);
 
-    private final Map<Integer, List<?>> rosters;
+    private final Map<Integer, List<?>> serverLists;
     private final PrintStream err;
     private final List<List<Object>> actions = new ArrayList<>();
 
     private Coordinator coordinator;
     private final Map<String, OpType> opTypes = new HashMap<>();
     private final Map<Long, Multiget> multigets = new HashMap<>();
-    /** By the number that a multiget's parts carry. */
+    /** Multigets by the number that their parts carry. */
     private final Map<Long, Multiget> multigetsByNumber = new HashMap<>();
 
     private final Map<Long, Part> parts = new HashMap<>();
-    /** The multiget whose parts are being received; placed with the next other event. */
+    /**
+     * The multiget whose parts are being received. It is submitted when another multiget or another event arrives, or
+     * when the batch ends.
+     */
     private Multiget pending;
 
     private double timerAtMs = Double.MAX_VALUE;
 
-    SimNode(Map<Integer, List<?>> rosters, PrintStream err) {
-        this.rosters = rosters;
+    SimNode(Map<Integer, List<?>> serverLists, PrintStream err) {
+        this.serverLists = serverLists;
         this.err = err;
     }
 
-    /** Handles an event; an exception in the decisions is reported as the wire's failure action. */
+    /** Handles an event. An exception in the decisions is reported as the action GIVE_IN. */
     void handleEvent(List<?> event, double nowMs) {
         try {
             if (!"INCOMING".equals(event.get(0))) {
-                placePending(nowMs);
+                submitPending(nowMs);
             }
             dispatch(event, nowMs);
         } catch (RuntimeException e) {
@@ -69,17 +75,17 @@
         }
     }
 
-    /** Returns the actions that the events since the last call lead to. */
-    List<List<Object>> actions(double nowMs) {
+    /** Returns the actions that result from the events since the last call. */
+    List<List<Object>> takeActions(double nowMs) {
         try {
-            placePending(nowMs);
+            submitPending(nowMs);
             armTimer(nowMs);
         } catch (RuntimeException e) {
             reportFailure(e);
         }
-        List<List<Object>> taken = List.copyOf(actions);
+        List<List<Object>> result = List.copyOf(actions);
         actions.clear();
-        return taken;
+        return result;
     }
 
     private void reportFailure(RuntimeException e) {
@@ -95,9 +101,9 @@
         }
         if (name.equals("POWER_ON")) {
             Map<?, ?> info = (Map<?, ?>) event.get(2);
-            List<OpType> known = CoordinatorSettings.opTypes(info);
-            known.forEach(opType -> opTypes.put(opType.name, opType));
-            coordinator = CoordinatorSettings.coordinator(((Number) event.get(1)).longValue(), info, known);
+            List<OpType> configured = CoordinatorSettings.opTypes(info);
+            configured.forEach(opType -> opTypes.put(opType.name, opType));
+            coordinator = CoordinatorSettings.coordinator(((Number) event.get(1)).longValue(), info, configured);
         }
         if (coordinator == null) {
             return;
@@ -106,22 +112,22 @@
             case "DISCOVERY" -> onDiscovery(event, nowMs);
             case "INCOMING" -> onIncoming(event, nowMs);
             case "COMPLETED" -> {
-                Attempt attempt = attempt(event);
+                Attempt attempt = findAttempt(event);
                 Attempt.Outcome outcome = OUTCOMES.get(event.get(4));
                 if (attempt != null && outcome != null) {
-                    appendActions(coordinator.onOutcome(attempt, outcome, 1000 * number(event, 5), nowMs));
+                    appendActions(coordinator.onOutcome(attempt, outcome, 1000 * parseNumber(event, 5), nowMs));
                     removeIfFinished(attempt.part.multiget);
                 }
             }
             case "CLIENT_GONE" -> {
-                Multiget multiget = multigets.get(id(event));
+                Multiget multiget = multigets.get(parseId(event));
                 if (multiget != null) {
                     appendActions(coordinator.onClientGone(multiget, nowMs));
                     removeIfFinished(multiget);
                 }
             }
             case "BELL" -> {
-                // The wire's clock counts microseconds, so a bell may come a rounding error early.
+                // The simulator's clock counts microseconds, so a BELL may come early by a rounding error.
                 if (nowMs >= timerAtMs - 0.001) {
                     timerAtMs = Double.MAX_VALUE;
                 }
@@ -155,17 +161,17 @@
 
     private void onIncoming(List<?> event, double nowMs) {
         long number = ((Number) event.get(7)).longValue();
-        double shard = number(event, 8);
+        double shard = parseNumber(event, 8);
         if (shard < 0) {
-            placePending(nowMs);
+            submitPending(nowMs);
             Multiget multiget = new Multiget();
-            multiget.id = id(event);
+            multiget.id = parseId(event);
             multiget.number = number;
             multiget.opType = opTypes.get(event.get(2));
             multiget.tenant = event.get(3) instanceof String tenant ? tenant : null;
             multiget.key = (String) event.get(4);
-            multiget.clientTimeLeftMs = 1000 * number(event, 5);
-            multiget.costMs = 1000 * number(event, 6);
+            multiget.clientTimeLeftMs = 1000 * parseNumber(event, 5);
+            multiget.costMs = 1000 * parseNumber(event, 6);
             multiget.clientRetry = Boolean.TRUE.equals(event.get(10));
             multiget.write = Boolean.TRUE.equals(event.get(11));
             multiget.arrivedMs = nowMs;
@@ -182,16 +188,16 @@
             return;
         }
         Part part = new Part();
-        part.id = id(event);
+        part.id = parseId(event);
         part.multiget = multiget;
-        part.costMs = 1000 * number(event, 6);
-        part.weight = number(event, 9);
+        part.costMs = 1000 * parseNumber(event, 6);
+        part.weight = parseNumber(event, 9);
         part.shard = coordinator.shard((int) shard);
         multiget.parts.add(part);
         parts.put(part.id, part);
     }
 
-    private void placePending(double nowMs) {
+    private void submitPending(double nowMs) {
         if (pending != null) {
             Multiget multiget = pending;
             pending = null;
@@ -201,29 +207,29 @@
     }
 
     private void onDiscovery(List<?> event, double nowMs) {
-        String how = (String) event.get(2);
-        if (how.equals("X")) {
+        String listKind = (String) event.get(2);
+        if (listKind.equals("X")) {
             appendActions(coordinator.onDiscoveryUnavailable(nowMs));
             return;
         }
-        List<Server> lines = new ArrayList<>();
-        for (Object entry : rosters.getOrDefault(((Number) event.get(1)).intValue(), List.of())) {
-            List<?> line = (List<?>) entry;
-            Server server = new Server((String) line.get(0));
-            server.zone = (String) line.get(1);
-            server.kind = (String) line.get(2);
-            server.cell = ((Number) line.get(3)).intValue();
-            server.state = STATES.getOrDefault(line.get(4), Server.State.GONE);
-            server.weight = line.get(5) instanceof Number weight ? weight.doubleValue() : 1;
-            double startedAt = line.size() > 6 ? number(line, 6) : 0;
-            server.startedAtMs = startedAt > 0 ? 1000 * startedAt : -1;
-            lines.add(server);
+        List<Server> servers = new ArrayList<>();
+        for (Object entry : serverLists.getOrDefault(((Number) event.get(1)).intValue(), List.of())) {
+            List<?> fields = (List<?>) entry;
+            Server server = new Server((String) fields.get(0));
+            server.zone = (String) fields.get(1);
+            server.kind = (String) fields.get(2);
+            server.cell = ((Number) fields.get(3)).intValue();
+            server.state = STATES.getOrDefault(fields.get(4), Server.State.GONE);
+            server.weight = fields.get(5) instanceof Number weight ? weight.doubleValue() : 1;
+            double startedAtS = fields.size() > 6 ? parseNumber(fields, 6) : 0;
+            server.startedAtMs = startedAtS > 0 ? 1000 * startedAtS : -1;
+            servers.add(server);
         }
-        appendActions(coordinator.onEndpointUpdate(lines, !how.equals("D"), !how.equals("C"), nowMs));
+        appendActions(coordinator.onEndpointUpdate(servers, !listKind.equals("D"), !listKind.equals("C"), nowMs));
     }
 
-    private Attempt attempt(List<?> event) {
-        Part part = parts.get(id(event));
+    private Attempt findAttempt(List<?> event) {
+        Part part = parts.get(parseId(event));
         int number = ((Number) event.get(2)).intValue();
         return part == null || number < 0 || number >= part.attempts.size() ? null : part.attempts.get(number);
     }
@@ -256,11 +262,11 @@
         }
     }
 
-    private static long id(List<?> event) {
+    private static long parseId(List<?> event) {
         return ((Number) event.get(1)).longValue();
     }
 
-    private static double number(List<?> event, int at) {
-        return event.get(at) instanceof Number number ? number.doubleValue() : 0;
+    private static double parseNumber(List<?> fields, int index) {
+        return fields.get(index) instanceof Number number ? number.doubleValue() : 0;
     }
 }
--- a/node/src/test/java/spartrail/sim/SimHostTest.java
+++ b/node/src/test/java/spartrail/sim/SimHostTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void servesAMultigetFromWireToWire() throws IOException {
+    void answersAMultigetOverTheSimulatorProtocol() throws IOException {
         int status = run(
                 START.formatted(INFO)
                         + """
@@ -57,23 +57,24 @@
     }
 
     @Test
-    void refusesWhatIsNoBatch() throws IOException {
+    void stopsAtALineThatIsNoValidBatch() throws IOException {
         assertThat(run("{\"t\":1.0,\"groups\":[]}\n{\"t\":oops}\n")).isEqualTo(2);
         assertThat(run("{\"t\":1.0,\"groups\":7}\n")).isEqualTo(2);
         assertThat(run("{\"t\":1.0,\"groups\":[{\"items\":[[\"BELL\",\"x\"]]}]}\n"))
                 .isEqualTo(2);
         assertThat(errors.toString(StandardCharsets.UTF_8).lines().toList())
                 .satisfiesExactly(
-                        line -> assertThat(line).startsWith("line 2: no JSON: Unrecognized token 'oops'"),
+                        line -> assertThat(line).startsWith("line 2: invalid JSON: Unrecognized token 'oops'"),
                         line -> assertThat(line)
                                 .isEqualTo(
-                                        "line 1: no batch: an object with a number 't' and an array 'groups' is expected"),
+                                        "line 1: invalid batch: expected an object with a number 't' and an array 'groups'; stopping"),
                         line -> assertThat(line)
-                                .isEqualTo("line 1: no batch: a group names its instance by a number 'i'"));
+                                .isEqualTo(
+                                        "line 1: invalid batch: expected a group with an integer 'i', found 'i' null; stopping"));
     }
 
     @Test
-    void namesAMissingSetting() throws IOException {
+    void reportsAMissingSettingInAGiveInAction() throws IOException {
         assertThat(run(START.formatted(INFO.replace("\"aim\":1.0,", "")))).isZero();
         assertThat(out.toString()).contains("[\"GIVE_IN\",\"the settings lack 'aim' of class read\"]");
     }
