--- a/core/src/main/java/spartrail/coordination/Completion.java
+++ b/core/src/main/java/spartrail/coordination/Completion.java
@@ -144,8 +144,8 @@
     }
 
     /**
-     * Whether a retry by the client is harmless. A multiget with an idempotency key that may have run is rejected only
-     * if its client retries within the deduplication window.
+     * Whether a retry by the client is harmless. If a multiget with an idempotency key may have run, the client must
+     * retry within the deduplication window.
      */
     private boolean mayClientRetry(Multiget multiget, double retryAfterMs) {
         OpType op = multiget.opType;
@@ -177,8 +177,8 @@
                 && op.partialShare * multiget.answeredWeight / op.completeWeight > op.lateShare) {
             giveAnswer(multiget, Multiget.Answer.PARTIAL);
         } else if (op.lateShare == 0 || op.lateShare < unsentWeight(multiget)) {
-            // Late parts come first in release order and delay all parts behind them. A late multiget may therefore
-            // have no more unsent weight than the share of its value that a late answer has.
+            // Late parts come first in release order and delay all parts behind them. A late multiget is therefore
+            // given up if its unsent weight is more than the share of its value that a late answer has.
             giveUp(multiget);
         }
     }
--- a/core/src/main/java/spartrail/coordination/ConcurrencyLimiter.java
+++ b/core/src/main/java/spartrail/coordination/ConcurrencyLimiter.java
@@ -6,8 +6,8 @@
 
 /**
  * Sets the concurrency limit of each server. A quick answer raises a limit by one if the limit is reached; an attempt
- * that timed out or was rejected by a full server halves it. This keeps the queues at the servers short, because they
- * are not in release order.
+ * that timed out or was rejected by a full server halves it. The queues at the servers are not in release order, so
+ * they are kept short.
  */
 final class ConcurrencyLimiter {
     private static final int INITIAL_LIMIT = 4;
--- a/core/src/main/java/spartrail/coordination/Coordinator.java
+++ b/core/src/main/java/spartrail/coordination/Coordinator.java
@@ -24,8 +24,8 @@
     Coordinator configureFrontNodes(int count, double loopIntervalMs);
 
     /**
-     * Sets which cells hold which shards, and the most parts that a batch may carry. Shard s is held by the cells (s +
-     * j) mod cells, j from 0 to replicationFactor - 1.
+     * Sets which cells hold which shards, and the most parts that a batch may carry. For j from 0 to replicationFactor
+     * - 1, cell (s + j) mod cells holds shard s.
      */
     Coordinator configureLayout(int shards, int cells, int replicationFactor, int maxPartsPerBatch);
 
--- a/core/src/main/java/spartrail/coordination/Hedging.java
+++ b/core/src/main/java/spartrail/coordination/Hedging.java
@@ -5,7 +5,8 @@
 import spartrail.model.Part;
 
 /**
- * Sends hedged requests: queues a part again whose attempt is overdue, for a second attempt at another replica.
+ * Sends hedged requests: if the attempt of a part is overdue, the part is queued again for a second attempt at another
+ * replica.
  *
  * <p>Hedged requests make an overload worse, so each one takes a token from a bucket. Only first attempts that were not
  * queued add tokens: queued parts show that there is no spare capacity, and the bucket then runs empty. Hedged requests
@@ -44,7 +45,7 @@
     }
 
     /**
-     * Queues the part of an attempt that is presumed lost for a hedged request and releases the queue, or schedules
+     * If an attempt is presumed lost and may be hedged, queues its part and releases the queue; otherwise schedules
      * another check.
      */
     void onOverdue(Attempt attempt, ReleaseQueue releaseQueue) {
--- a/core/src/main/java/spartrail/coordination/OutlierDetector.java
+++ b/core/src/main/java/spartrail/coordination/OutlierDetector.java
@@ -28,8 +28,8 @@
     /** A server is ejected if it is this many times slower than the median server, or its zone than the best zone. */
     private static final double EJECTION_RATIO = 3;
     /**
-     * The least relative latency that a failure counts as. Without it, a server that fails quickly would get more
-     * attempts.
+     * The least relative latency that a failure counts as. Without it, a server that fails quickly would look fast and
+     * get more attempts.
      */
     private static final double FAILURE_RELATIVE_LATENCY = 5;
 
--- a/core/src/main/java/spartrail/coordination/SlowStart.java
+++ b/core/src/main/java/spartrail/coordination/SlowStart.java
@@ -103,8 +103,7 @@
     }
 
     /**
-     * Whether the rank of the part's multiget is low enough. The rank decides if this node's share is less than one
-     * part.
+     * Whether the rank of the part's multiget is low enough; applies when this node's share is less than one part.
      *
      * <p>Multigets of the lowest ranks are allowed, the same ones at every server: as many as keep the demand of all
      * nodes, plus three standard deviations, within the server's capacity. Without this rule, nodes would send nothing
--- a/core/src/test/java/spartrail/coordination/CoordinatorScript.java
+++ b/core/src/test/java/spartrail/coordination/CoordinatorScript.java
@@ -66,12 +66,12 @@
                 .configureRetryAfter(true, 1000);
         List<Server> servers = new ArrayList<>();
         for (int cell = 0; cell < cells; cell++) {
-            servers.add(server("s" + cell, cell, Server.State.LIVE, -1));
+            servers.add(createServer("s" + cell, cell, Server.State.LIVE, -1));
         }
         return recordDecisions("list", coordinator.onEndpointUpdate(servers, true, true, nowMs));
     }
 
-    static Server server(String id, int cell, Server.State state, double startedAtMs) {
+    static Server createServer(String id, int cell, Server.State state, double startedAtMs) {
         Server server = new Server(id);
         server.cell = cell;
         server.state = state;
@@ -79,8 +79,8 @@
         return server;
     }
 
-    static Server serverInZone(String id, int cell, String zone) {
-        Server server = server(id, cell, Server.State.LIVE, -1);
+    static Server createServerInZone(String id, int cell, String zone) {
+        Server server = createServer(id, cell, Server.State.LIVE, -1);
         server.zone = zone;
         return server;
     }
--- a/core/src/test/java/spartrail/coordination/WarmUpFleet.java
+++ b/core/src/test/java/spartrail/coordination/WarmUpFleet.java
@@ -58,7 +58,7 @@
                     .configureRetryAfter(true, 1000);
             List<Server> servers = new ArrayList<>();
             for (int replica = 0; replica < node.replicas; replica++) {
-                servers.add(CoordinatorScript.server("s" + replica, replica % cells, Server.State.LIVE, -1));
+                servers.add(CoordinatorScript.createServer("s" + replica, replica % cells, Server.State.LIVE, -1));
             }
             partsPerMs = node.partsPerMs;
             carryOut(coordinator.onEndpointUpdate(servers, true, true, nowMs));
@@ -66,7 +66,7 @@
             schedule(
                     RESTART_MS,
                     () -> carryOut(coordinator.onEndpointUpdate(
-                            List.of(CoordinatorScript.server("s0", 0, Server.State.LIVE, RESTART_MS)),
+                            List.of(CoordinatorScript.createServer("s0", 0, Server.State.LIVE, RESTART_MS)),
                             false,
                             true,
                             nowMs)));
--- a/core/src/test/java/spartrail/coordination/WindowCoordinatorFaultsTest.java
+++ b/core/src/test/java/spartrail/coordination/WindowCoordinatorFaultsTest.java
@@ -1,7 +1,7 @@
 package spartrail.coordination;
 
-import static spartrail.coordination.CoordinatorScript.server;
-import static spartrail.coordination.CoordinatorScript.serverInZone;
+import static spartrail.coordination.CoordinatorScript.createServer;
+import static spartrail.coordination.CoordinatorScript.createServerInZone;
 
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aMultigetWithTooLittleTimeLeftIsRejectedAndOneWithJustEnoughIsAdmitted() {
+    void aMultigetWithTooLittleTimeLeftIsRejectedAndOneWithEnoughIsAdmitted() {
         CoordinatorScript script = new CoordinatorScript();
         script.opType.lateShare = 0;
         script.startFleet(1, 1, 1, 1)
@@ -105,7 +105,7 @@
     void theEndpointListIsPolledAgainWithBackoff() {
         CoordinatorScript script = new CoordinatorScript().startFleet(1, 2, 2, 1);
         script.coordinator.configureEndpointPolling(true, 10_000);
-        script.updateEndpoints(true, false, server("s0", 0, Server.State.LIVE, -1))
+        script.updateEndpoints(true, false, createServer("s0", 0, Server.State.LIVE, -1))
                 .advance(300)
                 .reportDiscoveryUnavailable()
                 .advance(1000)
@@ -206,9 +206,9 @@
         script.updateEndpoints(
                 false,
                 true,
-                server("s5", 5, Server.State.GONE, -1),
-                server("s6", 6, Server.State.LIVE, 990),
-                server("s7", 7, Server.State.GONE, -1));
+                createServer("s5", 5, Server.State.GONE, -1),
+                createServer("s6", 6, Server.State.LIVE, 990),
+                createServer("s7", 7, Server.State.GONE, -1));
         script.submit(1, 0, 1, 2)
                 .advance(50)
                 .reportOutcome("1.0#0", Outcome.ANSWERED)
@@ -224,10 +224,10 @@
         script.updateEndpoints(
                 true,
                 true,
-                serverInZone("s0", 0, "a"),
-                serverInZone("s1", 1, "a"),
-                serverInZone("s2", 2, "b"),
-                serverInZone("s3", 3, "b"));
+                createServerInZone("s0", 0, "a"),
+                createServerInZone("s1", 1, "a"),
+                createServerInZone("s2", 2, "b"),
+                createServerInZone("s3", 3, "b"));
         script.submitEach(1, 4, 0)
                 .advance(60)
                 .reportOutcomeForAllAt("s0", Outcome.ANSWERED)
@@ -278,7 +278,7 @@
     void aLateMultigetIsContinuedIfLittleOfItIsUnsent() {
         CoordinatorScript script = new CoordinatorScript();
         script.startFleet(5, 5, 1, 1).submit(1, 0, 1, 2, 3, 4).submit(2, 0, 1).advance(10);
-        script.updateEndpoints(false, true, server("s0", 0, Server.State.DRAINING, -1))
+        script.updateEndpoints(false, true, createServer("s0", 0, Server.State.DRAINING, -1))
                 .reportOutcome("1.0#0", Outcome.CONNECT_FAILED)
                 .reportOutcome("2.0#0", Outcome.CONNECT_FAILED)
                 .advance(1000)
@@ -302,7 +302,7 @@
     void aSettingsChangeKeepsLearnedStateAndALongerBudgetWindowDelaysRetries() {
         CoordinatorScript script = new CoordinatorScript().startFleet(1, 3, 3, 1);
         script.coordinator.configureAttempts(4, false, true).configureRetryBudget(1000, 1, 0);
-        script.updateEndpoints(false, true, server("s2", 2, Server.State.LIVE, 990));
+        script.updateEndpoints(false, true, createServer("s2", 2, Server.State.LIVE, 990));
         // s0 cannot be reached, so the retry goes to s1. s2 warms up; one attempt is this node's share there in the
         // first second.
         script.submit(1, 0).reportOutcome("1.0#0", Outcome.CONNECT_FAILED).advance(150);
--- a/core/src/test/java/spartrail/coordination/WindowCoordinatorTest.java
+++ b/core/src/test/java/spartrail/coordination/WindowCoordinatorTest.java
@@ -1,7 +1,7 @@
 package spartrail.coordination;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static spartrail.coordination.CoordinatorScript.server;
+import static spartrail.coordination.CoordinatorScript.createServer;
 
 import org.junit.jupiter.api.Test;
 import spartrail.model.Attempt.Outcome;
@@ -77,7 +77,7 @@
     @Test
     void everyMultigetGetsOneFinalAnswerBeforeTheClientDeadline() {
         CoordinatorScript script = new CoordinatorScript().startFleet(2, 2, 1, 1);
-        script.updateEndpoints(false, true, server("s1", 1, Server.State.GONE, -1))
+        script.updateEndpoints(false, true, createServer("s1", 1, Server.State.GONE, -1))
                 .submit(1, 0, 1)
                 .submit(2, 0)
                 .advance(2500)
@@ -156,9 +156,9 @@
         CoordinatorScript script = new CoordinatorScript().startFleet(1, 2, 2, 1);
         script.submit(1, 0)
                 .submit(2, 0)
-                .updateEndpoints(false, true, server("s0", 0, Server.State.DRAINING, -1))
+                .updateEndpoints(false, true, createServer("s0", 0, Server.State.DRAINING, -1))
                 .submit(3, 0)
-                .updateEndpoints(true, true, server("s0", 0, Server.State.LIVE, -1))
+                .updateEndpoints(true, true, createServer("s0", 0, Server.State.LIVE, -1))
                 .submit(4, 0)
                 .submit(5, 0)
                 .assertTraceMatches("drain");
@@ -167,7 +167,7 @@
     @Test
     void aServerThatWarmsUpGetsThisNodesShareOfItsCapacity() {
         CoordinatorScript script = new CoordinatorScript().startFleet(1, 2, 2, 1);
-        script.updateEndpoints(false, true, server("s0", 0, Server.State.LIVE, 900))
+        script.updateEndpoints(false, true, createServer("s0", 0, Server.State.LIVE, 900))
                 .submitEach(1, 3, 0)
                 .advance(50)
                 .reportOutcomeForAllAt("s0", Outcome.ANSWERED)
@@ -187,7 +187,10 @@
         CoordinatorScript script = new CoordinatorScript().startFleet(2, 2, 2, 1);
         script.coordinator.configureFrontNodes(20, 5);
         script.updateEndpoints(
-                true, true, server("s0", 0, Server.State.LIVE, 990), server("s1", 1, Server.State.LIVE, 990));
+                true,
+                true,
+                createServer("s0", 0, Server.State.LIVE, 990),
+                createServer("s1", 1, Server.State.LIVE, 990));
         script.advance(3000);
         for (int i = 1; i < 13; i++) {
             script.submit(i, 0, 1).advance(20);
@@ -260,7 +263,7 @@
         CoordinatorScript script = new CoordinatorScript().startFleet(4000, 2000, 4, 4);
         Server[] draining = new Server[500];
         for (int i = 0; i < draining.length; i++) {
-            draining[i] = server("s" + i, i, Server.State.DRAINING, -1);
+            draining[i] = createServer("s" + i, i, Server.State.DRAINING, -1);
         }
         script.updateEndpoints(false, true, draining)
                 .submit(1, 0, 498, 499, 500, 2000)
@@ -348,12 +351,12 @@
         CoordinatorScript script = new CoordinatorScript().startFleet(1, 2, 2, 1);
         WindowCoordinator coordinator = (WindowCoordinator) script.coordinator;
         for (int age = 1; age <= 100; age++) {
-            String before = "s" + (age < 3 ? age - 1 : "0." + (age - 2));
+            String previousId = "s" + (age < 3 ? age - 1 : "0." + (age - 2));
             script.updateEndpoints(
                     false,
                     true,
-                    server("s0." + age, 0, Server.State.LIVE, script.nowMs),
-                    server(before, 0, Server.State.GONE, -1));
+                    createServer("s0." + age, 0, Server.State.LIVE, script.nowMs),
+                    createServer(previousId, 0, Server.State.GONE, -1));
             script.submit(age, 0)
                     .advance(20)
                     .reportOutcome(age + ".0#0", age % 3 == 0 ? Outcome.ERROR : Outcome.ANSWERED)
@@ -369,14 +372,14 @@
     void repeatedAndOutOfOrderEventsLeadToAtMostOneAnswerPerMultiget() {
         CoordinatorScript script = new CoordinatorScript().startFleet(2, 2, 1, 1);
         script.submit(1, 0)
-                .updateEndpoints(true, true, server("s1", 1, Server.State.LIVE, -1))
+                .updateEndpoints(true, true, createServer("s1", 1, Server.State.LIVE, -1))
                 .advance(50)
                 .reportOutcome("1.0#0", Outcome.ANSWERED)
                 .reportOutcome("1.0#0", Outcome.ANSWERED)
                 .closeClient(1);
         script.submit(2, 1).closeClient(2).closeClient(2).reportOutcome("2.1#0", Outcome.CANCELLED);
         script.submit(script.opType, 3, 0, 1);
-        script.updateEndpoints(false, true, server("s0", 0, Server.State.LIVE, 1040))
+        script.updateEndpoints(false, true, createServer("s0", 0, Server.State.LIVE, 1040))
                 .submit(4, 0)
                 .advance(2100)
                 .assertTraceMatches("odd");
