--- a/core/src/main/java/spartrail/coordination/RetryScheduler.java
+++ b/core/src/main/java/spartrail/coordination/RetryScheduler.java
@@ -3,7 +3,7 @@
 import spartrail.model.Multiget;
 import spartrail.model.Part;
 
-/** Puts parts back into their queues when an attempt has failed, and the parts that waited for a first answer. */
+/** Queues parts again after a failed attempt, and queues the parts that were held back until the first answer. */
 final class RetryScheduler {
     private final PartQueues queues;
     private final RetryPolicy retryPolicy;
@@ -17,27 +17,30 @@
         this.releaseQueue = releaseQueue;
     }
 
-    /** A part without an attempt in flight goes back to its place in the queue, or is lost to its multiget. */
-    void retryOrLose(Part part) {
+    /** Queues a part without an attempt in flight again if it may be retried; otherwise gives the part up. */
+    void retryOrFail(Part part) {
         if (retryPolicy.mayRetry(part)) {
             queues.enqueue(part);
         } else {
-            completion.lose(part);
+            completion.failPart(part);
         }
     }
 
-    /** Sends the parts that waited for the first answer, unless a connection was reset. */
+    /**
+     * Queues the parts that were held back until the first answer, unless a server has reset a connection of the
+     * multiget.
+     */
     void sendRemainingParts(Multiget multiget) {
         if (multiget.finished || !multiget.awaitingFirstAnswer || !multiget.connectionsResetBy.isEmpty()) {
             return;
         }
         multiget.awaitingFirstAnswer = false;
         for (Part part : multiget.parts) {
-            boolean waiting = !multiget.finished && part.isOpen() && !part.queued && !part.hasAttemptInFlight();
-            if (waiting && part.attempts.isEmpty()) {
+            boolean isIdle = !multiget.finished && part.isOpen() && !part.queued && !part.hasAttemptInFlight();
+            if (isIdle && part.attempts.isEmpty()) {
                 queues.enqueue(part);
-            } else if (waiting) {
-                retryOrLose(part);
+            } else if (isIdle) {
+                retryOrFail(part);
             }
         }
         releaseQueue.releaseShardsOf(multiget);
--- a/core/src/main/java/spartrail/coordination/ServerTable.java
+++ b/core/src/main/java/spartrail/coordination/ServerTable.java
@@ -32,12 +32,12 @@
         return servers.size();
     }
 
-    /** Walks all servers; for ticks and endpoint updates only. */
-    List<Server> matching(Predicate<Server> condition) {
-        return matching(servers.values(), condition);
+    /** Returns the servers that match; visits all servers, so only ticks and endpoint updates may call it. */
+    List<Server> findMatching(Predicate<Server> condition) {
+        return findMatching(servers.values(), condition);
     }
 
-    static List<Server> matching(Collection<Server> servers, Predicate<Server> condition) {
+    static List<Server> findMatching(Collection<Server> servers, Predicate<Server> condition) {
         return servers.stream().filter(condition).toList();
     }
 
@@ -53,7 +53,7 @@
         return layout.replicationFactor;
     }
 
-    /** Most parts that one batch may carry. */
+    /** Returns the most parts that one batch may carry. */
     int maxPartsPerBatch() {
         return maxPartsPerBatch;
     }
--- a/core/src/test/java/spartrail/coordination/CoordinatorScript.java
+++ b/core/src/test/java/spartrail/coordination/CoordinatorScript.java
@@ -19,13 +19,13 @@
 import spartrail.model.Part;
 import spartrail.model.Server;
 
-/** Plays a script of events to a coordinator and records its decisions, to be compared with a trace in the resources. */
+/** Reports scripted events to a coordinator and records its decisions, which a test compares with a trace file. */
 final class CoordinatorScript {
     final OpType opType = new OpType();
     final List<OpType> opTypes = new ArrayList<>(List.of(opType));
     Coordinator coordinator;
     double nowMs = 1000;
-    /** Whether multigets placed from here on are marked as retries by their clients. */
+    /** Whether multigets submitted from now on are marked as retries by their clients. */
     boolean clientRetry;
 
     private final StringBuilder trace = new StringBuilder();
@@ -47,17 +47,17 @@
         opType.latency.latencyDeviationMs = 20;
     }
 
-    /** Adds an op type of three times the priority weight. */
+    /** Adds an op type with three times the priority weight of the first one. */
     OpType addHighPriorityOpType() {
-        OpType vital = new CoordinatorScript().opType;
-        vital.name = "vital";
-        vital.priorityWeight = 3;
-        opTypes.add(vital);
-        return vital;
+        OpType highPriority = new CoordinatorScript().opType;
+        highPriority.name = "vital";
+        highPriority.priorityWeight = 3;
+        opTypes.add(highPriority);
+        return highPriority;
     }
 
-    /** Starts the coordinator with one server a cell, and with hedging, cancellation and Retry-After allowed. */
-    CoordinatorScript withFleet(int shards, int cells, int replicationFactor, int maxPartsPerBatch) {
+    /** Starts the coordinator with one server per cell, and with hedging, cancellation and Retry-After allowed. */
+    CoordinatorScript startFleet(int shards, int cells, int replicationFactor, int maxPartsPerBatch) {
         coordinator = new WindowCoordinator(new Random(7), opTypes)
                 .configureFrontNodes(2, 5)
                 .configureLayout(shards, cells, replicationFactor, maxPartsPerBatch)
@@ -66,42 +66,42 @@
                 .configureRetryAfter(true, 1000);
         List<Server> servers = new ArrayList<>();
         for (int cell = 0; cell < cells; cell++) {
-            servers.add(server("s" + cell, cell, Server.State.LIVE, -1));
+            servers.add(createServer("s" + cell, cell, Server.State.LIVE, -1));
         }
-        return print("list", coordinator.onEndpointUpdate(servers, true, true, nowMs));
+        return recordDecisions("list", coordinator.onEndpointUpdate(servers, true, true, nowMs));
     }
 
-    static Server server(String id, int cell, Server.State state, double bornMs) {
+    static Server createServer(String id, int cell, Server.State state, double startedAtMs) {
         Server server = new Server(id);
         server.cell = cell;
         server.state = state;
-        server.startedAtMs = bornMs;
+        server.startedAtMs = startedAtMs;
         return server;
     }
 
-    static Server serverInZone(String id, int cell, String zone) {
-        Server server = server(id, cell, Server.State.LIVE, -1);
+    static Server createServerInZone(String id, int cell, String zone) {
+        Server server = createServer(id, cell, Server.State.LIVE, -1);
         server.zone = zone;
         return server;
     }
 
-    CoordinatorScript endpointUpdate(boolean complete, boolean fresh, Server... servers) {
-        return print("list", coordinator.onEndpointUpdate(List.of(servers), complete, fresh, nowMs));
+    CoordinatorScript updateEndpoints(boolean complete, boolean fresh, Server... servers) {
+        return recordDecisions("list", coordinator.onEndpointUpdate(List.of(servers), complete, fresh, nowMs));
     }
 
-    CoordinatorScript place(long id, int... shards) {
-        return place(opType, id, 2000, shards);
+    CoordinatorScript submit(long id, int... shards) {
+        return submit(opType, id, 2000, shards);
     }
 
-    /** Places multigets of these ids, each of one part of the same shard. */
-    CoordinatorScript placeEach(long firstId, long lastId, int shard) {
+    /** Submits multigets with these ids, each with one part of the same shard. */
+    CoordinatorScript submitEach(long firstId, long lastId, int shard) {
         for (long id = firstId; id <= lastId; id++) {
-            place(id, shard);
+            submit(id, shard);
         }
         return this;
     }
 
-    CoordinatorScript place(OpType placedType, long id, double clientTimeLeftMs, int... shards) {
+    CoordinatorScript submit(OpType placedType, long id, double clientTimeLeftMs, int... shards) {
         Multiget multiget = new Multiget();
         multiget.id = id;
         multiget.opType = placedType;
@@ -117,75 +117,75 @@
             part.weight = 1.0 / shards.length;
             multiget.parts.add(part);
         }
-        return print("place " + id, coordinator.submit(multiget, nowMs));
+        return recordDecisions("place " + id, coordinator.submit(multiget, nowMs));
     }
 
-    /** The outcome of an attempt, named as in the trace. */
-    CoordinatorScript outcome(String name, Attempt.Outcome outcome) {
+    /** Reports the outcome of an attempt, named as in the trace; does nothing if that attempt was never started. */
+    CoordinatorScript reportOutcome(String name, Attempt.Outcome outcome) {
         Attempt attempt = attempts.get(name);
         if (attempt == null) {
             return this;
         }
-        return print(
+        return recordDecisions(
                 name + " " + traceName(outcome),
                 coordinator.onOutcome(attempt, outcome, nowMs - attempt.sentMs, nowMs));
     }
 
-    /** The same outcome for all attempts in flight at a server. */
-    CoordinatorScript outcomeOfAllAt(String server, Attempt.Outcome outcome) {
+    /** Reports the same outcome for all attempts in flight at a server. */
+    CoordinatorScript reportOutcomeForAllAt(String server, Attempt.Outcome outcome) {
         List.copyOf(attempts.keySet()).stream()
                 .filter(name -> attempts.get(name).isInFlight()
                         && attempts.get(name).server.id.equals(server))
-                .forEach(name -> outcome(name, outcome));
+                .forEach(name -> reportOutcome(name, outcome));
         return this;
     }
 
-    CoordinatorScript clientGone(long id) {
-        return print("gone " + id, coordinator.onClientGone(multigets.get(id), nowMs));
+    CoordinatorScript closeClient(long id) {
+        return recordDecisions("gone " + id, coordinator.onClientGone(multigets.get(id), nowMs));
     }
 
-    CoordinatorScript discoveryUnavailable() {
-        return print("unlisted", coordinator.onDiscoveryUnavailable(nowMs));
+    CoordinatorScript reportDiscoveryUnavailable() {
+        return recordDecisions("unlisted", coordinator.onDiscoveryUnavailable(nowMs));
     }
 
-    /** Advances the time, with the timer events that the coordinator asks for. */
-    CoordinatorScript advance(double ms) {
-        double until = nowMs + ms;
-        while (nowMs + coordinator.timeToNextTimerMs(nowMs) <= until) {
+    /** Advances the time, and runs the timers of the coordinator that become due meanwhile. */
+    CoordinatorScript advance(double durationMs) {
+        double untilMs = nowMs + durationMs;
+        while (nowMs + coordinator.timeToNextTimerMs(nowMs) <= untilMs) {
             nowMs += coordinator.timeToNextTimerMs(nowMs);
             Decisions decisions = coordinator.onTimer(nowMs);
-            if (!text(decisions).isEmpty()) {
-                print("wait", decisions);
+            if (!describe(decisions).isEmpty()) {
+                recordDecisions("wait", decisions);
             }
         }
-        nowMs = until;
+        nowMs = untilMs;
         return this;
     }
 
-    /** Pauses the process; timers run first after it, events that arrived meanwhile later. */
-    CoordinatorScript pauseProcess(double ms) {
+    /** Simulates a pause of the process. The timers run first after it; events that arrived during the pause follow. */
+    CoordinatorScript pauseProcess(double durationMs) {
         coordinator.timeToNextTimerMs(nowMs);
-        nowMs += ms;
-        return print("back", coordinator.onTimer(nowMs));
+        nowMs += durationMs;
+        return recordDecisions("back", coordinator.onTimer(nowMs));
     }
 
-    /** Records until when the frame of an attempt may begin. */
-    CoordinatorScript traceSendDeadline(String name) {
+    /** Records the latest time at which the frame of an attempt may begin. */
+    CoordinatorScript recordSendDeadline(String name) {
         trace.append(String.format(
                 Locale.ROOT, "%5.0f %s leaves by %.0f%n", nowMs, name, attempts.get(name).sendDeadlineMs));
         return this;
     }
 
-    private CoordinatorScript print(String call, Decisions decisions) {
-        trace.append(String.format(Locale.ROOT, "%5.0f %s ->%s%n", nowMs, call, text(decisions)));
+    private CoordinatorScript recordDecisions(String call, Decisions decisions) {
+        trace.append(String.format(Locale.ROOT, "%5.0f %s ->%s%n", nowMs, call, describe(decisions)));
         return this;
     }
 
-    private String text(Decisions decisions) {
+    private String describe(Decisions decisions) {
         StringBuilder text = new StringBuilder();
         for (Attempt attempt : decisions.attempts) {
-            text.append(' ').append(name(attempt)).append('@').append(attempt.server.id);
-            attempts.put(name(attempt), attempt);
+            text.append(' ').append(attemptName(attempt)).append('@').append(attempt.server.id);
+            attempts.put(attemptName(attempt), attempt);
         }
         for (Multiget multiget : decisions.answers) {
             text.append(" [")
@@ -194,11 +194,11 @@
                     .append(traceName(multiget.answer))
                     .append(']');
         }
-        decisions.cancellations.forEach(attempt -> text.append(" x").append(name(attempt)));
+        decisions.cancellations.forEach(attempt -> text.append(" x").append(attemptName(attempt)));
         return text.append(decisions.watchEndpoints ? " follow" : "").toString();
     }
 
-    /** The recorded traces keep the names that outcomes and answers had when they were made. */
+    /** Returns the name of an outcome in the trace files, which contain earlier names of some outcomes and answers. */
     private static String traceName(Attempt.Outcome outcome) {
         return outcome == Attempt.Outcome.MALFORMED ? "GARBLED" : outcome.name();
     }
@@ -211,14 +211,14 @@
         };
     }
 
-    /** Multiget, shard, number of the attempt. */
-    private static String name(Attempt attempt) {
+    /** Names an attempt by its multiget, shard and number. */
+    private static String attemptName(Attempt attempt) {
         Part part = attempt.part;
         return part.multiget.id + "." + part.shard.number + "#" + attempt.number;
     }
 
-    /** Compares the record with the trace of this name. */
-    void assertTraceIs(String name) {
+    /** Checks that the recorded decisions equal the trace file of this name. */
+    void assertTraceMatches(String name) {
         try (InputStream resource = CoordinatorScript.class.getResourceAsStream("/traces/" + name + ".txt")) {
             String expected = resource == null ? "" : new String(resource.readAllBytes(), StandardCharsets.UTF_8);
             assertThat(trace.toString()).isEqualToNormalizingNewlines(expected);
--- a/core/src/test/java/spartrail/coordination/WarmUpFleet.java
+++ b/core/src/test/java/spartrail/coordination/WarmUpFleet.java
@@ -14,8 +14,9 @@
 import spartrail.model.Server;
 
 /**
- * Many front nodes' decisions on one shard, one of whose servers restarts and warms up, and the attempts of all of them there. The
- * decisions are those of real coordinators; servers answer after their service time, a server that warms up later by its age.
+ * Simulates many front nodes that send queries to one shard, one of whose servers restarts and warms up, and counts the
+ * attempts of all nodes at that server. The decisions are those of real coordinators. Servers answer after their
+ * service time; the one that warms up takes longer, by its age.
  */
 final class WarmUpFleet {
     static final double MIN_CAPACITY_SHARE = 0.05;
@@ -25,7 +26,10 @@
     private static final double LOOP_INTERVAL_MS = 5;
     private static final double RESTART_MS = 20_000;
 
-    /** A front node: how many nodes it assumes, its rate of queries, and how many of the replicas its endpoint list names. */
+    /**
+     * A front node: the number of nodes that it assumes, its rate of queries, and the number of replicas in its
+     * endpoint list.
+     */
     record Node(int assumedNodes, double partsPerMs, int replicas) {}
 
     private record Event(double atMs, long number, Runnable action) implements Comparable<Event> {
@@ -39,7 +43,7 @@
         final WindowCoordinator coordinator;
         final OpType opType = new CoordinatorScript().opType;
         final double partsPerMs;
-        long wakes;
+        long timerRequests;
 
         HollowNode(Node node, int cells) {
             opType.latency.meanLatencyMs = serviceMs;
@@ -54,7 +58,7 @@
                     .configureRetryAfter(true, 1000);
             List<Server> servers = new ArrayList<>();
             for (int replica = 0; replica < node.replicas; replica++) {
-                servers.add(CoordinatorScript.server("s" + replica, replica % cells, Server.State.LIVE, -1));
+                servers.add(CoordinatorScript.createServer("s" + replica, replica % cells, Server.State.LIVE, -1));
             }
             partsPerMs = node.partsPerMs;
             carryOut(coordinator.onEndpointUpdate(servers, true, true, nowMs));
@@ -62,7 +66,7 @@
             schedule(
                     RESTART_MS,
                     () -> carryOut(coordinator.onEndpointUpdate(
-                            List.of(CoordinatorScript.server("s0", 0, Server.State.LIVE, RESTART_MS)),
+                            List.of(CoordinatorScript.createServer("s0", 0, Server.State.LIVE, RESTART_MS)),
                             false,
                             true,
                             nowMs)));
@@ -94,9 +98,9 @@
                         nowMs + tookMs,
                         () -> carryOut(coordinator.onOutcome(attempt, Attempt.Outcome.ANSWERED, tookMs, nowMs)));
             }
-            long wake = ++wakes;
+            long timerRequest = ++timerRequests;
             schedule(nowMs + Math.max(0.01, coordinator.timeToNextTimerMs(nowMs)), () -> {
-                if (wake == wakes) {
+                if (timerRequest == timerRequests) {
                     carryOut(coordinator.onTimer(nowMs));
                 }
             });
@@ -107,9 +111,9 @@
     private final double serviceMs;
     private final int cores;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final Deque<Double> window = new ArrayDeque<>();
+    private final Deque<Double> recentAttempts = new ArrayDeque<>();
     private double nowMs;
-    private long number;
+    private long nextEventNumber;
     private double worstOverload;
 
     WarmUpFleet(long seed, double serviceMs, int cores) {
@@ -118,25 +122,29 @@
         this.cores = cores;
     }
 
-    private void schedule(double ms, Runnable action) {
-        events.add(new Event(ms, number++, action));
+    private void schedule(double atMs, Runnable action) {
+        events.add(new Event(atMs, nextEventNumber++, action));
     }
 
-    private static double capacityShare(double ms) {
-        return Math.min(1, MIN_CAPACITY_SHARE + (1 - MIN_CAPACITY_SHARE) * (ms - RESTART_MS) / WARM_UP_MS);
+    private static double capacityShare(double atMs) {
+        return Math.min(1, MIN_CAPACITY_SHARE + (1 - MIN_CAPACITY_SHARE) * (atMs - RESTART_MS) / WARM_UP_MS);
     }
 
-    private void recordAttempt(double ms) {
-        window.add(ms);
-        while (window.peek() < ms - COLLAPSE_AFTER_MS) {
-            window.poll();
+    private void recordAttempt(double atMs) {
+        recentAttempts.add(atMs);
+        while (recentAttempts.peek() < atMs - COLLAPSE_AFTER_MS) {
+            recentAttempts.poll();
         }
-        double budget = COLLAPSE_MULTIPLE * capacityShare(ms) * cores / serviceMs * COLLAPSE_AFTER_MS;
-        worstOverload = Math.max(worstOverload, window.size() / (budget + 2 * Math.sqrt(budget) + 2));
+        double allowedAttempts = COLLAPSE_MULTIPLE * capacityShare(atMs) * cores / serviceMs * COLLAPSE_AFTER_MS;
+        worstOverload =
+                Math.max(worstOverload, recentAttempts.size() / (allowedAttempts + 2 * Math.sqrt(allowedAttempts) + 2));
     }
 
-    /** The most attempts at the restarted server in any window, over its capacity with chance allowed for; above 1 it collapses. */
-    double worstOverload(List<Node> nodes, int cells) {
+    /**
+     * Runs the simulation. Returns the most attempts at the restarted server in any window, divided by its capacity
+     * plus a margin for chance; above 1 the server collapses.
+     */
+    double simulateWorstOverload(List<Node> nodes, int cells) {
         nodes.forEach(node -> new HollowNode(node, cells));
         while (events.peek().atMs < RESTART_MS + WARM_UP_MS) {
             Event next = events.poll();
