--- a/node/src/test/java/spartrail/front/FrontNodeEndpointTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeEndpointTest.java
@@ -31,7 +31,7 @@
         coordinatorDecorator = module -> (Coordinator) Proxy.newProxyInstance(
                 Coordinator.class.getClassLoader(), new Class<?>[] {Coordinator.class}, (proxy, method, args) -> {
                     Object decided = method.invoke(module, args);
-                    if (method.getName().equals("place") && armed.getAndSet(false)) {
+                    if (method.getName().equals("submit") && armed.getAndSet(false)) {
                         String uid = ((Decisions) decided).attempts.get(0).server.id;
                         ToyFleet.Toy toy = fleet.servers.stream()
                                 .filter(each -> each.uid.equals(uid))
--- a/node/src/test/java/spartrail/front/FrontNodeTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeTest.java
@@ -73,7 +73,7 @@
         CountDownLatch queued = new CountDownLatch(1);
         coordinatorDecorator = module -> (Coordinator) Proxy.newProxyInstance(
                 Coordinator.class.getClassLoader(), new Class<?>[] {Coordinator.class}, (proxy, method, args) -> {
-                    if (method.getName().equals("place")) {
+                    if (method.getName().equals("submit")) {
                         placing.countDown();
                         queued.await();
                     }
@@ -110,7 +110,7 @@
     void anExceptionInTheCoordinatorHurtsOneMultigetOnlyAndItIsAnswered() throws Exception {
         coordinatorDecorator = module -> (Coordinator) Proxy.newProxyInstance(
                 Coordinator.class.getClassLoader(), new Class<?>[] {Coordinator.class}, (proxy, method, args) -> {
-                    if (method.getName().equals("place") && ((Multiget) args[0]).clientTimeLeftMs < 1000) {
+                    if (method.getName().equals("submit") && ((Multiget) args[0]).clientTimeLeftMs < 1000) {
                         throw new IllegalStateException("a fault made by the test");
                     }
                     try {
