--- a/node/src/main/java/spartrail/cli/ServeCommand.java
+++ b/node/src/main/java/spartrail/cli/ServeCommand.java
@@ -70,7 +70,7 @@
             MultigetRecord record = recordFile == null ? null : openRecord();
             node.setRecord(record);
             // The log opens with its first line, and of a process that ends by then nothing would ever be read.
-            LOG.log(System.Logger.Level.INFO, "starts by " + path);
+            LOG.log(System.Logger.Level.INFO, "starting with configuration " + path);
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
                             () -> {
@@ -160,14 +160,14 @@
         try {
             String waiting = startedNode.get().reload(DeploymentFile.read(path));
             if (waiting.isEmpty()) {
-                LOG.log(System.Logger.Level.INFO, "configuration read again");
+                LOG.log(System.Logger.Level.INFO, "configuration reloaded");
             } else {
-                LOG.log(
-                        System.Logger.Level.WARNING,
-                        "configuration read again, its settings wait for the next start: " + waiting);
+                LOG.log(System.Logger.Level.WARNING, "configuration reloaded; its settings need a restart: " + waiting);
             }
         } catch (IOException | RuntimeException e) {
-            LOG.log(System.Logger.Level.WARNING, "configuration not taken, the one before stays: " + e.getMessage());
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "configuration rejected, the previous one stays in effect: " + e.getMessage());
         }
     }
 }
--- a/node/src/main/java/spartrail/client/ClientQuery.java
+++ b/node/src/main/java/spartrail/client/ClientQuery.java
@@ -7,7 +7,7 @@
  *
  * @param id as the client gave it
  * @param key null where the client names none
- * @param clientLeftMs how long the client waits
+ * @param clientTimeoutMs how long the client waits
  * @param retry the client marks it as a repeat of its own
  * @param text what each server is asked
  */
@@ -15,7 +15,7 @@
         String id,
         String opType,
         String key,
-        double clientLeftMs,
+        double clientTimeoutMs,
         boolean retry,
         List<QueriedPart> parts,
         byte[] text) {
--- a/node/src/main/java/spartrail/client/ClientQueryDecoder.java
+++ b/node/src/main/java/spartrail/client/ClientQueryDecoder.java
@@ -53,14 +53,14 @@
         if (opType == null || !opTypes.contains(opType) || pathSegments.length < 2 || !pathSegments[1].equals(opType)) {
             throw new MalformedMessageException("Req-Kind is unknown or not the path's");
         }
-        double clientLeftMs = MS_PER_SECOND * parseDeadlineSeconds(singleValue(headers, DEADLINE_HEADER));
+        double clientTimeoutMs = MS_PER_SECOND * parseDeadlineSeconds(singleValue(headers, DEADLINE_HEADER));
         try (JsonParser parser = jsonFactory.createParser(body)) {
             return decodeBody(
                     parser,
                     id,
                     opType,
                     pathSegments.length > 2 ? pathSegments[2] : null,
-                    clientLeftMs,
+                    clientTimeoutMs,
                     "1".equals(headers.getFirst(RETRY_HEADER)));
         } catch (IOException e) {
             throw new MalformedMessageException("the body is no JSON of the expected form", e);
@@ -81,7 +81,7 @@
     }
 
     private ClientQuery decodeBody(
-            JsonParser parser, String id, String opType, String key, double clientLeftMs, boolean retry)
+            JsonParser parser, String id, String opType, String key, double clientTimeoutMs, boolean retry)
             throws IOException, MalformedMessageException {
         List<ClientQuery.QueriedPart> parts = null;
         String text = null;
@@ -108,7 +108,7 @@
         if (Math.abs(parts.stream().mapToDouble(ClientQuery.QueriedPart::weight).sum() - 1) > WEIGHT_TOLERANCE) {
             throw new MalformedMessageException("the boosts of the segments do not sum up to 1");
         }
-        return new ClientQuery(id, opType, key, clientLeftMs, retry, parts, text.getBytes(StandardCharsets.UTF_8));
+        return new ClientQuery(id, opType, key, clientTimeoutMs, retry, parts, text.getBytes(StandardCharsets.UTF_8));
     }
 
     /** A text that has a form in UTF-8: half of a surrogate pair has none. */
--- a/node/src/main/java/spartrail/config/DeploymentFile.java
+++ b/node/src/main/java/spartrail/config/DeploymentFile.java
@@ -88,9 +88,9 @@
             throw new IllegalArgumentException("'width of family-info': found " + replicationFactor()
                     + ", no more than the 'sets', " + cells() + ", is expected");
         }
-        maxInHand();
+        maxInFlight();
         maxFileDescriptors();
-        callsPerConnection();
+        partsPerConnection();
         connectTimeoutMs();
         keepAliveMs();
         drainGraceMs();
@@ -151,7 +151,7 @@
         Map<String, Object> current = running.restartOnlySettings();
         return changed.keySet().stream()
                 .filter(name -> !changed.get(name).equals(current.get(name)))
-                .map(name -> name + ": found " + changed.get(name) + ", served " + current.get(name))
+                .map(name -> name + ": found " + changed.get(name) + ", in use " + current.get(name))
                 .collect(Collectors.joining("; "));
     }
 
@@ -200,7 +200,7 @@
     }
 
     /** The most multigets and parts in hand. */
-    public int maxInHand() {
+    public int maxInFlight() {
         return (int) requiredCount(section(settings, "bounds"), "open-cap", " of bounds");
     }
 
@@ -210,7 +210,7 @@
     }
 
     /** The most parts in flight on one connection to a server. */
-    public int callsPerConnection() {
+    public int partsPerConnection() {
         return (int) requiredCount(section(settings, "bounds"), "streams-per-conn", " of bounds");
     }
 
--- a/node/src/main/java/spartrail/front/ActivePolicy.java
+++ b/node/src/main/java/spartrail/front/ActivePolicy.java
@@ -3,10 +3,10 @@
 import spartrail.config.DeploymentFile;
 
 /**
- * A policy version that holds until a time, and the one that holds after it.
+ * A policy version with its expiry time, and its successor.
  *
- * @param name as the record of multigets names it
- * @param untilMs on the node's clock; infinite for the last one
- * @param next null behind the last one
+ * @param name the name in the record of multigets
+ * @param untilMs the expiry time on the node's clock; infinite for the last version
+ * @param next the successor; null for the last version
  */
 record ActivePolicy(String name, DeploymentFile deployment, double untilMs, ActivePolicy next) {}
--- a/node/src/main/java/spartrail/front/ClientMultiget.java
+++ b/node/src/main/java/spartrail/front/ClientMultiget.java
@@ -13,19 +13,19 @@
 import spartrail.model.TimerQueue;
 import spartrail.shard.PartRequest;
 
-/** A multiget in flight, with the client that waits for it and the values that servers have answered. */
+/** A multiget in flight, with the request of its client and the values received from servers. */
 final class ClientMultiget extends Multiget {
     private static final long FNV_OFFSET_BASIS = 0xCBF29CE484222325L;
     private static final long FNV_PRIME = 0x100000001B3L;
 
-    /** An attempt that has had no outcome yet, and the timer at which this node stops waiting for it. */
+    /** An attempt without an outcome, and the timer that ends the wait for its response. */
     record InFlightAttempt(PartRequest part, TimerQueue.Timer timeout) {}
 
     final ClientQuery query;
     final ClientRequest request;
     final Map<Part, byte[]> values = new HashMap<>();
     final Map<Attempt, InFlightAttempt> inFlightAttempts = new IdentityHashMap<>();
-    /** Answers it at the end of its client's time where nothing else has. */
+    /** Answers the multiget as failed when its client's timeout expires. */
     TimerQueue.Timer expiry;
 
     ClientMultiget(ClientQuery query, ClientRequest request, OpType opType) {
@@ -37,7 +37,7 @@
         clientRetry = query.retry();
     }
 
-    /** Adds the parts that the client asked for. */
+    /** Adds the parts that the client requested. */
     void addParts(Coordinator coordinator) {
         for (ClientQuery.QueriedPart queried : query.parts()) {
             Part part = new Part();
@@ -51,7 +51,7 @@
         }
     }
 
-    /** What it takes of the node's capacity: itself and its parts. */
+    /** The number of entries it counts for in the node's in-flight limit: itself and its parts. */
     int size() {
         return 1 + parts.size();
     }
--- a/node/src/main/java/spartrail/front/DecisionDispatcher.java
+++ b/node/src/main/java/spartrail/front/DecisionDispatcher.java
@@ -20,11 +20,11 @@
 import spartrail.shard.ShardPool;
 
 /**
- * Gathers what one iteration of the loop has decided and hands it to the I/O thread as one task. Owned by the coordinator's thread;
- * of its fields the task reads only the shard pool.
+ * Collects the decisions of one iteration of the loop and hands them to the I/O thread as one task. Owned by the
+ * coordinator's thread; the shard pool is the only field that the task reads.
  *
- * <p>The task's order: addresses are retired before frames are written, frames before the hold of an endpoint update is released,
- * these before cancellations and responses.
+ * <p>The task's order: first it retires addresses, then it sends batches, then it releases the hold of an endpoint
+ * update, and last it sends cancellations and responses.
  */
 final class DecisionDispatcher {
     private final CoordinatorLoop loop;
@@ -40,7 +40,7 @@
     private final Decisions pending = new Decisions();
     private final List<ClientMultiget> disconnected = new ArrayList<>();
     private final List<InetSocketAddress> addressesToRetire = new ArrayList<>();
-    /** Endpoint updates that the I/O thread has read and holds frames for. */
+    /** Endpoint updates applied in this iteration, for which the I/O thread still holds frames. */
     private int endpointUpdatesApplied;
 
     DecisionDispatcher(
@@ -71,29 +71,32 @@
         pending.watchEndpoints |= decisions.watchEndpoints;
     }
 
-    /** The multiget is answered as failed. */
+    /** Answers the multiget as failed. */
     void fail(ClientMultiget multiget) {
         multiget.finished = true;
         multiget.answer = Multiget.Answer.FAILED;
         pending.answers.add(multiget);
     }
 
-    /** The multiget's client has closed its connection. */
+    /** Ends a multiget whose client has closed its connection. */
     void addDisconnected(ClientMultiget multiget) {
         disconnected.add(multiget);
     }
 
-    /** Whether the multiget leaves the ones in flight at the end of this iteration. */
+    /** Whether the multiget ends with this iteration. */
     boolean endsNow(ClientMultiget multiget) {
         return pending.answers.contains(multiget) || disconnected.contains(multiget);
     }
 
-    /** An update that the I/O thread holds frames for has been applied. */
+    /** Counts an applied endpoint update, for which the I/O thread holds frames. */
     void countEndpointUpdate() {
         endpointUpdatesApplied++;
     }
 
-    /** Takes back the attempts of this iteration that were decided for these servers as they were before an update. */
+    /**
+     * Withdraws attempts of this iteration to these servers, as they were decided before an endpoint update changed
+     * them.
+     */
     void withdrawAttemptsTo(Set<String> serverIds) {
         pending.attempts.removeIf(attempt -> serverIds.contains(attempt.server.id) && loop.enqueueNotSent(attempt));
     }
@@ -102,7 +105,7 @@
         addressesToRetire.addAll(addresses);
     }
 
-    /** Hands everything gathered to the I/O thread. */
+    /** Hands the collected decisions to the I/O thread. */
     void dispatch(int maxAttempts) {
         List<Runnable> tasks = new ArrayList<>();
         addressesToRetire.forEach(address -> tasks.add(() -> shardPool.retire(address)));
@@ -150,7 +153,7 @@
         return !attempt.part.multiget.finished
                 && !attempt.cancelRequested
                 && endpoints.contains(attempt.server.id)
-                && invariants.check(attempt.number < maxAttempts, "most sends of a part");
+                && invariants.check(attempt.number < maxAttempts, "a part has no more attempts than the limit");
     }
 
     private PartRequest startAttempt(Attempt attempt) {
@@ -198,7 +201,7 @@
         pending.answers.clear();
     }
 
-    /** Ends a multiget, so that no part of it leaves any more; false if it was over already. */
+    /** Removes a multiget and withdraws its parts that are not sent yet; false if it had ended before. */
     private boolean release(ClientMultiget multiget, List<Runnable> tasks) {
         if (!inFlight.remove(multiget)) {
             return false;
@@ -226,7 +229,7 @@
                 .forEach(part -> values.add(new ClientResponse.Value(part.shard.number, multiget.values.get(part))));
         boolean hasAll = values.size() == multiget.parts.size() || multiget.opType.completeWeight < 1;
         boolean consistent = hasAll || multiget.answer == Multiget.Answer.PARTIAL;
-        loop.runGuarded(() -> invariants.check(consistent, "a whole answer has all its parts"));
+        loop.runGuarded(() -> invariants.check(consistent, "a complete response has all its parts"));
         return ClientResponse.success(multiget.answer == Multiget.Answer.COMPLETE && hasAll, values);
     }
 }
--- a/node/src/main/java/spartrail/front/DrainSchedule.java
+++ b/node/src/main/java/spartrail/front/DrainSchedule.java
@@ -3,21 +3,22 @@
 import spartrail.config.DeploymentFile;
 
 /**
- * When a draining node does what, counted from SIGTERM. Where nodes are replaced one after another, one that stops early leaves its
- * clients to one that is not back yet, and one that stops late leaves them to one that has just been asked to end.
+ * The steps of a drain, in time since SIGTERM. In a rolling restart, a node that stops serving too early sends its
+ * clients to a node that has not restarted yet; one that stops too late sends them to a node that has just begun to
+ * drain.
  *
- * @param killAfterMs the node is killed no sooner than that
+ * @param killAfterMs the earliest time at which the node is killed
  */
 record DrainSchedule(double killAfterMs) {
-    /** A node is killed no sooner than the longest route timeout, counted as so long at the most, and the grace. */
+    /** A node is killed no sooner than the grace after the longest route timeout, which counts for at most this much. */
     private static final double MAX_COUNTED_ROUTE_TIMEOUT_MS = 3000;
 
     private static final double KILL_GRACE_MS = 700;
     private static final double LAST_REQUEST_BEFORE_KILL_MS = 1000;
     private static final double LAST_RESPONSE_BEFORE_KILL_MS = 150;
-    /** Whoever routes clients to this node has heard by then that it is not ready. */
+    /** Within this time the load balancer in front of the node has seen that it is not ready. */
     private static final double MIN_SERVING_MS = 450;
-    /** What was written last is on its way within this time. */
+    /** The time allowed for sending the last bytes written. */
     static final double FLUSH_TIMEOUT_MS = 50;
 
     static DrainSchedule of(DeploymentFile deployment) {
@@ -25,20 +26,21 @@
                 KILL_GRACE_MS + Math.min(MAX_COUNTED_ROUTE_TIMEOUT_MS, deployment.longestClientTimeoutMs()));
     }
 
-    /** Until then each multiget is answered. */
+    /** The time by which each multiget is answered. */
     double lastResponseAfterMs() {
         return killAfterMs - LAST_RESPONSE_BEFORE_KILL_MS;
     }
 
     /**
-     * From then on each response is the last of its connection. A node that is terminated while it starts has less time than the
-     * schedule reckons with, and nobody was sent to it: it stops at once.
+     * The time from which each response closes its connection. A node that is terminated during its start has less time
+     * than the schedule assumes and was never reported ready, so it has no clients to serve: it closes connections at
+     * once.
      */
     double closeConnectionsAfterMs(boolean reportedReady) {
         return reportedReady ? Math.max(MIN_SERVING_MS, killAfterMs - LAST_REQUEST_BEFORE_KILL_MS) : 0;
     }
 
-    /** Until then the last client is waited for. */
+    /** The time by which the node stops waiting for the last client to disconnect. */
     double disconnectTimeoutMs() {
         return killAfterMs - LAST_RESPONSE_BEFORE_KILL_MS / 2 - FLUSH_TIMEOUT_MS / 2;
     }
--- a/node/src/main/java/spartrail/front/EffectiveSettings.java
+++ b/node/src/main/java/spartrail/front/EffectiveSettings.java
@@ -9,11 +9,11 @@
 import spartrail.model.OpType;
 
 /**
- * The settings that hold now, which a configuration read again or a policy version replaces, and what is known of the fleet.
- * Owned by the coordinator's thread.
+ * The settings in effect, which a reloaded configuration or a policy version replaces, and the view of the other front
+ * nodes. Owned by the coordinator's thread.
  */
 final class EffectiveSettings {
-    /** Shared with the coordinator: where settings change, other op types take their places in it. */
+    /** Shared with the coordinator; changed settings replace the op types in this list. */
     private final List<OpType> opTypes;
 
     private final Map<String, OpType> opTypesByName = new HashMap<>();
@@ -22,29 +22,29 @@
     private int configuredNodes;
     private FleetView fleetView;
     private String version;
-    /** Null where no policy holds. */
+    /** Null where no policy is in effect. */
     private ActivePolicy policy;
-    /** The deployment of the policy that was applied last. */
+    /** The deployment of the last applied policy. */
     private DeploymentFile policyDeployment;
 
     EffectiveSettings(DeploymentFile deployment, List<OpType> opTypes) {
         this.opTypes = opTypes;
         this.fleetView = FleetView.fromSettings(deployment.frontNodes());
-        take(deployment);
+        copyFrom(deployment);
     }
 
-    private void take(DeploymentFile deployment) {
+    private void copyFrom(DeploymentFile deployment) {
         opTypes.forEach(opType -> opTypesByName.put(opType.name, opType));
-        maxInFlight = deployment.maxInHand();
+        maxInFlight = deployment.maxInFlight();
         maxAttempts = deployment.maxAttemptsPerPart();
         configuredNodes = deployment.frontNodes();
         version = deployment.version();
     }
 
-    /** The coordinator goes by these settings from now on. */
+    /** Applies changed settings, also to the coordinator. */
     void apply(DeploymentFile changed, Coordinator coordinator) {
         changed.applyTo(coordinator, opTypes);
-        take(changed);
+        copyFrom(changed);
         fleetView = fleetView.fromPeers() ? fleetView : FleetView.fromSettings(configuredNodes);
     }
 
@@ -52,7 +52,10 @@
         policy = changed;
     }
 
-    /** Steps to the policy that holds at this time; its deployment if that is another one than was applied last, else null. */
+    /**
+     * Advances to the policy for this time; returns its deployment if that differs from the last applied one, else
+     * null.
+     */
     DeploymentFile switchPolicy(double nowMs) {
         while (policy != null && nowMs >= policy.untilMs()) {
             policy = policy.next();
@@ -68,7 +71,7 @@
         fleetView = changed;
     }
 
-    /** How many front nodes the coordinator has to reckon with. */
+    /** The number of front nodes that the coordinator assumes. */
     int frontNodes() {
         return fleetView.effectiveNodes(configuredNodes);
     }
@@ -77,17 +80,19 @@
         return opTypesByName.get(name);
     }
 
-    /** Most multigets and parts, added up, that the node may have in flight. */
+    /** The limit on multigets plus parts in flight. */
     int maxInFlight() {
         return maxInFlight;
     }
 
-    /** Most attempts for one part. */
+    /** The most attempts of one part. */
     int maxAttempts() {
         return maxAttempts;
     }
 
-    /** What the record names as the deciding version: the policy, or the configuration where there is none. */
+    /**
+     * The version that the record names for a decision: that of the policy, or without one that of the configuration.
+     */
     String decidingVersion() {
         return policy == null ? version : policy.name();
     }
--- a/node/src/main/java/spartrail/front/EndpointTable.java
+++ b/node/src/main/java/spartrail/front/EndpointTable.java
@@ -10,13 +10,16 @@
 import spartrail.endpoint.EndpointList;
 import spartrail.model.Server;
 
-/** The servers that this node may send to, as last listed; owned by the coordinator's thread. Cost: an update walks its own lines. */
+/**
+ * The servers that this node may send to, by the last endpoint update. Owned by the coordinator's thread. Cost: an
+ * update is linear in its entries, a complete list also in the servers known before.
+ */
 final class EndpointTable {
     /**
-     * What an update means for attempts that have not left yet.
+     * The servers and addresses to which attempts that are not sent yet must not be sent any more.
      *
-     * @param serverIds servers that are new, drain, are gone, or are another process than before
-     * @param addresses where nothing that waits may leave for any more
+     * @param serverIds servers that are new, draining or gone, or whose process was replaced
+     * @param addresses the addresses of these servers
      */
     record Changes(Set<String> serverIds, List<InetSocketAddress> addresses) {
         private void add(EndpointList.Endpoint endpoint) {
@@ -27,12 +30,12 @@
 
     private final Map<String, EndpointList.Endpoint> endpoints = new HashMap<>();
 
-    /** Whether the server is listed and not gone. */
+    /** Whether the server is listed and its state is not GONE. */
     boolean contains(String serverId) {
         return endpoints.containsKey(serverId);
     }
 
-    /** The address of a server that is contained. */
+    /** The address of a server that the table contains. */
     InetSocketAddress addressOf(String serverId) {
         return endpoints.get(serverId).address();
     }
@@ -61,6 +64,7 @@
         return changes;
     }
 
+    /** Whether the server is new, has moved, or has been restarted. */
     private static boolean isOtherProcess(EndpointList.Endpoint previous, EndpointList.Endpoint endpoint) {
         return previous == null
                 || !endpoint.address().equals(previous.address())
--- a/node/src/main/java/spartrail/front/FileDescriptorLimit.java
+++ b/node/src/main/java/spartrail/front/FileDescriptorLimit.java
@@ -2,15 +2,16 @@
 
 import java.io.File;
 
-/** How the file descriptors that the process may hold are shared out. */
+/** Divides the file descriptors of the process between clients' connections and all others. */
 final class FileDescriptorLimit {
     private static final int DESCRIPTORS_PER_SERVER = 4;
 
     private FileDescriptorLimit() {}
 
     /**
-     * Most connections of clients: half of what is not open already, or more where servers need less. Without a limit clients'
-     * connections would use up what connections to servers and to discovery need.
+     * The most connections of clients: half of the free descriptors or, if that is more, three quarters of them less
+     * four for each server. Without a limit, clients' connections would use up the descriptors for connections to
+     * servers and to discovery.
      */
     static int forClientConnections(int maxDescriptors, int servers) {
         int free = maxDescriptors - openCount();
@@ -18,7 +19,7 @@
         return Math.max(1, Math.max(free / 2, leftByServers));
     }
 
-    /** How many are open now; 0 where the system does not say. */
+    /** The number of descriptors that are open; 0 where the system does not report it. */
     static int openCount() {
         String[] open = new File("/proc/self/fd").list();
         return open == null ? 0 : open.length;
--- a/node/src/main/java/spartrail/front/FleetParticipation.java
+++ b/node/src/main/java/spartrail/front/FleetParticipation.java
@@ -11,8 +11,8 @@
 import spartrail.peers.PeerTransport;
 
 /**
- * The node's part in its fleet, where it is asked for: gossip with the other front nodes, and policy versions on top of it. Nothing of
- * it is loaded otherwise.
+ * The optional communication with the other front nodes: gossip, and policy versions that are exchanged on top of it.
+ * Their classes are loaded only if the node was started with these options.
  */
 final class FleetParticipation {
     private final Path peersFile;
@@ -20,7 +20,7 @@
     private final Path historyFile;
 
     private final long historyMaxBytes;
-    /** Null where the node goes by its own settings only. */
+    /** Null where policy versions are disabled and the node uses only its own settings. */
     private Path stateDirectory;
 
     private PeerTransport.Running transport;
@@ -37,18 +37,18 @@
     static PeerTransport loadTransport() {
         return ServiceLoader.load(PeerTransport.class)
                 .findFirst()
-                .orElseThrow(
-                        () -> new IllegalArgumentException(
-                                "--peers is given, but no jar on the class path talks to other nodes; bin/spartrail puts it there"));
+                .orElseThrow(() -> new IllegalArgumentException(
+                        "--peers is given, but the class path has no implementation of PeerTransport; start the"
+                                + " node with bin/spartrail, which adds its jar"));
     }
 
-    /** Before the start: the node also goes by policy versions, and keeps what it must not forget in this directory. */
+    /** Enables policy versions, before the start; their persistent state is kept in this directory. */
     void enablePolicy(Path directory) {
         PolicyHost.loadPolicyService();
         stateDirectory = directory;
     }
 
-    /** Before the warm-up: with policy, gossip starts now, as the first lease comes by it. */
+    /** Starts gossip before the warm-up if policy is enabled, as the first policy lease arrives by gossip. */
     void startPolicy(DeploymentFile deployment, NodeClock clock, CoordinatorLoop loop, EndpointList usedEndpoints)
             throws IOException {
         if (stateDirectory != null) {
@@ -57,14 +57,16 @@
         }
     }
 
-    /** Waits for the first lease, or a node that comes back would decide by what held before it went. */
+    /**
+     * Waits for the first policy lease, as a restarted node would otherwise decide by the policy of before its stop.
+     */
     void awaitFirstLease() throws IOException {
         if (policyHost != null) {
             policyHost.awaitFirstLease();
         }
     }
 
-    /** When the node is ready: without policy, gossip starts now. */
+    /** Starts gossip once the node is ready, unless {@link #startPolicy} has started it. */
     void startGossip(CoordinatorLoop loop) throws IOException {
         if (transport == null) {
             startTransport(loop, PeerChannel.NONE);
@@ -81,14 +83,14 @@
                         channels);
     }
 
-    /** Before a new configuration is taken: an unusable peers' file changes nothing. */
+    /** Checks the peers' file before a reload, so that an unusable file leaves the whole configuration unchanged. */
     void checkPeersFile() {
         if (transport != null) {
             loadTransport().check(peersFile);
         }
     }
 
-    /** Whether policy decides when changed settings hold; it has them from here on. */
+    /** Passes changed settings to the policy service if that is enabled; returns whether it is, and so applies them. */
     boolean applyToPolicy(DeploymentFile changed) {
         if (policyHost != null) {
             policyHost.setOwnDeployment(changed);
@@ -96,12 +98,12 @@
         return policyHost != null;
     }
 
-    /** Reads the peers' file again; what of it waits for the next start, or empty. */
+    /** Reloads the peers' file; returns the changes that need a restart, or an empty string. */
     String reload() {
         return transport == null ? "" : transport.reload(peersFile);
     }
 
-    /** Tells the other nodes that this one goes. */
+    /** Tells the other nodes that this node leaves. */
     void leave() {
         if (transport != null) {
             transport.leave();
--- a/node/src/main/java/spartrail/front/InFlightMultigets.java
+++ b/node/src/main/java/spartrail/front/InFlightMultigets.java
@@ -6,15 +6,15 @@
 import spartrail.client.ClientRequest;
 
 /**
- * The multigets in flight, by the id that their clients gave them, and how much of the node's capacity they take. Owned by the
- * coordinator's thread.
+ * The multigets in flight, by the ids that their clients gave them, and their total size. Owned by the coordinator's
+ * thread.
  */
 final class InFlightMultigets {
     private final Map<String, ClientMultiget> multigetsById = new HashMap<>();
-    /** Multigets and parts, added up. */
+    /** The number of multigets plus the number of their parts. */
     private int size;
 
-    /** Whether a multiget of this id with so many parts may be added without passing the limit. */
+    /** Whether this id is not in flight and a multiget with so many parts would not exceed the limit. */
     boolean hasCapacityFor(String id, int parts, int maxSize) {
         return !multigetsById.containsKey(id) && size + 1 + parts <= maxSize;
     }
@@ -24,7 +24,7 @@
         size += multiget.size();
     }
 
-    /** Removes it; false if it was not in flight any more. */
+    /** Removes a multiget; false if it was not in flight any more. */
     boolean remove(ClientMultiget multiget) {
         boolean wasInFlight = multigetsById.remove(multiget.query.id(), multiget);
         if (wasInFlight) {
@@ -37,13 +37,13 @@
         return multigetsById.get(multiget.query.id()) == multiget;
     }
 
-    /** The multiget of this very request, or null. */
-    ClientMultiget of(ClientRequest request) {
+    /** The multiget of this request, or null. */
+    ClientMultiget find(ClientRequest request) {
         ClientMultiget multiget = multigetsById.get(request.id);
         return multiget != null && multiget.request == request ? multiget : null;
     }
 
-    /** A copy of all of them. */
+    /** A copy of the multigets in flight. */
     List<ClientMultiget> all() {
         return List.copyOf(multigetsById.values());
     }
--- a/node/src/main/java/spartrail/front/NodeCounters.java
+++ b/node/src/main/java/spartrail/front/NodeCounters.java
@@ -7,15 +7,15 @@
 import spartrail.model.Multiget;
 
 /**
- * What a node has done since its start, for its log. Written by the coordinator's thread; other threads read it for a log line only
- * and may see an older value.
+ * Counters of a node since its start, for its log. Written by the coordinator's thread; other threads read them for a
+ * log line only and may see older values.
  */
 final class NodeCounters {
     long queries;
     long rejectedOverCap;
     long clientsGone;
     volatile long endpointUpdates;
-    /** How often other settings have taken hold. */
+    /** How often changed settings have been applied. */
     volatile long configurationSwitches;
 
     final LongAdder exceptions = new LongAdder();
--- a/node/src/main/java/spartrail/front/PauseDetector.java
+++ b/node/src/main/java/spartrail/front/PauseDetector.java
@@ -1,12 +1,15 @@
 package spartrail.front;
 
 /**
- * How long the process has just been paused, by the scheduler or its virtual machine. What clients sent meanwhile is read late, and
- * its time must not be counted from the reading: until the sockets have been gone through, whatever is read counts as come at the
- * beginning of the pause, as it may be that old. Owned by the coordinator's thread.
+ * Detects that the process was paused, by the scheduler or its virtual machine, and for how long. Requests that arrived
+ * during the pause are read late, so their age cannot be counted from the time of reading: until all sockets have been
+ * read, each request is assumed to have arrived when the pause began. Owned by the coordinator's thread.
  */
 final class PauseDetector {
-    /** One that was asked for before the pause, one that takes what waited, one for connections just accepted. */
+    /**
+     * One poll that may have been requested before the pause, one that reads the bytes that arrived during it, one for
+     * the connections that were accepted after it.
+     */
     private static final int POLLS_AFTER_PAUSE = 3;
 
     private final double iterationMs;
@@ -18,12 +21,14 @@
         this.iterationMs = iterationMs;
     }
 
-    /** The loop is to wake then at the latest. */
+    /** Sets the latest time at which the loop is to wake. */
     void planWake(double wakeMs) {
         plannedWakeMs = wakeMs;
     }
 
-    /** The loop wakes, by an event or a timer; what is within two iterations of the plan is no pause. */
+    /**
+     * Compares the time at which the loop woke with the planned one; a delay of up to two iterations is not a pause.
+     */
     void onWake(double nowMs) {
         double lateMs = nowMs - plannedWakeMs;
         if (lateMs > 2 * iterationMs && lateMs > pauseMs) {
@@ -32,19 +37,19 @@
         }
     }
 
-    /** The I/O thread has gone through all sockets. */
+    /** Counts a completed poll, in which the I/O thread has read all ready sockets. */
     void onPollCompleted() {
         if (pollsLeft > 0 && --pollsLeft == 0) {
             pauseMs = 0;
         }
     }
 
-    /** Whether the sockets are to be gone through again at once. */
+    /** Whether the sockets must be polled again at once. */
     boolean needsPoll() {
         return pollsLeft > 0;
     }
 
-    /** How much older than its reading a request may be; 0 without a pause. */
+    /** How long before its reading a request may have arrived; 0 if there was no pause. */
     double pauseMs() {
         return pauseMs;
     }
--- a/node/src/main/java/spartrail/record/RecordEncoder.java
+++ b/node/src/main/java/spartrail/record/RecordEncoder.java
@@ -51,7 +51,7 @@
                 .orElse(0);
         generator.writeNumberField("workMs", meanCostMs);
         generator.writeNumberField("textBytes", query.text().length);
-        generator.writeNumberField("clientMs", query.clientLeftMs());
+        generator.writeNumberField("clientMs", query.clientTimeoutMs());
         generator.writeBooleanField("retry", query.retry());
     }
 }
--- a/node/src/test/java/example/ToyFleet.java
+++ b/node/src/test/java/example/ToyFleet.java
@@ -18,29 +18,30 @@
 import java.util.stream.Collectors;
 
 /**
- * A toy fleet on loopback: index servers that answer at once, and the discovery agent that lists them. Run it with
- * {@code java example/ToyFleet.java}; it serves until it is stopped. Tests start it on free ports and change its servers' behavior.
+ * A toy fleet on the loopback: index servers that answer at once, and the discovery agent that lists them. Run it with
+ * {@code java node/src/test/java/example/ToyFleet.java}; it serves until it is stopped. Tests start it on free ports
+ * and change its servers' behavior.
  */
 public final class ToyFleet implements AutoCloseable {
-    /** Behavior of a toy server; by default each part is answered with its shard and text. */
+    /** The behavior of a server; by default it answers each part with the part's shard and text. */
     public interface ServerBehavior {
-        /** A part was received. */
-        default void part(Link link, String id, int shard, String text) throws IOException {
-            link.answer(id, "OK", shard + ":" + text);
+        /** Called when a part was received. */
+        default void onPart(Connection connection, String id, int shard, String text) throws IOException {
+            connection.sendResponse(id, "OK", shard + ":" + text);
         }
 
-        /** A part was cancelled. */
-        default void givenUp(Link link, String id) throws IOException {}
+        /** Called when a part was cancelled. */
+        default void onCancelled(Connection connection, String id) throws IOException {}
 
-        /** A connection was accepted. */
-        default void opened(Link link) throws IOException {}
+        /** Called when a connection was accepted. */
+        default void onConnected(Connection connection) throws IOException {}
 
-        /** A connection was closed by the front node. */
-        default void closed(Link link) throws IOException {}
+        /** Called when the front node has closed a connection. */
+        default void onDisconnected(Connection connection) throws IOException {}
     }
 
-    /** One index server. */
-    public static final class Toy {
+    /** An index server. */
+    public static final class Server {
         public final String uid;
         public final int cell;
         public volatile String state = "SERVING";
@@ -48,48 +49,48 @@
         public volatile ServerBehavior behavior = new ServerBehavior() {};
         final ServerSocket listening;
 
-        Toy(int cell, int port) throws IOException {
+        Server(int cell, int port) throws IOException {
             this.uid = "s-" + cell;
             this.cell = cell;
             this.listening = new ServerSocket(port, 64, InetAddress.getByName("127.0.0.1"));
         }
 
-        /** Its address as host:port. */
+        /** The server's address as host:port. */
         public String endpoint() {
             return "127.0.0.1:" + listening.getLocalPort();
         }
     }
 
     /** A connection from a front node. */
-    public static final class Link {
-        public final Toy toy;
+    public static final class Connection {
+        public final Server server;
         private final Socket socket;
 
-        Link(Toy toy, Socket socket) {
-            this.toy = toy;
+        Connection(Server server, Socket socket) {
+            this.server = server;
             this.socket = socket;
         }
 
-        /** Sends an answer frame for a part. */
-        public void answer(String id, String end, String value) throws IOException {
-            frame('Y', id + " " + end + " 1 -\n" + value);
+        /** Sends a response frame for a part. */
+        public void sendResponse(String id, String status, String value) throws IOException {
+            sendFrame('Y', id + " " + status + " 1 -\n" + value);
         }
 
         /** Sends a frame. */
-        public synchronized void frame(char letter, String rest) throws IOException {
-            byte[] bytes = rest.getBytes(StandardCharsets.UTF_8);
+        public synchronized void sendFrame(char type, String payload) throws IOException {
+            byte[] bytes = payload.getBytes(StandardCharsets.UTF_8);
             byte[] frame = new byte[5 + bytes.length];
             int length = 1 + bytes.length;
             for (int i = 0; i < 4; i++) {
                 frame[i] = (byte) (length >>> 24 - 8 * i);
             }
-            frame[4] = (byte) letter;
+            frame[4] = (byte) type;
             System.arraycopy(bytes, 0, frame, 5, bytes.length);
-            raw(frame);
+            sendBytes(frame);
         }
 
-        /** Sends bytes as they are. */
-        public synchronized void raw(byte[] bytes) throws IOException {
+        /** Sends bytes without a frame. */
+        public synchronized void sendBytes(byte[] bytes) throws IOException {
             socket.getOutputStream().write(bytes);
         }
 
@@ -99,8 +100,8 @@
         }
     }
 
-    public final List<Toy> servers = new ArrayList<>();
-    /** Whether discovery accepts requests and answers none. */
+    public final List<Server> servers = new ArrayList<>();
+    /** Whether discovery accepts requests but does not answer them. */
     public volatile boolean silent;
 
     private final HttpServer discovery;
@@ -111,23 +112,24 @@
     });
     private final List<Socket> open = new ArrayList<>();
     private long version = 1;
-    /** The latest version that was written to a front node, and the latest from which one has asked on. */
-    private long written;
+    /** The latest version of the list that was written to a front node. */
+    private long writtenVersion;
+    /** The latest version after which a front node has asked for changes, and which it has so received. */
+    private long polledVersion;
 
-    private long askedFrom;
-    private boolean called;
+    private boolean polled;
     private boolean closed;
 
-    /** Servers on consecutive ports from {@code firstPort}, or on free ports if it is 0. */
+    /** Starts servers on consecutive ports from {@code firstPort}, or on free ports if it is 0, and discovery. */
     public ToyFleet(int count, int firstPort, int discoveryPort) throws IOException {
         for (int cell = 0; cell < count; cell++) {
-            Toy toy = new Toy(cell, firstPort == 0 ? 0 : firstPort + cell);
-            servers.add(toy);
-            threads.execute(() -> accept(toy));
+            Server server = new Server(cell, firstPort == 0 ? 0 : firstPort + cell);
+            servers.add(server);
+            threads.execute(() -> acceptConnections(server));
         }
         discovery = HttpServer.create(new InetSocketAddress("127.0.0.1", discoveryPort), 0);
         discovery.setExecutor(threads);
-        discovery.createContext("/discovery/hosts", this::list);
+        discovery.createContext("/discovery/hosts", this::handleListRequest);
         discovery.start();
     }
 
@@ -137,54 +139,57 @@
     }
 
     /** The endpoint list as discovery sends it. */
-    public synchronized String hosts() {
+    public synchronized String endpointList() {
         return "{\"rev\":" + version + ",\"all\":true,\"targets\":["
                 + servers.stream()
-                        .map(toy -> "{\"uid\":\""
-                                + toy.uid + "\",\"endpoint\":\"" + toy.endpoint()
+                        .map(server -> "{\"uid\":\""
+                                + server.uid + "\",\"endpoint\":\"" + server.endpoint()
                                 + "\",\"az\":\"a\",\"model\":\"toy\",\"pod_group\":"
-                                + toy.cell + ",\"state\":\"" + toy.state + "\",\"capacity_hint\":1.0,\"boot_ms\":"
-                                + toy.bootMs + "}")
+                                + server.cell + ",\"state\":\"" + server.state + "\",\"capacity_hint\":1.0,\"boot_ms\":"
+                                + server.bootMs + "}")
                         .collect(Collectors.joining(","))
                 + "]}";
     }
 
-    /** Publishes a change of a server's state, and whatever changed before. */
-    public synchronized void publish(Toy toy, String state) {
-        toy.state = state;
+    /** Publishes a new version of the list, in which a server has this state. */
+    public synchronized void publish(Server server, String state) {
+        server.state = state;
         version++;
         notifyAll();
     }
 
-    /** Waits until the current list was written to a front node, and with {@code read} until the node has polled past it. */
-    public synchronized void awaitPublished(boolean read) throws InterruptedException {
-        while ((read ? askedFrom : written) < version) {
+    /**
+     * Waits until the current list was written to a front node; with {@code received}, until the node has asked for the
+     * changes after it.
+     */
+    public synchronized void awaitPublished(boolean received) throws InterruptedException {
+        while ((received ? polledVersion : writtenVersion) < version) {
             wait(20_000);
         }
     }
 
-    /** Waits until a front node has polled. */
+    /** Waits until a front node has asked for the list or its changes. */
     public synchronized void awaitPolled() throws InterruptedException {
-        while (!called) {
+        while (!polled) {
             wait(20_000);
         }
     }
 
-    private synchronized void note(long since, long wrote) {
-        called = true;
-        askedFrom = Math.max(askedFrom, since);
-        written = Math.max(written, wrote);
+    private synchronized void recordPoll(long sinceVersion, long sentVersion) {
+        polled = true;
+        polledVersion = Math.max(polledVersion, sinceVersion);
+        writtenVersion = Math.max(writtenVersion, sentVersion);
         notifyAll();
     }
 
-    private void list(HttpExchange exchange) throws IOException {
+    private void handleListRequest(HttpExchange exchange) throws IOException {
         String query = exchange.getRequestURI().getQuery();
-        note(0, 0);
+        recordPoll(0, 0);
         try {
             synchronized (this) {
                 if (query != null) {
                     long since = Long.parseLong(query.replaceAll(".*since=(\\d+).*", "$1"));
-                    note(since, 0);
+                    recordPoll(since, 0);
                     long untilMs = System.currentTimeMillis()
                             + Long.parseLong(query.replaceAll(".*timeout_ms=(\\d+).*", "$1"));
                     while (!closed && since >= version && System.currentTimeMillis() < untilMs) {
@@ -195,85 +200,85 @@
                     wait(50);
                 }
             }
-            String hosts = hosts();
-            byte[] body = hosts.getBytes(StandardCharsets.UTF_8);
+            String list = endpointList();
+            byte[] body = list.getBytes(StandardCharsets.UTF_8);
             exchange.sendResponseHeaders(200, body.length);
             try (OutputStream out = exchange.getResponseBody()) {
                 out.write(body);
             }
-            note(0, Long.parseLong(hosts.replaceAll(".*?(\\d+).*", "$1")));
+            recordPoll(0, Long.parseLong(list.replaceAll(".*?(\\d+).*", "$1")));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void accept(Toy toy) {
+    private void acceptConnections(Server server) {
         try {
             while (true) {
-                Socket socket = toy.listening.accept();
+                Socket socket = server.listening.accept();
                 socket.setTcpNoDelay(true);
                 synchronized (open) {
                     open.add(socket);
                 }
-                threads.execute(() -> serve(new Link(toy, socket)));
+                threads.execute(() -> serveConnection(new Connection(server, socket)));
             }
         } catch (IOException e) {
             // The listening socket is closed: this server was killed.
         }
     }
 
-    private void serve(Link link) {
-        try (Socket socket = link.socket) {
-            link.toy.behavior.opened(link);
+    private void serveConnection(Connection connection) {
+        try (Socket socket = connection.socket) {
+            connection.server.behavior.onConnected(connection);
             DataInputStream in = new DataInputStream(socket.getInputStream());
             while (true) {
                 byte[] frame = new byte[in.readInt()];
                 in.readFully(frame);
                 switch (frame[0]) {
-                    case 'R' -> parts(link, frame);
-                    case 'A' -> link.toy.behavior.givenUp(
-                            link, new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
-                    case 'G', 'T' -> link.frame((char) frame[0], frame[0] == 'G' ? "OK" : "-");
+                    case 'R' -> notifyParts(connection, frame);
+                    case 'A' -> connection.server.behavior.onCancelled(
+                            connection, new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
+                    case 'G', 'T' -> connection.sendFrame((char) frame[0], frame[0] == 'G' ? "OK" : "-");
                     default -> {
-                        link.frame('N', "unknown letter");
+                        connection.sendFrame('N', "unknown letter");
                         return;
                     }
                 }
             }
         } catch (IOException e) {
-            closed(link);
+            notifyDisconnected(connection);
         }
     }
 
-    private static void closed(Link link) {
+    private static void notifyDisconnected(Connection connection) {
         try {
-            link.toy.behavior.closed(link);
+            connection.server.behavior.onDisconnected(connection);
         } catch (IOException e) {
-            // It is closed all the same.
+            // The connection is closed in any case.
         }
     }
 
-    private static void parts(Link link, byte[] frame) throws IOException {
+    private static void notifyParts(Connection connection, byte[] frame) throws IOException {
         int at = 1;
         while (at < frame.length) {
-            int lf = at;
-            while (frame[lf] != '\n') {
-                lf++;
+            int lineEnd = at;
+            while (frame[lineEnd] != '\n') {
+                lineEnd++;
             }
-            String[] words = new String(frame, at, lf - at, StandardCharsets.US_ASCII).split(" ");
+            String[] words = new String(frame, at, lineEnd - at, StandardCharsets.US_ASCII).split(" ");
             int length = Integer.parseInt(words[3]);
-            String text = new String(frame, lf + 1, length, StandardCharsets.UTF_8);
-            at = lf + 1 + length;
-            link.toy.behavior.part(link, words[0], Integer.parseInt(words[1]), text);
+            String text = new String(frame, lineEnd + 1, length, StandardCharsets.UTF_8);
+            at = lineEnd + 1 + length;
+            connection.server.behavior.onPart(connection, words[0], Integer.parseInt(words[1]), text);
         }
     }
 
     /** Kills a server: its connections are reset and new ones refused. */
-    public void kill(Toy toy) throws IOException {
-        toy.listening.close();
+    public void kill(Server server) throws IOException {
+        server.listening.close();
         synchronized (open) {
             for (Socket socket : open) {
-                if (socket.getLocalPort() == toy.listening.getLocalPort()) {
+                if (socket.getLocalPort() == server.listening.getLocalPort()) {
                     reset(socket);
                 }
             }
@@ -284,7 +289,7 @@
         try {
             socket.setSoLinger(true, 0);
         } catch (SocketException e) {
-            // Its own thread has just closed it.
+            // The thread that serves this socket has closed it in the meantime.
         }
         socket.close();
     }
@@ -295,18 +300,18 @@
             closed = true;
             notifyAll();
         }
-        for (Toy toy : servers) {
-            kill(toy);
+        for (Server server : servers) {
+            kill(server);
         }
         discovery.stop(0);
         threads.shutdownNow();
     }
 
-    /** The fleet that {@code example/config.json} names. */
+    /** Runs the fleet that {@code example/config.json} lists. */
     public static void main(String[] args) throws Exception {
         try (ToyFleet fleet = new ToyFleet(4, 7001, 8500)) {
             System.out.println("discovery on " + fleet.discoveryEndpoint() + ", servers on "
-                    + fleet.servers.stream().map(Toy::endpoint).toList());
+                    + fleet.servers.stream().map(Server::endpoint).toList());
             Thread.currentThread().join();
         }
     }
--- a/node/src/test/java/spartrail/cli/SignalsTest.java
+++ b/node/src/test/java/spartrail/cli/SignalsTest.java
@@ -122,21 +122,22 @@
 
     @Test
     void repeatedSignalsAndUnusableFilesLeaveRequestsInFlightAnswered() throws Exception {
-        CompletableFuture<ToyFleet.Link> held = new CompletableFuture<>();
-        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
+        CompletableFuture<ToyFleet.Connection> held = new CompletableFuture<>();
+        fleet.servers.forEach(server -> server.behavior = new ToyFleet.ServerBehavior() {
             @Override
-            public void part(ToyFleet.Link link, String id, int shard, String text) {
-                held.complete(link);
+            public void onPart(ToyFleet.Connection connection, String id, int shard, String text) {
+                held.complete(connection);
             }
         });
         serve("");
         String port = awaitLine("serving on").replaceAll(".*:(\\d+), 4 servers known", "$1");
         signal("HUP");
-        assertThat(awaitLine("configuration")).isEqualTo("spartrail.cli: configuration read again");
+        assertThat(awaitLine("configuration")).isEqualTo("spartrail.cli: configuration reloaded");
         Files.delete(file);
         signal("HUP");
         assertThat(awaitLine("configuration"))
-                .isEqualTo("spartrail.cli: configuration not taken, the one before stays: cannot read DIR/config.json");
+                .isEqualTo(
+                        "spartrail.cli: configuration rejected, the previous one stays in effect: cannot read DIR/config.json");
         try (Socket client = new Socket("127.0.0.1", Integer.parseInt(port))) {
             String body = "{\"segments\":[{\"segment\":0,\"boost\":1}],\"text\":\"t\"}";
             client.getOutputStream()
@@ -144,7 +145,7 @@
                             ("POST /orders/k HTTP/1.1\r\nHost: x\r\nReq-Id: a\r\nReq-Kind: orders\r\nReq-Deadline: 20\r\n"
                                             + "Content-Length: " + body.length() + "\r\n\r\n" + body)
                                     .getBytes(StandardCharsets.US_ASCII));
-            ToyFleet.Link link = held.get(20, TimeUnit.SECONDS);
+            ToyFleet.Connection connection = held.get(20, TimeUnit.SECONDS);
             Files.writeString(file, good.substring(0, good.length() / 2));
             signal("TERM");
             assertThat(awaitLine("draining")).startsWith("spartrail.front: draining: ");
@@ -152,14 +153,14 @@
             signal("HUP");
             assertThat(awaitLine("configuration"))
                     .startsWith(
-                            "spartrail.cli: configuration not taken, the one before stays: DIR/config.json: no JSON: ");
+                            "spartrail.cli: configuration rejected, the previous one stays in effect: DIR/config.json: no JSON: ");
             // One whose op type is another's waits for a start; what is in hand goes on by its own.
             Files.writeString(file, good.replace("\"orders\"", "\"others\""));
             signal("HUP");
             assertThat(awaitLine("configuration"))
-                    .isEqualTo("spartrail.cli: configuration read again, its settings wait for the next start: "
-                            + "classes: found [others], served [orders]");
-            link.answer("a.0", "OK", "t");
+                    .isEqualTo("spartrail.cli: configuration reloaded; its settings need a restart: "
+                            + "classes: found [others], in use [orders]");
+            connection.sendResponse("a.0", "OK", "t");
             InputStream in = client.getInputStream();
             client.setSoTimeout(20_000);
             assertThat(new String(in.readAllBytes(), StandardCharsets.US_ASCII)).startsWith("HTTP/1.1 200");
@@ -192,7 +193,7 @@
         serveByStartCommand("trap '' HUP; ");
         assertThat(awaitLine("serving on")).startsWith("spartrail.front: serving on ");
         signal("HUP");
-        assertThat(awaitLine("configuration")).isEqualTo("spartrail.cli: configuration read again");
+        assertThat(awaitLine("configuration")).isEqualTo("spartrail.cli: configuration reloaded");
     }
 
     @Test
--- a/node/src/test/java/spartrail/front/FrontNodeClientTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeClientTest.java
@@ -11,21 +11,24 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What clients see of a node: what is read as a request, who is closed first, and what becomes of a client that leaves. */
+/**
+ * A node as seen by its clients: which requests it accepts, which connections it closes first, how it handles
+ * disconnects.
+ */
 class FrontNodeClientTest extends FrontNodeFixture {
     FrontNodeClientTest() throws IOException {}
 
     @Test
-    void servesSequentialRequestsWithValuesAsTheServersGaveThem() throws Exception {
+    void sequentialRequestsReceiveTheServersValuesUnchanged() throws Exception {
         start();
         Client client = new Client();
-        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
+        fleet.servers.forEach(server -> server.behavior = new ToyFleet.ServerBehavior() {
             @Override
-            public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
-                link.answer(id, "OK", "\"é\n" + shard + text);
+            public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
+                connection.sendResponse(id, "OK", "\"é\n" + shard + text);
             }
         });
-        assertThat(client.ask("a", 2, 0).answer())
+        assertThat(client.query("a", 2, 0).readResponse())
                 .isEqualTo("200 {\"all_in\":true,\"matches\":"
                         + "[{\"segment\":2,\"payload\":\"\\\"é\\n2t\"},{\"segment\":0,\"payload\":\"\\\"é\\n0t\"}]}");
         String body = body(1);
@@ -34,10 +37,10 @@
                         + "5\r\n" + body.substring(0, 5) + "\r\n" + Integer.toHexString(body.length() - 5) + "\r\n"
                         + body.substring(5)
                         + "\r\n0\r\n\r\n";
-        for (char each : chunked.toCharArray()) {
-            client.send(String.valueOf(each));
+        for (char character : chunked.toCharArray()) {
+            client.send(String.valueOf(character));
         }
-        assertThat(client.answer())
+        assertThat(client.readResponse())
                 .isEqualTo("200 {\"all_in\":true,\"matches\":[{\"segment\":1,\"payload\":\"\\\"é\\n1t\"}]}");
         client.send(request("c", "1", "")
                 .replaceAll(
@@ -45,8 +48,8 @@
                         "Expect: 100-continue\r\nContent-Length: " + body.length() + "\r\n\r\n"));
         assertThat(new String(client.in.readNBytes(25), StandardCharsets.US_ASCII))
                 .isEqualTo("HTTP/1.1 100 Continue\r\n\r\n");
-        assertThat(client.send(body).answer()).startsWith("200 {\"all_in\":true");
-        assertThat(client.send(UP).answer()).isEqualTo("200 ");
+        assertThat(client.send(body).readResponse()).startsWith("200 {\"all_in\":true");
+        assertThat(client.send(UP).readResponse()).isEqualTo("200 ");
     }
 
     private static List<String> malformedRequests(String good) {
@@ -79,13 +82,13 @@
 
     @Test
     void malformedRequestsAreRejectedInOneSentenceAndEndTheirConnection() throws Exception {
-        // Before the start, so that a rehearsal that reached servers would be seen.
+        // Before the start, so that a warm-up request that reached a server would be recorded as an event.
         answerOnly("a");
         start();
         String good = request("a", "1", body(0));
         StringBuilder messages = new StringBuilder();
         for (String bad : malformedRequests(good)) {
-            messages.append(new Client().send(bad).answer()).append('\n');
+            messages.append(new Client().send(bad).readResponse()).append('\n');
         }
         assertThat(messages.toString())
                 .isEqualTo(
@@ -115,9 +118,9 @@
                 400 close Req-Kind is unknown or not the path's
                 405 close POST a multiget, or GET /up
                 """);
-        assertThat(new Client().ask("a", 0).answer()).startsWith("200 {\"all_in\":true");
-        assertThat(seen).containsExactly("part a.0");
-        assertThat(new Client().send(request("a", "1", " ".repeat(70_000))).answer())
+        assertThat(new Client().query("a", 0).readResponse()).startsWith("200 {\"all_in\":true");
+        assertThat(events).containsExactly("part a.0");
+        assertThat(new Client().send(request("a", "1", " ".repeat(70_000))).readResponse())
                 .startsWith("413 close ");
     }
 
@@ -143,30 +146,30 @@
                 chunked + "zz\r\n",
                 chunked + "fffffffffff\r\n")) {
             Client client = new Client().send(bad + hidden);
-            messages.append(client.answer().replaceAll("(?s)^([45].. close).*", "$1"))
+            messages.append(client.readResponse().replaceAll("(?s)^([45].. close).*", "$1"))
                     .append(", ");
-            assertThat(client.answer()).isEqualTo("closed");
+            assertThat(client.readResponse()).isEqualTo("closed");
         }
         assertThat(messages.toString().replaceAll("400 close|closed", "no")).matches("(no, )+");
-        assertThat(new Client().ask("b", 0).answer()).startsWith("200 ");
-        assertThat(seen).containsExactly("part b.0");
+        assertThat(new Client().query("b", 0).readResponse()).startsWith("200 ");
+        assertThat(events).containsExactly("part b.0");
     }
 
     @Test
-    void silentAndHalfSentConnectionsAreClosedWhileARequestInFlightIsKept() throws Exception {
+    void connectionsWithoutACompleteRequestAreClosedAndOneWithARequestInFlightIsKept() throws Exception {
         start();
         answerOnly("b");
-        Client inFlight = new Client().ask("a", 0);
-        assertThat(next()).isEqualTo("part a.0");
+        Client inFlight = new Client().query("a", 0);
+        assertThat(nextEvent()).isEqualTo("part a.0");
         String half = request("c", "4", body(0));
         for (Client client : List.of(
                 new Client(),
                 new Client().send(half.substring(0, 30)),
                 new Client().send(half.substring(0, half.length() - 1)))) {
-            assertThat(client.answer()).isIn("closed", "400 close ", "408 close ");
+            assertThat(client.readResponse()).isIn("closed", "400 close ", "408 close ");
         }
         inFlight.socket.setSoTimeout(1);
-        assertThat(catching(inFlight)).isEqualTo("still waiting");
+        assertThat(readResponseOrTimeout(inFlight)).isEqualTo("still waiting");
     }
 
     @Test
@@ -177,10 +180,10 @@
         List<Client> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             silent.add(new Client());
-            assertThat(kept.send(UP).answer()).isEqualTo("200 ");
+            assertThat(kept.send(UP).readResponse()).isEqualTo("200 ");
         }
-        assertThat(silent.get(0).answer()).isEqualTo("closed");
-        assertThat(kept.ask("b", 0).answer()).startsWith("200 ");
+        assertThat(silent.get(0).readResponse()).isEqualTo("closed");
+        assertThat(kept.query("b", 0).readResponse()).startsWith("200 ");
     }
 
     @Test
@@ -188,17 +191,17 @@
         start("\"sockets\": 1024", "\"sockets\": " + (FileDescriptorLimit.openCount() + 60));
         List<Client> idle = new ArrayList<>();
         answerOnly("b");
-        Client inFlight = new Client().ask("a", 0);
-        assertThat(next()).isEqualTo("part a.0");
+        Client inFlight = new Client().query("a", 0);
+        assertThat(nextEvent()).isEqualTo("part a.0");
         for (int i = 0; i < 60; i++) {
             idle.add(new Client());
-            assertThat(idle.get(i).send(UP).answer()).isEqualTo("200 ");
+            assertThat(idle.get(i).send(UP).readResponse()).isEqualTo("200 ");
         }
-        assertThat(idle.get(0).answer()).isEqualTo("closed");
-        assertThat(idle.get(59).ask("b", 0).answer()).startsWith("200 ");
+        assertThat(idle.get(0).readResponse()).isEqualTo("closed");
+        assertThat(idle.get(59).query("b", 0).readResponse()).startsWith("200 ");
         assertThat(inFlight.socket.getInputStream().available()).isZero();
         inFlight.socket.setSoTimeout(1);
-        assertThat(catching(inFlight)).isEqualTo("still waiting");
+        assertThat(readResponseOrTimeout(inFlight)).isEqualTo("still waiting");
     }
 
     @Test
@@ -214,125 +217,125 @@
         for (int i = 0; i < 60; i++) {
             clients.add(new Client().send(half.substring(0, half.length() - 1)));
         }
-        assertThat(new Client().ask("b", 0, 1).answer()).startsWith("200 ");
-        assertThat(clients.get(0).answer()).isEqualTo("closed");
-        assertThat(new Client().send(half.replace('}', 'x')).answer()).startsWith("400 ");
+        assertThat(new Client().query("b", 0, 1).readResponse()).startsWith("200 ");
+        assertThat(clients.get(0).readResponse()).isEqualTo("closed");
+        assertThat(new Client().send(half.replace('}', 'x')).readResponse()).startsWith("400 ");
     }
 
-    private static String catching(Client client) throws IOException {
+    private static String readResponseOrTimeout(Client client) throws IOException {
         try {
-            return client.answer();
+            return client.readResponse();
         } catch (java.net.SocketTimeoutException e) {
             return "still waiting";
         }
     }
 
     @Test
-    void aClientThatLeavesHasItsAttemptsCancelled() throws Exception {
+    void attemptsOfADisconnectedClientAreCancelled() throws Exception {
         start();
         answerOnly("b");
-        Client client = new Client().ask("a", 0);
-        assertThat(next()).isEqualTo("part a.0");
+        Client client = new Client().query("a", 0);
+        assertThat(nextEvent()).isEqualTo("part a.0");
         client.socket.close();
-        assertThat(next()).isEqualTo("given up a.0");
-        assertThat(new Client().ask("b", 0).answer()).startsWith("200 ");
+        assertThat(nextEvent()).isEqualTo("cancelled a.0");
+        assertThat(new Client().query("b", 0).readResponse()).startsWith("200 ");
     }
 
     @Test
-    void aClientThatLeavesBehindPipelinedBytesIsSeenToLeave() throws Exception {
+    void aDisconnectAfterPipelinedBytesIsDetected() throws Exception {
         start();
         answerOnly("b");
-        for (String ahead : List.of("P", request("z", "4", body(1)), "x".repeat(300_000))) {
-            Client client = new Client().ask("a", 0);
-            assertThat(next()).isEqualTo("part a.0");
-            client.send(ahead);
+        for (String pipelined : List.of("P", request("z", "4", body(1)), "x".repeat(300_000))) {
+            Client client = new Client().query("a", 0);
+            assertThat(nextEvent()).isEqualTo("part a.0");
+            client.send(pipelined);
             client.socket.close();
-            assertThat(next()).isEqualTo("given up a.0");
+            assertThat(nextEvent()).isEqualTo("cancelled a.0");
         }
-        assertThat(new Client().ask("b", 0).answer()).startsWith("200 ");
+        assertThat(new Client().query("b", 0).readResponse()).startsWith("200 ");
     }
 
     @Test
-    void anAttemptThatBreaksAfterItsClientLeftIsNotRetried() throws Exception {
+    void aResetAttemptOfADisconnectedClientIsNotRetried() throws Exception {
         start();
-        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
+        fleet.servers.forEach(server -> server.behavior = new ToyFleet.ServerBehavior() {
             @Override
-            public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
-                seen.add("part " + id);
+            public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
+                events.add("part " + id);
                 if (id.startsWith("b")) {
-                    link.answer(id, "OK", text);
+                    connection.sendResponse(id, "OK", text);
                 }
             }
 
             @Override
-            public void givenUp(ToyFleet.Link link, String id) throws IOException {
-                seen.add("given up " + id);
-                link.close();
+            public void onCancelled(ToyFleet.Connection connection, String id) throws IOException {
+                events.add("cancelled " + id);
+                connection.close();
             }
         });
-        Client client = new Client().ask("a", 0);
-        assertThat(next()).isEqualTo("part a.0");
-        long leftNs = System.nanoTime();
+        Client client = new Client().query("a", 0);
+        assertThat(nextEvent()).isEqualTo("part a.0");
+        long closedNs = System.nanoTime();
         client.socket.close();
-        assertThat(next()).isEqualTo("given up a.0");
-        assertThat(System.nanoTime() - leftNs)
-                .as("long before its time is over")
+        assertThat(nextEvent()).isEqualTo("cancelled a.0");
+        assertThat(System.nanoTime() - closedNs)
+                .as("time until the cancellation, well below the client's timeout of 4 s")
                 .isLessThan(2_000_000_000L);
-        // Those behind it find both replicas, and would leave after a further attempt.
+        // These requests use both replicas, and would be sent after a retry of the first request if there were one.
         for (String id : List.of("b1", "b2", "b3")) {
-            assertThat(new Client().ask(id, 0).answer()).startsWith("200 ");
+            assertThat(new Client().query(id, 0).readResponse()).startsWith("200 ");
         }
-        assertThat(seen).containsExactly("part b1.0", "part b2.0", "part b3.0");
+        assertThat(events).containsExactly("part b1.0", "part b2.0", "part b3.0");
     }
 
-    /** What those who left first had in flight makes room for parts of those who left in the same moment. */
+    /** The attempts that the first disconnects end make room for queued parts of clients that disconnect just after. */
     @Test
-    void queuedPartsOfClientsThatLeaveTogetherAreNotSent() throws Exception {
+    void queuedPartsOfClientsThatDisconnectTogetherAreNotSent() throws Exception {
         start("\"open-cap\": 187", "\"open-cap\": 1000");
         answerOnly("b");
-        List<Client> crowd = new ArrayList<>();
+        List<Client> leaving = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            crowd.add(new Client().ask("c" + i, i % 4));
+            leaving.add(new Client().query("c" + i, i % 4));
         }
-        Client stays = new Client().ask("b", 0);
-        CompletableFuture<Void> left = new CompletableFuture<>();
+        Client staying = new Client().query("b", 0);
+        CompletableFuture<Void> disconnected = new CompletableFuture<>();
         node.io.execute(() -> {
             try {
-                for (Client client : crowd) {
+                for (Client client : leaving) {
                     client.socket.close();
                 }
-                left.complete(null);
+                disconnected.complete(null);
             } catch (IOException e) {
-                left.completeExceptionally(e);
+                disconnected.completeExceptionally(e);
             }
         });
-        left.get(20, TimeUnit.SECONDS);
-        assertThat(stays.answer()).startsWith("200 ");
-        List<String> messages = new ArrayList<>();
-        seen.drainTo(messages);
-        assertThat(messages.stream().filter(line -> line.startsWith("part c")).count())
-                .as("four at each of four servers")
+        disconnected.get(20, TimeUnit.SECONDS);
+        assertThat(staying.readResponse()).startsWith("200 ");
+        List<String> remaining = new ArrayList<>();
+        events.drainTo(remaining);
+        assertThat(remaining.stream().filter(line -> line.startsWith("part c")).count())
+                .as("parts sent: at most four to each of four servers")
                 .isLessThanOrEqualTo(16);
     }
 
     @Test
     void aClientThatPipelinesTooMuchGetsACompleteLastResponse() throws Exception {
         start();
-        CompletableFuture<ToyFleet.Link> held = new CompletableFuture<>();
-        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
+        CompletableFuture<ToyFleet.Connection> held = new CompletableFuture<>();
+        fleet.servers.forEach(server -> server.behavior = new ToyFleet.ServerBehavior() {
             @Override
-            public void part(ToyFleet.Link link, String id, int shard, String text) {
-                held.complete(link);
+            public void onPart(ToyFleet.Connection connection, String id, int shard, String text) {
+                held.complete(connection);
             }
         });
-        Client client = new Client().ask("a", 0);
-        ToyFleet.Link link = held.get(20, TimeUnit.SECONDS);
-        // More than is kept for a next request; a client whose bytes are not taken would hang here.
+        Client client = new Client().query("a", 0);
+        ToyFleet.Connection connection = held.get(20, TimeUnit.SECONDS);
+        // More bytes than the node buffers for the next request; this would block if the node stopped reading.
         client.send("x".repeat(8_000_000));
-        link.answer("a.0", "OK", "t");
+        connection.sendResponse("a.0", "OK", "t");
         client.send("x".repeat(100_000));
-        assertThat(client.answer()).startsWith("200 close {\"all_in\":true");
-        assertThat(client.in.read()).as("end of the stream, no reset").isEqualTo(-1);
+        assertThat(client.readResponse()).startsWith("200 close {\"all_in\":true");
+        assertThat(client.in.read()).as("end of the stream instead of a reset").isEqualTo(-1);
     }
 
     @Test
@@ -340,7 +343,7 @@
         start();
         answerOnly("a", "b");
         Client client = new Client().send(request("a", "4", body(0)) + request("b", "4", body(1)));
-        assertThat(client.answer()).contains("\"segment\":0");
-        assertThat(client.answer()).contains("\"segment\":1");
+        assertThat(client.readResponse()).contains("\"segment\":0");
+        assertThat(client.readResponse()).contains("\"segment\":1");
     }
 }
--- a/node/src/test/java/spartrail/front/FrontNodeEndpointTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeEndpointTest.java
@@ -16,60 +16,60 @@
 import spartrail.model.Decisions;
 import spartrail.subset.SubsetSelector;
 
-/** What a node does when its servers drain, die or change, and when discovery is silent. */
+/** A node whose servers drain, fail or change, or whose discovery does not answer. */
 class FrontNodeEndpointTest extends FrontNodeFixture {
     FrontNodeEndpointTest() throws IOException {}
 
     /**
-     * A module that, once it has decided on a multiget with connections open to all, tells that the server chosen is
-     * to drain; with the I/O thread paused
-     * until discovery has written it, or with its own thread paused until it has been read.
+     * Publishes that a server drains just after the coordinator has chosen it for an attempt, while connections to all
+     * replicas are open. Pauses either the I/O thread until discovery has written the update, or the coordinator's
+     * thread until the update has been read. The attempt must not be sent to that server.
      */
-    private void drainsWhatIsChosen(boolean ioPaused) throws Exception {
+    private void drainChosenServerDuringPause(boolean ioPaused) throws Exception {
         CompletableFuture<String> drained = new CompletableFuture<>();
         AtomicBoolean armed = new AtomicBoolean();
         coordinatorDecorator = module -> (Coordinator) Proxy.newProxyInstance(
                 Coordinator.class.getClassLoader(), new Class<?>[] {Coordinator.class}, (proxy, method, args) -> {
-                    Object decided = method.invoke(module, args);
+                    Object decisions = method.invoke(module, args);
                     if (method.getName().equals("place") && armed.getAndSet(false)) {
-                        String uid = ((Decisions) decided).attempts.get(0).server.id;
-                        ToyFleet.Toy toy = fleet.servers.stream()
-                                .filter(each -> each.uid.equals(uid))
+                        String uid = ((Decisions) decisions).attempts.get(0).server.id;
+                        ToyFleet.Server server = fleet.servers.stream()
+                                .filter(candidate -> candidate.uid.equals(uid))
                                 .findFirst()
                                 .orElseThrow();
                         if (ioPaused) {
-                            node.io.execute(() -> drain(toy, false));
+                            node.io.execute(() -> drain(server, false));
                         } else {
-                            drain(toy, true);
+                            drain(server, true);
                         }
                         drained.complete(uid);
                     }
-                    return decided;
+                    return decisions;
                 });
         start("\"stop-sending-within\": 0.5", "\"stop-sending-within\": 0");
-        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
+        fleet.servers.forEach(server -> server.behavior = new ToyFleet.ServerBehavior() {
             @Override
-            public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
-                seen.add(toy.uid);
-                link.answer(id, "OK", text);
+            public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
+                events.add(server.uid);
+                connection.sendResponse(id, "OK", text);
             }
         });
         Client client = new Client();
         for (String id : List.of("b", "c", "d", "e")) {
-            assertThat(client.ask(id, 0).answer()).startsWith("200 {\"all_in\":true");
+            assertThat(client.query(id, 0).readResponse()).startsWith("200 {\"all_in\":true");
         }
-        assertThat(Set.copyOf(seen)).as("replicas with a connection").hasSize(2);
-        seen.clear();
+        assertThat(Set.copyOf(events)).as("replicas with a connection").hasSize(2);
+        events.clear();
         armed.set(true);
-        assertThat(client.ask("a", 0).answer()).startsWith("200 {\"all_in\":true");
-        assertThat(seen).hasSize(1).doesNotContain(drained.get());
+        assertThat(client.query("a", 0).readResponse()).startsWith("200 {\"all_in\":true");
+        assertThat(events).hasSize(1).doesNotContain(drained.get());
     }
 
-    private void drain(ToyFleet.Toy toy, boolean read) {
+    private void drain(ToyFleet.Server server, boolean received) {
         try {
-            fleet.publish(toy, "DRAINING");
-            fleet.awaitPublished(read);
-            // The pause itself: longer than what is known of the sockets may be old.
+            fleet.publish(server, "DRAINING");
+            fleet.awaitPublished(received);
+            // The pause is longer than the age limit of a socket poll.
             new CountDownLatch(1).await(100, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
@@ -77,56 +77,56 @@
     }
 
     @Test
-    void aDecisionOvertakenByAnEndpointUpdateInItsIterationIsTakenAgain() throws Exception {
-        drainsWhatIsChosen(false);
+    void anAttemptToAServerThatDrainsInTheSameIterationIsSentElsewhere() throws Exception {
+        drainChosenServerDuringPause(false);
     }
 
     @Test
     void aFrameDelayedByAPauseWaitsUntilTheSocketsAreRead() throws Exception {
-        drainsWhatIsChosen(true);
+        drainChosenServerDuringPause(true);
     }
 
     @Test
-    void aQueryBeforeDiscoveryAnswersIsNotServedByTheOldList() throws Exception {
-        asksBeforeDiscoveryWasHeard(0);
+    void aQueryBeforeDiscoveryAnswersIsNotSentToADrainingFirstReplica() throws Exception {
+        queryBeforeDiscoveryAnswers(0);
     }
 
     @Test
-    void aQueryBeforeDiscoveryAnswersIsNotServedByTheOldListForTheOtherReplica() throws Exception {
-        asksBeforeDiscoveryWasHeard(1);
+    void aQueryBeforeDiscoveryAnswersIsNotSentToADrainingSecondReplica() throws Exception {
+        queryBeforeDiscoveryAnswers(1);
     }
 
-    /** One of the two replicas of shard 0 drains, as discovery tells once the request is under way. */
-    private void asksBeforeDiscoveryWasHeard(int draining) throws Exception {
+    /** Sends a query while discovery is silent; discovery then answers that one of shard 0's two replicas drains. */
+    private void queryBeforeDiscoveryAnswers(int drainingReplica) throws Exception {
         fleet.silent = true;
         answerOnly("a");
-        ToyFleet.Toy old = fleet.servers.get(draining);
-        old.behavior = new ToyFleet.ServerBehavior() {
+        ToyFleet.Server draining = fleet.servers.get(drainingReplica);
+        draining.behavior = new ToyFleet.ServerBehavior() {
             @Override
-            public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
-                seen.add("sent to the old one");
-                link.answer(id, "OK", text);
+            public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
+                events.add("sent to the draining replica");
+                connection.sendResponse(id, "OK", text);
             }
         };
-        CompletableFuture<String> early = CompletableFuture.supplyAsync(() -> {
+        CompletableFuture<String> response = CompletableFuture.supplyAsync(() -> {
             try {
                 fleet.awaitPolled();
-                Client client = new Client().ask("a", 0);
-                // One that went by the old list would have sent it by then; one that waits is not heard of.
-                String sent = seen.poll(100, TimeUnit.MILLISECONDS);
-                if (sent != null) {
-                    seen.add("before discovery was heard: " + sent);
+                Client client = new Client().query("a", 0);
+                // A node that used the old list would have sent the part by now; one that waits causes no event.
+                String event = events.poll(100, TimeUnit.MILLISECONDS);
+                if (event != null) {
+                    events.add("before discovery answered: " + event);
                 }
-                fleet.publish(old, "DRAINING");
+                fleet.publish(draining, "DRAINING");
                 fleet.silent = false;
-                return client.answer();
+                return client.readResponse();
             } catch (IOException | InterruptedException e) {
                 throw new IllegalStateException(e);
             }
         });
         start();
-        assertThat(early.get(20, TimeUnit.SECONDS)).startsWith("200 ");
-        assertThat(seen).containsExactly("part a.0");
+        assertThat(response.get(20, TimeUnit.SECONDS)).startsWith("200 ");
+        assertThat(events).containsExactly("part a.0");
     }
 
     @Test
@@ -135,88 +135,88 @@
         fleet.kill(fleet.servers.get(0));
         fleet.servers.get(2).behavior = new ToyFleet.ServerBehavior() {
             @Override
-            public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
-                link.raw(new byte[] {0, 0, 0, 1, 'Q'});
+            public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
+                connection.sendBytes(new byte[] {0, 0, 0, 1, 'Q'});
             }
         };
         Client client = new Client();
-        assertThat(client.ask("a", 0, 1, 2, 3).answer()).startsWith("200 {\"all_in\":true");
-        assertThat(client.ask("b", 0, 1, 2, 3).answer()).startsWith("200 {\"all_in\":true");
+        assertThat(client.query("a", 0, 1, 2, 3).readResponse()).startsWith("200 {\"all_in\":true");
+        assertThat(client.query("b", 0, 1, 2, 3).readResponse()).startsWith("200 {\"all_in\":true");
     }
 
     @Test
-    void endpointUpdatesAreAppliedAndASilentDiscoveryEndsNothing() throws Exception {
+    void endpointUpdatesAreAppliedAndRequestsAreServedWhileDiscoveryIsSilent() throws Exception {
         fleet.silent = true;
         start();
         answerOnly("a", "b", "c", "d");
-        assertThat(new Client().ask("a", 0).answer()).startsWith("200 ");
-        assertThat(next()).isEqualTo("part a.0");
+        assertThat(new Client().query("a", 0).readResponse()).startsWith("200 ");
+        assertThat(nextEvent()).isEqualTo("part a.0");
         fleet.publish(fleet.servers.get(0), "DRAINING");
         fleet.silent = false;
         ToyFleet.ServerBehavior behavior = fleet.servers.get(0).behavior;
         fleet.servers.get(0).behavior = new ToyFleet.ServerBehavior() {
             @Override
-            public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
-                seen.add("still sent to");
-                behavior.part(link, id, shard, text);
+            public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
+                events.add("sent to the draining server");
+                behavior.onPart(connection, id, shard, text);
             }
         };
-        // Once the change is told, all of a burst goes round the draining server.
-        for (int tries = 0; node.endpointUpdateCount() < 2 && tries < 2000; tries++) {
+        // Once the update is applied, no part of the following multigets may be sent to the draining server.
+        for (int polls = 0; node.endpointUpdateCount() < 2 && polls < 2000; polls++) {
             TimeUnit.MILLISECONDS.sleep(10);
         }
         Client client = new Client();
         for (String id : List.of("b", "c", "d")) {
-            assertThat(client.ask(id, 0, 3).answer()).startsWith("200 ");
+            assertThat(client.query(id, 0, 3).readResponse()).startsWith("200 ");
         }
-        assertThat(seen).hasSize(6).doesNotContain("still sent to");
+        assertThat(events).hasSize(6).doesNotContain("sent to the draining server");
     }
 
-    /** A server that leaves the subset finishes what it has, and gets nothing new. */
+    /** A server that leaves the subset answers the parts that it has received, and gets no new ones. */
     @Test
-    void aNodeWithASubsetUsesItsServersInItsOrderOfPreference() throws Exception {
+    void aNodeWithASubsetUsesTheServerThatItPrefersMost() throws Exception {
         String[] subset = {
             "\"tick\": 0.005",
             "\"tick\": 0.005, \"subset\": {\"replicasPerShard\": 1, \"leastZones\": 1}",
             "\"sets\": 4, \"width\": 2",
             "\"sets\": 2, \"width\": 1"
         };
-        SubsetSelector order = deployment(subset).subsetSelector();
-        order.apply(
+        SubsetSelector selector = deployment(subset).subsetSelector();
+        selector.apply(
                 List.of(
                         new SubsetSelector.LiveServer("s-0", "a", 0, 1),
                         new SubsetSelector.LiveServer("s-2", "a", 2, 1)),
                 List.of());
-        ToyFleet.Toy first = fleet.servers.get(
-                Integer.parseInt(order.selectedReplicas(0).get(0).substring(2)));
-        ToyFleet.Toy second = fleet.servers.get(2 - first.cell);
-        CompletableFuture<ToyFleet.Link> held = new CompletableFuture<>();
-        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
+        ToyFleet.Server first = fleet.servers.get(
+                Integer.parseInt(selector.selectedReplicas(0).get(0).substring(2)));
+        ToyFleet.Server second = fleet.servers.get(2 - first.cell);
+        CompletableFuture<ToyFleet.Connection> held = new CompletableFuture<>();
+        fleet.servers.forEach(server -> server.behavior = new ToyFleet.ServerBehavior() {
             @Override
-            public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
-                seen.add(id + " at " + toy.uid);
+            public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
+                events.add(id + " at " + server.uid);
                 if (id.startsWith("held")) {
-                    held.complete(link);
+                    held.complete(connection);
                 } else {
-                    link.answer(id, "OK", text);
+                    connection.sendResponse(id, "OK", text);
                 }
             }
         });
         fleet.publish(first, "DELETED");
         start(subset);
-        Client waiting = new Client().ask("held", 0);
-        assertThat(next()).isEqualTo("held.0 at " + second.uid);
+        Client waiting = new Client().query("held", 0);
+        assertThat(nextEvent()).isEqualTo("held.0 at " + second.uid);
         fleet.publish(first, "SERVING");
         fleet.awaitPublished(true);
         for (String id : List.of("a", "b", "c")) {
-            assertThat(new Client().ask(id, 0).answer()).startsWith("200 ");
-            assertThat(next()).isEqualTo(id + ".0 at " + first.uid);
+            assertThat(new Client().query(id, 0).readResponse()).startsWith("200 ");
+            assertThat(nextEvent()).isEqualTo(id + ".0 at " + first.uid);
         }
-        held.get(20, TimeUnit.SECONDS).answer("held.0", "OK", "t");
-        assertThat(waiting.answer()).startsWith("200 {\"all_in\":true");
+        held.get(20, TimeUnit.SECONDS).sendResponse("held.0", "OK", "t");
+        assertThat(waiting.readResponse()).startsWith("200 {\"all_in\":true");
         fleet.publish(first, "DRAINING");
         fleet.awaitPublished(true);
-        assertThat(new Client().ask("d", 0).answer()).startsWith("200 ");
-        assertThat(next()).isEqualTo("d.0 at " + second.uid);
+        assertThat(new Client().query("d", 0).readResponse()).startsWith("200 ");
+        assertThat(nextEvent()).isEqualTo("d.0 at " + second.uid);
     }
 }
--- a/node/src/test/java/spartrail/front/FrontNodeFixture.java
+++ b/node/src/test/java/spartrail/front/FrontNodeFixture.java
@@ -22,31 +22,35 @@
 import spartrail.config.DeploymentFile;
 import spartrail.coordination.Coordinator;
 
-/** A whole node on the loopback, between raw clients and the toy fleet of the example. */
+/** Runs a complete node on the loopback, between raw client connections and the toy fleet of the example. */
 abstract class FrontNodeFixture {
     static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
     final ToyFleet fleet = new ToyFleet(4, 0, 0);
 
-    final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
     final List<Client> clients = new ArrayList<>();
 
     UnaryOperator<Coordinator> coordinatorDecorator = UnaryOperator.identity();
 
-    Map<String, Long> broken = Map.of();
+    /** The violations of invariants that the test provokes. */
+    Map<String, Long> expectedViolations = Map.of();
 
     volatile FrontNode node;
 
     FrontNodeFixture() throws IOException {}
 
-    /** The example's configuration on the ports of this fleet; each change is a text and what replaces it. */
+    /** Starts a node; for the changes see {@link #deployment}. */
     void start(String... changes) throws IOException {
         DeploymentFile deployment = deployment(changes);
         node = new FrontNode(deployment, deployment.listen(), coordinatorDecorator);
         node.start();
     }
 
+    /**
+     * The example's configuration with the ports of this fleet; the changes are pairs of a text and its replacement.
+     */
     DeploymentFile deployment(String... changes) throws IOException {
         String text = Files.readString(Path.of("example/config.json"))
                 .replace("127.0.0.1:3000", "127.0.0.1:0")
@@ -68,7 +72,7 @@
         }
         node.close();
         fleet.close();
-        assertThat(node.invariants().violations()).isEqualTo(broken);
+        assertThat(node.invariants().violations()).isEqualTo(expectedViolations);
     }
 
     /** A raw client connection. */
@@ -89,12 +93,12 @@
             return this;
         }
 
-        Client ask(String id, int... shards) throws IOException {
+        Client query(String id, int... shards) throws IOException {
             return send(request(id, "4", body(shards)));
         }
 
-        /** Status, what matters of the head, and the body of the next answer; or that there is none. */
-        String answer() throws IOException {
+        /** Reads the next response: status, "close" if the head says so, and body; or "closed" if there is none. */
+        String readResponse() throws IOException {
             StringBuilder head = new StringBuilder();
             try {
                 while (head.indexOf("\r\n\r\n") < 0) {
@@ -132,26 +136,29 @@
                 + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body;
     }
 
-    /** Servers that take parts and tell of them, and answer those whose id begins with one of these. */
+    /**
+     * Makes the servers record parts and cancellations as events, and answer only parts of the multigets with these
+     * ids.
+     */
     void answerOnly(String... answered) {
-        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
+        fleet.servers.forEach(server -> server.behavior = new ToyFleet.ServerBehavior() {
             @Override
-            public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
-                seen.add("part " + id);
+            public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
+                events.add("part " + id);
                 if (List.of(answered).contains(id.substring(0, id.indexOf('.')))) {
-                    link.answer(id, "OK", text);
+                    connection.sendResponse(id, "OK", text);
                 }
             }
 
             @Override
-            public void givenUp(ToyFleet.Link link, String id) {
-                seen.add("given up " + id);
+            public void onCancelled(ToyFleet.Connection connection, String id) {
+                events.add("cancelled " + id);
             }
         });
     }
 
-    String next() throws InterruptedException {
-        String next = seen.poll(20, TimeUnit.SECONDS);
+    String nextEvent() throws InterruptedException {
+        String next = events.poll(20, TimeUnit.SECONDS);
         return next == null ? "nothing" : next;
     }
 }
--- a/node/src/test/java/spartrail/front/FrontNodeTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeTest.java
@@ -15,16 +15,16 @@
 import spartrail.coordination.Coordinator;
 import spartrail.model.Multiget;
 
-/** A node from its start to its end: settings that change, faults in the decisions, capacity, drain and close. */
+/** The life cycle of a node: reloaded settings, faults in the coordinator, capacity, drain and close. */
 class FrontNodeTest extends FrontNodeFixture {
     FrontNodeTest() throws IOException {}
 
     @Test
-    void appliesChangedSettingsAndKeepsWhatIsInFlight() throws Exception {
+    void changedSettingsApplyAtOnceAndMultigetsInFlightAreAnswered() throws Exception {
         start();
         answerOnly("b");
-        Client inFlight = new Client().ask("a", 0);
-        assertThat(next()).isEqualTo("part a.0");
+        Client inFlight = new Client().query("a", 0);
+        assertThat(nextEvent()).isEqualTo("part a.0");
         answerOnly("a", "b", "c");
         assertThat(node.reload(deployment(
                         "\"open-cap\": 187",
@@ -32,38 +32,38 @@
                         "\"fall\": 1.0",
                         "\"fall\": 1.0, \"budget-window\": 0.1, \"min-extra\": 1, \"further-ratio\": 0.1")))
                 .isEmpty();
-        assertThat(new Client().ask("b", 1).answer()).startsWith("503");
-        // Its copy leaves by the new budget, and what is in hand is answered.
-        assertThat(inFlight.answer()).startsWith("200 {\"all_in\":true");
-        assertThat(new Client().ask("c", 1).answer()).startsWith("200 {\"all_in\":true");
+        assertThat(new Client().query("b", 1).readResponse()).startsWith("503");
+        // The new retry budget allows a hedged request for the multiget in flight, which is then answered.
+        assertThat(inFlight.readResponse()).startsWith("200 {\"all_in\":true");
+        assertThat(new Client().query("c", 1).readResponse()).startsWith("200 {\"all_in\":true");
         assertThat(node.reload(deployment("\"slabs\": 4", "\"slabs\": 5", "\"open-cap\": 187", "\"open-cap\": 1")))
-                .isEqualTo("slabs: found 5, served 4");
-        assertThat(new Client().ask("c", 1).answer()).startsWith("200 {\"all_in\":true");
+                .isEqualTo("slabs: found 5, in use 4");
+        assertThat(new Client().query("c", 1).readResponse()).startsWith("200 {\"all_in\":true");
         assertThat(node.configurationSwitchCount()).isEqualTo(1);
     }
 
     @Test
-    void changedSettingsHoldForOpenConnectionsAndForTheDrain() throws Exception {
-        // By this it would be closed after five minutes, long after the test has failed.
+    void changedSettingsApplyToOpenConnectionsAndToTheDrain() throws Exception {
+        // With this keep-alive time an idle connection is closed after five minutes, long after the test has failed.
         start("\"keepalive\": 30.0", "\"keepalive\": 600.0");
-        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
+        fleet.servers.forEach(server -> server.behavior = new ToyFleet.ServerBehavior() {
             @Override
-            public void closed(ToyFleet.Link link) {
-                seen.add("closed unused");
+            public void onDisconnected(ToyFleet.Connection connection) {
+                events.add("idle connection closed");
             }
         });
-        assertThat(new Client().ask("a", 0).answer()).startsWith("200 ");
+        assertThat(new Client().query("a", 0).readResponse()).startsWith("200 ");
         assertThat(node.reload(deployment(
                         "\"keepalive\": 30.0",
                         "\"keepalive\": 0.4",
                         "\"aim\": 2.0, \"deadline\": 4.0",
                         "\"aim\": 0.2, \"deadline\": 0.3")))
                 .isEmpty();
-        assertThat(next()).isEqualTo("closed unused");
+        assertThat(nextEvent()).isEqualTo("idle connection closed");
         long fromNs = System.nanoTime();
         node.drain();
         assertThat(System.nanoTime() - fromNs)
-                .as("it is killed after 1 s, by the times before after 3.7 s")
+                .as("the drain, which must end within 1 s by the changed settings, within 3.7 s by the old ones")
                 .isLessThan(2_000_000_000L);
     }
 
@@ -81,11 +81,11 @@
                 });
         start();
         answerOnly();
-        Client first = new Client().ask("a", 0);
+        Client first = new Client().query("a", 0);
         placing.await();
-        Client second = new Client().ask("b", 0);
-        // Read behind the second request, as it was sent later.
-        assertThat(new Client().send(UP).answer()).isEqualTo("200 ");
+        Client second = new Client().query("b", 0);
+        // This request is sent after the second one, and so is read after it.
+        assertThat(new Client().send(UP).readResponse()).isEqualTo("200 ");
         CompletableFuture<Void> closed = CompletableFuture.runAsync(() -> {
             try {
                 node.close();
@@ -94,24 +94,25 @@
             }
         });
         queued.countDown();
-        assertThat(first.answer()).isIn("500 close failed", "503 close pushed back");
-        assertThat(second.answer()).isIn("500 close failed", "503 close pushed back");
+        assertThat(first.readResponse()).isIn("500 close failed", "503 close pushed back");
+        assertThat(second.readResponse()).isIn("500 close failed", "503 close pushed back");
         closed.get(20, TimeUnit.SECONDS);
     }
 
     @Test
-    void anUnansweredMultigetIsRejectedWithinTheClientsTime() throws Exception {
+    void anUnansweredMultigetIsRejectedBeforeItsClientsTimeout() throws Exception {
         start("\"aim\": 2.0, \"deadline\": 4.0", "\"aim\": 0.3, \"deadline\": 0.6");
         answerOnly();
-        assertThat(new Client().send(request("a", "0.5", body(0, 1))).answer()).isEqualTo("503 pushed back");
+        assertThat(new Client().send(request("a", "0.5", body(0, 1))).readResponse())
+                .isEqualTo("503 pushed back");
     }
 
     @Test
-    void anExceptionInTheCoordinatorHurtsOneMultigetOnlyAndItIsAnswered() throws Exception {
+    void anExceptionInTheCoordinatorFailsOnlyItsOwnMultiget() throws Exception {
         coordinatorDecorator = module -> (Coordinator) Proxy.newProxyInstance(
                 Coordinator.class.getClassLoader(), new Class<?>[] {Coordinator.class}, (proxy, method, args) -> {
                     if (method.getName().equals("place") && ((Multiget) args[0]).clientTimeLeftMs < 1000) {
-                        throw new IllegalStateException("a fault made by the test");
+                        throw new IllegalStateException("thrown by the test");
                     }
                     try {
                         return method.invoke(module, args);
@@ -121,42 +122,47 @@
                 });
         start();
         answerOnly("b");
-        Client hurt = new Client().send(request("a", "0.3", body(0)));
-        assertThat(new Client().ask("b", 0).answer()).startsWith("200 ");
-        assertThat(hurt.answer()).isEqualTo("500 failed");
-        broken = Map.of("a multiget is answered in the client's time", 1L);
+        Client affected = new Client().send(request("a", "0.3", body(0)));
+        assertThat(new Client().query("b", 0).readResponse()).startsWith("200 ");
+        assertThat(affected.readResponse()).isEqualTo("500 failed");
+        expectedViolations = Map.of("a multiget is answered in the client's time", 1L);
     }
 
     @Test
     void queriesOverTheInFlightLimitAreRejectedAtOnce() throws Exception {
         start("\"open-cap\": 187", "\"open-cap\": 3");
         answerOnly("c");
-        Client first = new Client().ask("a", 0, 1);
-        assertThat(next()).startsWith("part a.");
-        assertThat(new Client().ask("b", 2).answer()).isEqualTo("503 pushed back");
+        Client first = new Client().query("a", 0, 1);
+        assertThat(nextEvent()).startsWith("part a.");
+        assertThat(new Client().query("b", 2).readResponse()).isEqualTo("503 pushed back");
         first.socket.close();
-        while (!next().startsWith("given up")) {
-            // What was sent of the first is taken back, and there is room again.
+        while (!nextEvent().startsWith("cancelled")) {
+            // The cancellation of the first multiget frees its capacity.
         }
-        assertThat(new Client().ask("c", 2).answer()).startsWith("200 ");
+        assertThat(new Client().query("c", 2).readResponse()).startsWith("200 ");
     }
 
-    /** What a client hears that asks a node which drains, and has more time than the node. */
-    private String drained(boolean answered) throws Exception {
+    /**
+     * Drains a node with a request in flight whose client's timeout ends after the node's last response.
+     *
+     * @param answered whether the server answers the part of this request
+     * @return the response to this request
+     */
+    private String drainWithRequestInFlight(boolean answered) throws Exception {
         start();
-        CompletableFuture<ToyFleet.Link> held = new CompletableFuture<>();
-        fleet.servers.forEach(toy -> toy.behavior = new ToyFleet.ServerBehavior() {
+        CompletableFuture<ToyFleet.Connection> held = new CompletableFuture<>();
+        fleet.servers.forEach(server -> server.behavior = new ToyFleet.ServerBehavior() {
             @Override
-            public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
+            public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
                 if (id.startsWith("a")) {
-                    held.complete(link);
+                    held.complete(connection);
                 } else {
-                    link.answer(id, "OK", text);
+                    connection.sendResponse(id, "OK", text);
                 }
             }
         });
         Client unused = new Client().send(UP);
-        assertThat(unused.answer()).isEqualTo("200 ");
+        assertThat(unused.readResponse()).isEqualTo("200 ");
         CompletableFuture<Void> drained = CompletableFuture.runAsync(() -> {
             try {
                 node.drain();
@@ -164,45 +170,45 @@
                 throw new IllegalStateException(e);
             }
         });
-        while (!unused.send(UP).answer().startsWith("503 ")) {
-            // Told to end, but the door has not heard of it yet.
+        while (!unused.send(UP).readResponse().startsWith("503 ")) {
+            // The drain has begun, but the listener does not report the node as not ready yet.
         }
-        Client inFlight = new Client().ask("a", 0);
-        ToyFleet.Link link = held.get(20, TimeUnit.SECONDS);
-        Client kept = new Client().ask("b", 1);
-        assertThat(kept.answer()).startsWith("200 {\"all_in\":true");
-        assertThat(kept.ask("c", 1).answer()).startsWith("200 {\"all_in\":true");
-        assertThat(unused.answer()).isEqualTo("closed");
+        Client inFlight = new Client().query("a", 0);
+        ToyFleet.Connection connection = held.get(20, TimeUnit.SECONDS);
+        Client kept = new Client().query("b", 1);
+        assertThat(kept.readResponse()).startsWith("200 {\"all_in\":true");
+        assertThat(kept.query("c", 1).readResponse()).startsWith("200 {\"all_in\":true");
+        assertThat(unused.readResponse()).isEqualTo("closed");
         assertThat(drained).isNotDone();
         if (answered) {
-            link.answer("a.0", "OK", "late");
+            connection.sendResponse("a.0", "OK", "late");
         }
-        String last = inFlight.answer();
+        String last = inFlight.readResponse();
         drained.get(20, TimeUnit.SECONDS);
         return last;
     }
 
     @Test
-    void aStartedNodeReportsReadyToTheFirstWhoAsks() throws Exception {
+    void aNodeReportsReadyToTheFirstRequestAfterItsStart() throws Exception {
         CountDownLatch started = new CountDownLatch(1);
-        CompletableFuture<Boolean> early = new CompletableFuture<>();
-        // The I/O thread is kept busy, as on a machine that has too few cores, until the start is over or long overdue.
+        CompletableFuture<Boolean> startedEarly = new CompletableFuture<>();
+        // Blocks the I/O thread, as on a machine with too few cores, until the start returns or 3 s are over.
         coordinatorDecorator = module -> {
             node.io.execute(() -> {
                 try {
-                    early.complete(started.await(3, TimeUnit.SECONDS));
+                    startedEarly.complete(started.await(3, TimeUnit.SECONDS));
                 } catch (InterruptedException e) {
-                    early.completeExceptionally(e);
+                    startedEarly.completeExceptionally(e);
                 }
             });
             return module;
         };
         start();
         started.countDown();
-        assertThat(early.get(20, TimeUnit.SECONDS))
-                .as("the start was over while the door could not have said so")
+        assertThat(startedEarly.get(20, TimeUnit.SECONDS))
+                .as("the start returned before the listener could report the node ready")
                 .isFalse();
-        assertThat(new Client().send(UP).answer()).isEqualTo("200 ");
+        assertThat(new Client().send(UP).readResponse()).isEqualTo("200 ");
     }
 
     @Test
@@ -211,21 +217,21 @@
         node = new FrontNode(deployment, deployment.listen(), coordinatorDecorator);
         node.beginTermination();
         node.start();
-        assertThat(new Client().send(UP).answer()).startsWith("503 ");
+        assertThat(new Client().send(UP).readResponse()).startsWith("503 ");
         long fromNs = System.nanoTime();
         node.drain();
         assertThat(System.nanoTime() - fromNs)
-                .as("one that has served takes 2.7 s")
+                .as("the drain, which takes 2.7 s for a node that has served")
                 .isLessThan(2_000_000_000L);
     }
 
     @Test
-    void aDrainingNodeServesNewClientsAndAnswersAllBeforeItIsKilled() throws Exception {
-        assertThat(drained(true)).startsWith("200 close {\"all_in\":true");
+    void aDrainingNodeServesNewClientsAndAnswersAllRequestsBeforeItIsKilled() throws Exception {
+        assertThat(drainWithRequestInFlight(true)).startsWith("200 close {\"all_in\":true");
     }
 
     @Test
     void unansweredMultigetsAreRejectedBeforeADrainingNodeIsKilled() throws Exception {
-        assertThat(drained(false)).isEqualTo("503 close pushed back");
+        assertThat(drainWithRequestInFlight(false)).isEqualTo("503 close pushed back");
     }
 }
--- a/node/src/test/java/spartrail/front/JvmWarmUpTest.java
+++ b/node/src/test/java/spartrail/front/JvmWarmUpTest.java
@@ -14,12 +14,12 @@
 import spartrail.model.NodeClock;
 
 class JvmWarmUpTest {
-    /** A request of the warm-up that is well-formed would reach the servers. */
+    /** A well-formed request of the warm-up would be sent on to the servers. */
     @Test
-    void warmUpRequestsAreMalformedOnPurpose() throws Exception {
+    void allWarmUpRequestsAreMalformed() throws Exception {
         Queue<String> queries = new ConcurrentLinkedQueue<>();
-        HttpServer door = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
-        door.createContext("/", exchange -> {
+        HttpServer listener = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
+        listener.createContext("/", exchange -> {
             queries.add(exchange.getRequestURI() + " "
                     + new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8)
                             .replaceAll(",\"work.*", ""));
@@ -27,22 +27,22 @@
             exchange.sendResponseHeaders(400, -1);
             exchange.close();
         });
-        door.start();
+        listener.start();
         DeploymentFile deployment = DeploymentFile.read(Path.of("example/config.json"));
-        new JvmWarmUp(new NodeClock(), deployment.knownEndpoints()).run(deployment, door.getAddress());
-        door.stop(0);
+        new JvmWarmUp(new NodeClock(), deployment.knownEndpoints()).run(deployment, listener.getAddress());
+        listener.stop(0);
         assertThat(queries)
                 .isNotEmpty()
                 .allMatch(request -> request.equals("/orders/rehearsal {\"segments\":[{\"segment\":0,\"boost\":0.25"));
     }
 
     @Test
-    void aWarmUpWithoutServersOrAListenerEnds() throws Exception {
+    void aWarmUpWithoutServersAndWithoutAListenerEnds() throws Exception {
         String text = Files.readString(Path.of("example/config.json"))
                 .replaceAll("\"targets\": \\[(?s).*?]}", "\"targets\": []}");
         NodeClock clock = new NodeClock();
-        InetSocketAddress nobody = new InetSocketAddress("127.0.0.1", 1);
+        InetSocketAddress closedPort = new InetSocketAddress("127.0.0.1", 1);
         DeploymentFile deployment = DeploymentFile.parse(text);
-        new JvmWarmUp(clock, deployment.knownEndpoints()).run(deployment, nobody);
+        new JvmWarmUp(clock, deployment.knownEndpoints()).run(deployment, closedPort);
     }
 }
--- a/node/src/test/java/spartrail/front/PauseDetectorTest.java
+++ b/node/src/test/java/spartrail/front/PauseDetectorTest.java
@@ -6,35 +6,35 @@
 
 class PauseDetectorTest {
     @Test
-    void bytesReadAfterAPauseMayBeAsOldAsThePauseUntilTheSocketsArePolled() {
-        PauseDetector node = new PauseDetector(5);
+    void aPauseCountsUntilTheSocketsWerePolledThreeTimes() {
+        PauseDetector detector = new PauseDetector(5);
         StringBuilder trace = new StringBuilder();
-        double now = 1000;
-        for (double late : new double[] {-3, 9, 700, 4, 6}) {
-            node.planWake(now);
-            node.onWake(now + late);
+        double nowMs = 1000;
+        for (double lateMs : new double[] {-3, 9, 700, 4, 6}) {
+            detector.planWake(nowMs);
+            detector.onWake(nowMs + lateMs);
             trace.append("late ")
-                    .append(late)
+                    .append(lateMs)
                     .append(": ")
-                    .append(node.pauseMs())
-                    .append(node.needsPoll() ? " pass\n" : "\n");
-            // It woke because something was due: first the sockets are gone through, and that is planned for now.
-            now += late;
-            node.planWake(now);
-            node.onWake(now + 2);
-            if (late > 0) {
-                node.onPollCompleted();
+                    .append(detector.pauseMs())
+                    .append(detector.needsPoll() ? " poll again\n" : "\n");
+            // The loop polls the sockets before it runs the timers that woke it, and plans its next wake for now.
+            nowMs += lateMs;
+            detector.planWake(nowMs);
+            detector.onWake(nowMs + 2);
+            if (lateMs > 0) {
+                detector.onPollCompleted();
             }
         }
-        trace.append("after the passes: ").append(node.pauseMs());
+        trace.append("after the polls: ").append(detector.pauseMs());
         assertThat(trace.toString())
                 .isEqualTo(
                         """
                 late -3.0: 0.0
                 late 9.0: 0.0
-                late 700.0: 700.0 pass
-                late 4.0: 700.0 pass
-                late 6.0: 700.0 pass
-                after the passes: 0.0""");
+                late 700.0: 700.0 poll again
+                late 4.0: 700.0 poll again
+                late 6.0: 700.0 poll again
+                after the polls: 0.0""");
     }
 }
--- a/node/src/test/java/spartrail/shard/ShardConnectionTest.java
+++ b/node/src/test/java/spartrail/shard/ShardConnectionTest.java
@@ -25,49 +25,51 @@
 
     @Test
     void partsOfAConnectionThatIsNeverEstablishedNeverRan() throws Exception {
-        pool(100, 50, 60_000);
-        InetSocketAddress address = hanging();
-        io(() -> pool.send(address, List.of(part("1.0"), part("2.0"))));
-        assertThat(List.of(next(), next())).containsExactly("1.0 CONNECT_FAILED", "2.0 CONNECT_FAILED");
+        createPool(100, 50, 60_000);
+        InetSocketAddress address = hangingAddress();
+        runOnIoThread(() -> pool.send(address, List.of(createPart("1.0"), createPart("2.0"))));
+        assertThat(List.of(nextEvent(), nextEvent())).containsExactly("1.0 CONNECT_FAILED", "2.0 CONNECT_FAILED");
         ServerSocket gone = new ServerSocket(0);
         gone.close();
-        io(() -> pool.send(new InetSocketAddress("127.0.0.1", gone.getLocalPort()), List.of(part("3.0"))));
-        assertThat(next()).isEqualTo("3.0 CONNECT_FAILED");
+        runOnIoThread(
+                () -> pool.send(new InetSocketAddress("127.0.0.1", gone.getLocalPort()), List.of(createPart("3.0"))));
+        assertThat(nextEvent()).isEqualTo("3.0 CONNECT_FAILED");
     }
 
     @Test
     void completelyWrittenPartsAreResetByABrokenConnection() throws Exception {
-        pool(100, 1000, 60_000);
-        InetSocketAddress address = toy(new ToyFleet.ServerBehavior() {
+        createPool(100, 1000, 60_000);
+        InetSocketAddress address = startServer(new ToyFleet.ServerBehavior() {
             @Override
-            public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
+            public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
                 if (id.equals("2.0")) {
-                    link.close();
+                    connection.close();
                 } else {
-                    link.answer(id, "ERROR", "");
-                    link.answer(id, "OK", "twice");
+                    connection.sendResponse(id, "ERROR", "");
+                    connection.sendResponse(id, "OK", "twice");
                 }
             }
         });
-        io(() -> pool.send(address, List.of(part("1.0"))));
-        assertThat(next()).isEqualTo("1.0 ERROR");
-        io(() -> pool.send(address, List.of(part("2.0"), part("3.0"))));
-        assertThat(List.of(next(), next())).containsExactlyInAnyOrder("2.0 RESET", "3.0 RESET");
+        runOnIoThread(() -> pool.send(address, List.of(createPart("1.0"))));
+        assertThat(nextEvent()).isEqualTo("1.0 ERROR");
+        runOnIoThread(() -> pool.send(address, List.of(createPart("2.0"), createPart("3.0"))));
+        assertThat(List.of(nextEvent(), nextEvent())).containsExactlyInAnyOrder("2.0 RESET", "3.0 RESET");
     }
 
     /** What becomes of a part whose server has read its frame, sends these bytes and resets the connection. */
     private String resetAfter(byte[] bytes) throws Exception {
-        pool(100, 1000, 60_000);
+        createPool(100, 1000, 60_000);
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            io(() -> pool.send((InetSocketAddress) server.getLocalSocketAddress(), List.of(part("1.0"))));
+            runOnIoThread(
+                    () -> pool.send((InetSocketAddress) server.getLocalSocketAddress(), List.of(createPart("1.0"))));
             Socket accepted = server.accept();
             DataInputStream in = new DataInputStream(accepted.getInputStream());
             in.readFully(new byte[in.readInt()]);
             accepted.getOutputStream().write(bytes);
             accepted.setSoLinger(true, 0);
             accepted.close();
-            String end = next();
-            io(pool::close);
+            String end = nextEvent();
+            runOnIoThread(pool::close);
             return end;
         }
     }
@@ -90,56 +92,57 @@
 
     @Test
     void aResetLongAfterTheResponseEndsNoPart() throws Exception {
-        pool(100, 1000, 60_000);
-        InetSocketAddress address = toy(new Silent() {
+        createPool(100, 1000, 60_000);
+        InetSocketAddress address = startServer(new Silent() {
             @Override
-            public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
-                link.answer(id, "OK", text);
-                link.close();
+            public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
+                connection.sendResponse(id, "OK", text);
+                connection.close();
             }
         });
         for (int i = 0; i < 3; i++) {
             String id = i + ".0";
-            io(() -> pool.send(address, List.of(part(id))));
-            assertThat(List.of(next(), next(), next()))
+            runOnIoThread(() -> pool.send(address, List.of(createPart(id))));
+            assertThat(List.of(nextEvent(), nextEvent(), nextEvent()))
                     .containsExactlyInAnyOrder("server: opened", id + " ANSWERED", "server: closed");
         }
     }
 
     @Test
     void aPartiallyWrittenFrameNeverRan() throws Exception {
-        pool(100, 1000, 60_000);
+        createPool(100, 1000, 60_000);
         ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         opened.add(deaf);
-        PartRequest big = part("1.0", 32 * 1024 * 1024);
-        io(() -> pool.send((InetSocketAddress) deaf.getLocalSocketAddress(), List.of(big)));
+        PartRequest big = createPart("1.0", 32 * 1024 * 1024);
+        runOnIoThread(() -> pool.send((InetSocketAddress) deaf.getLocalSocketAddress(), List.of(big)));
         Socket accepted = deaf.accept();
         accepted.getInputStream().read();
         accepted.setSoLinger(true, 0);
         accepted.close();
-        assertThat(next()).isEqualTo("1.0 CONNECT_FAILED");
+        assertThat(nextEvent()).isEqualTo("1.0 CONNECT_FAILED");
     }
 
     @Test
     void withdrawalsAreSentToTheServerAndASilentConnectionIsDrained() throws Exception {
-        pool(100, 1000, 60_000);
-        InetSocketAddress address = toy(new Silent());
-        PartRequest one = part("1.0");
-        PartRequest two = part("2.0");
-        io(() -> pool.send(address, List.of(one)));
-        assertThat(List.of(next(), next())).containsExactly("server: opened", "server: part 1.0");
-        io(() -> pool.withdraw(one, Outcome.CANCELLED));
-        assertThat(List.of(next(), next())).containsExactlyInAnyOrder("1.0 CANCELLED", "server: given up 1.0");
-        io(() -> pool.send(address, List.of(two)));
-        assertThat(next()).isEqualTo("server: part 2.0");
-        io(() -> {
+        createPool(100, 1000, 60_000);
+        InetSocketAddress address = startServer(new Silent());
+        PartRequest one = createPart("1.0");
+        PartRequest two = createPart("2.0");
+        runOnIoThread(() -> pool.send(address, List.of(one)));
+        assertThat(List.of(nextEvent(), nextEvent())).containsExactly("server: opened", "server: part 1.0");
+        runOnIoThread(() -> pool.withdraw(one, Outcome.CANCELLED));
+        assertThat(List.of(nextEvent(), nextEvent()))
+                .containsExactlyInAnyOrder("1.0 CANCELLED", "server: cancelled 1.0");
+        runOnIoThread(() -> pool.send(address, List.of(two)));
+        assertThat(nextEvent()).isEqualTo("server: part 2.0");
+        runOnIoThread(() -> {
             pool.withdraw(two, Outcome.TIMED_OUT);
-            pool.send(address, List.of(part("3.0")));
+            pool.send(address, List.of(createPart("3.0")));
         });
-        assertThat(List.of(next(), next(), next(), next(), next()))
+        assertThat(List.of(nextEvent(), nextEvent(), nextEvent(), nextEvent(), nextEvent()))
                 .containsExactlyInAnyOrder(
                         "2.0 TIMED_OUT",
-                        "server: given up 2.0",
+                        "server: cancelled 2.0",
                         "server: closed",
                         "server: opened",
                         "server: part 3.0");
@@ -147,61 +150,62 @@
 
     @Test
     void aServerThatDoesNotReadBlocksNothingAfterTheFirstTimeout() throws Exception {
-        pool(100, 1000, 60_000);
+        createPool(100, 1000, 60_000);
         ServerSocket deaf = new ServerSocket(0, 4, InetAddress.getByName("127.0.0.1"));
         opened.add(deaf);
         InetSocketAddress address = (InetSocketAddress) deaf.getLocalSocketAddress();
-        PartRequest big = part("1.0", 32 * 1024 * 1024);
-        PartRequest behind = part("2.0");
-        io(() -> pool.send(address, List.of(big)));
+        PartRequest big = createPart("1.0", 32 * 1024 * 1024);
+        PartRequest behind = createPart("2.0");
+        runOnIoThread(() -> pool.send(address, List.of(big)));
         Socket first = deaf.accept();
         opened.add(first);
         first.getInputStream().read();
-        io(() -> {
+        runOnIoThread(() -> {
             pool.send(address, List.of(behind));
             pool.withdraw(behind, Outcome.TIMED_OUT);
             pool.withdraw(big, Outcome.TIMED_OUT);
-            pool.send(address, List.of(part("3.0")));
+            pool.send(address, List.of(createPart("3.0")));
         });
-        assertThat(List.of(next(), next())).containsExactly("2.0 NOT_SENT", "1.0 TIMED_OUT");
+        assertThat(List.of(nextEvent(), nextEvent())).containsExactly("2.0 NOT_SENT", "1.0 TIMED_OUT");
         Socket second = deaf.accept();
         opened.add(second);
         assertThat(second.getInputStream().readNBytes(10)).endsWith("3.0 0".getBytes(StandardCharsets.US_ASCII));
-        io(() -> assertThat(pool.connectionCount()).isEqualTo(1));
+        runOnIoThread(() -> assertThat(pool.connectionCount()).isEqualTo(1));
     }
 
     @Test
     void aCloseWaitingInTheSocketIsReadBeforeAFrameIsWritten() throws Exception {
-        pool(100, 1000, 60_000);
-        InetSocketAddress address = toy(new Linking());
-        io(() -> pool.send(address, List.of(part("1.0"))));
-        assertThat(next()).isEqualTo("1.0 ANSWERED");
-        ToyFleet.Link link = links.take();
-        io(() -> {
+        createPool(100, 1000, 60_000);
+        InetSocketAddress address = startServer(new Linking());
+        runOnIoThread(() -> pool.send(address, List.of(createPart("1.0"))));
+        assertThat(nextEvent()).isEqualTo("1.0 ANSWERED");
+        ToyFleet.Connection connection = connections.take();
+        runOnIoThread(() -> {
             try {
-                link.close();
+                connection.close();
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
-            pool.send(address, List.of(part("2.0")));
+            pool.send(address, List.of(createPart("2.0")));
         });
-        assertThat(next()).isEqualTo("2.0 ANSWERED");
-        assertThat(links.take()).isNotSameAs(link);
+        assertThat(nextEvent()).isEqualTo("2.0 ANSWERED");
+        assertThat(connections.take()).isNotSameAs(connection);
     }
 
     @Test
     void aFrameStoppedHalfWayIsNotContinuedPastItsDeadline() throws Exception {
-        pool(100, 1000, 60_000);
+        createPool(100, 1000, 60_000);
         ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         opened.add(deaf);
-        leaveByMs = clock.nowMs() + 500;
+        sendDeadlineMs = clock.nowMs() + 500;
         int bytes = 32 * 1024 * 1024;
-        io(() -> pool.send((InetSocketAddress) deaf.getLocalSocketAddress(), List.of(part("1.0", bytes))));
+        runOnIoThread(
+                () -> pool.send((InetSocketAddress) deaf.getLocalSocketAddress(), List.of(createPart("1.0", bytes))));
         Socket accepted = deaf.accept();
         opened.add(accepted);
         accepted.setSoTimeout(20_000);
         accepted.getInputStream().read();
-        while (clock.nowMs() < leaveByMs + 10) {
+        while (clock.nowMs() < sendDeadlineMs + 10) {
             Thread.onSpinWait();
         }
         long got = 0;
@@ -212,27 +216,28 @@
         } catch (java.io.IOException e) {
             // Reset, or no end.
         }
-        assertThat(next()).isEqualTo("1.0 CONNECT_FAILED");
+        assertThat(nextEvent()).isEqualTo("1.0 CONNECT_FAILED");
         assertThat(got).isLessThan(bytes);
     }
 
     /** What a server sends for part 1.0, and what then becomes of it and of 2.0, which is out on the same connection. */
     private String spoilt(byte[] bytes) throws Exception {
-        pool(100, 50, 60_000);
+        createPool(100, 50, 60_000);
         CountDownLatch both = new CountDownLatch(2);
-        InetSocketAddress address = toy(new ToyFleet.ServerBehavior() {
+        InetSocketAddress address = startServer(new ToyFleet.ServerBehavior() {
             @Override
-            public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
+            public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
                 both.countDown();
                 if (both.getCount() == 0) {
-                    link.raw(bytes);
+                    connection.sendBytes(bytes);
                 }
             }
         });
-        io(() -> pool.send(address, List.of(part("1.0"), part("2.0"))));
-        String ends = Stream.of(next(), next()).sorted().collect(Collectors.joining(", "));
-        io(() -> assertThat(pool.connectionCount()).as("connections in use").isZero());
-        io(pool::close);
+        runOnIoThread(() -> pool.send(address, List.of(createPart("1.0"), createPart("2.0"))));
+        String ends = Stream.of(nextEvent(), nextEvent()).sorted().collect(Collectors.joining(", "));
+        runOnIoThread(() ->
+                assertThat(pool.connectionCount()).as("connections in use").isZero());
+        runOnIoThread(pool::close);
         return ends;
     }
 
@@ -263,18 +268,19 @@
 
     @Test
     void unrequestedBytesCloseAnIdleConnectionAndEndNoPart() throws Exception {
-        pool(100, 1000, 60_000);
-        InetSocketAddress address = toy(new Silent() {
+        createPool(100, 1000, 60_000);
+        InetSocketAddress address = startServer(new Silent() {
             @Override
-            public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
-                link.answer(id, "OK", text);
-                link.answer(id, "OK", text);
-                link.raw(new byte[] {0, 0});
+            public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
+                connection.sendResponse(id, "OK", text);
+                connection.sendResponse(id, "OK", text);
+                connection.sendBytes(new byte[] {0, 0});
             }
         });
-        io(() -> pool.send(address, List.of(part("1.0"))));
-        assertThat(List.of(next(), next(), next())).containsExactly("server: opened", "1.0 ANSWERED", "server: closed");
-        io(() -> pool.send(address, List.of(part("2.0"))));
-        assertThat(List.of(next(), next())).containsExactly("server: opened", "2.0 ANSWERED");
+        runOnIoThread(() -> pool.send(address, List.of(createPart("1.0"))));
+        assertThat(List.of(nextEvent(), nextEvent(), nextEvent()))
+                .containsExactly("server: opened", "1.0 ANSWERED", "server: closed");
+        runOnIoThread(() -> pool.send(address, List.of(createPart("2.0"))));
+        assertThat(List.of(nextEvent(), nextEvent())).containsExactly("server: opened", "2.0 ANSWERED");
     }
 }
--- a/node/src/test/java/spartrail/shard/ShardPoolFixture.java
+++ b/node/src/test/java/spartrail/shard/ShardPoolFixture.java
@@ -32,7 +32,7 @@
 
     final NodeClock clock = new NodeClock();
 
-    final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
     final Invariants invariants = new Invariants();
 
@@ -40,11 +40,11 @@
 
     final Set<String> gone = ConcurrentHashMap.newKeySet();
 
-    final BlockingQueue<ToyFleet.Link> links = new LinkedBlockingQueue<>();
+    final BlockingQueue<ToyFleet.Connection> connections = new LinkedBlockingQueue<>();
 
     double graceMs = 10_000;
 
-    double leaveByMs = Double.POSITIVE_INFINITY;
+    double sendDeadlineMs = Double.POSITIVE_INFINITY;
 
     ShardPool pool;
 
@@ -54,7 +54,7 @@
 
     @AfterEach
     void close() throws Exception {
-        io(pool::close);
+        runOnIoThread(pool::close);
         worker.shutdown();
         for (AutoCloseable each : opened) {
             each.close();
@@ -62,16 +62,16 @@
         assertThat(invariants.violations()).isEmpty();
     }
 
-    void pool(int partsPerConnection, double connectTimeoutMs, double keepAliveMs) {
+    void createPool(int partsPerConnection, double connectTimeoutMs, double keepAliveMs) {
         pool = new ShardPool(
                 worker.getIoThread(),
                 clock,
                 new ShardPool.Settings(partsPerConnection, connectTimeoutMs, keepAliveMs, true, graceMs),
-                (part, outcome, value, atMs) -> seen.add(part.id + " " + outcome),
+                (part, outcome, value, atMs) -> events.add(part.id + " " + outcome),
                 invariants);
     }
 
-    void io(Runnable task) throws InterruptedException {
+    void runOnIoThread(Runnable task) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         worker.getIoThread().execute(() -> {
             task.run();
@@ -80,27 +80,27 @@
         done.await();
     }
 
-    PartRequest part(String id) {
-        return part(id, 1);
+    PartRequest createPart(String id) {
+        return createPart(id, 1);
     }
 
-    PartRequest part(String id, int bytes) {
+    PartRequest createPart(String id, int bytes) {
         Attempt send = new Attempt(null, null, 0, clock.nowMs(), 10_000);
-        send.sendDeadlineMs = leaveByMs;
+        send.sendDeadlineMs = sendDeadlineMs;
         return new PartRequest(send, id, 0, new byte[bytes], clock.nowMs() + 10_000, () -> !gone.contains(id));
     }
 
-    String next() throws InterruptedException {
-        String next = seen.poll(20, TimeUnit.SECONDS);
+    String nextEvent() throws InterruptedException {
+        String next = events.poll(20, TimeUnit.SECONDS);
         return next == null ? "nothing" : next;
     }
 
     /** An address where connecting neither succeeds nor fails: its queue of new connections is full. */
-    InetSocketAddress hanging() throws IOException {
-        return (InetSocketAddress) hangingSocket().getLocalSocketAddress();
+    InetSocketAddress hangingAddress() throws IOException {
+        return (InetSocketAddress) openHangingSocket().getLocalSocketAddress();
     }
 
-    ServerSocket hangingSocket() throws IOException {
+    ServerSocket openHangingSocket() throws IOException {
         ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         opened.add(full);
         for (int i = 0; i < 4; i++) {
@@ -116,7 +116,7 @@
     }
 
     /** A server that does as told with each part, and tells what it sees. */
-    InetSocketAddress toy(ToyFleet.ServerBehavior behavior) throws IOException {
+    InetSocketAddress startServer(ToyFleet.ServerBehavior behavior) throws IOException {
         ToyFleet fleet = new ToyFleet(1, 0, 0);
         opened.add(fleet);
         fleet.servers.get(0).behavior = behavior;
@@ -126,31 +126,31 @@
     /** Answers, and tells on which connection each part came. */
     class Linking implements ToyFleet.ServerBehavior {
         @Override
-        public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
-            links.add(link);
-            link.answer(id, "OK", text);
+        public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
+            connections.add(connection);
+            connection.sendResponse(id, "OK", text);
         }
     }
 
     class Silent implements ToyFleet.ServerBehavior {
         @Override
-        public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
-            seen.add("server: part " + id);
+        public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
+            events.add("server: part " + id);
         }
 
         @Override
-        public void givenUp(ToyFleet.Link link, String id) {
-            seen.add("server: given up " + id);
+        public void onCancelled(ToyFleet.Connection connection, String id) {
+            events.add("server: cancelled " + id);
         }
 
         @Override
-        public void opened(ToyFleet.Link link) {
-            seen.add("server: opened");
+        public void onConnected(ToyFleet.Connection connection) {
+            events.add("server: opened");
         }
 
         @Override
-        public void closed(ToyFleet.Link link) {
-            seen.add("server: closed");
+        public void onDisconnected(ToyFleet.Connection connection) {
+            events.add("server: closed");
         }
     }
 }
--- a/node/src/test/java/spartrail/shard/ShardPoolTest.java
+++ b/node/src/test/java/spartrail/shard/ShardPoolTest.java
@@ -20,81 +20,83 @@
 
     @Test
     void queuedPartsAreNotSentOnceTheServerDrainsOrTheyAreWithdrawn() throws Exception {
-        pool(100, 60_000, 60_000);
-        InetSocketAddress address = hanging();
-        PartRequest one = part("1.0");
-        PartRequest two = part("2.0");
-        PartRequest three = part("3.0");
-        io(() -> {
+        createPool(100, 60_000, 60_000);
+        InetSocketAddress address = hangingAddress();
+        PartRequest one = createPart("1.0");
+        PartRequest two = createPart("2.0");
+        PartRequest three = createPart("3.0");
+        runOnIoThread(() -> {
             pool.send(address, List.of(one, two));
             pool.send(address, List.of(three));
             pool.withdraw(one, Outcome.CANCELLED);
             pool.withdrawUnsent(three);
             pool.retire(address);
         });
-        assertThat(List.of(next(), next(), next())).containsExactly("1.0 NOT_SENT", "3.0 NOT_SENT", "2.0 NOT_SENT");
+        assertThat(List.of(nextEvent(), nextEvent(), nextEvent()))
+                .containsExactly("1.0 NOT_SENT", "3.0 NOT_SENT", "2.0 NOT_SENT");
     }
 
     @Test
     void aFurtherConnectionIsOpenedOnlyWhenAllAreFull() throws Exception {
-        pool(2, 1000, 60_000);
-        InetSocketAddress address = toy(new Silent());
-        io(() -> {
-            pool.send(address, List.of(part("1.0")));
-            pool.send(address, List.of(part("2.0")));
+        createPool(2, 1000, 60_000);
+        InetSocketAddress address = startServer(new Silent());
+        runOnIoThread(() -> {
+            pool.send(address, List.of(createPart("1.0")));
+            pool.send(address, List.of(createPart("2.0")));
         });
-        assertThat(List.of(next(), next(), next()))
+        assertThat(List.of(nextEvent(), nextEvent(), nextEvent()))
                 .containsExactly("server: opened", "server: part 1.0", "server: part 2.0");
-        io(() -> pool.send(address, List.of(part("3.0"))));
-        assertThat(List.of(next(), next())).containsExactly("server: opened", "server: part 3.0");
-        io(() -> assertThat(pool.connectionCount()).isEqualTo(2));
+        runOnIoThread(() -> pool.send(address, List.of(createPart("3.0"))));
+        assertThat(List.of(nextEvent(), nextEvent())).containsExactly("server: opened", "server: part 3.0");
+        runOnIoThread(() -> assertThat(pool.connectionCount()).isEqualTo(2));
     }
 
     @Test
     void anIdleConnectionIsClosedBeforeTheServerClosesIt() throws Exception {
-        pool(100, 1000, 200);
-        InetSocketAddress address = toy(new Silent() {
+        createPool(100, 1000, 200);
+        InetSocketAddress address = startServer(new Silent() {
             @Override
-            public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
-                link.answer(id, "OK", text);
+            public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
+                connection.sendResponse(id, "OK", text);
             }
         });
-        io(() -> pool.send(address, List.of(part("1.0"))));
-        assertThat(List.of(next(), next(), next())).containsExactly("server: opened", "1.0 ANSWERED", "server: closed");
+        runOnIoThread(() -> pool.send(address, List.of(createPart("1.0"))));
+        assertThat(List.of(nextEvent(), nextEvent(), nextEvent()))
+                .containsExactly("server: opened", "1.0 ANSWERED", "server: closed");
     }
 
     @Test
     void anExpiredIdleConnectionIsNotChosenAfterAPause() throws Exception {
-        pool(100, 1000, 400);
-        InetSocketAddress address = toy(new Linking());
-        io(() -> pool.send(address, List.of(part("1.0"))));
-        assertThat(next()).isEqualTo("1.0 ANSWERED");
-        io(() -> {
+        createPool(100, 1000, 400);
+        InetSocketAddress address = startServer(new Linking());
+        runOnIoThread(() -> pool.send(address, List.of(createPart("1.0"))));
+        assertThat(nextEvent()).isEqualTo("1.0 ANSWERED");
+        runOnIoThread(() -> {
             double untilMs = clock.nowMs() + 250;
             while (clock.nowMs() < untilMs) {
                 Thread.onSpinWait();
             }
-            pool.send(address, List.of(part("2.0")));
+            pool.send(address, List.of(createPart("2.0")));
         });
-        assertThat(next()).isEqualTo("2.0 ANSWERED");
-        assertThat(links.take()).isNotSameAs(links.take());
+        assertThat(nextEvent()).isEqualTo("2.0 ANSWERED");
+        assertThat(connections.take()).isNotSameAs(connections.take());
     }
 
     @Test
     void noFrameBeginsWhileAnEndpointUpdateIsPending() throws Exception {
-        pool(100, 1000, 60_000);
-        InetSocketAddress address = toy(new Silent());
-        io(() -> {
+        createPool(100, 1000, 60_000);
+        InetSocketAddress address = startServer(new Silent());
+        runOnIoThread(() -> {
             pool.holdFrames();
-            pool.send(address, List.of(part("1.0")));
+            pool.send(address, List.of(createPart("1.0")));
         });
-        assertThat(next()).isEqualTo("server: opened");
-        io(() -> {
-            pool.send(address, List.of(part("2.0")));
+        assertThat(nextEvent()).isEqualTo("server: opened");
+        runOnIoThread(() -> {
+            pool.send(address, List.of(createPart("2.0")));
             pool.retire(address);
             pool.releaseFrames(1);
         });
-        assertThat(List.of(next(), next(), next()))
+        assertThat(List.of(nextEvent(), nextEvent(), nextEvent()))
                 .containsExactlyInAnyOrder("1.0 NOT_SENT", "2.0 NOT_SENT", "server: closed");
     }
 
@@ -102,9 +104,9 @@
     @Test
     void framesBeginAfterTheMostPollsWhereEachPollTakesTooLong() throws Exception {
         graceMs = 0;
-        pool(100, 1000, 60_000);
-        InetSocketAddress address = toy(new Silent());
-        PartRequest old = part("1.0");
+        createPool(100, 1000, 60_000);
+        InetSocketAddress address = startServer(new Silent());
+        PartRequest old = createPart("1.0");
         AtomicBoolean slow = new AtomicBoolean(true);
         Runnable[] busy = new Runnable[1];
         busy[0] = () -> {
@@ -115,20 +117,20 @@
                 worker.getIoThread().executeAfter(busy[0], 1, TimeUnit.MILLISECONDS);
             }
         };
-        io(busy[0]);
-        io(() -> pool.send(address, List.of(old)));
-        assertThat(List.of(next(), next())).containsExactly("server: opened", "server: part 1.0");
+        runOnIoThread(busy[0]);
+        runOnIoThread(() -> pool.send(address, List.of(old)));
+        assertThat(List.of(nextEvent(), nextEvent())).containsExactly("server: opened", "server: part 1.0");
         slow.set(false);
     }
 
     /** What becomes of a part whose connection comes up when something has changed, with one behind it that may still leave. */
     private String comesUpLate(Runnable meanwhile) throws Exception {
-        pool(100, 60_000, 60_000);
-        ServerSocket full = hangingSocket();
+        createPool(100, 60_000, 60_000);
+        ServerSocket full = openHangingSocket();
         InetSocketAddress address = (InetSocketAddress) full.getLocalSocketAddress();
-        io(() -> pool.send(address, List.of(part("1.0"))));
-        leaveByMs = Double.POSITIVE_INFINITY;
-        io(() -> pool.send(address, List.of(part("2.0"))));
+        runOnIoThread(() -> pool.send(address, List.of(createPart("1.0"))));
+        sendDeadlineMs = Double.POSITIVE_INFINITY;
+        runOnIoThread(() -> pool.send(address, List.of(createPart("2.0"))));
         meanwhile.run();
         while (true) {
             Socket accepted = full.accept();
@@ -137,7 +139,7 @@
             try {
                 String frame = new String(accepted.getInputStream().readNBytes(8), StandardCharsets.US_ASCII);
                 if (!frame.isEmpty()) {
-                    return next() + ", frame " + frame.substring(5);
+                    return nextEvent() + ", frame " + frame.substring(5);
                 }
             } catch (java.net.SocketTimeoutException e) {
                 // One of those that filled the queue.
@@ -147,7 +149,7 @@
 
     @Test
     void aRetryPastItsDeduplicationWindowIsNotSent() throws Exception {
-        leaveByMs = clock.nowMs() + 300;
+        sendDeadlineMs = clock.nowMs() + 300;
         assertThat(comesUpLate(() -> {
                     while (clock.nowMs() < 300) {
                         Thread.onSpinWait();
