--- a/node/src/main/java/spartrail/shard/AttemptListener.java
+++ b/node/src/main/java/spartrail/shard/AttemptListener.java
@@ -2,13 +2,13 @@
 
 import spartrail.model.Attempt;
 
-/** Is notified of how attempts ended; called on the I/O thread, so it may not wait. */
+/** Receives the outcomes of attempts. Called on the I/O thread, so it must not block. */
 public interface AttemptListener {
     /**
-     * An attempt has ended; called exactly once for each part.
+     * Called exactly once for each part request, when its attempt has ended.
      *
-     * @param value what the server answered; null unless the outcome is ANSWERED
-     * @param atMs when its end was seen, on the node's clock
+     * @param value the value of the server's response; null unless the outcome is ANSWERED
+     * @param atMs the time at which the node saw the end, on the node's clock
      */
     void onAttemptEnded(PartRequest part, Attempt.Outcome outcome, byte[] value, double atMs);
 }
--- a/node/src/main/java/spartrail/shard/FrameGate.java
+++ b/node/src/main/java/spartrail/shard/FrameGate.java
@@ -6,22 +6,27 @@
 import spartrail.model.NodeClock;
 
 /**
- * Whether a frame may begin now, by what is known of the sockets. All of it runs on the I/O thread.
+ * Decides whether a frame may begin, so that no frame is written on the basis of outdated information. Runs on the I/O
+ * thread only.
  *
  * <pre>
- *            endpoint update read    update applied by the loop             frame wants to begin
- * OPEN       on to HELD              -                                      begins, if decision or last poll is recent; else POLLING
- * POLLING    on to HELD as well      -                                      waits; all write when the sockets have been gone through
- * HELD       one more to wait for    on to OPEN with the last, all write    waits
+ *            endpoint update read    loop has applied an update       a frame is to begin
+ * OPEN       to HELD                 -                                begins if its decision or the last poll is
+ *                                                                     recent; else to POLLING
+ * POLLING    also HELD               -                                waits; all connections write after the poll
+ * HELD       waits for one more      after the last update: to OPEN,  waits
+ *                                    all connections write
  * </pre>
  *
- * <p>POLLING: a process that was paused goes on where it was, with a decision that is old, before it reads that the server drains. So
- * such a frame waits until all sockets have been gone through.
+ * <p>POLLING is for a process that was paused: it resumes with an old decision, and may not have read yet that the
+ * server drains. So such a frame waits until all sockets have been read.
  */
 final class FrameGate {
-    /** Every time limit of the rules is longer by 50 ms on sockets; a frame goes by nothing older than this. */
+    /** The rules allow 50 ms more on sockets for each time limit, so a frame may use information of up to this age. */
     private static final double MIN_POLL_AGE_LIMIT_MS = 40;
-    /** A process so slow that each poll takes longer than the limit begins frames all the same after so many. */
+    /**
+     * After so many polls, frames begin even if each poll took longer than the age limit, as on a very slow machine.
+     */
     private static final int MAX_POLLS = 5;
 
     private static final long POLL_DELAY_MS = 1;
@@ -31,9 +36,9 @@
     private final Invariants invariants;
     private final Runnable onOpened;
     private double pollAgeLimitMs;
-    /** Endpoint updates that were read and not yet applied by the loop. */
+    /** The number of endpoint updates that were read and that the loop has not applied yet. */
     private int pendingEndpointUpdates;
-    /** When what waited in the sockets was last read. */
+    /** The time of the last poll: all bytes that arrived before it have been read. */
     private double lastPollMs = Double.NEGATIVE_INFINITY;
 
     private boolean polling;
@@ -45,24 +50,24 @@
         this.onOpened = onOpened;
     }
 
-    /** Nothing is sent to a server that drains after this grace, so half of it bounds how old a poll may be. */
+    /** Sets the age limit of a poll: half of the grace, after which nothing may be sent to a draining server. */
     void setGrace(double graceMs) {
         pollAgeLimitMs = Math.max(MIN_POLL_AGE_LIMIT_MS, graceMs / 2);
     }
 
-    /** An endpoint update was read: no frame begins until the loop has applied it. */
+    /** Holds frames back after an endpoint update was read, until the loop has applied it. */
     void hold() {
         pendingEndpointUpdates++;
     }
 
-    /** So many updates have been applied, and what they end has been taken back. */
+    /** Counts updates as applied, after the attempts to their servers have been withdrawn. */
     void release(int updates) {
         pendingEndpointUpdates -= updates;
-        invariants.check(pendingEndpointUpdates >= 0, "no list is taken that was not read");
+        invariants.check(pendingEndpointUpdates >= 0, "only endpoint updates that were read are applied");
         onOpened.run();
     }
 
-    /** Whether a frame that was decided then may begin now; where it may not yet, all frames are tried again. */
+    /** Whether a frame decided at this time may begin now; if not, all connections try to write again later. */
     boolean mayBegin(double decidedMs) {
         return pendingEndpointUpdates == 0 && isPollRecent(decidedMs);
     }
@@ -78,7 +83,10 @@
         return false;
     }
 
-    /** The I/O thread reads what is ready between its timers; the first may still come before that, or a pause after it. */
+    /**
+     * Starts a timer: the I/O thread reads ready sockets between two timers. The first timer may run before any read,
+     * so a second one follows it.
+     */
     private void pollSockets(int polls) {
         double fromMs = clock.nowMs();
         io.executeAfter(() -> onPolled(polls, fromMs), POLL_DELAY_MS, TimeUnit.MILLISECONDS);
--- a/node/src/main/java/spartrail/shard/FrameWriter.java
+++ b/node/src/main/java/spartrail/shard/FrameWriter.java
@@ -10,11 +10,11 @@
 import spartrail.model.Attempt.Outcome;
 
 /**
- * The writing side of a connection: cancellations first, then batches in the order in which they were queued, one frame at a time. All
- * of it runs on the I/O thread.
+ * The writing side of a connection: cancellations first, then batches in the order of queueing, one frame at a time.
+ * Runs on the I/O thread only.
  *
- * <p>A frame begins only if the pool lets it ({@link FrameGate}) and its parts may still leave; parts that may not are left out and end
- * as not sent. Once its first byte has left, the rest follows in any case, or the connection ends.
+ * <p>A frame begins only if {@link FrameGate} permits it. Parts that may no longer be sent are removed from it and end
+ * as not sent. Once the first byte of a frame has been written, either the rest follows or the connection is closed.
  */
 final class FrameWriter {
     private final ShardPool pool;
@@ -23,7 +23,7 @@
     private final Deque<ByteBuffer> cancellationFrames = new ArrayDeque<>();
     /** The batch whose frame is being written; null for a cancellation. */
     private PartBatch currentBatch;
-    /** What is left of the frame that is being written; null where there is none. */
+    /** The rest of the frame that is being written; null if there is none. */
     private ByteBuffer currentFrame;
 
     FrameWriter(ShardPool pool, ShardConnection connection) {
@@ -39,26 +39,26 @@
         cancellationFrames.add(ShardFrameCodec.encodeCancellation(partId));
     }
 
-    /** Parts that are queued, or in a frame of which not all has been written. */
-    int load() {
-        int load = 0;
+    /** The number of parts that are queued or in a partially written frame. */
+    int partCount() {
+        int count = 0;
         for (PartBatch batch : queuedBatches) {
-            load += batch.parts.size();
+            count += batch.parts.size();
         }
         if (currentBatch != null) {
             for (PartRequest part : currentBatch.parts) {
-                load += part.stage == PartRequest.Stage.WRITING ? 1 : 0;
+                count += part.stage == PartRequest.Stage.WRITING ? 1 : 0;
             }
         }
-        return load;
+        return count;
     }
 
-    /** Nothing is being written, and no cancellation waits to be. */
+    /** Whether no frame is being written and no cancellation is queued. */
     boolean isIdle() {
         return currentFrame == null && cancellationFrames.isEmpty();
     }
 
-    /** Takes back a queued part. */
+    /** Removes a queued part. */
     void remove(PartRequest part) {
         part.batch.parts.remove(part);
         if (part.batch.parts.isEmpty()) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Takes back all parts that are queued. */
+    /** Removes and returns all queued parts. */
     List<PartRequest> removeQueued() {
         List<PartRequest> parts = new ArrayList<>();
         queuedBatches.forEach(batch -> parts.addAll(batch.parts));
@@ -74,7 +74,7 @@
         return parts;
     }
 
-    /** At the end of the connection: all parts that the server has not had completely, so that none of them ran. */
+    /** Removes and returns, when the connection is closed, all parts of frames that were not completely written. */
     List<PartRequest> removeUnsent() {
         List<PartRequest> parts = new ArrayList<>();
         if (currentBatch != null) {
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Writes on where it may. False where a frame stopped half-way until it could no longer leave: its rest would leave when the server
-     * reads again, long after what it was decided for.
+     * Writes as many frames as possible. Returns false if a frame is partially written and its deadline has passed: its
+     * rest would be sent when the server reads again, long after the deadline of its parts.
      */
     boolean write(ConduitStreamSinkChannel sink) throws IOException {
         while (prepareNextFrame()) {
@@ -116,7 +116,7 @@
         return batch.parts.stream().anyMatch(part -> pool.clock.nowMs() > part.beginByMs);
     }
 
-    /** A batch of which no byte has left has not begun. */
+    /** Queues the current batch again if none of its bytes were written, so that its parts can still be withdrawn. */
     private void requeueUnbegun() {
         if (currentBatch != null && currentFrame.position() == 0) {
             currentBatch.parts.removeIf(part -> part.stage != PartRequest.Stage.WRITING);
@@ -129,7 +129,7 @@
         }
     }
 
-    /** Begins the next frame if none is being written; false where there is none that may begin. */
+    /** Begins the next frame if none is being written; false if there is none that may begin. */
     private boolean prepareNextFrame() {
         if (currentFrame != null) {
             return true;
--- a/node/src/main/java/spartrail/shard/PartBatch.java
+++ b/node/src/main/java/spartrail/shard/PartBatch.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Parts that travel to a server in one frame; those that end before leave it. */
+/** Parts that are sent to a server in one frame; a part that ends before its frame begins is removed. */
 final class PartBatch {
     final List<PartRequest> parts;
-    /** When the first of them was decided. */
+    /** The time of the earliest decision among the parts. */
     final double decidedMs;
 
     PartBatch(List<PartRequest> parts) {
--- a/node/src/main/java/spartrail/shard/PartRequest.java
+++ b/node/src/main/java/spartrail/shard/PartRequest.java
@@ -3,9 +3,9 @@
 import java.util.function.BooleanSupplier;
 import spartrail.model.Attempt;
 
-/** One attempt of a part on its way to a server. What changes of it belongs to the I/O thread. */
+/** One attempt of a part, to be sent to a server. Its mutable fields belong to the I/O thread. */
 public final class PartRequest {
-    /** How far it has come. */
+    /** The progress of the attempt. */
     enum Stage {
         QUEUED,
         WRITING,
@@ -17,27 +17,27 @@
     final String id;
     final int shard;
     final byte[] text;
-    /** Until when this node waits for the response. */
+    /** The time until which this node waits for the response. */
     final double answerByMs;
-    /** Until when its frame may begin. */
+    /** The latest time at which its frame may begin. */
     final double beginByMs;
-    /** Whether its client is still there; asked on the I/O thread. */
+    /** Whether its client still waits; called on the I/O thread. */
     final BooleanSupplier clientWaiting;
 
     Stage stage = Stage.QUEUED;
-    /** When it was given to a connection. */
+    /** The time at which it was queued on a connection. */
     double queuedMs;
 
     ShardConnection connection;
     PartBatch batch;
 
     /**
-     * An attempt that is to be sent.
+     * Creates a request for an attempt.
      *
-     * @param id by which the server answers
-     * @param text what the server is asked
-     * @param answerByMs until when the node waits for the response
-     * @param clientWaiting whether its client is still there; asked on the I/O thread
+     * @param id identifies the part in the server's response
+     * @param text the text of the query
+     * @param answerByMs the time until which the node waits for the response
+     * @param clientWaiting whether its client still waits; called on the I/O thread
      */
     public PartRequest(
             Attempt attempt, String id, int shard, byte[] text, double answerByMs, BooleanSupplier clientWaiting) {
@@ -51,14 +51,14 @@
     }
 
     /**
-     * Whether its frame may still begin. Between decision and frame a connection may come up late, a write may be blocked, the process may
-     * be paused; what was right when it was decided need not be so now.
+     * Whether its frame may still begin. The decision may be outdated by now, as a slow connect, a blocked write or a
+     * pause of the process can delay the frame.
      */
     boolean mayBegin(double nowMs) {
         return nowMs <= beginByMs && clientWaiting.getAsBoolean();
     }
 
-    /** The attempt that the coordinator decided. */
+    /** The coordinator's attempt. */
     public Attempt attempt() {
         return attempt;
     }
--- a/node/src/main/java/spartrail/shard/ShardConnection.java
+++ b/node/src/main/java/spartrail/shard/ShardConnection.java
@@ -21,26 +21,29 @@
 import spartrail.model.MalformedMessageException;
 
 /**
- * One connection to a server: batches that wait to be written, and parts that wait for responses. All of it runs on the I/O thread. By
- * event and state:
+ * One connection to a server, with its queued batches and the parts that await responses. Runs on the I/O thread only.
+ * By event and state:
  *
  * <pre>
- *                      CONNECTING                 IDLE                    IN USE                         DRAINING
- * batch queued         waits                      read once, written      written if there is room       (never chosen)
- * connected            on to IN USE               -                       -                              closed if nothing is in flight
- * response             -                          malformed, closed       part ended; IDLE after the     closed after the last
- *                                                                         last part ended
- * end, reset           never ran, closed          closed                  written: may have run; not written or in part: never ran; closed
- * part withdrawn       unsent                     -                       unsent, or cancelled if its    the same, then closed
- *                                                                         frame began
- * server drains, is    unsent, DRAINING           closed                  what has not begun is unsent,
- * another process                                                         DRAINING
- * idle, or too long    no connection in time:     closed                  a frame or a response that     the same
- *                      never ran, closed                                  stops half-way closes it
+ *                   CONNECTING              IDLE                 IN USE                      DRAINING
+ * batch queued      waits                   read once, written   written if there is room    (never chosen)
+ * connected         to IN USE               -                    -                           closed if no part pending
+ * response          -                       malformed, closed    part ends; to IDLE after    closed after the last
+ *                                                                the last part
+ * closed by the     parts never ran,        closed               completely written parts may have run, others
+ * server, reset     closed                                       never ran; closed
+ * part withdrawn    not sent                -                    not sent, or cancelled if   the same, then closed
+ *                                                                its frame has begun
+ * server drains or  not sent, DRAINING      closed               parts whose frames have
+ * was restarted                                                  not begun are not sent,
+ *                                                                DRAINING
+ * timeout           connect timeout:        idle time is over:   a frame or a response       the same
+ *                   never ran, closed       closed               that stays incomplete:
+ *                                                                closed
  * </pre>
  *
- * <p>CONNECTING is it without a channel, IDLE with no part in flight; both may be DRAINING as well. When a frame may begin stands at
- * {@link FrameWriter}.
+ * <p>CONNECTING means that there is no channel yet, IDLE that no part is in flight; both may be DRAINING as well.
+ * {@link FrameWriter} has the conditions under which a frame may begin.
  */
 final class ShardConnection {
     private final ShardPool pool;
@@ -48,19 +51,19 @@
     private final FrameWriter writer;
     private final ShardFrameCodec.Decoder decoder = new ShardFrameCodec.Decoder();
     private final Map<String, PartRequest> awaitingResponse = new HashMap<>();
-    /** Ids of the parts that ended last, at most as many as may be in flight. */
+    /** Ids of the parts that ended last, at most as many as the limit of parts in flight. */
     private final Set<String> recentlyEnded = new LinkedHashSet<>();
 
     private final IoFuture<StreamConnection> connecting;
     private final XnioExecutor.Key connectTimeout;
-    /** Null until it is connected. */
+    /** Null until the connection is established. */
     private StreamConnection channel;
-    /** By then a frame that has begun to come should long be there; null where none has begun. */
+    /** Closes the connection if a partially received frame is not completed in time; null if there is none. */
     private XnioExecutor.Key partialFrameTimeout;
 
     private double lastUsedMs;
     private double lastReadMs;
-    /** It gets no further batches, and closes once nothing is in flight on it. */
+    /** The connection accepts no further batches and closes once no part is in flight on it. */
     private boolean draining;
 
     private boolean closed;
@@ -70,11 +73,11 @@
         this.address = address;
         this.writer = new FrameWriter(pool, this);
         this.lastUsedMs = pool.clock.nowMs();
-        // A machine that vanished says nothing, and what waits for its connection would wait on.
+        // A machine that is gone does not answer, and without a timeout the parts queued here would wait for it.
         connectTimeout = pool.io.executeAfter(
                 () -> {
                     if (channel == null) {
-                        close("no connection in time");
+                        close("connect timeout");
                     }
                 },
                 Math.round(pool.settings.connectTimeoutMs()),
@@ -86,7 +89,7 @@
     private void onConnected(IoFuture<? extends StreamConnection> future) {
         connectTimeout.remove();
         if (future.getStatus() != IoFuture.Status.DONE) {
-            close("cannot connect");
+            close("connect failed");
             return;
         }
         try {
@@ -101,32 +104,32 @@
             channel.getSourceChannel().resumeReads();
             write();
         } catch (IOException e) {
-            close("cannot connect");
+            close("connect failed");
         }
     }
 
     /**
-     * Whether it still leads to the server, as far as the system has heard. The server's own close may wait in the socket, and a frame
-     * written behind it would be reset and may have run.
+     * Whether the connection is still open. An idle connection is read first: the server's close may be unread in the
+     * socket, and a frame written after it would be reset, with parts that may have run.
      */
     boolean isAlive() {
-        if (channel != null && !closed && load() == 0) {
+        if (channel != null && !closed && partsInFlight() == 0) {
             onReadable(channel.getSourceChannel());
         }
         return !closed;
     }
 
-    /** Parts in flight, of the number that it may carry. */
-    int load() {
-        return awaitingResponse.size() + writer.load();
+    /** The number of parts in flight on this connection, queued ones included. */
+    int partsInFlight() {
+        return awaitingResponse.size() + writer.partCount();
     }
 
-    /** Nothing is in flight, and it was last used before this time. */
+    /** Whether no part is in flight and the connection was last used before this time. */
     boolean isIdleSince(double ms) {
-        return load() == 0 && writer.isIdle() && lastUsedMs < ms;
+        return partsInFlight() == 0 && writer.isIdle() && lastUsedMs < ms;
     }
 
-    /** Writes a batch as soon as it may begin. */
+    /** Queues a batch, and writes it as soon as its frame may begin. */
     void enqueue(PartBatch batch) {
         lastUsedMs = pool.clock.nowMs();
         for (PartRequest part : batch.parts) {
@@ -137,18 +140,18 @@
         write();
     }
 
-    /** Whether it takes so many more parts without passing the limit. */
+    /** Whether it can accept so many more parts within the limit. */
     boolean hasCapacityFor(int parts, int limit) {
-        return !draining && load() + parts <= limit;
+        return !draining && partsInFlight() + parts <= limit;
     }
 
-    /** Takes no further batches, and closes once nothing is in flight. */
+    /** Stops accepting batches, and closes the connection once no part is in flight. */
     void drain() {
         draining = true;
         closeIfDrained();
     }
 
-    /** Not at once: the part that is being withdrawn ends first. */
+    /** Closes a drained connection in a later task, so that the part that is being withdrawn ends first. */
     private void closeLaterIfDrained() {
         if (draining) {
             pool.io.execute(this::closeIfDrained);
@@ -156,15 +159,15 @@
     }
 
     private void closeIfDrained() {
-        if (draining && load() == 0) {
+        if (draining && partsInFlight() == 0) {
             close(null);
         }
     }
 
-    /** The part is not waited for any more; a frame that has not begun does not leave. True where the part never left. */
+    /** Stops waiting for a part; returns true if it was not sent, as its frame has not begun. */
     boolean withdraw(PartRequest part, boolean timedOut) {
-        // A connection that no longer leads anywhere says nothing, and would swallow all that comes after. One that
-        // was silent from when a part was queued to its timeout is drained.
+        // On a dead connection no error appears, and all later parts would time out too. So a connection on which
+        // nothing was received between the queueing of a part and its timeout is drained.
         draining |= timedOut && channel != null && lastReadMs < part.queuedMs;
         if (part.stage == PartRequest.Stage.QUEUED) {
             writer.remove(part);
@@ -181,26 +184,26 @@
         return false;
     }
 
-    /** Parts that have not begun to leave end as not sent. */
+    /** Ends the parts whose frames have not begun as not sent. */
     void dropQueued() {
         writer.removeQueued().forEach(part -> pool.endPart(part, Outcome.NOT_SENT, null));
     }
 
-    /** Writes on where it may. */
+    /** Writes as much as possible. */
     void write() {
         if (closed || channel == null) {
             return;
         }
         try {
             if (!writer.write(channel.getSinkChannel())) {
-                close("a frame stopped half-way until it could no longer leave");
+                close("a frame was not completely written before its deadline");
             }
         } catch (IOException e) {
-            close("broken while writing");
+            close("write failed");
         }
     }
 
-    /** The last byte of a frame has left; of a batch, or of a cancellation where it is null. */
+    /** Called when a frame was completely written: that of this batch, or a cancellation if it is null. */
     void onFrameWritten(PartBatch batch) {
         lastUsedMs = pool.clock.nowMs();
         if (batch == null) {
@@ -234,34 +237,35 @@
         } catch (MalformedMessageException e) {
             closeMalformed(e.getMessage());
         } catch (IOException e) {
-            close("broken");
+            close("read failed");
         } catch (RuntimeException e) {
             pool.log(System.Logger.Level.ERROR, "server " + address + ": connection closed after exception " + e);
             close(null);
         }
     }
 
-    /** Takes the responses that are complete; whether there were any. */
+    /** Processes the complete responses; returns whether there were any. */
     private boolean readResponses() throws MalformedMessageException {
-        boolean any = false;
+        boolean completed = false;
         ShardFrameCodec.PartResponse response = decoder.nextResponse();
         while (response != null) {
             onResponse(response);
-            any = true;
+            completed = true;
             response = decoder.nextResponse();
         }
-        return any;
+        return completed;
     }
 
     /**
-     * What has begun to come is to be there soon, and nothing is to come where nothing is waited for. Otherwise a frame that announces
-     * more than comes would swallow all responses behind it, and what is behind a good response would become the head of the next one.
+     * Requires that a partial frame is completed in time, and that no bytes arrive while no part is in flight.
+     * Otherwise a frame whose length is too large would absorb all responses after it, and surplus bytes after a good
+     * response would be taken for the head of the next one.
      */
     private void checkPartialFrame(ConduitStreamSourceChannel source, boolean completed)
             throws MalformedMessageException {
         boolean partial = !closed && decoder.hasPartialFrame();
-        if (partial && load() == 0) {
-            throw new MalformedMessageException("more than was asked for");
+        if (partial && partsInFlight() == 0) {
+            throw new MalformedMessageException("bytes were received while no response was awaited");
         }
         if (partialFrameTimeout != null && (completed || !partial)) {
             partialFrameTimeout.remove();
@@ -275,12 +279,12 @@
         }
     }
 
-    /** Of a process that was paused the rest may wait in the socket, so that is read first. */
+    /** Reads the socket before it closes the connection: after a pause of the process, the rest may be unread there. */
     private void onPartialFrameTimeout(ConduitStreamSourceChannel source) {
         XnioExecutor.Key timeout = partialFrameTimeout;
         onReadable(source);
         if (!closed && partialFrameTimeout == timeout) {
-            closeMalformed("a frame that does not end");
+            closeMalformed("a frame was not completed before the connect timeout");
         }
     }
 
@@ -289,9 +293,9 @@
         lastReadMs = lastUsedMs;
         PartRequest part = awaitingResponse.remove(response.id());
         if (part == null) {
-            // Late or duplicated responses concern nobody any more; another one is the spoilt one of a part in flight.
+            // Late and duplicate responses are ignored. Any other unknown id is a corrupted one of a part in flight.
             if (!recentlyEnded.contains(response.id())) {
-                throw new MalformedMessageException("an answer for a part that was not asked for");
+                throw new MalformedMessageException("a response has the id of no part in flight");
             }
             return;
         }
@@ -312,22 +316,23 @@
     }
 
     /**
-     * Where frames begin is no longer known, so nothing that is in flight here can be answered any more. All of it may have run; that it
-     * ends now and not at its timeout leaves time for another server.
+     * Closes the connection after a malformed frame. The start of the next frame is unknown, so no part in flight can
+     * be answered any more. All of them may have run; ending them now instead of at their timeouts leaves time for a
+     * retry on another server.
      */
     private void closeMalformed(String reason) {
-        pool.logMalformedFrame("server " + address + ": unusable frame, connection closed: " + reason);
+        pool.logMalformedFrame("server " + address + " sent a malformed frame, connection closed: " + reason);
         close(null, Outcome.NOT_SENT, Outcome.MALFORMED);
     }
 
-    /** Closes it; the reason goes to the log where parts end by it, null for none. */
+    /** Closes the connection; logs the reason if there are parts in flight. A null reason is not logged. */
     void close(String reason) {
         close(reason, Outcome.CONNECT_FAILED, Outcome.RESET);
     }
 
     /**
-     * What was written completely may have run, the rest never did: a frame that was written in part is no request to the server, so none
-     * of its parts ran.
+     * Closes the connection and ends its parts. Parts of completely written frames may have run. The others never ran,
+     * as a server does not act on an incomplete frame.
      */
     private void close(String reason, Outcome outcomeIfUnsent, Outcome outcomeIfSent) {
         if (closed) {
@@ -350,8 +355,8 @@
         if (reason != null && unsent.size() + sent.size() > 0) {
             pool.log(
                     System.Logger.Level.DEBUG,
-                    "server " + address + ": " + reason + "; " + unsent.size() + " parts never ran, " + sent.size()
-                            + " may have");
+                    "server " + address + ": connection closed, " + reason + "; " + unsent.size() + " parts never ran, "
+                            + sent.size() + " may have run");
         }
         unsent.forEach(part -> pool.endPart(part, outcomeIfUnsent, null));
         sent.forEach(part -> pool.endPart(part, outcomeIfSent, null));
--- a/node/src/main/java/spartrail/shard/ShardFrameCodec.java
+++ b/node/src/main/java/spartrail/shard/ShardFrameCodec.java
@@ -10,22 +10,22 @@
 import spartrail.model.MalformedMessageException;
 
 /**
- * The frames between front nodes and index servers: four bytes of length, counted from behind them, one of type, the payload. Types sent
- * are {@code R} (a batch of parts) and {@code A} (a part is cancelled); received are {@code Y} (a part's response) and {@code N} (the
- * server could not read a frame).
+ * Encodes and decodes the frames between front nodes and index servers: four bytes with the length of the rest, one
+ * byte for the type, then the payload. The node sends type {@code R} (a batch of parts) and {@code A} (a cancelled
+ * part). It receives {@code Y} (the response for a part) and {@code N} (the server could not read a frame).
  */
 final class ShardFrameCodec {
     /** A server's response for one part. */
     record PartResponse(String id, Status status, byte[] value) {}
 
-    /** How a server says that a part ended. */
+    /** The status of a part in a server's response. */
     enum Status {
         OK,
         ERROR,
         REJECTED
     }
 
-    /** A value goes into a client's response, and no response is longer than this. */
+    /** The longest frame: a value is part of a client's response, which is no longer than this. */
     static final int MAX_FRAME_BYTES = 64 * 1024;
 
     private static final int HEADER_BYTES = 5;
@@ -33,7 +33,7 @@
 
     private ShardFrameCodec() {}
 
-    /** A batch: each part a line and its text. */
+    /** Encodes a batch: for each part a line and its text. */
     static ByteBuffer encodeBatch(List<PartRequest> parts, double nowMs) {
         ByteArrayOutputStream payload = new ByteArrayOutputStream();
         for (PartRequest part : parts) {
@@ -46,7 +46,7 @@
         return encodeFrame('R', payload.toByteArray());
     }
 
-    /** A part is not waited for any more. */
+    /** Encodes the cancellation of a part. */
     static ByteBuffer encodeCancellation(String id) {
         return encodeFrame('A', id.getBytes(StandardCharsets.US_ASCII));
     }
@@ -56,7 +56,7 @@
         return frame.putInt(1 + payload.length).put((byte) type).put(payload).flip();
     }
 
-    /** Takes bytes as they come and finds where frames end. */
+    /** Buffers received bytes and splits them into frames. */
     static final class Decoder {
         private byte[] bytes = new byte[512];
         private int from;
@@ -76,14 +76,15 @@
             to += more;
         }
 
-        /** A frame has begun and is not complete. */
+        /** Whether a frame was received in part. */
         boolean hasPartialFrame() {
             return to > from;
         }
 
         /**
-         * The next response that is complete, or null. A health check's response is as malformed as any other that nobody here asks for.
-         * Memory for a frame is taken as its bytes come, never as it announces.
+         * Returns the next complete response, or null. Frames of all other types are malformed, also the response to a
+         * health check, which this node never requests. Memory is allocated for received bytes only, not by the length
+         * that a frame states.
          */
         PartResponse nextResponse() throws MalformedMessageException {
             if (to - from < HEADER_BYTES) {
@@ -92,10 +93,11 @@
             int length = ByteBuffer.wrap(bytes, from, 4).getInt();
             char type = (char) (bytes[from + 4] & 0xff);
             if (length < 1 || length > MAX_FRAME_BYTES) {
-                throw new MalformedMessageException("a frame of length " + length);
+                throw new MalformedMessageException(
+                        "frame length is " + length + ", 1 to " + MAX_FRAME_BYTES + " is expected");
             }
             if (type != 'Y' && type != 'N') {
-                throw new MalformedMessageException("a frame of letter " + (int) type);
+                throw new MalformedMessageException("frame type is " + (int) type + ", Y or N is expected");
             }
             if (to - from < 4 + length) {
                 return null;
@@ -104,7 +106,7 @@
             int end = from + 4 + length;
             from = end;
             if (type == 'N') {
-                throw new MalformedMessageException("N: "
+                throw new MalformedMessageException("N frame with the text: "
                         + new String(bytes, start, Math.min(100, end - start), StandardCharsets.US_ASCII)
                                 .replaceAll("[^ -~]", "?"));
             }
@@ -116,25 +118,26 @@
             while (lineEnd < end && bytes[lineEnd] != '\n') {
                 lineEnd++;
             }
-            // What is wrong with a load report alone makes no response malformed: nothing here goes by it.
+            // The load report at the end of the line is not checked, as the node does not use it.
             String[] words = new String(bytes, start, lineEnd - start, StandardCharsets.US_ASCII).split(" ", 4);
             if (lineEnd == end
                     || words.length < 4
                     || !SCORE_FORMAT.matcher(words[2]).matches()) {
-                throw new MalformedMessageException("an answer without its line");
+                throw new MalformedMessageException("response has no line with an id, a status and a score");
             }
             Status status =
                     switch (words[1]) {
                         case "OK" -> Status.OK;
                         case "ERROR" -> Status.ERROR;
                         case "REJECTED" -> Status.REJECTED;
-                        default -> throw new MalformedMessageException("an answer of an unknown end");
+                        default -> throw new MalformedMessageException(
+                                "response status is unknown, OK, ERROR or REJECTED is expected");
                     };
             try {
-                // What is no text would reach the client as another value than the server made.
+                // Invalid UTF-8 would reach the client as a different value than the server's.
                 StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes, lineEnd + 1, end - lineEnd - 1));
             } catch (CharacterCodingException e) {
-                throw new MalformedMessageException("a value that is no text", e);
+                throw new MalformedMessageException("response value is not valid UTF-8", e);
             }
             return new PartResponse(words[0], status, Arrays.copyOfRange(bytes, lineEnd + 1, end));
         }
--- a/node/src/main/java/spartrail/shard/ShardPool.java
+++ b/node/src/main/java/spartrail/shard/ShardPool.java
@@ -14,9 +14,10 @@
 import spartrail.model.NodeClock;
 
 /**
- * The connections to all servers. It carries batches and reports how each part ended, exactly once; where parts go and how long they may
- * take is decided elsewhere. All of it runs on the I/O thread. Cost: a batch goes over the connections to its server; closing idle
- * connections, eight times in the keep-alive time, and a released hold go over all of them.
+ * The connections to all servers. The pool sends batches and reports the outcome of each part exactly once; the
+ * coordinator decides where parts go and how long they may take. Runs on the I/O thread only. Cost: sending a batch is
+ * linear in the connections to its server; closing idle connections, eight times per keep-alive time, and releasing a
+ * hold are linear in all connections.
  */
 public final class ShardPool {
     private static final System.Logger LOG = System.getLogger("spartrail.shard");
@@ -37,17 +38,17 @@
     private double malformedLoggedMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * What it goes by of the settings; times in milliseconds.
+     * The settings of the pool.
      *
-     * @param partsPerConnection most parts in flight on a connection
-     * @param keepAliveMs a server closes a connection that is idle for so long
-     * @param cancelling whether servers are notified of parts that are not waited for any more
-     * @param graceMs within this time sends to a server that drains or is gone must cease
+     * @param partsPerConnection the most parts in flight on a connection
+     * @param keepAliveMs the idle time after which a server closes a connection
+     * @param cancelling whether servers are notified of cancelled parts
+     * @param graceMs the time within which sending to a server must stop after it has begun to drain or is gone
      */
     public record Settings(
             int partsPerConnection, double connectTimeoutMs, double keepAliveMs, boolean cancelling, double graceMs) {}
 
-    /** A pool without connections. */
+    /** Creates a pool without connections. */
     public ShardPool(
             XnioIoThread io, NodeClock clock, Settings settings, AttemptListener listener, Invariants invariants) {
         this.io = io;
@@ -59,8 +60,8 @@
     }
 
     /**
-     * Goes by these settings from now on. Connections are closed when they have been idle for half of the keep-alive time: a request that
-     * crosses the server's own close is reset and may have run.
+     * Applies changed settings. A connection is closed after it was idle for half of the keep-alive time, as a request
+     * that crosses the server's own close is reset and may have run.
      */
     public void applySettings(Settings changed) {
         settings = changed;
@@ -76,7 +77,7 @@
         return clock.nowMs() - settings.keepAliveMs() / 2;
     }
 
-    /** Sends parts as one batch, on a connection that has room for them, opened only if none has. */
+    /** Sends parts as one batch, on a connection with room for them; opens a connection only if none has room. */
     public void send(InetSocketAddress address, List<PartRequest> parts) {
         ShardConnection chosen = choose(address, parts.size());
         if (chosen == null) {
@@ -86,11 +87,11 @@
         chosen.enqueue(new PartBatch(parts));
     }
 
-    /** An open connection that has room for so many parts, or null. */
+    /** Returns an open connection with room for so many parts, or null. */
     private ShardConnection choose(InetSocketAddress address, int parts) {
         for (ShardConnection connection : connectionsTo(address)) {
             if (connection.isIdleSince(idleLimitMs())) {
-                // A process that was paused has not closed it in time, and the server does so now.
+                // After a pause of the process this connection is overdue, and the server may be closing it now.
                 connection.close(null);
             } else if (connection.hasCapacityFor(parts, settings.partsPerConnection()) && connection.isAlive()) {
                 return connection;
@@ -99,12 +100,12 @@
         return null;
     }
 
-    /** An endpoint update was read: no frame begins until the loop has applied it. */
+    /** Holds frames back after an endpoint update was read, until the loop has applied it. */
     public void holdFrames() {
         gate.hold();
     }
 
-    /** So many endpoint updates have been applied, and the addresses that they end are retired. */
+    /** Releases frames after so many endpoint updates were applied and the addresses that they remove were retired. */
     public void releaseFrames(int updates) {
         gate.release(updates);
     }
@@ -118,29 +119,32 @@
         allConnections().forEach(ShardConnection::write);
     }
 
-    /** The part is not waited for any more; the outcome holds if its frame has begun to leave. */
+    /** Stops waiting for a part. It ends as not sent if its frame has not begun, otherwise with the given outcome. */
     public void withdraw(PartRequest part, Outcome outcomeIfBegun) {
         if (part.stage != PartRequest.Stage.ENDED) {
             boolean timedOut = outcomeIfBegun == Outcome.TIMED_OUT;
-            boolean neverLeft = part.connection == null || part.connection.withdraw(part, timedOut);
-            endPart(part, neverLeft ? Outcome.NOT_SENT : outcomeIfBegun, null);
+            boolean isUnsent = part.connection == null || part.connection.withdraw(part, timedOut);
+            endPart(part, isUnsent ? Outcome.NOT_SENT : outcomeIfBegun, null);
         }
     }
 
-    /** This part is not sent if its frame has not begun to leave; otherwise its response is still waited for. */
+    /** Withdraws a part only if its frame has not begun; otherwise the pool still waits for its response. */
     public void withdrawUnsent(PartRequest part) {
         if (part.stage == PartRequest.Stage.QUEUED) {
             withdraw(part, Outcome.NOT_SENT);
         }
     }
 
-    /** The server drains, is gone, or is another process: what has not begun to leave for it does not leave any more. */
+    /**
+     * Stops sending to an address whose server drains, is gone or was restarted: parts whose frames have not begun end
+     * as not sent, and the connections are drained.
+     */
     public void retire(InetSocketAddress address) {
         connectionsTo(address).forEach(ShardConnection::dropQueued);
         connectionsTo(address).forEach(ShardConnection::drain);
     }
 
-    /** A copy, as connections that close leave their list. */
+    /** A copy of the connections to an address, as connections that close are removed from the original. */
     private List<ShardConnection> connectionsTo(InetSocketAddress address) {
         return List.copyOf(connections.getOrDefault(address, List.of()));
     }
@@ -149,18 +153,18 @@
         return connections.values().stream().flatMap(List::stream).toList();
     }
 
-    /** How many connections are open or being opened. */
+    /** The number of connections that are open or being opened. */
     public int connectionCount() {
         return connections.values().stream().mapToInt(List::size).sum();
     }
 
-    /** Closes all connections; what is in flight ends by that. */
+    /** Closes all connections, which ends the parts in flight. */
     public void close() {
         idleTimer.remove();
         allConnections().forEach(connection -> connection.close(null));
     }
 
-    /** Reports how a part ended, the first time. */
+    /** Reports the outcome of a part, unless it has been reported before. */
     void endPart(PartRequest part, Outcome outcome, byte[] value) {
         if (part.stage == PartRequest.Stage.ENDED) {
             return;
@@ -169,7 +173,7 @@
         listener.onAttemptEnded(part, outcome, value, clock.nowMs());
     }
 
-    /** The connection is closed. */
+    /** Removes a closed connection. */
     void remove(InetSocketAddress address, ShardConnection connection) {
         List<ShardConnection> open = connections.get(address);
         boolean wasOpen = open != null && open.remove(connection);
@@ -191,13 +195,13 @@
         LOG.log(level, text);
     }
 
-    /** One line a second at most, so that the log does not grow with what bad servers send. */
+    /** Logs at most one line per second, so that misbehaving servers cannot fill the log. */
     void logMalformedFrame(String text) {
         malformedFrames++;
         double nowMs = clock.nowMs();
         if (nowMs - malformedLoggedMs >= MALFORMED_LOG_INTERVAL_MS) {
             malformedLoggedMs = nowMs;
-            log(System.Logger.Level.WARNING, text + " (" + malformedFrames + " in all)");
+            log(System.Logger.Level.WARNING, text + " (" + malformedFrames + " malformed frames in all)");
         }
     }
 }
--- a/node/src/main/java/spartrail/shard/package-info.java
+++ b/node/src/main/java/spartrail/shard/package-info.java
@@ -1,10 +1,11 @@
 /**
- * Connections to index servers: batches of parts out, a response or another end for each part in.
+ * Connections to index servers, which carry batches of parts out and responses in.
  *
- * <p>In: batches, withdrawals and retired addresses from the coordinator's loop, as tasks; frames of servers. Out: how each attempt ended,
- * exactly once, to a {@link spartrail.shard.AttemptListener}. This package alone knows the frames' form.
+ * <p>In: batches, withdrawals and retired addresses from the coordinator's loop, as tasks; frames of servers. Out: the
+ * outcome of each attempt, exactly once, to a {@link spartrail.shard.AttemptListener}. Only this package knows the
+ * format of the frames.
  *
- * <p>Thread: the one I/O thread. Nothing here waits or decides where a part goes and how long it may take; what is checked here, where the
- * bytes leave, is whether a decision still holds (deadline, client, endpoint updates).
+ * <p>Thread: the one I/O thread. No code here blocks, or decides where a part goes and how long it may take. Before a
+ * frame is written, this package checks whether the decision is still valid (deadline, client, endpoint updates).
  */
 package spartrail.shard;
--- a/node/src/test/java/spartrail/shard/ShardConnectionTest.java
+++ b/node/src/test/java/spartrail/shard/ShardConnectionTest.java
@@ -19,25 +19,25 @@
 import org.junit.jupiter.api.Test;
 import spartrail.model.Attempt.Outcome;
 
-/** How parts end, by what becomes of their connection. */
+/** The outcomes of parts when their connection fails, closes or receives malformed frames. */
 class ShardConnectionTest extends ShardPoolFixture {
     ShardConnectionTest() throws IOException {}
 
     @Test
-    void partsOfAConnectionThatIsNeverEstablishedNeverRan() throws Exception {
+    void partsOfAnUnestablishedConnectionEndAsConnectFailed() throws Exception {
         createPool(100, 50, 60_000);
         InetSocketAddress address = hangingAddress();
         runOnIoThread(() -> pool.send(address, List.of(createPart("1.0"), createPart("2.0"))));
         assertThat(List.of(nextEvent(), nextEvent())).containsExactly("1.0 CONNECT_FAILED", "2.0 CONNECT_FAILED");
-        ServerSocket gone = new ServerSocket(0);
-        gone.close();
-        runOnIoThread(
-                () -> pool.send(new InetSocketAddress("127.0.0.1", gone.getLocalPort()), List.of(createPart("3.0"))));
+        ServerSocket closedSocket = new ServerSocket(0);
+        closedSocket.close();
+        runOnIoThread(() ->
+                pool.send(new InetSocketAddress("127.0.0.1", closedSocket.getLocalPort()), List.of(createPart("3.0"))));
         assertThat(nextEvent()).isEqualTo("3.0 CONNECT_FAILED");
     }
 
     @Test
-    void completelyWrittenPartsAreResetByABrokenConnection() throws Exception {
+    void completelyWrittenPartsEndAsResetWhenTheConnectionCloses() throws Exception {
         createPool(100, 1000, 60_000);
         InetSocketAddress address = startServer(new ToyFleet.ServerBehavior() {
             @Override
@@ -56,8 +56,8 @@
         assertThat(List.of(nextEvent(), nextEvent())).containsExactlyInAnyOrder("2.0 RESET", "3.0 RESET");
     }
 
-    /** What becomes of a part whose server has read its frame, sends these bytes and resets the connection. */
-    private String resetAfter(byte[] bytes) throws Exception {
+    /** The outcome of a part whose server reads its frame, sends these bytes and resets the connection. */
+    private String outcomeAfterReset(byte[] bytes) throws Exception {
         createPool(100, 1000, 60_000);
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             runOnIoThread(
@@ -68,30 +68,30 @@
             accepted.getOutputStream().write(bytes);
             accepted.setSoLinger(true, 0);
             accepted.close();
-            String end = nextEvent();
+            String outcome = nextEvent();
             runOnIoThread(pool::close);
-            return end;
+            return outcome;
         }
     }
 
     @Test
-    void aResetAfterTheFramesLastByteMayHaveRunWhateverPartOfTheResponseCame() throws Exception {
-        byte[] answer = ShardFrameCodec.encodeFrame('Y', "1.0 OK 1 -\nvalue".getBytes(StandardCharsets.US_ASCII))
+    void aPartEndsAsResetAfterAnyIncompleteResponse() throws Exception {
+        byte[] response = ShardFrameCodec.encodeFrame('Y', "1.0 OK 1 -\nvalue".getBytes(StandardCharsets.US_ASCII))
                 .array();
-        int line = 5 + "1.0 OK 1 -\n".length();
-        StringBuilder table = new StringBuilder();
-        for (int sent : List.of(0, 2, 5, 8, line, line + 3)) {
-            table.append(sent)
+        int headLength = 5 + "1.0 OK 1 -\n".length();
+        StringBuilder outcomes = new StringBuilder();
+        for (int sent : List.of(0, 2, 5, 8, headLength, headLength + 3)) {
+            outcomes.append(sent)
                     .append(' ')
-                    .append(resetAfter(Arrays.copyOf(answer, sent)))
+                    .append(outcomeAfterReset(Arrays.copyOf(response, sent)))
                     .append('\n');
         }
-        assertThat(table.toString())
+        assertThat(outcomes.toString())
                 .isEqualTo("0 1.0 RESET\n2 1.0 RESET\n5 1.0 RESET\n8 1.0 RESET\n16 1.0 RESET\n19 1.0 RESET\n");
     }
 
     @Test
-    void aResetLongAfterTheResponseEndsNoPart() throws Exception {
+    void aCloseAfterTheResponseEndsNoPart() throws Exception {
         createPool(100, 1000, 60_000);
         InetSocketAddress address = startServer(new Silent() {
             @Override
@@ -104,18 +104,18 @@
             String id = i + ".0";
             runOnIoThread(() -> pool.send(address, List.of(createPart(id))));
             assertThat(List.of(nextEvent(), nextEvent(), nextEvent()))
-                    .containsExactlyInAnyOrder("server: opened", id + " ANSWERED", "server: closed");
+                    .containsExactlyInAnyOrder("server: connected", id + " ANSWERED", "server: disconnected");
         }
     }
 
     @Test
-    void aPartiallyWrittenFrameNeverRan() throws Exception {
+    void partsOfAPartiallyWrittenFrameEndAsConnectFailed() throws Exception {
         createPool(100, 1000, 60_000);
-        ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-        opened.add(deaf);
+        ServerSocket unreadSocket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+        opened.add(unreadSocket);
         PartRequest big = createPart("1.0", 32 * 1024 * 1024);
-        runOnIoThread(() -> pool.send((InetSocketAddress) deaf.getLocalSocketAddress(), List.of(big)));
-        Socket accepted = deaf.accept();
+        runOnIoThread(() -> pool.send((InetSocketAddress) unreadSocket.getLocalSocketAddress(), List.of(big)));
+        Socket accepted = unreadSocket.accept();
         accepted.getInputStream().read();
         accepted.setSoLinger(true, 0);
         accepted.close();
@@ -123,13 +123,13 @@
     }
 
     @Test
-    void withdrawalsAreSentToTheServerAndASilentConnectionIsDrained() throws Exception {
+    void withdrawnPartsAreCancelledOnTheServerAndASilentConnectionIsDrained() throws Exception {
         createPool(100, 1000, 60_000);
         InetSocketAddress address = startServer(new Silent());
         PartRequest one = createPart("1.0");
         PartRequest two = createPart("2.0");
         runOnIoThread(() -> pool.send(address, List.of(one)));
-        assertThat(List.of(nextEvent(), nextEvent())).containsExactly("server: opened", "server: part 1.0");
+        assertThat(List.of(nextEvent(), nextEvent())).containsExactly("server: connected", "server: part 1.0");
         runOnIoThread(() -> pool.withdraw(one, Outcome.CANCELLED));
         assertThat(List.of(nextEvent(), nextEvent()))
                 .containsExactlyInAnyOrder("1.0 CANCELLED", "server: cancelled 1.0");
@@ -143,21 +143,21 @@
                 .containsExactlyInAnyOrder(
                         "2.0 TIMED_OUT",
                         "server: cancelled 2.0",
-                        "server: closed",
-                        "server: opened",
+                        "server: disconnected",
+                        "server: connected",
                         "server: part 3.0");
     }
 
     @Test
-    void aServerThatDoesNotReadBlocksNothingAfterTheFirstTimeout() throws Exception {
+    void partsAfterTheFirstTimeoutBypassAConnectionThatTheServerDoesNotRead() throws Exception {
         createPool(100, 1000, 60_000);
-        ServerSocket deaf = new ServerSocket(0, 4, InetAddress.getByName("127.0.0.1"));
-        opened.add(deaf);
-        InetSocketAddress address = (InetSocketAddress) deaf.getLocalSocketAddress();
+        ServerSocket unreadSocket = new ServerSocket(0, 4, InetAddress.getByName("127.0.0.1"));
+        opened.add(unreadSocket);
+        InetSocketAddress address = (InetSocketAddress) unreadSocket.getLocalSocketAddress();
         PartRequest big = createPart("1.0", 32 * 1024 * 1024);
         PartRequest behind = createPart("2.0");
         runOnIoThread(() -> pool.send(address, List.of(big)));
-        Socket first = deaf.accept();
+        Socket first = unreadSocket.accept();
         opened.add(first);
         first.getInputStream().read();
         runOnIoThread(() -> {
@@ -167,16 +167,16 @@
             pool.send(address, List.of(createPart("3.0")));
         });
         assertThat(List.of(nextEvent(), nextEvent())).containsExactly("2.0 NOT_SENT", "1.0 TIMED_OUT");
-        Socket second = deaf.accept();
+        Socket second = unreadSocket.accept();
         opened.add(second);
         assertThat(second.getInputStream().readNBytes(10)).endsWith("3.0 0".getBytes(StandardCharsets.US_ASCII));
         runOnIoThread(() -> assertThat(pool.connectionCount()).isEqualTo(1));
     }
 
     @Test
-    void aCloseWaitingInTheSocketIsReadBeforeAFrameIsWritten() throws Exception {
+    void anUnreadCloseIsDetectedBeforeAFrameIsWritten() throws Exception {
         createPool(100, 1000, 60_000);
-        InetSocketAddress address = startServer(new Linking());
+        InetSocketAddress address = startServer(new ConnectionRecording());
         runOnIoThread(() -> pool.send(address, List.of(createPart("1.0"))));
         assertThat(nextEvent()).isEqualTo("1.0 ANSWERED");
         ToyFleet.Connection connection = connections.take();
@@ -193,81 +193,81 @@
     }
 
     @Test
-    void aFrameStoppedHalfWayIsNotContinuedPastItsDeadline() throws Exception {
+    void aPartiallyWrittenFrameIsNotCompletedAfterItsDeadline() throws Exception {
         createPool(100, 1000, 60_000);
-        ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-        opened.add(deaf);
+        ServerSocket unreadSocket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+        opened.add(unreadSocket);
         sendDeadlineMs = clock.nowMs() + 500;
         int bytes = 32 * 1024 * 1024;
-        runOnIoThread(
-                () -> pool.send((InetSocketAddress) deaf.getLocalSocketAddress(), List.of(createPart("1.0", bytes))));
-        Socket accepted = deaf.accept();
+        runOnIoThread(() ->
+                pool.send((InetSocketAddress) unreadSocket.getLocalSocketAddress(), List.of(createPart("1.0", bytes))));
+        Socket accepted = unreadSocket.accept();
         opened.add(accepted);
         accepted.setSoTimeout(20_000);
         accepted.getInputStream().read();
         while (clock.nowMs() < sendDeadlineMs + 10) {
             Thread.onSpinWait();
         }
-        long got = 0;
+        long received = 0;
         try {
-            for (int n = 0; n >= 0; n = accepted.getInputStream().read(new byte[1 << 16])) {
-                got += n;
+            for (int count = 0; count >= 0; count = accepted.getInputStream().read(new byte[1 << 16])) {
+                received += count;
             }
         } catch (java.io.IOException e) {
-            // Reset, or no end.
+            // The connection was reset, or stayed open until the read timeout.
         }
         assertThat(nextEvent()).isEqualTo("1.0 CONNECT_FAILED");
-        assertThat(got).isLessThan(bytes);
+        assertThat(received).isLessThan(bytes);
     }
 
-    /** What a server sends for part 1.0, and what then becomes of it and of 2.0, which is out on the same connection. */
-    private String spoilt(byte[] bytes) throws Exception {
+    /** The outcomes of two parts on one connection after the server has sent these bytes. */
+    private String outcomesAfter(byte[] bytes) throws Exception {
         createPool(100, 50, 60_000);
-        CountDownLatch both = new CountDownLatch(2);
+        CountDownLatch unreceived = new CountDownLatch(2);
         InetSocketAddress address = startServer(new ToyFleet.ServerBehavior() {
             @Override
             public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
-                both.countDown();
-                if (both.getCount() == 0) {
+                unreceived.countDown();
+                if (unreceived.getCount() == 0) {
                     connection.sendBytes(bytes);
                 }
             }
         });
         runOnIoThread(() -> pool.send(address, List.of(createPart("1.0"), createPart("2.0"))));
-        String ends = Stream.of(nextEvent(), nextEvent()).sorted().collect(Collectors.joining(", "));
+        String outcomes = Stream.of(nextEvent(), nextEvent()).sorted().collect(Collectors.joining(", "));
         runOnIoThread(() ->
                 assertThat(pool.connectionCount()).as("connections in use").isZero());
         runOnIoThread(pool::close);
-        return ends;
+        return outcomes;
     }
 
     @Test
     void aMalformedFrameEndsAllPartsOfItsConnectionBeforeTheirTimeouts() throws Exception {
         byte[] good = ShardFrameCodec.encodeFrame('Y', "1.0 OK 1 -\nv".getBytes(StandardCharsets.US_ASCII))
                 .array();
-        byte[] endless = good.clone();
-        endless[3] += 20;
-        String neither = "1.0 MALFORMED, 2.0 MALFORMED";
+        byte[] incomplete = good.clone();
+        incomplete[3] += 20;
+        String bothMalformed = "1.0 MALFORMED, 2.0 MALFORMED";
         for (byte[] bytes : List.of(
                 "noise".getBytes(StandardCharsets.US_ASCII),
                 new byte[] {-80, 0, 0, 0, 'Y'},
-                endless,
+                incomplete,
                 new byte[] {0, 0, 0},
                 ShardFrameCodec.encodeFrame('Y', "3.0 OK 1 -\nv".getBytes(StandardCharsets.US_ASCII))
                         .array(),
                 ShardFrameCodec.encodeFrame('T', new byte[] {'-'}).array())) {
-            assertThat(spoilt(bytes)).isEqualTo(neither);
+            assertThat(outcomesAfter(bytes)).isEqualTo(bothMalformed);
         }
-        byte[] behind = ByteBuffer.allocate(2 * good.length + 3)
+        byte[] surplus = ByteBuffer.allocate(2 * good.length + 3)
                 .put(good)
                 .put(good)
                 .put(new byte[] {9, 9, 9})
                 .array();
-        assertThat(spoilt(behind)).isEqualTo("1.0 ANSWERED, 2.0 MALFORMED");
+        assertThat(outcomesAfter(surplus)).isEqualTo("1.0 ANSWERED, 2.0 MALFORMED");
     }
 
     @Test
-    void unrequestedBytesCloseAnIdleConnectionAndEndNoPart() throws Exception {
+    void unexpectedBytesCloseAnIdleConnectionAndEndNoPart() throws Exception {
         createPool(100, 1000, 60_000);
         InetSocketAddress address = startServer(new Silent() {
             @Override
@@ -279,8 +279,8 @@
         });
         runOnIoThread(() -> pool.send(address, List.of(createPart("1.0"))));
         assertThat(List.of(nextEvent(), nextEvent(), nextEvent()))
-                .containsExactly("server: opened", "1.0 ANSWERED", "server: closed");
+                .containsExactly("server: connected", "1.0 ANSWERED", "server: disconnected");
         runOnIoThread(() -> pool.send(address, List.of(createPart("2.0"))));
-        assertThat(List.of(nextEvent(), nextEvent())).containsExactly("server: opened", "2.0 ANSWERED");
+        assertThat(List.of(nextEvent(), nextEvent())).containsExactly("server: connected", "2.0 ANSWERED");
     }
 }
--- a/node/src/test/java/spartrail/shard/ShardFrameCodecTest.java
+++ b/node/src/test/java/spartrail/shard/ShardFrameCodecTest.java
@@ -15,62 +15,62 @@
 import spartrail.model.MalformedMessageException;
 
 class ShardFrameCodecTest {
-    private static byte[] frame(char letter, String rest) {
-        return ShardFrameCodec.encodeFrame(letter, rest.getBytes(StandardCharsets.UTF_8))
+    private static byte[] encode(char type, String payload) {
+        return ShardFrameCodec.encodeFrame(type, payload.getBytes(StandardCharsets.UTF_8))
                 .array();
     }
 
-    private static String text(ShardFrameCodec.PartResponse answer) {
-        return answer.id() + " " + answer.status() + " " + new String(answer.value(), StandardCharsets.UTF_8);
+    private static String format(ShardFrameCodec.PartResponse response) {
+        return response.id() + " " + response.status() + " " + new String(response.value(), StandardCharsets.UTF_8);
     }
 
     @Test
-    void aBatchIsALineAndTheTextForEachPart() {
+    void aBatchIsEncodedAsALineAndTheTextOfEachPart() {
         byte[] text = "c41é".getBytes(StandardCharsets.UTF_8);
-        Attempt send = new Attempt(null, null, 0, 0, 240);
-        PartRequest first = new PartRequest(send, "9b.3", 3, text, 240.9, () -> true);
-        PartRequest second = new PartRequest(send, "9b.4", 4, text, -7, () -> true);
-        ByteBuffer call = ShardFrameCodec.encodeBatch(List.of(first, second), 0);
-        byte[] rest = "9b.3 3 d=240 5\nc41é9b.4 4 d=1 5\nc41é".getBytes(StandardCharsets.UTF_8);
-        assertThat(call.getInt()).isEqualTo(1 + rest.length);
-        assertThat(call.get()).isEqualTo((byte) 'R');
-        assertThat(call.slice()).isEqualTo(ByteBuffer.wrap(rest));
+        Attempt attempt = new Attempt(null, null, 0, 0, 240);
+        PartRequest first = new PartRequest(attempt, "9b.3", 3, text, 240.9, () -> true);
+        PartRequest second = new PartRequest(attempt, "9b.4", 4, text, -7, () -> true);
+        ByteBuffer frame = ShardFrameCodec.encodeBatch(List.of(first, second), 0);
+        byte[] payload = "9b.3 3 d=240 5\nc41é9b.4 4 d=1 5\nc41é".getBytes(StandardCharsets.UTF_8);
+        assertThat(frame.getInt()).isEqualTo(1 + payload.length);
+        assertThat(frame.get()).isEqualTo((byte) 'R');
+        assertThat(frame.slice()).isEqualTo(ByteBuffer.wrap(payload));
     }
 
     @Test
     void responsesAreDecodedWhereverTheirBytesAreCut() throws Exception {
-        byte[] one = frame('Y', "9b.3 OK 1840277719 inflight=7,util=0.61\na\nb");
-        byte[] two = frame('Y', "9b.4 REJECTED 0 -\n");
-        byte[] odd = frame('Y', "9b.5 OK 7 load ??? \u0000 so=what\nc");
-        byte[] all = ByteBuffer.allocate(one.length + odd.length + two.length)
-                .put(one)
-                .put(odd)
-                .put(two)
+        byte[] first = encode('Y', "9b.3 OK 1840277719 inflight=7,util=0.61\na\nb");
+        byte[] last = encode('Y', "9b.4 REJECTED 0 -\n");
+        byte[] oddLoadReport = encode('Y', "9b.5 OK 7 load ??? \u0000 so=what\nc");
+        byte[] all = ByteBuffer.allocate(first.length + oddLoadReport.length + last.length)
+                .put(first)
+                .put(oddLoadReport)
+                .put(last)
                 .array();
         for (int cut = 0; cut <= all.length; cut++) {
             ShardFrameCodec.Decoder decoder = new ShardFrameCodec.Decoder();
-            List<String> read = new ArrayList<>();
+            List<String> decoded = new ArrayList<>();
             for (ByteBuffer half : List.of(ByteBuffer.wrap(all, 0, cut), ByteBuffer.wrap(all, cut, all.length - cut))) {
                 decoder.append(half);
-                for (ShardFrameCodec.PartResponse answer = decoder.nextResponse();
-                        answer != null;
-                        answer = decoder.nextResponse()) {
-                    read.add(text(answer));
+                for (ShardFrameCodec.PartResponse response = decoder.nextResponse();
+                        response != null;
+                        response = decoder.nextResponse()) {
+                    decoded.add(format(response));
                 }
             }
-            assertThat(read).as("cut at %d", cut).containsExactly("9b.3 OK a\nb", "9b.5 OK c", "9b.4 REJECTED ");
+            assertThat(decoded).as("cut at %d", cut).containsExactly("9b.3 OK a\nb", "9b.5 OK c", "9b.4 REJECTED ");
         }
     }
 
     @Test
-    void framesThatTheProtocolDoesNotKnowAreMalformed() {
+    void framesOutsideTheProtocolAreMalformed() {
         List<byte[]> frames = List.of(
-                frame('Q', ""),
-                frame('N', "no such\u0007 frame"),
-                frame('Y', "9b.3 OK"),
-                frame('Y', "9b.3 PERHAPS 0 -\nx"),
-                frame('Y', "9b.3 OK none -\nx"),
-                frame('G', "OK"),
+                encode('Q', ""),
+                encode('N', "no such\u0007 frame"),
+                encode('Y', "9b.3 OK"),
+                encode('Y', "9b.3 PERHAPS 0 -\nx"),
+                encode('Y', "9b.3 OK none -\nx"),
+                encode('G', "OK"),
                 ShardFrameCodec.encodeFrame('Y', new byte[] {'1', ' ', 'O', 'K', ' ', '0', ' ', '-', '\n', (byte) 0xc3})
                         .array(),
                 new byte[] {0, 0, 0, 9, 'y'},
@@ -88,44 +88,44 @@
         assertThat(messages.toString())
                 .isEqualTo(
                         """
-                a frame of letter 81
-                N: no such? frame
-                an answer without its line
-                an answer of an unknown end
-                an answer without its line
-                a frame of letter 71
-                a value that is no text
-                a frame of letter 121
-                a frame of length 0
-                a frame of length 16777216
-                a frame of length -16777216
+                frame type is 81, Y or N is expected
+                N frame with the text: no such? frame
+                response has no line with an id, a status and a score
+                response status is unknown, OK, ERROR or REJECTED is expected
+                response has no line with an id, a status and a score
+                frame type is 71, Y or N is expected
+                response value is not valid UTF-8
+                frame type is 121, Y or N is expected
+                frame length is 0, 1 to 65536 is expected
+                frame length is 16777216, 1 to 65536 is expected
+                frame length is -16777216, 1 to 65536 is expected
                 """);
     }
 
     /**
-     * No answer changed in one place may be taken for a good one with another value. (A length that
-     * is a little shorter cuts the value, and nothing in the protocol tells.)
+     * A response with one corrupted byte must not be decoded as a good response with another value. The length field is
+     * not corrupted here: a slightly smaller length cuts the value, which the protocol cannot detect.
      */
     @Test
-    void aResponseChangedAtAnyByteIsDecodedUnchangedOrNotAtAll() throws Exception {
+    void aResponseWithOneCorruptedByteIsNotDecodedWithAnotherValue() throws Exception {
         byte[] good = ShardFrameCodec.encodeFrame('Y', "1.0 OK 17 a=1\nvalue".getBytes(StandardCharsets.US_ASCII))
                 .array();
         Random random = new Random(7);
-        Set<String> taken = new TreeSet<>();
+        Set<String> decodedValues = new TreeSet<>();
         for (int at = 4; at < 50 * (good.length - 5); at++) {
             byte[] bytes = good.clone();
             bytes[Math.max(4, at % (good.length - 5))] ^= (byte) (1 + random.nextInt(255));
             ShardFrameCodec.Decoder decoder = new ShardFrameCodec.Decoder();
             decoder.append(ByteBuffer.wrap(bytes));
             try {
-                ShardFrameCodec.PartResponse answer = decoder.nextResponse();
-                if (answer != null && answer.id().equals("1.0") && answer.status() == ShardFrameCodec.Status.OK) {
-                    taken.add(new String(answer.value(), StandardCharsets.US_ASCII));
+                ShardFrameCodec.PartResponse response = decoder.nextResponse();
+                if (response != null && response.id().equals("1.0") && response.status() == ShardFrameCodec.Status.OK) {
+                    decodedValues.add(new String(response.value(), StandardCharsets.US_ASCII));
                 }
             } catch (MalformedMessageException e) {
-                // As it should be.
+                // The corruption is detected, as intended.
             }
         }
-        assertThat(taken).containsExactly("value");
+        assertThat(decodedValues).containsExactly("value");
     }
 }
--- a/node/src/test/java/spartrail/shard/ShardPoolFixture.java
+++ b/node/src/test/java/spartrail/shard/ShardPoolFixture.java
@@ -26,7 +26,7 @@
 import spartrail.model.Invariants;
 import spartrail.model.NodeClock;
 
-/** A pool on an I/O thread of its own, the servers it connects to, and how its parts end. */
+/** Provides a pool on its own I/O thread and the servers that it connects to, and records the outcomes of parts. */
 abstract class ShardPoolFixture {
     final XnioWorker worker;
 
@@ -38,7 +38,8 @@
 
     final List<AutoCloseable> opened = new ArrayList<>();
 
-    final Set<String> gone = ConcurrentHashMap.newKeySet();
+    /** The ids of the parts whose clients have disconnected. */
+    final Set<String> disconnected = ConcurrentHashMap.newKeySet();
 
     final BlockingQueue<ToyFleet.Connection> connections = new LinkedBlockingQueue<>();
 
@@ -56,8 +57,8 @@
     void close() throws Exception {
         runOnIoThread(pool::close);
         worker.shutdown();
-        for (AutoCloseable each : opened) {
-            each.close();
+        for (AutoCloseable resource : opened) {
+            resource.close();
         }
         assertThat(invariants.violations()).isEmpty();
     }
@@ -85,9 +86,10 @@
     }
 
     PartRequest createPart(String id, int bytes) {
-        Attempt send = new Attempt(null, null, 0, clock.nowMs(), 10_000);
-        send.sendDeadlineMs = sendDeadlineMs;
-        return new PartRequest(send, id, 0, new byte[bytes], clock.nowMs() + 10_000, () -> !gone.contains(id));
+        Attempt attempt = new Attempt(null, null, 0, clock.nowMs(), 10_000);
+        attempt.sendDeadlineMs = sendDeadlineMs;
+        return new PartRequest(
+                attempt, id, 0, new byte[bytes], clock.nowMs() + 10_000, () -> !disconnected.contains(id));
     }
 
     String nextEvent() throws InterruptedException {
@@ -95,7 +97,7 @@
         return next == null ? "nothing" : next;
     }
 
-    /** An address where connecting neither succeeds nor fails: its queue of new connections is full. */
+    /** An address where a connect neither succeeds nor fails, as the listening socket's backlog is full. */
     InetSocketAddress hangingAddress() throws IOException {
         return (InetSocketAddress) openHangingSocket().getLocalSocketAddress();
     }
@@ -115,7 +117,7 @@
         return full;
     }
 
-    /** A server that does as told with each part, and tells what it sees. */
+    /** Starts a server with this behavior. */
     InetSocketAddress startServer(ToyFleet.ServerBehavior behavior) throws IOException {
         ToyFleet fleet = new ToyFleet(1, 0, 0);
         opened.add(fleet);
@@ -123,8 +125,8 @@
         return EndpointAddress.parse(fleet.servers.get(0).endpoint());
     }
 
-    /** Answers, and tells on which connection each part came. */
-    class Linking implements ToyFleet.ServerBehavior {
+    /** Answers each part and records the connection on which it came. */
+    class ConnectionRecording implements ToyFleet.ServerBehavior {
         @Override
         public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
             connections.add(connection);
@@ -132,6 +134,7 @@
         }
     }
 
+    /** Records what it receives as events and answers no part. */
     class Silent implements ToyFleet.ServerBehavior {
         @Override
         public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
@@ -145,12 +148,12 @@
 
         @Override
         public void onConnected(ToyFleet.Connection connection) {
-            events.add("server: opened");
+            events.add("server: connected");
         }
 
         @Override
         public void onDisconnected(ToyFleet.Connection connection) {
-            events.add("server: closed");
+            events.add("server: disconnected");
         }
     }
 }
--- a/node/src/test/java/spartrail/shard/ShardPoolTest.java
+++ b/node/src/test/java/spartrail/shard/ShardPoolTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import spartrail.model.Attempt.Outcome;
 
-/** Which connection a batch leaves on, and when it may not leave any more. */
+/** The choice of a connection for a batch, and the conditions under which parts are not sent any more. */
 class ShardPoolTest extends ShardPoolFixture {
     ShardPoolTest() throws IOException {}
 
@@ -45,9 +45,9 @@
             pool.send(address, List.of(createPart("2.0")));
         });
         assertThat(List.of(nextEvent(), nextEvent(), nextEvent()))
-                .containsExactly("server: opened", "server: part 1.0", "server: part 2.0");
+                .containsExactly("server: connected", "server: part 1.0", "server: part 2.0");
         runOnIoThread(() -> pool.send(address, List.of(createPart("3.0"))));
-        assertThat(List.of(nextEvent(), nextEvent())).containsExactly("server: opened", "server: part 3.0");
+        assertThat(List.of(nextEvent(), nextEvent())).containsExactly("server: connected", "server: part 3.0");
         runOnIoThread(() -> assertThat(pool.connectionCount()).isEqualTo(2));
     }
 
@@ -62,13 +62,13 @@
         });
         runOnIoThread(() -> pool.send(address, List.of(createPart("1.0"))));
         assertThat(List.of(nextEvent(), nextEvent(), nextEvent()))
-                .containsExactly("server: opened", "1.0 ANSWERED", "server: closed");
+                .containsExactly("server: connected", "1.0 ANSWERED", "server: disconnected");
     }
 
     @Test
     void anExpiredIdleConnectionIsNotChosenAfterAPause() throws Exception {
         createPool(100, 1000, 400);
-        InetSocketAddress address = startServer(new Linking());
+        InetSocketAddress address = startServer(new ConnectionRecording());
         runOnIoThread(() -> pool.send(address, List.of(createPart("1.0"))));
         assertThat(nextEvent()).isEqualTo("1.0 ANSWERED");
         runOnIoThread(() -> {
@@ -90,48 +90,51 @@
             pool.holdFrames();
             pool.send(address, List.of(createPart("1.0")));
         });
-        assertThat(nextEvent()).isEqualTo("server: opened");
+        assertThat(nextEvent()).isEqualTo("server: connected");
         runOnIoThread(() -> {
             pool.send(address, List.of(createPart("2.0")));
             pool.retire(address);
             pool.releaseFrames(1);
         });
         assertThat(List.of(nextEvent(), nextEvent(), nextEvent()))
-                .containsExactlyInAnyOrder("1.0 NOT_SENT", "2.0 NOT_SENT", "server: closed");
+                .containsExactlyInAnyOrder("1.0 NOT_SENT", "2.0 NOT_SENT", "server: disconnected");
     }
 
-    /** A process so slow that whatever it looks at is old when it has looked. */
+    /** On a very slow machine each poll takes longer than the age limit; frames must be sent all the same. */
     @Test
-    void framesBeginAfterTheMostPollsWhereEachPollTakesTooLong() throws Exception {
+    void framesBeginAfterTheMaximumOfPollsIfEachPollTakesTooLong() throws Exception {
         graceMs = 0;
         createPool(100, 1000, 60_000);
         InetSocketAddress address = startServer(new Silent());
         PartRequest old = createPart("1.0");
         AtomicBoolean slow = new AtomicBoolean(true);
-        Runnable[] busy = new Runnable[1];
-        busy[0] = () -> {
+        Runnable[] spinRepeatedly = new Runnable[1];
+        spinRepeatedly[0] = () -> {
             for (double untilMs = clock.nowMs() + 60; clock.nowMs() < untilMs; ) {
                 Thread.onSpinWait();
             }
             if (slow.get()) {
-                worker.getIoThread().executeAfter(busy[0], 1, TimeUnit.MILLISECONDS);
+                worker.getIoThread().executeAfter(spinRepeatedly[0], 1, TimeUnit.MILLISECONDS);
             }
         };
-        runOnIoThread(busy[0]);
+        runOnIoThread(spinRepeatedly[0]);
         runOnIoThread(() -> pool.send(address, List.of(old)));
-        assertThat(List.of(nextEvent(), nextEvent())).containsExactly("server: opened", "server: part 1.0");
+        assertThat(List.of(nextEvent(), nextEvent())).containsExactly("server: connected", "server: part 1.0");
         slow.set(false);
     }
 
-    /** What becomes of a part whose connection comes up when something has changed, with one behind it that may still leave. */
-    private String comesUpLate(Runnable meanwhile) throws Exception {
+    /**
+     * Queues two parts on a connection that is established only after the given change, which makes the first part
+     * unsendable. Returns the outcome of the first part and the id in the first frame.
+     */
+    private String connectAfter(Runnable change) throws Exception {
         createPool(100, 60_000, 60_000);
         ServerSocket full = openHangingSocket();
         InetSocketAddress address = (InetSocketAddress) full.getLocalSocketAddress();
         runOnIoThread(() -> pool.send(address, List.of(createPart("1.0"))));
         sendDeadlineMs = Double.POSITIVE_INFINITY;
         runOnIoThread(() -> pool.send(address, List.of(createPart("2.0"))));
-        meanwhile.run();
+        change.run();
         while (true) {
             Socket accepted = full.accept();
             opened.add(accepted);
@@ -142,15 +145,16 @@
                     return nextEvent() + ", frame " + frame.substring(5);
                 }
             } catch (java.net.SocketTimeoutException e) {
-                // One of those that filled the queue.
+                // One of the connections that filled the backlog.
             }
         }
     }
 
+    /** For a retry, the send deadline is the end of the server's deduplication window. */
     @Test
-    void aRetryPastItsDeduplicationWindowIsNotSent() throws Exception {
+    void aPartPastItsSendDeadlineIsNotSent() throws Exception {
         sendDeadlineMs = clock.nowMs() + 300;
-        assertThat(comesUpLate(() -> {
+        assertThat(connectAfter(() -> {
                     while (clock.nowMs() < 300) {
                         Thread.onSpinWait();
                     }
@@ -159,7 +163,7 @@
     }
 
     @Test
-    void aPartWhoseClientLeftBeforeTheConnectionIsUpIsNotSent() throws Exception {
-        assertThat(comesUpLate(() -> gone.add("1.0"))).isEqualTo("1.0 NOT_SENT, frame 2.0");
+    void aPartWhoseClientDisconnectsBeforeTheConnectIsNotSent() throws Exception {
+        assertThat(connectAfter(() -> disconnected.add("1.0"))).isEqualTo("1.0 NOT_SENT, frame 2.0");
     }
 }
