--- a/node/src/main/java/spartrail/client/ClientConnection.java
+++ b/node/src/main/java/spartrail/client/ClientConnection.java
@@ -6,26 +6,29 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * A client's connection. All of it belongs to the I/O thread. By event and state:
+ * A client's connection. Belongs to the I/O thread. By event and state:
  *
  * <pre>
- *                    bytes come          request complete    answered          shutdown                       too slow, or evicted
- * NEW                on to HEAD          -                   -                 stays, what it asks is its     closed
- *                                                                              last; it has just come
- * HEAD               on to BODY, or      on to AWAITING_     400, CLOSING      stays, the same                closed
- *                    still HEAD          RESPONSE
- * BODY               read                on to AWAITING_     400, CLOSING      stays, the same                closed
- *                                        RESPONSE
- * AWAITING_RESPONSE  buffered for the    after the response  IDLE, or HEAD     its response is the last       never before 5 s of a
- *                    next request                            with bytes ahead                                 response that is not read
- * IDLE               on to HEAD          -                   -                 read once more, then CLOSING   closed, longest unused first
- * CLOSING            discarded           never taken         -                 stays                          closed
+ *           bytes received      request complete     response written   shutdown              timeout or eviction
+ * NEW       to HEAD             -                    -                  stays open for one    closed
+ *                                                                       request, its last
+ * HEAD      to BODY, or         to AWAITING_         400, CLOSING       as NEW                closed
+ *           still HEAD          RESPONSE
+ * BODY      read                to AWAITING_         400, CLOSING       as NEW                closed
+ *                               RESPONSE
+ * AWAITING_ buffered for the    handled after the    IDLE, or HEAD if   the response is the   only if its client does
+ * RESPONSE  next request        response             bytes are buffered last one              not read the response
+ *                                                                                             for 5 s
+ * IDLE      to HEAD             -                    -                  read once more,       closed, the longest
+ *                                                                       then CLOSING          unused one first
+ * CLOSING   discarded           ignored              -                  stays                 closed
  * </pre>
  *
- * <p>CLOSING is {@link LingeringClose}. An end or a reset closes in each state, and in AWAITING_RESPONSE is reported as a client gone.
+ * <p>{@link LingeringClose} implements CLOSING. The end of the stream or a reset closes the connection in each state;
+ * in AWAITING_RESPONSE the node also reports that the client is gone.
  */
 final class ClientConnection {
-    /** How far its present request has come. */
+    /** The progress of the current request. */
     enum State {
         NEW,
         HEAD,
@@ -36,18 +39,18 @@
     }
 
     final StreamConnection channel;
-    /** The conduits below Undertow's, by which it is closed gracefully. */
+    /** The conduits below Undertow's, which a graceful close uses. */
     final StreamSourceConduit source;
 
     final StreamSinkConduit sink;
     State state = State.NEW;
-    /** A complete request of it has been read, now or earlier. */
+    /** Whether a complete request has been read on this connection. */
     boolean hasSentRequest;
-    /** What its body, still coming in, may take of the node's memory. */
+    /** The memory reserved for a request body that is being received, in bytes. */
     long bodyBytes;
-    /** Bytes buffered for its next request. */
+    /** The number of bytes that are buffered for the next request. */
     long pipelinedBytes;
-    /** Closes it where a head or a body that is coming in, or a response that is going out, takes too long. */
+    /** Closes the connection if receiving a head or a body, or sending a response, takes too long. */
     XnioExecutor.Key timeout;
 
     ClientConnection(StreamConnection channel) {
@@ -56,7 +59,9 @@
         sink = channel.getSinkChannel().getConduit();
     }
 
-    /** Without a request in flight, whether one is half sent or none: it may make room for another one. */
+    /**
+     * Whether it may be closed to make room for another one: it has no request in flight, at most an incomplete one.
+     */
     boolean isEvictable() {
         return state != State.AWAITING_RESPONSE;
     }
@@ -73,7 +78,7 @@
         return state == State.IDLE;
     }
 
-    /** What is awaited of its client has come, or never will. */
+    /** Ends the time limit for the client's next step. */
     void cancelTimeout() {
         if (timeout != null) {
             timeout.remove();
--- a/node/src/main/java/spartrail/client/ClientConnections.java
+++ b/node/src/main/java/spartrail/client/ClientConnections.java
@@ -14,19 +14,20 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * The open connections of clients, the longest unused first: how many there may be, how much memory what they have half sent may take,
- * and how long they may take for it. All of it runs on the I/O thread. Cost: an eviction goes over the connections that are in use.
+ * The open connections of clients, the longest unused first. Limits their number, the memory of incomplete requests,
+ * and the time for sending a request. Runs on the I/O thread only. Cost: an eviction is at most linear in the open
+ * connections.
  */
 final class ClientConnections {
     private static final int HEAD_TIMEOUT_MS = 1500;
-    /** Between two timers so far apart the I/O thread reads what is ready. */
+    /** The I/O thread reads all ready sockets between two timers that are at least this far apart. */
     static final int POLL_DELAY_MS = 2;
 
     private static final int SCRATCH_BYTES = 8 * 1024;
 
     private final XnioIoThread io;
     private final int maxConnections;
-    /** Most bytes of bodies that are still coming in, and how many these may become. */
+    /** The most bytes that incomplete bodies, counted with their full lengths, and buffered requests may take. */
     private final long maxBufferedBytes = Runtime.getRuntime().maxMemory() / 4;
 
     private long bufferedBytes;
@@ -38,7 +39,7 @@
         this.maxConnections = maxConnections;
     }
 
-    /** Sees that a request begins, which Undertow reports only once its head is complete. */
+    /** Detects the first byte of a request, as Undertow reports a request only once its head is complete. */
     private final class RequestStartConduit extends AbstractStreamSourceConduit<StreamSourceConduit> {
         private final ClientConnection client;
 
@@ -58,13 +59,13 @@
         }
     }
 
-    /** The head of a request has begun to come. */
+    /** Called when the first bytes of a request's head were received. */
     void onRequestStart(ClientConnection client) {
         client.state = ClientConnection.State.HEAD;
         startTimeout(client, HEAD_TIMEOUT_MS);
     }
 
-    /** Adds a connection, and sees from then on when a request begins on it. */
+    /** Adds a connection, and installs the conduit that detects the start of requests. */
     ClientConnection add(StreamConnection channel) {
         ClientConnection client = new ClientConnection(channel);
         connections.put(channel, client);
@@ -72,14 +73,14 @@
         return client;
     }
 
-    /** Makes room for a further connection; false where there is none, as all of them are in use. */
+    /** Makes room for a further connection; false if there is none, as all connections have requests in flight. */
     boolean makeRoom() {
         return connections.size() < maxConnections || evict();
     }
 
     /**
-     * Closes the connection that is needed least: one that has not asked yet, else the longest unused. In any other order those that
-     * connect and send nothing would evict the connections of those that send requests.
+     * Closes one connection: the oldest that has not sent a complete request, else the longest unused. In any other
+     * order, clients that connect and send nothing would evict the connections of those that send requests.
      */
     boolean evict() {
         ClientConnection withoutRequest = first(ClientConnection::isEvictableWithoutRequest);
@@ -94,12 +95,12 @@
         return connections.values().stream().filter(condition);
     }
 
-    /** The one that is longest unused of those that meet the condition, or null. */
+    /** The longest unused connection that meets the condition, or null. */
     private ClientConnection first(Predicate<ClientConnection> condition) {
         return matching(condition).findFirst().orElse(null);
     }
 
-    /** The connection of this channel, or null where it is closed. */
+    /** The connection of this channel, or null if it is closed. */
     ClientConnection get(StreamConnection channel) {
         return connections.get(channel);
     }
@@ -108,7 +109,7 @@
         return connections.get(client.channel) == client;
     }
 
-    /** It has just been used, so that others make room first. */
+    /** Marks a connection as just used, so that others are evicted before it. */
     void markUsed(ClientConnection client) {
         if (connections.remove(client.channel, client)) {
             connections.put(client.channel, client);
@@ -122,8 +123,8 @@
     // ---- Memory ----
 
     /**
-     * Reserves memory for a body that begins to come in. Where there is none left, bodies that are half sent go first, the oldest ones:
-     * they must not fill the memory, or the node dies with all that it has in flight.
+     * Reserves memory for a body that is about to be received. If there is not enough, closes connections with
+     * incomplete bodies, the longest unused first: filling the heap would end the node with all its requests in flight.
      */
     void reserveBody(ClientConnection client, long bytes) {
         ClientConnection other = first(ClientConnection::isSendingBody);
@@ -135,7 +136,7 @@
         bufferedBytes += bytes;
     }
 
-    /** Reserves memory for bytes of the next request of a connection; false where there is none left. */
+    /** Reserves memory for bytes of the next request of a connection; false if there is not enough. */
     boolean reservePipelined(StreamConnection channel, int bytes) {
         ClientConnection client = connections.get(channel);
         boolean reserved = client != null && bufferedBytes + bytes <= maxBufferedBytes;
@@ -146,7 +147,7 @@
         return reserved;
     }
 
-    /** What it has sent is read, or never will be. */
+    /** Releases the memory of a connection's bodies and buffered requests, and ends its timeout. */
     void release(ClientConnection client) {
         bufferedBytes -= client.bodyBytes + client.pipelinedBytes;
         client.bodyBytes = 0;
@@ -154,7 +155,7 @@
         client.cancelTimeout();
     }
 
-    /** For what has just been read; its content is whoever reads next's. */
+    /** A buffer for the bytes of one read, shared by all connections: the next read overwrites its content. */
     ByteBuffer scratchBuffer() {
         return scratch.clear();
     }
@@ -162,8 +163,9 @@
     // ---- Ends ----
 
     /**
-     * What is awaited of its client next is to come within this time. Of a process that was paused it may wait in the socket, complete,
-     * and a close would lose a request that counts as taken; so the sockets are read once more before that.
+     * Closes the connection if the client's next step takes longer than this time. After a pause of the process, a
+     * complete request may be unread in the socket, and closing would lose it although it counts as received; so the
+     * sockets are read once more before the close.
      */
     void startTimeout(ClientConnection client, int timeoutMs) {
         client.cancelTimeout();
@@ -174,7 +176,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** It is closed, by whomever. */
+    /** Removes a connection that has been closed, by either side. */
     void remove(StreamConnection channel) {
         ClientConnection client = connections.remove(channel);
         if (client != null) {
@@ -187,7 +189,9 @@
         IoUtils.safeClose(channel);
     }
 
-    /** Nothing more is written on it, and what its client still sends is discarded. */
+    /**
+     * Closes a connection after its last response has been delivered; bytes that its client still sends are discarded.
+     */
     void closeGracefully(StreamConnection channel) {
         ClientConnection client = connections.get(channel);
         if (client != null && client.state != ClientConnection.State.CLOSING) {
--- a/node/src/main/java/spartrail/client/ClientListener.java
+++ b/node/src/main/java/spartrail/client/ClientListener.java
@@ -21,17 +21,20 @@
 import spartrail.model.NodeClock;
 
 /**
- * Accepts clients' connections and hands their HTTP requests to {@link HttpRequestHandler}. All but the constructor and {@link #address}
- * runs on the I/O thread. States of a connection stand at {@link ClientConnection}.
+ * Accepts clients' connections and hands their HTTP requests to {@link HttpRequestHandler}. Everything but the
+ * constructor and {@link #address} runs on the I/O thread. {@link ClientConnection} has the states of a connection.
  */
 public final class ClientListener {
     private static final System.Logger LOG = System.getLogger("spartrail.client");
 
     private static final int MAX_HEAD_BYTES = 16 * 1024;
     private static final int ACCEPT_BACKLOG = 1024;
-    /** The protocol closes a client without a complete request within 3 s of connecting; all timeouts together stay below that. */
+    /**
+     * The protocol closes a client without a complete request within 3 s of connecting; all timeouts together stay
+     * below that.
+     */
     private static final int FIRST_REQUEST_TIMEOUT_MS = 2000;
-    /** Idle connections stay open; this closes those whose clients left without a word. */
+    /** Idle connections stay open for this long, so that those whose clients vanished without a close end, too. */
     private static final int IDLE_TIMEOUT_MS = 60_000;
 
     private final XnioIoThread io;
@@ -65,7 +68,8 @@
                         .getMap());
         httpListener.setRootHandler(new HttpContinueReadHandler(handler));
         ChannelListener<AcceptingChannel<StreamConnection>> acceptListener = this::accept;
-        // Connections are accepted elsewhere than evicted; without a bound a crowd takes the last descriptor meanwhile.
+        // Other threads accept connections than the I/O thread, which evicts them. Without this bound, a burst of
+        // connections could take the last descriptors before the I/O thread evicts any.
         int maxAccepted = maxConnections + maxConnections / 8;
         serverChannel = worker.createStreamConnectionServer(
                 address,
@@ -79,43 +83,47 @@
                         .getMap());
     }
 
-    /** Where it listens. */
+    /** The address on which it listens. */
     public InetSocketAddress address() {
         return (InetSocketAddress) serverChannel.getLocalAddress();
     }
 
-    /** From now on connections are accepted. */
+    /** Starts accepting connections. */
     public void startAccepting() {
         serverChannel.resumeAccepts();
     }
 
-    /** From now on the node says that it is ready. */
+    /** Makes {@code GET /up} report the node as ready. */
     public void setReady() {
         handler.setReady(true);
     }
 
-    /** The node says no longer that it is ready; whoever comes all the same is served. */
+    /** Makes {@code GET /up} report the node as not ready; queries are still served. */
     public void setNotReady() {
         handler.setReady(false);
     }
 
     /**
-     * Each response is the last of its connection, and idle ones end. The listening socket goes last, as a connection that the system
-     * has accepted is reset with all that was sent on it if that socket goes before it was taken. What has come on an idle one and is
-     * not read yet is read before, and answered.
+     * Begins the shutdown: from now on each response closes its connection, and idle connections are closed. Unread
+     * requests on idle connections are read before that, and answered. The listening socket stays open until the end:
+     * closing it would reset the connections that the system has established and that this listener has not accepted
+     * yet.
      */
     public void beginShutdown() {
         handler.beginShutdown();
         io.executeAfter(connections::closeIdleGracefully, ClientConnections.POLL_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Shuts down; nobody takes queries any more, and whoever still asks is rejected at once. */
+    /** Begins the shutdown, and rejects all further queries at once. */
     public void rejectQueries() {
         beginShutdown();
         handler.rejectQueries();
     }
 
-    /** With nobody connected, whoever came in this moment included, it listens no longer; whether that is so. */
+    /**
+     * Closes the listening socket if no client is connected, after it has accepted pending connections; returns whether
+     * so.
+     */
     public boolean stopIfDisconnected() {
         accept(serverChannel);
         boolean isDisconnected = connections.count() == 0;
@@ -131,7 +139,7 @@
         connections.closeAll();
     }
 
-    /** How many connections are open. */
+    /** The number of open connections. */
     public int connectionCount() {
         return connections.count();
     }
@@ -147,9 +155,9 @@
                 }
             }
         } catch (ClosedChannelException e) {
-            LOG.log(System.Logger.Level.DEBUG, "listens no longer");
+            LOG.log(System.Logger.Level.DEBUG, "the listening socket is closed; no connections are accepted any more");
         } catch (IOException e) {
-            // With no descriptor left this would be tried on and on; another connection makes room.
+            // Without a free descriptor the accept would fail again and again, so a connection is evicted to free one.
             io.execute(() -> onAcceptFailed(e));
         }
     }
@@ -164,7 +172,7 @@
 
     private void onAccepted(StreamConnection connection) {
         if (!connections.makeRoom()) {
-            // Clients' connections must not use up the descriptors that servers and discovery need.
+            // The descriptors left are needed for connections to servers and to discovery.
             IoUtils.safeClose(connection);
             return;
         }
@@ -182,7 +190,10 @@
         }
     }
 
-    /** Closes a connection without a request; a last time its socket is read before that, as it may have come during a pause. */
+    /**
+     * Closes a connection that has sent no complete request in time. Its socket is read once more before that, as the
+     * request may have arrived during a pause of the process.
+     */
     private void startFirstRequestTimeout(ClientConnection client) {
         io.executeAfter(
                 () -> io.executeAfter(
--- a/node/src/main/java/spartrail/client/ClientQuery.java
+++ b/node/src/main/java/spartrail/client/ClientQuery.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What a client asks for: a multiget, decoded.
+ * A client's decoded query for a multiget.
  *
- * @param id as the client gave it
- * @param key null where the client names none
- * @param clientTimeoutMs how long the client waits
- * @param retry the client marks it as a repeat of its own
- * @param text what each server is asked
+ * @param id the client's id of the query
+ * @param key null if the path has none
+ * @param clientTimeoutMs how long the client waits for the response
+ * @param retry whether the client marks the query as a retry
+ * @param text the text that each server gets
  */
 public record ClientQuery(
         String id,
@@ -19,6 +19,8 @@
         boolean retry,
         List<QueriedPart> parts,
         byte[] text) {
-    /** What one shard is to answer; the cost is 0 where the client names none. Weights of a query sum up to 1. */
+    /**
+     * A part of the query, for one shard. The cost is 0 if the client states none. The weights of a query add up to 1.
+     */
     public record QueriedPart(int shard, double weight, double costMs) {}
 }
--- a/node/src/main/java/spartrail/client/ClientQueryDecoder.java
+++ b/node/src/main/java/spartrail/client/ClientQueryDecoder.java
@@ -15,7 +15,7 @@
 import java.util.regex.Pattern;
 import spartrail.model.MalformedMessageException;
 
-/** Decodes queries; what the protocol does not know is rejected with one plain sentence. */
+/** Decodes queries, and rejects those that violate the protocol with a message of one sentence. */
 final class ClientQueryDecoder {
     private static final Pattern ID_FORMAT = Pattern.compile("[0-9A-Za-z_-]{1,64}");
     private static final Pattern SECONDS_FORMAT = Pattern.compile("[0-9]{1,6}([.][0-9]{1,18})?");
@@ -24,13 +24,13 @@
     private static final HttpString KIND_HEADER = new HttpString("Req-Kind");
     private static final HttpString DEADLINE_HEADER = new HttpString("Req-Deadline");
     private static final HttpString RETRY_HEADER = new HttpString("Req-Retry");
-    /** Weights sum up to 1, but for rounding. */
+    /** The weights add up to 1 within this tolerance, which allows for rounding. */
     private static final double WEIGHT_TOLERANCE = 1e-3;
 
     private static final double MICROS_PER_MS = 1000;
     private static final double MS_PER_SECOND = 1000;
 
-    /** Strict, as of two values under one name each reader of the body may take another one. */
+    /** Rejects duplicate names, as different readers of a body could use different values of one name. */
     private final JsonFactory jsonFactory = JsonFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
@@ -67,7 +67,7 @@
         }
     }
 
-    /** The one value of this header; none where it is missing or there are several. */
+    /** The value of this header; null if the header is missing or repeated. */
     private static String singleValue(HeaderMap headers, HttpString name) {
         return headers.count(name) == 1 ? headers.getFirst(name) : null;
     }
@@ -111,7 +111,7 @@
         return new ClientQuery(id, opType, key, clientTimeoutMs, retry, parts, text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A text that has a form in UTF-8: half of a surrogate pair has none. */
+    /** Decodes the text, and rejects one that UTF-8 cannot encode, such as half of a surrogate pair. */
     private static String decodeText(JsonParser parser) throws IOException, MalformedMessageException {
         String text = parser.currentToken() == JsonToken.VALUE_STRING ? parser.getText() : null;
         if (text == null || !StandardCharsets.UTF_8.newEncoder().canEncode(text)) {
@@ -157,7 +157,7 @@
             JsonToken value = parser.nextToken();
             switch (name) {
                 case "segment" -> {
-                    // A number with a fraction would be cut to that of another shard.
+                    // The parser would truncate a number with a fraction, which gives the number of another shard.
                     requireSegmentForm(value == JsonToken.VALUE_NUMBER_INT);
                     shard = parser.getIntValue();
                 }
--- a/node/src/main/java/spartrail/client/ClientQueryListener.java
+++ b/node/src/main/java/spartrail/client/ClientQueryListener.java
@@ -1,10 +1,10 @@
 package spartrail.client;
 
-/** Takes what clients ask; called on the I/O thread, so neither method may wait. */
+/** Receives clients' queries. Called on the I/O thread, so neither method may block. */
 public interface ClientQueryListener {
-    /** A query has come in complete; its one response goes to the request. */
+    /** Called when a complete query was received; the request takes its one response. */
     void onQuery(ClientQuery query, ClientRequest request);
 
-    /** The client of a request without a response has closed its connection. */
+    /** Called when the client of a request without a response has closed its connection. */
     void onClientGone(ClientRequest request);
 }
--- a/node/src/main/java/spartrail/client/ClientRequest.java
+++ b/node/src/main/java/spartrail/client/ClientRequest.java
@@ -10,24 +10,24 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * A request in flight: its client is watched until it has its one response. All of it runs on the I/O thread.
+ * A request in flight, which watches its connection for a disconnect until the response. Runs on the I/O thread only.
  *
  * <pre>
- *              bytes come                              end, reset            response given
+ *              bytes received                          end or reset          response given
  * WATCHED      buffered for the next request, up to    closed, reported as   FINISHED, written
- *              its limit; then on to DISCARDING        gone: FINISHED
+ *              its limit; then to DISCARDING           gone: FINISHED
  * DISCARDING   discarded                               the same              FINISHED, written as the connection's last
- * FINISHED     left to whoever reads next              the same              nothing: the first one counts
+ * FINISHED     left to the next reader                 the same              ignored, as only the first one counts
  * </pre>
  */
 public final class ClientRequest {
-    /** As the client gave it. */
+    /** The client's id of the request. */
     public final String id;
 
     private final HttpRequestHandler handler;
     private final HttpServerExchange exchange;
     private final HttpServerConnection connection;
-    /** When its last byte was read. */
+    /** The time at which its last byte was read. */
     public final double arrivedMs;
 
     private boolean finished;
@@ -45,14 +45,14 @@
         return ((HttpServerConnection) exchange.getConnection()).getChannel();
     }
 
-    /** Whether its client still waits for a response. */
+    /** Whether the client still waits for a response. */
     public boolean isClientWaiting() {
         return !finished;
     }
 
     /**
-     * Reads on while the request is in flight, whatever the client sends: with no read pending nobody notices that a client has left,
-     * and work goes on for it.
+     * Keeps reading the connection while the request is in flight. Without a pending read, the node would not notice
+     * that the client has disconnected, and would continue to work for it.
      */
     void watchClient() {
         StreamSourceConduit source = connection.getOriginalSourceConduit();
@@ -100,7 +100,7 @@
         handler.onClientGone(this);
     }
 
-    /** Gives the final response; the first one counts. */
+    /** Sends the final response; a second one is ignored. */
     public void respond(ClientResponse response) {
         if (finished) {
             return;
--- a/node/src/main/java/spartrail/client/ClientResponse.java
+++ b/node/src/main/java/spartrail/client/ClientResponse.java
@@ -15,12 +15,12 @@
  * @param retryAfter the value of the Retry-After header, in seconds; null for none
  */
 public record ClientResponse(int status, String retryAfter, byte[] body) {
-    /** The value of an answered part, as a server gave it. */
+    /** The value of an answered part, unchanged from the server's response. */
     public record Value(int shard, byte[] value) {}
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** The values of the parts that are answered, in the protocol's form. */
+    /** Encodes the values of the answered parts. */
     public static ClientResponse success(boolean complete, List<Value> values) {
         ByteArrayOutputStream body = new ByteArrayOutputStream(64 + 48 * values.size());
         try (JsonGenerator json = JSON.createGenerator(body)) {
@@ -41,7 +41,9 @@
         return new ClientResponse(200, null, body.toByteArray());
     }
 
-    /** The query was rejected, and may be repeated without harm; a time of 0 is no Retry-After. */
+    /**
+     * The response to a rejected query, of which no part ran, so that a retry is safe. No Retry-After if the time is 0.
+     */
     public static ClientResponse rejected(double retryAfterMs) {
         return new ClientResponse(
                 503,
@@ -49,12 +51,12 @@
                 textBody("pushed back"));
     }
 
-    /** The query failed, and parts of it may have run. */
+    /** The response to a failed query, of which parts may have run. */
     public static ClientResponse failure() {
         return new ClientResponse(500, null, textBody("failed"));
     }
 
-    /** The request was malformed; the body says in one sentence why. */
+    /** The response to a malformed request; the body names the problem in one sentence. */
     static ClientResponse malformed(int status, String problem) {
         return new ClientResponse(status, null, textBody(problem));
     }
--- a/node/src/main/java/spartrail/client/HttpRequestHandler.java
+++ b/node/src/main/java/spartrail/client/HttpRequestHandler.java
@@ -17,13 +17,13 @@
 import spartrail.model.MalformedMessageException;
 import spartrail.model.NodeClock;
 
-/** Serves HTTP requests from their head to their response, each on the I/O thread. */
+/** Handles HTTP requests from the complete head to the response. Runs on the I/O thread only. */
 final class HttpRequestHandler implements HttpHandler {
-    /** The longest body that the protocol knows. */
+    /** The longest body that the protocol permits. */
     static final long MAX_BODY_BYTES = 64 * 1024;
 
     private static final int BODY_TIMEOUT_MS = 1000;
-    /** A response that its client has not read by then is no more waited for by anybody. */
+    /** A client that has not read its response by then has stopped waiting for it. */
     private static final int UNREAD_RESPONSE_TIMEOUT_MS = 5000;
 
     private final ClientConnections connections;
@@ -44,17 +44,17 @@
         this.queryListener = queryListener;
     }
 
-    /** What {@code /up} says from now on. */
+    /** Sets whether {@code GET /up} reports the node as ready. */
     void setReady(boolean isReady) {
         ready = isReady;
     }
 
-    /** From now on each response is the last of its connection. */
+    /** Makes each further response the last of its connection. */
     void beginShutdown() {
         shuttingDown = true;
     }
 
-    /** Nobody takes queries any more: each is rejected at once. */
+    /** Rejects all further queries at once, as their listener has ended. */
     void rejectQueries() {
         queryListener = new ClientQueryListener() {
             @Override
@@ -64,7 +64,7 @@
 
             @Override
             public void onClientGone(ClientRequest request) {
-                // Nothing is in flight for it.
+                // There is no request in flight, as each is answered at once.
             }
         };
     }
@@ -76,7 +76,7 @@
         StreamConnection channel = ClientRequest.channelOf(exchange);
         ClientConnection client = connections.get(channel);
         if (client == null) {
-            // Evicted while its request was on the way up.
+            // The connection was evicted after Undertow had read the request.
             IoUtils.safeClose(channel);
             return;
         }
@@ -86,7 +86,7 @@
             }
         });
         if (client.state == ClientConnection.State.CLOSING) {
-            // Read on a connection that can no longer carry its response, it must not be forwarded.
+            // This connection can no longer carry a response, so the request must not be processed.
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {});
             return;
         }
@@ -102,7 +102,7 @@
         }
     }
 
-    /** The connection is ready for its next request; false where Undertow is not to read it. */
+    /** Prepares the connection for its next request; returns false if Undertow must not read that. */
     private boolean onExchangeComplete(HttpServerExchange exchange, ClientConnection client) {
         connections.release(client);
         if (client.state == ClientConnection.State.CLOSING) {
@@ -115,7 +115,8 @@
         }
         connections.markUsed(client);
         if (shuttingDown && client.isIdle()) {
-            // Its response was on its way, as one of many, when the shutdown began; nobody else would end it.
+            // The shutdown began while a response was being written that was not marked as the last one, and idle
+            // connections have been closed already; so this connection is closed here.
             connections.closeGracefully(client.channel);
             return false;
         }
@@ -157,8 +158,9 @@
     }
 
     /**
-     * Whether all readers agree where the body ends; else what one side takes for its rest another takes for a request. Two lengths, and
-     * a length beside a coding, Undertow rejects by itself.
+     * Whether the end of the body is unambiguous. Otherwise bytes that one reader takes for the rest of the body could
+     * be a request to another (request smuggling). Undertow itself rejects two lengths, and a length together with a
+     * coding.
      */
     private static boolean isBodyEndKnown(HttpServerExchange exchange) {
         HeaderValues codings = exchange.getRequestHeaders().get(Headers.TRANSFER_ENCODING);
@@ -183,8 +185,9 @@
     }
 
     /**
-     * Ends the connection, as behind a malformed request the next one need not begin where this one ends. Dispatched, as Undertow would
-     * end by a plain close what ends before its handler returns.
+     * Rejects a request and closes its connection, as the end of a malformed request, and so the start of the next one,
+     * is uncertain. Runs as a dispatched task: if the exchange ended before the handler returns, Undertow would close
+     * the connection without the lingering close.
      */
     private void rejectMalformed(HttpServerExchange exchange, int status, String problem) {
         exchange.dispatch(
@@ -194,12 +197,12 @@
 
     // ---- For requests in flight ----
 
-    /** For what has just been read; its content is whoever reads next's. */
+    /** A buffer for the bytes of one read; the next read overwrites its content. */
     ByteBuffer scratchBuffer() {
         return connections.scratchBuffer();
     }
 
-    /** Whether so many bytes may be buffered for this client's next request; they are reserved then. */
+    /** Reserves memory for bytes of this client's next request; false if there is not enough. */
     boolean reservePipelined(HttpServerExchange exchange, int bytes) {
         return connections.reservePipelined(ClientRequest.channelOf(exchange), bytes);
     }
@@ -210,14 +213,14 @@
 
     // ---- Responses ----
 
-    /** Writes a response; the last one of its connection where this is asked for, or the node ends. */
+    /** Writes a response, and closes the connection after it if that is requested or the node shuts down. */
     void sendResponse(HttpServerExchange exchange, ClientResponse response, boolean isLast) {
         ClientConnection client = connections.get(ClientRequest.channelOf(exchange));
         if (client == null) {
             return;
         }
         client.state = ClientConnection.State.AWAITING_RESPONSE;
-        // Clients that never read would hold a descriptor each, and a node that ends would wait for them.
+        // Without a timeout, each client that never reads would hold a descriptor and delay the node's shutdown.
         connections.startTimeout(client, UNREAD_RESPONSE_TIMEOUT_MS);
         exchange.setStatusCode(response.status());
         exchange.getResponseHeaders()
--- a/node/src/main/java/spartrail/client/LingeringClose.java
+++ b/node/src/main/java/spartrail/client/LingeringClose.java
@@ -10,21 +10,24 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * How a client's connection ends, so that what was written on it arrives whatever the client still sends: a close over unread bytes
- * would reset the connection, and what its client has not read yet of a response would be lost with it.
+ * Closes a client's connection so that the last response arrives even if the client still sends. A close with unread
+ * bytes would reset the connection, and the client would lose the part of the response that it has not read yet.
  *
  * <pre>
- *               bytes come               end, reset   MAX_DISCARDED_BYTES came   TIMEOUT_MS are over
- * HALF_CLOSED   read and discarded       closed       on to NOT_READ             closed
- * NOT_READ      stay in the system       not seen     -                          closed
+ *               bytes received           end, reset      MAX_DISCARDED_BYTES exceeded   TIMEOUT_MS over
+ * HALF_CLOSED   read and discarded       closed          to NOT_READ                    closed
+ * NOT_READ      left in the socket       not detected    -                              closed
  * </pre>
  *
- * <p>In both nothing is written, and nothing that was read is taken for a request. All of it runs on the I/O thread.
+ * <p>In both states nothing is written, and received bytes are not interpreted as requests. Runs on the I/O thread
+ * only.
  */
 final class LingeringClose {
-    /** A client that reads what it was sent needs no longer, and none may hold a descriptor for longer. */
+    /**
+     * Long enough for a client that reads its response, and the longest time for which a client may hold a descriptor.
+     */
     private static final long TIMEOUT_MS = 1000;
-    /** More than any request; who sends on is not read any more. */
+    /** More than any request has; after this many bytes the connection is not read any more. */
     private static final long MAX_DISCARDED_BYTES = 256 * 1024;
 
     private final StreamConnection connection;
@@ -42,7 +45,7 @@
                 .executeAfter(() -> IoUtils.safeClose(connection), TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Ends a connection by its own conduits, of which nothing else makes use any more. */
+    /** Begins to close a connection, by its own conduits, which no other code may use from now on. */
     static void begin(
             StreamConnection connection, StreamSinkConduit sink, StreamSourceConduit source, ByteBuffer discardBuffer) {
         try {
--- a/node/src/main/java/spartrail/client/PipelinedRequests.java
+++ b/node/src/main/java/spartrail/client/PipelinedRequests.java
@@ -3,7 +3,9 @@
 import io.undertow.connector.PooledByteBuffer;
 import java.nio.ByteBuffer;
 
-/** What a client has sent behind a request that is still in flight, for its next one; as much as a request may have. */
+/**
+ * The bytes that a client has sent after a request in flight, up to the size of one request; Undertow reads them next.
+ */
 final class PipelinedRequests implements PooledByteBuffer {
     static final int MAX_BYTES = 80 * 1024;
 
@@ -15,7 +17,7 @@
                 .flip();
     }
 
-    /** Keeps these too; false if that would be more than it may keep. */
+    /** Appends bytes; false, without a change, if that would exceed the limit. */
     boolean append(ByteBuffer more) {
         int needed = bytes.remaining() + more.remaining();
         if (needed > MAX_BYTES) {
--- a/node/src/main/java/spartrail/client/package-info.java
+++ b/node/src/main/java/spartrail/client/package-info.java
@@ -1,10 +1,11 @@
 /**
- * Clients' connections: HTTP/1.1 requests in, one final response each out.
+ * Clients' connections, which carry HTTP/1.1 requests in and one final response for each out.
  *
- * <p>In: connections and bytes of clients, and responses from the coordinator's loop, as tasks. Out: decoded queries and departures of
- * clients, to a {@link spartrail.client.ClientQueryListener}. This package alone knows the names that clients' protocol uses.
+ * <p>In: connections and bytes of clients, and responses from the coordinator's loop, as tasks. Out: decoded queries
+ * and disconnects of clients, to a {@link spartrail.client.ClientQueryListener}. Only this package knows the names that
+ * the clients' protocol uses.
  *
- * <p>Thread: the one I/O thread, but for {@link spartrail.client.ClientListener}'s constructor. Nothing here waits, decides whether a
- * query is served, or knows of servers.
+ * <p>Thread: the one I/O thread, except for {@link spartrail.client.ClientListener}'s constructor. No code here blocks,
+ * decides whether a query is served, or refers to servers.
  */
 package spartrail.client;
--- a/node/src/test/java/spartrail/client/ClientListenerTest.java
+++ b/node/src/test/java/spartrail/client/ClientListenerTest.java
@@ -43,7 +43,7 @@
         worker.shutdown();
     }
 
-    private ClientListener listen(int mostConnections) throws IOException {
+    private ClientListener createListener(int maxConnections) throws IOException {
         return new ClientListener(
                 worker,
                 new DefaultByteBufferPool(true, 1024),
@@ -51,10 +51,10 @@
                 new NodeClock(),
                 Set.of("orders"),
                 4,
-                mostConnections,
+                maxConnections,
                 new ClientQueryListener() {
                     @Override
-                    public void onQuery(ClientQuery ask, ClientRequest request) {
+                    public void onQuery(ClientQuery query, ClientRequest request) {
                         queries.add(request);
                     }
 
@@ -67,7 +67,7 @@
         void run() throws Exception;
     }
 
-    private void io(Step step) throws Exception {
+    private void runOnIoThread(Step step) throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
         worker.getIoThread().execute(() -> {
             try {
@@ -80,10 +80,10 @@
         done.get(20, TimeUnit.SECONDS);
     }
 
-    /** The next request that the door has taken; none is a failure, not a wait without end. */
+    /** The next request that the listener has received; fails if there is none within 20 s. */
     private ClientRequest nextRequest() throws InterruptedException {
         ClientRequest next = queries.poll(20, TimeUnit.SECONDS);
-        assertThat(next).as("a request taken").isNotNull();
+        assertThat(next).as("a received request").isNotNull();
         return next;
     }
 
@@ -97,7 +97,9 @@
             "POST /orders/k HTTP/1.1\r\nHost: x\r\nReq-Id: a\r\nReq-Kind: orders\r\nReq-Deadline: 4\r\n"
                     + "Content-Length: " + BODY.length() + "\r\n\r\n" + BODY;
 
-    /** All that comes on this connection up to its end; a reset is an exception. */
+    /**
+     * Reads this connection to its end, and shortens the heads of responses to their status line; throws on a reset.
+     */
     private static String readToEnd(Socket socket) throws IOException {
         socket.setSoTimeout(20_000);
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII)
@@ -105,13 +107,13 @@
     }
 
     /**
-     * What clients see of a door that shuts with the I/O thread paused: on a resting connection, on one that has just been written
-     * to, on one with half of a head read, on a new one, and on one in hand whose client has sent its next request.
+     * Shuts the listener down while the I/O thread is paused, with five connections: an idle one, one with an unread
+     * request, one with half a head, a new one, and one with a request in flight whose client sends its next request.
      */
     @Test
-    void requestsThatCrossTheShutdownAreAnsweredOrEndWithoutAReset() throws Exception {
-        ClientListener listener = listen(16);
-        io(listener::startAccepting);
+    void requestsSentDuringTheShutdownAreAnsweredAndNoConnectionIsReset() throws Exception {
+        ClientListener listener = createListener(16);
+        runOnIoThread(listener::startAccepting);
         Socket[] clients = new Socket[4];
         for (int i = 0; i < clients.length; i++) {
             clients[i] = new Socket(
@@ -124,46 +126,46 @@
         }
         send(clients[1], QUERY.substring(0, 40));
         send(clients[2], QUERY);
-        Map<String, ClientRequest> taken = new TreeMap<>(Map.of("in hand", nextRequest()));
-        io(() -> {});
-        Socket[] late = new Socket[1];
-        io(() -> {
+        Map<String, ClientRequest> received = new TreeMap<>(Map.of("in flight", nextRequest()));
+        runOnIoThread(() -> {});
+        Socket[] newClient = new Socket[1];
+        runOnIoThread(() -> {
             send(clients[0], QUERY.replace("Req-Id: a", "Req-Id: crossing"));
-            late[0] = new Socket(
+            newClient[0] = new Socket(
                     listener.address().getAddress(), listener.address().getPort());
-            send(late[0], QUERY.replace("Req-Id: a", "Req-Id: new"));
+            send(newClient[0], QUERY.replace("Req-Id: a", "Req-Id: new"));
             listener.beginShutdown();
         });
-        assertThat(readToEnd(clients[3])).as("resting").isEmpty();
+        assertThat(readToEnd(clients[3])).as("the idle connection").isEmpty();
         send(clients[1], QUERY.substring(40));
         for (int i = 0; i < 3; i++) {
             ClientRequest next = nextRequest();
-            taken.put(next.id, next);
+            received.put(next.id, next);
         }
-        assertThat(taken.keySet()).containsExactly("a", "crossing", "in hand", "new");
-        io(() -> {
+        assertThat(received.keySet()).containsExactly("a", "crossing", "in flight", "new");
+        runOnIoThread(() -> {
             send(clients[2], QUERY.replace("Req-Id: a", "Req-Id: behind"));
-            taken.values().forEach(request -> request.respond(ClientResponse.failure()));
+            received.values().forEach(request -> request.respond(ClientResponse.failure()));
         });
-        for (Socket client : List.of(clients[0], clients[1], clients[2], late[0])) {
+        for (Socket client : List.of(clients[0], clients[1], clients[2], newClient[0])) {
             assertThat(readToEnd(client)).isEqualTo("HTTP/1.1 500 Internal Server Error failed\n");
             client.close();
         }
         assertThat(queries)
-                .as("read on a connection that could not carry an answer")
+                .as("requests read on a connection that cannot carry their responses")
                 .isEmpty();
         clients[3].close();
-        for (boolean ended = false; !ended; ) {
-            CompletableFuture<Boolean> seen = new CompletableFuture<>();
-            io(() -> seen.complete(listener.stopIfDisconnected()));
-            ended = seen.get();
+        for (boolean stopped = false; !stopped; ) {
+            CompletableFuture<Boolean> result = new CompletableFuture<>();
+            runOnIoThread(() -> result.complete(listener.stopIfDisconnected()));
+            stopped = result.get();
         }
     }
 
     @Test
-    void aResponseInProgressAtTheShutdownIsTheLastOfItsConnection() throws Exception {
-        ClientListener listener = listen(16);
-        io(listener::startAccepting);
+    void aConnectionClosesAfterAResponseThatIsBeingWrittenAtTheShutdown() throws Exception {
+        ClientListener listener = createListener(16);
+        runOnIoThread(listener::startAccepting);
         Socket client = new Socket();
         client.setReceiveBufferSize(2048);
         client.connect(listener.address());
@@ -171,7 +173,7 @@
         ClientRequest inFlight = nextRequest();
         byte[] value = new byte[16_000_000];
         Arrays.fill(value, (byte) 'v');
-        io(() -> {
+        runOnIoThread(() -> {
             inFlight.respond(ClientResponse.success(true, List.of(new ClientResponse.Value(0, value))));
             listener.beginShutdown();
         });
@@ -179,11 +181,13 @@
         client.close();
     }
 
-    /** A paused process finds the rest of a request in the socket, and its own time for it over. */
+    /**
+     * After a pause of the process, the rest of a request may be unread in the socket while its timeout has expired.
+     */
     @Test
-    void bytesThatCameDuringAPauseAreReadBeforeTheirTimeout() throws Exception {
-        ClientListener listener = listen(16);
-        io(listener::startAccepting);
+    void bytesReceivedDuringAPauseAreReadBeforeTheTimeoutCloses() throws Exception {
+        ClientListener listener = createListener(16);
+        runOnIoThread(listener::startAccepting);
         int[] cuts = {0, 60, QUERY.length() - 5};
         Socket[] clients = new Socket[cuts.length];
         for (int i = 0; i < cuts.length; i++) {
@@ -192,9 +196,9 @@
             send(clients[i], QUERY.substring(0, cuts[i]));
         }
         while (listener.connectionCount() < cuts.length) {
-            io(() -> {});
+            runOnIoThread(() -> {});
         }
-        io(() -> {
+        runOnIoThread(() -> {
             for (int i = 0; i < cuts.length; i++) {
                 send(clients[i], QUERY.substring(cuts[i]));
             }
@@ -208,39 +212,39 @@
         }
     }
 
-    /** With part of a core the I/O thread is late, and nobody evicts whom the other threads accept. */
+    /** On a fraction of a core the I/O thread is delayed, and cannot evict while other threads accept connections. */
     @Test
-    void aBurstOfConnectionsStaysWithinItsDescriptorsWhileTheNodeIsBusy() throws Exception {
-        ClientListener listener = listen(16);
-        CountDownLatch open = new CountDownLatch(1);
-        CountDownLatch free = new CountDownLatch(1);
+    void aBurstOfConnectionsStaysWithinTheDescriptorLimitWhileTheIoThreadIsBusy() throws Exception {
+        ClientListener listener = createListener(16);
+        CountDownLatch accepting = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
         worker.getIoThread().execute(() -> {
             listener.startAccepting();
-            open.countDown();
+            accepting.countDown();
             try {
-                free.await();
+                unblock.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        open.await();
-        int before = openDescriptors();
-        List<Socket> crowd = new ArrayList<>();
+        accepting.await();
+        int initialDescriptors = openDescriptors();
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            crowd.add(new Socket(
+            clients.add(new Socket(
                     listener.address().getAddress(), listener.address().getPort()));
         }
-        for (int looks = 0; looks < 50; looks++) {
-            assertThat(openDescriptors() - before - crowd.size())
+        for (int check = 0; check < 50; check++) {
+            assertThat(openDescriptors() - initialDescriptors - clients.size())
                     .as("connections accepted")
                     .isLessThanOrEqualTo(24);
             TimeUnit.MILLISECONDS.sleep(10);
         }
-        free.countDown();
-        // Those that wait are accepted as room is made, the oldest that say nothing first.
-        assertThat(crowd.get(0).getInputStream().read()).isEqualTo(-1);
-        assertThat(crowd.get(150).getInputStream().read()).isEqualTo(-1);
-        for (Socket socket : crowd) {
+        unblock.countDown();
+        // The listener evicts the oldest connections without a request first, and so makes room for the waiting ones.
+        assertThat(clients.get(0).getInputStream().read()).isEqualTo(-1);
+        assertThat(clients.get(150).getInputStream().read()).isEqualTo(-1);
+        for (Socket socket : clients) {
             socket.close();
         }
         worker.getIoThread().execute(listener::close);
