--- a/node/src/main/java/spartrail/Main.java
+++ b/node/src/main/java/spartrail/Main.java
@@ -2,7 +2,7 @@
 
 import spartrail.cli.CommandLine;
 
-/** The program: see {@link CommandLine} for its sub-commands. */
+/** The entry point of the program; {@link CommandLine} has the sub-commands. */
 public final class Main {
     private Main() {}
 
--- a/node/src/main/java/spartrail/cli/SubsetCommand.java
+++ b/node/src/main/java/spartrail/cli/SubsetCommand.java
@@ -45,7 +45,7 @@
             throw new IllegalArgumentException(
                     configFile + ": 'subset' of settings is missing: this node uses all servers");
         }
-        SubsetSelector selector = deployment.subsetSelector();
+        SubsetSelector selector = deployment.createSubsetSelector();
         selector.apply(readLiveServers(), List.of());
         printSummary(out, deployment, selector);
         for (int group = 0; group < selector.groupCount(); group++) {
@@ -69,7 +69,7 @@
                     .map(endpoint -> new LiveServer(endpoint.id(), endpoint.zone(), endpoint.cell(), endpoint.weight()))
                     .toList();
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException(listFile + ": no JSON: " + JsonTree.describe(e), e);
+            throw new IllegalArgumentException(listFile + ": invalid JSON: " + JsonTree.describe(e), e);
         } catch (IOException e) {
             throw new IllegalArgumentException("cannot read " + listFile, e);
         } catch (IllegalArgumentException e) {
--- a/node/src/main/java/spartrail/config/CoordinatorSettings.java
+++ b/node/src/main/java/spartrail/config/CoordinatorSettings.java
@@ -9,102 +9,101 @@
 import spartrail.model.OpType;
 
 /**
- * Makes op types and a configured coordinator from the settings of the deploy file or of the simulator, whose names and seconds
- * are known here and nowhere else.
+ * Creates op types and a configured coordinator from the settings of the deploy file or of the simulator. Both use the
+ * same names, and seconds for times; only this package knows them.
  */
 public final class CoordinatorSettings {
     private CoordinatorSettings() {}
 
-    /** The op types of the settings, with no latency statistics yet. */
+    /** Creates the op types of the settings, without latency statistics. */
     public static List<OpType> parseOpTypes(Map<?, ?> settings) {
         List<OpType> opTypes = new ArrayList<>();
-        Map<?, ?> layout = section(settings, "family-info");
-        if (list(requiredValue(settings, "classes", "")).isEmpty()) {
+        Map<?, ?> layout = readSection(settings, "family-info");
+        if (asList(requireValue(settings, "classes", "")).isEmpty()) {
             throw new IllegalArgumentException(
                     "'classes': found " + settings.get("classes") + ", a list of one or more is expected");
         }
-        for (Object entry : list(settings.get("classes"))) {
+        for (Object entry : asList(settings.get("classes"))) {
             if (!(entry instanceof Map<?, ?> line)) {
                 throw new IllegalArgumentException("'classes': found " + entry + ", an object is expected");
             }
-            int at = opTypes.size();
+            int index = opTypes.size();
             OpType op = new OpType();
-            op.name = String.valueOf(requiredValue(line, "name", " of classes"));
+            op.name = String.valueOf(requireValue(line, "name", " of classes"));
             if (opTypes.stream().anyMatch(other -> other.name.equals(op.name))) {
                 throw new IllegalArgumentException(
                         "'classes': found " + op.name + " twice, each name once is expected");
             }
-            op.priorityWeight = number(line, "worth", 1);
-            op.latencyObjectiveMs = 1000 * requiredNumber(line, "aim", " of class " + op.name);
-            op.timeoutMs = 1000 * requiredNumber(line, "deadline", " of class " + op.name);
+            op.priorityWeight = readNumber(line, "worth", 1);
+            op.latencyObjectiveMs = 1000 * requireNumber(line, "aim", " of class " + op.name);
+            op.timeoutMs = 1000 * requireNumber(line, "deadline", " of class " + op.name);
             if (op.latencyObjectiveMs > op.timeoutMs) {
                 throw new IllegalArgumentException("class " + op.name + ": found aim " + line.get("aim")
-                        + " over deadline " + line.get("deadline") + ", an aim of no more is expected");
+                        + ", no more than its deadline, " + line.get("deadline") + ", is expected");
             }
-            op.lateShare = share(line, "late-share", 0);
-            op.idempotency = idempotency(requiredValue(line, "effect", " of class " + op.name), op.name);
-            // No default stands in for what the rules rest on: a wrong one would break them unseen.
+            op.lateShare = readShare(line, "late-share", 0);
+            op.idempotency = parseIdempotency(requireValue(line, "effect", " of class " + op.name), op.name);
+            // The rules depend on this setting, so it has no default: a wrong default would break them unnoticed.
             op.deduplicationWindowMs = 1000
                     * (op.idempotency == OpType.Idempotency.IDEMPOTENCY_KEY
-                            ? requiredNumber(line, "key-ttl", " of class " + op.name)
-                            : number(line, "key-ttl", 0));
-            op.completeWeight = shareAt(layout, "class-need", at, 1);
-            op.minimumWeight = shareAt(layout, "class-floor", at, op.completeWeight);
-            op.partialShare = shareAt(layout, "class-partial", at, 1);
-            List<?> fetched = list(layout.get("fetch-parts"));
-            if (at < fetched.size() && number("fetch-parts", fetched.get(at)) > 0 || flag(line, "stream")) {
+                            ? requireNumber(line, "key-ttl", " of class " + op.name)
+                            : readNumber(line, "key-ttl", 0));
+            op.completeWeight = readShareAt(layout, "class-need", index, 1);
+            op.minimumWeight = readShareAt(layout, "class-floor", index, op.completeWeight);
+            op.partialShare = readShareAt(layout, "class-partial", index, 1);
+            List<?> fetched = asList(layout.get("fetch-parts"));
+            if (index < fetched.size() && readNumber("fetch-parts", fetched.get(index)) > 0
+                    || readFlag(line, "stream")) {
                 throw new IllegalArgumentException(
-                        "class " + op.name + " has a second step or a stream, which is not served");
+                        "class " + op.name + ": found a second step or a stream, which this node does not support");
             }
             opTypes.add(op);
         }
         return opTypes;
     }
 
-    /** A configured coordinator of these op types, whose random draws come from the seed. */
+    /** Creates a configured coordinator of these op types, whose random numbers depend on the seed. */
     public static Coordinator createCoordinator(long seed, Map<?, ?> settings, List<OpType> opTypes) {
-        Map<?, ?> layout = section(settings, "family-info");
+        Map<?, ?> layout = readSection(settings, "family-info");
         return configure(
                 new WindowCoordinator(new Random(seed), opTypes)
                         .layout(
-                                (int) requiredCount(layout, "slabs", " of family-info"),
-                                        (int) requiredCount(layout, "sets", " of family-info"),
-                                (int) requiredCount(layout, "width", " of family-info"),
-                                        (int) number(layout, "batch", 1)),
+                                (int) requireCount(layout, "slabs", " of family-info"),
+                                        (int) requireCount(layout, "sets", " of family-info"),
+                                (int) requireCount(layout, "width", " of family-info"),
+                                        (int) readNumber(layout, "batch", 1)),
                 settings);
     }
 
-    /** Configures a coordinator with all that may change while it serves. */
+    /** Configures a coordinator with the settings that may change while it is in use. */
     static Coordinator configure(Coordinator coordinator, Map<?, ?> settings) {
-        Map<?, ?> bounds = section(settings, "bounds");
-        Map<?, ?> rules = section(settings, "rules");
-        double spanS = number(rules, "budget-window", 0);
+        Map<?, ?> bounds = readSection(settings, "bounds");
+        Map<?, ?> rules = readSection(settings, "rules");
+        double spanS = readNumber(rules, "budget-window", 0);
         if (spanS == 0 && (rules.get("min-extra") != null || rules.get("further-ratio") != null)) {
-            throw new IllegalArgumentException(
-                    "min-extra or further-ratio is there, so 'budget-window' is to be above 0;" + " found "
-                            + rules.get("budget-window"));
+            throw new IllegalArgumentException("'budget-window' of rules: found " + rules.get("budget-window")
+                    + ", a number above 0 is expected with min-extra or further-ratio");
         }
-        requiredValue(rules, "cold-share", " of rules");
+        requireValue(rules, "cold-share", " of rules");
         return coordinator
-                .frontNodes(
-                        (int) requiredCount(settings, "peers-total", ""), 1000 * requiredNumber(settings, "tick", ""))
+                .frontNodes((int) requireCount(settings, "peers-total", ""), 1000 * requireNumber(settings, "tick", ""))
                 .attempts(
-                        (int) requiredCount(bounds, "try-limit", " of bounds"),
-                        flag(bounds, "parallel-tries"),
-                        flag(bounds, "cancelling"))
-                .retryBudget(1000 * spanS, number(rules, "min-extra", 0), number(rules, "further-ratio", 0))
+                        (int) requireCount(bounds, "try-limit", " of bounds"),
+                        readFlag(bounds, "parallel-tries"),
+                        readFlag(bounds, "cancelling"))
+                .retryBudget(1000 * spanS, readNumber(rules, "min-extra", 0), readNumber(rules, "further-ratio", 0))
                 .slowStart(
-                        share(rules, "cold-share", 1),
-                        1000 * requiredNumber(rules, "warm-within", " of rules"),
-                        requiredNumber(rules, "tip-multiple", " of rules"),
-                        1000 * requiredNumber(rules, "fall", " of rules"))
-                .retryAfter(flag(bounds, "retry-after"), 1000 * number(bounds, "max-retry-after", 0))
-                .endpointPolling("ask".equals(settings.get("discovery")), 1000 * number(rules, "ask-within", 0));
+                        readShare(rules, "cold-share", 1),
+                        1000 * requireNumber(rules, "warm-within", " of rules"),
+                        requireNumber(rules, "tip-multiple", " of rules"),
+                        1000 * requireNumber(rules, "fall", " of rules"))
+                .retryAfter(readFlag(bounds, "retry-after"), 1000 * readNumber(bounds, "max-retry-after", 0))
+                .endpointPolling("ask".equals(settings.get("discovery")), 1000 * readNumber(rules, "ask-within", 0));
     }
 
     /**
-     * Replaces each op type in use by the one of the same name in the update. Its latency statistics still hold and are shared;
-     * multigets in hand keep the op type that they came with.
+     * Replaces each op type in use by the one of the same name in the update. The new one shares the latency statistics
+     * of the old one, which are still valid; multigets in flight keep their old op type.
      */
     static void replaceOpTypes(List<OpType> inUse, List<OpType> updates) {
         inUse.replaceAll(op -> {
@@ -127,16 +126,17 @@
         });
     }
 
-    private static OpType.Idempotency idempotency(Object effect, String opType) {
+    private static OpType.Idempotency parseIdempotency(Object effect, String opType) {
         return switch (String.valueOf(effect)) {
             case "free" -> OpType.Idempotency.IDEMPOTENT;
             case "guarded" -> OpType.Idempotency.IDEMPOTENCY_KEY;
             case "single_shot" -> OpType.Idempotency.NON_IDEMPOTENT;
-            default -> throw new IllegalArgumentException("unknown effect '" + effect + "' of class " + opType);
+            default -> throw new IllegalArgumentException("'effect' of class " + opType + ": found '" + effect
+                    + "', free, guarded or single_shot is expected");
         };
     }
 
-    private static Object requiredValue(Map<?, ?> map, String name, String place) {
+    private static Object requireValue(Map<?, ?> map, String name, String place) {
         Object value = map.get(name);
         if (value == null) {
             throw new IllegalArgumentException("the settings lack '" + name + "'" + place);
@@ -144,7 +144,7 @@
         return value;
     }
 
-    static Map<?, ?> section(Map<?, ?> map, String name) {
+    static Map<?, ?> readSection(Map<?, ?> map, String name) {
         Object value = map.get(name);
         if (value != null && !(value instanceof Map<?, ?>)) {
             throw new IllegalArgumentException("'" + name + "': found " + value + ", an object is expected");
@@ -152,16 +152,16 @@
         return value == null ? Map.of() : (Map<?, ?>) value;
     }
 
-    private static List<?> list(Object value) {
+    private static List<?> asList(Object value) {
         return value instanceof List<?> list ? list : List.of();
     }
 
-    private static double shareAt(Map<?, ?> map, String name, int index, double defaultValue) {
-        List<?> values = list(map.get(name));
-        return index < values.size() ? share(name, values.get(index)) : defaultValue;
+    private static double readShareAt(Map<?, ?> map, String name, int index, double defaultValue) {
+        List<?> values = asList(map.get(name));
+        return index < values.size() ? readShare(name, values.get(index)) : defaultValue;
     }
 
-    static boolean flag(Map<?, ?> map, String name) {
+    static boolean readFlag(Map<?, ?> map, String name) {
         Object value = map.get(name);
         if (value != null && !(value instanceof Boolean)) {
             throw new IllegalArgumentException("'" + name + "': found " + value + ", true or false is expected");
@@ -169,14 +169,14 @@
         return Boolean.TRUE.equals(value);
     }
 
-    /** A missing number is the default; one that is there and none, or below 0, is a mistake. */
-    static double number(Map<?, ?> map, String name, double defaultValue) {
-        return map.get(name) == null ? defaultValue : number(name, map.get(name));
+    /** Reads an optional number; throws if the value is not a number, or is below 0. */
+    static double readNumber(Map<?, ?> map, String name, double defaultValue) {
+        return map.get(name) == null ? defaultValue : readNumber(name, map.get(name));
     }
 
-    /** A number that is there, of 1 or more. */
-    static double requiredCount(Map<?, ?> map, String name, String place) {
-        double value = requiredNumber(map, name, place);
+    /** Reads a required number of 1 or more. */
+    static double requireCount(Map<?, ?> map, String name, String place) {
+        double value = requireNumber(map, name, place);
         if (value < 1) {
             throw new IllegalArgumentException(
                     "'" + name + place + "': found " + map.get(name) + ", a number of 1 or more is expected");
@@ -184,23 +184,23 @@
         return value;
     }
 
-    /** A number that is there. */
-    static double requiredNumber(Map<?, ?> map, String name, String place) {
-        return number(name + place, requiredValue(map, name, place));
+    /** Reads a required number of 0 or more. */
+    static double requireNumber(Map<?, ?> map, String name, String place) {
+        return readNumber(name + place, requireValue(map, name, place));
     }
 
-    private static double share(Map<?, ?> map, String name, double defaultValue) {
-        return map.get(name) == null ? defaultValue : share(name, map.get(name));
+    private static double readShare(Map<?, ?> map, String name, double defaultValue) {
+        return map.get(name) == null ? defaultValue : readShare(name, map.get(name));
     }
 
-    private static double share(String name, Object value) {
-        if (number(name, value) > 1) {
+    private static double readShare(String name, Object value) {
+        if (readNumber(name, value) > 1) {
             throw new IllegalArgumentException("'" + name + "': found " + value + ", a share of 0 to 1 is expected");
         }
-        return number(name, value);
+        return readNumber(name, value);
     }
 
-    private static double number(String name, Object value) {
+    private static double readNumber(String name, Object value) {
         if (!(value instanceof Number number) || !(number.doubleValue() >= 0)) {
             String found = value instanceof String text ? '"' + text + '"' : String.valueOf(value);
             throw new IllegalArgumentException(
--- a/node/src/main/java/spartrail/config/DeploymentFile.java
+++ b/node/src/main/java/spartrail/config/DeploymentFile.java
@@ -1,10 +1,10 @@
 package spartrail.config;
 
-import static spartrail.config.CoordinatorSettings.flag;
-import static spartrail.config.CoordinatorSettings.number;
-import static spartrail.config.CoordinatorSettings.requiredCount;
-import static spartrail.config.CoordinatorSettings.requiredNumber;
-import static spartrail.config.CoordinatorSettings.section;
+import static spartrail.config.CoordinatorSettings.readFlag;
+import static spartrail.config.CoordinatorSettings.readNumber;
+import static spartrail.config.CoordinatorSettings.readSection;
+import static spartrail.config.CoordinatorSettings.requireCount;
+import static spartrail.config.CoordinatorSettings.requireNumber;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -38,14 +38,14 @@
     private DeploymentFile(Map<?, ?> tree) {
         this.tree = tree;
         this.settings = (Map<?, ?>) tree.get("settings");
-        this.listen = EndpointAddress.parse(text("listen"));
-        this.discovery = EndpointAddress.parse(text("discovery"));
+        this.listen = EndpointAddress.parse(requireText("listen"));
+        this.discovery = EndpointAddress.parse(requireText("discovery"));
         this.knownEndpoints = tree.get("known") instanceof Map<?, ?> list
                 ? EndpointListDecoder.decode(list)
                 : new EndpointList(0, true, List.of());
     }
 
-    /** Reads and checks the file; an IllegalArgumentException says in one line what is wrong. */
+    /** Reads and checks the file; an IllegalArgumentException names the fault in one line. */
     public static DeploymentFile read(Path path) throws IOException {
         String text;
         try {
@@ -67,23 +67,23 @@
                 throw new IllegalArgumentException("a JSON object is expected");
             }
             if (!(tree.get("settings") instanceof Map<?, ?>)) {
-                throw new IllegalArgumentException("'settings' is missing or no object");
+                throw new IllegalArgumentException("'settings' is missing or not an object");
             }
             try {
                 DeploymentFile file = new DeploymentFile(tree);
                 file.check();
                 return file;
             } catch (ClassCastException e) {
-                throw new IllegalArgumentException("a setting is of the wrong kind", e);
+                throw new IllegalArgumentException("a setting has the wrong type", e);
             }
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("no JSON: " + JsonTree.describe(e) + " in line "
+            throw new IllegalArgumentException("invalid JSON: " + JsonTree.describe(e) + " in line "
                     + e.getLocation().getLineNr());
         }
     }
 
     private void check() {
-        coordinator(opTypes());
+        createCoordinator(opTypes());
         if (replicationFactor() > cells()) {
             throw new IllegalArgumentException("'width of family-info': found " + replicationFactor()
                     + ", no more than the 'sets', " + cells() + ", is expected");
@@ -102,7 +102,7 @@
         return String.valueOf(tree.get("name"));
     }
 
-    /** The operators' name of this version of the settings; empty without one. */
+    /** The operators' name for this version of the settings; empty if they gave none. */
     public String version() {
         return tree.get("version") == null ? "" : String.valueOf(tree.get("version"));
     }
@@ -117,13 +117,13 @@
         return discovery;
     }
 
-    /** The list of servers as this node last had it; it may be old. */
+    /** The list of servers that this node knew last; it may be outdated. */
     public EndpointList knownEndpoints() {
         return knownEndpoints;
     }
 
-    /** The seed of this start's random draws, in hex. */
-    private long seed() {
+    /** The seed of the random numbers: parsed as hexadecimal, or a hash of a text that is not. */
+    private long parseSeed() {
         String seed = String.valueOf(tree.get("seed"));
         try {
             return Long.parseUnsignedLong(seed, 16);
@@ -132,19 +132,19 @@
         }
     }
 
-    /** The op types, with no latency statistics yet. */
+    /** Creates the op types, without latency statistics. */
     public List<OpType> opTypes() {
         return CoordinatorSettings.parseOpTypes(settings);
     }
 
-    /** A configured coordinator of these op types. */
-    public Coordinator coordinator(List<OpType> opTypes) {
-        return CoordinatorSettings.createCoordinator(seed(), settings, opTypes);
+    /** Creates a configured coordinator of these op types. */
+    public Coordinator createCoordinator(List<OpType> opTypes) {
+        return CoordinatorSettings.createCoordinator(parseSeed(), settings, opTypes);
     }
 
     /**
-     * The differences from the running file that a node takes at its next start only, as its queues, listener and connections
-     * depend on them; empty if there are none.
+     * The differences from the running file that a node can only apply at a start, as its queues, listener and
+     * connections depend on them; empty if there are none.
      */
     public String changesThatNeedRestart(DeploymentFile running) {
         Map<String, Object> changed = restartOnlySettings();
@@ -156,25 +156,25 @@
     }
 
     private Map<String, Object> restartOnlySettings() {
-        Map<String, Object> shape = new LinkedHashMap<>();
-        shape.put("classes", opTypes().stream().map(op -> op.name).toList());
-        shape.put("slabs", shards());
-        shape.put("sets", cells());
-        shape.put("width", replicationFactor());
-        shape.put("batch", (int) number(section(settings, "family-info"), "batch", 1));
-        // The coordinator's margins go by the interval of the event loop, which stays as it is.
-        shape.put("tick in ms", loopIntervalMs());
-        shape.put("discovery asked for", isDiscoveryPolled());
-        shape.put("subset", String.valueOf(subset()));
-        return shape;
-    }
-
-    /** The settings as they were read. */
+        Map<String, Object> values = new LinkedHashMap<>();
+        values.put("classes", opTypes().stream().map(op -> op.name).toList());
+        values.put("slabs", shards());
+        values.put("sets", cells());
+        values.put("width", replicationFactor());
+        values.put("batch", (int) readNumber(readSection(settings, "family-info"), "batch", 1));
+        // The coordinator's time margins depend on the interval of the event loop, which cannot change while it runs.
+        values.put("tick in ms", loopIntervalMs());
+        values.put("discovery polled", isDiscoveryPolled());
+        values.put("subset", String.valueOf(subset()));
+        return values;
+    }
+
+    /** The settings as read, in the file's units. */
     Map<?, ?> settings() {
         return settings;
     }
 
-    /** The same with other settings, checked. */
+    /** A checked copy of this file with other settings. */
     DeploymentFile withSettings(Map<String, Object> settings) {
         Map<Object, Object> changed = new LinkedHashMap<>(tree);
         changed.put("settings", settings);
@@ -183,55 +183,55 @@
         return file;
     }
 
-    /** Configures a coordinator in use and replaces its op types by those of this file; what was learned stays. */
+    /** Configures a coordinator in use and replaces its op types by those of this file; statistics are kept. */
     public void applyTo(Coordinator coordinator, List<OpType> opTypes) {
         CoordinatorSettings.replaceOpTypes(opTypes, opTypes());
         CoordinatorSettings.configure(coordinator, settings);
     }
 
-    /** How many front nodes there are. */
+    /** The number of front nodes. */
     public int frontNodes() {
-        return (int) requiredCount(settings, "peers-total", "");
+        return (int) requireCount(settings, "peers-total", "");
     }
 
-    /** Most file descriptors that the process may hold. */
+    /** The most file descriptors that the process may hold. */
     public int maxFileDescriptors() {
-        return (int) requiredCount(section(tree, "limits"), "sockets", " of limits");
+        return (int) requireCount(readSection(tree, "limits"), "sockets", " of limits");
     }
 
-    /** The most multigets and parts in hand. */
+    /** The limit on multigets plus parts in flight. */
     public int maxInFlight() {
-        return (int) requiredCount(section(settings, "bounds"), "open-cap", " of bounds");
+        return (int) requireCount(readSection(settings, "bounds"), "open-cap", " of bounds");
     }
 
     /** The most attempts of a part. */
     public int maxAttemptsPerPart() {
-        return (int) requiredCount(section(settings, "bounds"), "try-limit", " of bounds");
+        return (int) requireCount(readSection(settings, "bounds"), "try-limit", " of bounds");
     }
 
     /** The most parts in flight on one connection to a server. */
     public int partsPerConnection() {
-        return (int) requiredCount(section(settings, "bounds"), "streams-per-conn", " of bounds");
+        return (int) requireCount(readSection(settings, "bounds"), "streams-per-conn", " of bounds");
     }
 
-    /** The time after which a connection that is not up is given up. */
+    /** The time limit for establishing a connection to a server. */
     public double connectTimeoutMs() {
-        return 1000 * requiredNumber(section(settings, "bounds"), "connect-timeout", " of bounds");
+        return 1000 * requireNumber(readSection(settings, "bounds"), "connect-timeout", " of bounds");
     }
 
-    /** After this long without use a server closes a connection. */
+    /** The idle time after which a server closes a connection. */
     public double keepAliveMs() {
-        return 1000 * requiredNumber(section(settings, "bounds"), "keepalive", " of bounds");
+        return 1000 * requireNumber(readSection(settings, "bounds"), "keepalive", " of bounds");
     }
 
-    /** The time after which nothing more may be sent to a server that drains. */
+    /** The time after which nothing more may be sent to a draining server. */
     public double drainGraceMs() {
-        return 1000 * requiredNumber(section(settings, "rules"), "stop-sending-within", " of rules");
+        return 1000 * requireNumber(readSection(settings, "rules"), "stop-sending-within", " of rules");
     }
 
-    /** Whether an attempt may be cancelled. */
+    /** Whether servers may be asked to cancel an attempt. */
     public boolean isCancellationAllowed() {
-        return flag(section(settings, "bounds"), "cancelling");
+        return readFlag(readSection(settings, "bounds"), "cancelling");
     }
 
     /** The longest time that a client of any op type waits. */
@@ -241,25 +241,26 @@
 
     /** The number of shards. */
     public int shards() {
-        return (int) number(section(settings, "family-info"), "slabs", 0);
+        return (int) readNumber(readSection(settings, "family-info"), "slabs", 0);
     }
 
     /** The number of cells. */
     public int cells() {
-        return (int) number(section(settings, "family-info"), "sets", 1);
+        return (int) readNumber(readSection(settings, "family-info"), "sets", 1);
     }
 
-    /** How large a subset of the index servers this node uses; null where it uses all of them. */
+    /** The size of the subset of index servers that this node uses; null if it uses all of them. */
     public SubsetSettings subset() {
         if (settings.get("subset") == null) {
             return null;
         }
-        Map<?, ?> stated = section(settings, "subset");
-        return new SubsetSettings(wholeNumber(stated, "replicasPerShard"), wholeNumber(stated, "leastZones"));
+        Map<?, ?> subset = readSection(settings, "subset");
+        return new SubsetSettings(
+                requireWholeNumber(subset, "replicasPerShard"), requireWholeNumber(subset, "leastZones"));
     }
 
-    private static int wholeNumber(Map<?, ?> subset, String name) {
-        double number = requiredNumber(subset, name, " of subset");
+    private static int requireWholeNumber(Map<?, ?> subset, String name) {
+        double number = requireNumber(subset, name, " of subset");
         if (number != (int) number) {
             throw new IllegalArgumentException(
                     "'" + name + " of subset': found " + subset.get(name) + ", a whole number is expected");
@@ -267,34 +268,34 @@
         return (int) number;
     }
 
-    /** Chooses this node's servers from all live ones; only where a subset is stated. */
-    public SubsetSelector subsetSelector() {
+    /** Creates the selector of this node's servers among all live ones; requires a subset in the settings. */
+    public SubsetSelector createSubsetSelector() {
         return new SubsetSelector(name(), subset(), shards(), cells(), replicationFactor());
     }
 
-    /** Picks this node's own servers from a list of all; null where it uses all of them. */
-    public SubsetFilter subsetFilter() {
-        return subset() == null ? null : new SubsetFilter(subsetSelector(), longestClientTimeoutMs());
+    /** Creates the filter that reduces a list of all servers to this node's subset; null if it uses all of them. */
+    public SubsetFilter createSubsetFilter() {
+        return subset() == null ? null : new SubsetFilter(createSubsetSelector(), longestClientTimeoutMs());
     }
 
-    /** Consecutive cells that hold a shard. */
+    /** The number of consecutive cells that hold a shard. */
     public int replicationFactor() {
-        return (int) number(section(settings, "family-info"), "width", 1);
+        return (int) readNumber(readSection(settings, "family-info"), "width", 1);
     }
 
-    /** The shortest time between two event loop iterations. */
+    /** The shortest time between the starts of two event loop iterations. */
     public double loopIntervalMs() {
-        return 1000 * number(settings, "tick", 0);
+        return 1000 * readNumber(settings, "tick", 0);
     }
 
-    /** Whether the coordinator says when the endpoint list's changes are asked for. */
+    /** Whether the node asks for endpoint changes only when the coordinator requests it. */
     public boolean isDiscoveryPolled() {
         return "ask".equals(settings.get("discovery"));
     }
 
-    private String text(String name) {
+    private String requireText(String name) {
         if (!(tree.get(name) instanceof String value)) {
-            throw new IllegalArgumentException("'" + name + "' is missing or no text");
+            throw new IllegalArgumentException("'" + name + "' is missing or not a string");
         }
         return value;
     }
--- a/node/src/main/java/spartrail/config/PolicyFields.java
+++ b/node/src/main/java/spartrail/config/PolicyFields.java
@@ -9,10 +9,10 @@
 import spartrail.policy.IdempotencyNames;
 import spartrail.policy.PolicySettings;
 
-/** Maps the settings of the deploy file to the fields of policy and back. Times are seconds there and milliseconds here. */
+/** Maps the settings of the deploy file, with times in seconds, to the fields of policy, in milliseconds, and back. */
 public final class PolicyFields {
     private record Field(String policyField, String section, String setting, double unitFactor, Object defaultValue) {
-        /** The value in policy's unit; the default where the setting is missing. */
+        /** Converts a setting to the unit of the policy field; the default if the setting is missing. */
         Object toPolicy(Object value) {
             if (value instanceof Number number) {
                 return number.doubleValue() * unitFactor;
@@ -52,71 +52,73 @@
 
     private PolicyFields() {}
 
-    /** The settings of a file that policy may change. */
+    /** Reads the settings of a file that policy may change. */
     public static PolicySettings read(DeploymentFile file) {
         Map<String, Object> values = new TreeMap<>();
         for (OpType op : file.opTypes()) {
-            String at = "/opTypes/" + op.name + "/";
+            String prefix = "/opTypes/" + op.name + "/";
             values.putAll(Map.of(
-                    at + "importance",
+                    prefix + "importance",
                     op.priorityWeight,
-                    at + "budgetMs",
+                    prefix + "budgetMs",
                     op.latencyObjectiveMs,
-                    at + "timeoutMs",
+                    prefix + "timeoutMs",
                     op.timeoutMs,
-                    at + "lateShare",
+                    prefix + "lateShare",
                     op.lateShare,
-                    at + "repeat",
+                    prefix + "repeat",
                     IdempotencyNames.nameOf(op.idempotency),
-                    at + "dedupMs",
+                    prefix + "dedupMs",
                     op.deduplicationWindowMs,
-                    at + "need",
+                    prefix + "need",
                     op.completeWeight,
-                    at + "floor",
+                    prefix + "floor",
                     op.minimumWeight,
-                    at + "partialShare",
+                    prefix + "partialShare",
                     op.partialShare));
         }
         for (Field field : FIELDS) {
-            Object value =
-                    CoordinatorSettings.section(file.settings(), field.section).get(field.setting);
+            Object value = CoordinatorSettings.readSection(file.settings(), field.section)
+                    .get(field.setting);
             values.put(field.policyField, field.toPolicy(value));
         }
         return PolicySettings.of(values);
     }
 
-    /** The file with these terms in the places of its own; an IllegalArgumentException where it would be no usable file. */
-    public static DeploymentFile apply(DeploymentFile file, PolicySettings terms) {
+    /**
+     * The file with these policy settings instead of its own; an IllegalArgumentException if the result is not usable.
+     */
+    public static DeploymentFile apply(DeploymentFile file, PolicySettings policy) {
         PolicySettings own = read(file);
         Map<String, Object> settings = copy(file.settings());
         for (Field field : FIELDS) {
             Object value = field.unitFactor == 0
-                    ? (Object) terms.flag(field.policyField)
-                    : terms.number(field.policyField) / field.unitFactor;
-            boolean same = field.unitFactor == 0
-                    ? terms.flag(field.policyField) == own.flag(field.policyField)
-                    : terms.number(field.policyField) == own.number(field.policyField);
-            if (!same) {
-                part(settings, field.section).put(field.setting, value);
+                    ? (Object) policy.flag(field.policyField)
+                    : policy.number(field.policyField) / field.unitFactor;
+            boolean unchanged = field.unitFactor == 0
+                    ? policy.flag(field.policyField) == own.flag(field.policyField)
+                    : policy.number(field.policyField) == own.number(field.policyField);
+            if (!unchanged) {
+                copySection(settings, field.section).put(field.setting, value);
             }
         }
         List<Object> classes = new ArrayList<>();
-        Map<String, Object> layout = part(settings, "family-info");
+        Map<String, Object> layout = copySection(settings, "family-info");
         List<OpType> opTypes = file.opTypes();
         for (int i = 0; i < opTypes.size(); i++) {
-            String at = "/opTypes/" + opTypes.get(i).name + "/";
+            String prefix = "/opTypes/" + opTypes.get(i).name + "/";
             Map<String, Object> line =
                     copy((Map<?, ?>) ((List<?>) file.settings().get("classes")).get(i));
             CLASS_SETTINGS.forEach(
-                    (field, name) -> line.put(name, terms.number(at + field) / (field.endsWith("Ms") ? 1000 : 1)));
-            line.put("effect", EFFECTS_BY_POLICY_NAME.get(terms.text(at + "repeat")));
+                    (field, name) -> line.put(name, policy.number(prefix + field) / (field.endsWith("Ms") ? 1000 : 1)));
+            line.put("effect", EFFECTS_BY_POLICY_NAME.get(policy.text(prefix + "repeat")));
             classes.add(line);
         }
         settings.put("classes", classes);
         LAYOUT_SETTINGS.forEach((field, name) -> layout.put(
                 name,
                 opTypes.stream()
-                        .map(op -> (Object) terms.number("/opTypes/" + op.name + "/" + field))
+                        .map(op -> (Object) policy.number("/opTypes/" + op.name + "/" + field))
                         .toList()));
         return file.withSettings(settings);
     }
@@ -127,9 +129,10 @@
         return copy;
     }
 
-    private static Map<String, Object> part(Map<String, Object> settings, String name) {
-        Map<String, Object> part = copy(CoordinatorSettings.section(settings, name));
-        settings.put(name, part);
-        return part;
+    /** Replaces a section of the settings by a copy that can be changed, and returns that. */
+    private static Map<String, Object> copySection(Map<String, Object> settings, String name) {
+        Map<String, Object> section = copy(CoordinatorSettings.readSection(settings, name));
+        settings.put(name, section);
+        return section;
     }
 }
--- a/node/src/main/java/spartrail/config/package-info.java
+++ b/node/src/main/java/spartrail/config/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The configuration of a front node: in come the JSON of the deploy file and the settings of the simulator, out go op types,
- * configured coordinators and typed values in milliseconds. Immutable once read; no threads. The names of the settings, which
- * the operators' documents give, are known in this package and nowhere else.
+ * The configuration of a front node. In: the JSON of the deploy file and the settings of the simulator. Out: op types,
+ * configured coordinators and typed values in milliseconds. Immutable once read; has no threads. Only this package
+ * knows the names of the settings, which the operators' documents define.
  */
 package spartrail.config;
--- a/node/src/main/java/spartrail/package-info.java
+++ b/node/src/main/java/spartrail/package-info.java
@@ -1,2 +1,2 @@
-/** The program's entry point; {@code spartrail.cli} has its sub-commands. Runs on the main thread and keeps no state. */
+/** The program's entry point; {@code spartrail.cli} has the sub-commands. Runs on the main thread and has no state. */
 package spartrail;
--- a/node/src/main/java/spartrail/record/MultigetRecord.java
+++ b/node/src/main/java/spartrail/record/MultigetRecord.java
@@ -11,12 +11,13 @@
 import spartrail.client.ClientQuery;
 
 /**
- * Writes one JSON line for each multiget taken, without its text, on a thread of its own. What comes faster than the disk takes it is
- * dropped and counted; at the bound the record ends, with a complete last line.
+ * Writes one JSON line for each received multiget, without its text, on its own thread. If multigets arrive faster than
+ * the disk can write, lines are dropped and counted. The record ends with a complete line before it exceeds its size
+ * limit.
  */
 public final class MultigetRecord implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger("spartrail.record");
-    /** What waits here keeps its texts, so a disk that hangs must not fill the heap with them. */
+    /** Queued entries hold the texts of their queries, which must not fill the heap while the disk hangs. */
     private static final int MAX_QUEUED = 512;
 
     private static final int FLUSH_INTERVAL_MS = 500;
@@ -34,7 +35,7 @@
     private volatile boolean full;
     private volatile boolean closed;
 
-    /** Begins a new file; an IOException where it cannot be written, before the node serves. */
+    /** Creates the file and starts the thread; an IOException if the file cannot be written, before the node serves. */
     public MultigetRecord(Path file, long maxBytes) throws IOException {
         this.out = new BufferedOutputStream(Files.newOutputStream(file), BUFFER_BYTES);
         this.maxBytes = maxBytes;
@@ -44,11 +45,11 @@
     }
 
     /**
-     * Records a multiget. Never waits.
+     * Records a multiget. Never blocks.
      *
-     * @param atMs when it came
-     * @param decidedNs the machine's monotonic clock when it was decided by what it is decided
-     * @param version the policy version that decides it; empty where there are none
+     * @param atMs the time of its arrival
+     * @param decidedNs the machine's monotonic clock at the iteration that fixed the version
+     * @param version the version of the settings that decides it; empty if there is none
      */
     public void append(ClientQuery query, double atMs, long decidedNs, String version) {
         if (!full && !queue.offer(new RecordEntry(atMs, decidedNs, version, query))) {
@@ -56,25 +57,25 @@
         }
     }
 
-    /** How many multigets the record lacks because the disk was too slow. */
+    /** The number of multigets that were dropped because the disk was too slow. */
     public long droppedCount() {
         return dropped.get();
     }
 
-    /** The thread's task; what ends it loses the entries that are queued. */
+    /** The thread's task; entries that are queued when it ends are lost. */
     private void run() {
         try (out) {
             writeEntries();
         } catch (IOException e) {
             full = true;
-            LOG.log(System.Logger.Level.WARNING, "record broken off: " + e.getMessage());
+            LOG.log(System.Logger.Level.WARNING, "cannot write the record, which ends here: " + e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         queue.clear();
         LOG.log(
                 System.Logger.Level.INFO,
-                "record: " + writtenLines + " multigets, " + writtenBytes + " bytes, " + dropped + " left out");
+                "record closed: " + writtenLines + " multigets, " + writtenBytes + " bytes, " + dropped + " dropped");
     }
 
     private void writeEntries() throws IOException, InterruptedException {
@@ -87,7 +88,7 @@
                     full = true;
                     LOG.log(
                             System.Logger.Level.WARNING,
-                            "record full after " + writtenLines + " multigets, nothing more is kept");
+                            "record full after " + writtenLines + " multigets; further ones are not recorded");
                     return;
                 }
                 out.write(line);
@@ -95,7 +96,7 @@
                 writtenLines++;
                 flushed = false;
             }
-            // With nothing queued, so that a process that is killed loses nothing of what it decided a moment before.
+            // Flushes whenever the queue is empty, so that a killed process has recorded its last decisions.
             boolean isCaughtUp = next == null || queue.isEmpty();
             if (!flushed && isCaughtUp) {
                 out.flush();
@@ -104,7 +105,7 @@
         }
     }
 
-    /** Writes what waits and ends the file. */
+    /** Writes the queued entries and closes the file. */
     @Override
     public void close() throws InterruptedException {
         closed = true;
--- a/node/src/main/java/spartrail/record/RecordEncoder.java
+++ b/node/src/main/java/spartrail/record/RecordEncoder.java
@@ -7,8 +7,9 @@
 import spartrail.client.ClientQuery;
 
 /**
- * Encodes a multiget as a JSON line: its time, op type, key, shards, weights, mean work, size of its text, its client's time, whether it
- * is a retry; where policy has versions, also which one decided it, and when.
+ * Encodes a multiget as a JSON line: its arrival, op type, key, shards, weights, mean cost, text size, client's
+ * timeout, whether it is a retry, and, if there is a version of the settings, that version and the time of the
+ * decision.
  */
 final class RecordEncoder {
     private static final int USUAL_LINE_BYTES = 160;
--- a/node/src/main/java/spartrail/record/RecordEntry.java
+++ b/node/src/main/java/spartrail/record/RecordEntry.java
@@ -3,10 +3,10 @@
 import spartrail.client.ClientQuery;
 
 /**
- * A multiget that was taken.
+ * A received multiget.
  *
- * @param atMs when it came, on the node's clock (Unix milliseconds)
+ * @param atMs the time of its arrival on the node's clock (Unix milliseconds)
  * @param decidedNs the machine's monotonic clock at the iteration that decided it
- * @param version the policy version that decided it; empty where there are none
+ * @param version the version of the settings that decided it; empty if there is none
  */
 record RecordEntry(double atMs, long decidedNs, String version, ClientQuery query) {}
--- a/node/src/main/java/spartrail/record/package-info.java
+++ b/node/src/main/java/spartrail/record/package-info.java
@@ -1,7 +1,8 @@
 /**
- * A record of the multigets that a node takes, for replaying them elsewhere. Off unless asked for; nothing of it is loaded then.
+ * A record of the multigets that a node receives, for a later replay. Off by default; its classes are loaded only if it
+ * is enabled.
  *
- * <p>In: decoded queries on the coordinator's thread. Out: lines of a file, written by a thread of its own. It never makes anybody wait
- * and never grows past its bound.
+ * <p>In: decoded queries on the coordinator's thread. Out: lines of a file, written by the record's own thread.
+ * Recording never blocks the coordinator's thread, and the file never exceeds its size limit.
  */
 package spartrail.record;
--- a/node/src/test/java/spartrail/cli/CommandLineTest.java
+++ b/node/src/test/java/spartrail/cli/CommandLineTest.java
@@ -80,18 +80,18 @@
                 .isEqualTo(
                         """
                 0 usable: node n0 on /127.0.0.1:3000, op types [orders], 4 servers known
-                2 spartrail: FOLDER/config.json: no JSON: Unexpected end-of-input: expected close marker for Object in line 1
+                2 spartrail: FOLDER/config.json: invalid JSON: Unexpected end-of-input: expected close marker for Object in line 1
                 2 spartrail: FOLDER/config.json: a JSON object is expected
-                2 spartrail: FOLDER/config.json: 'settings' is missing or no object
+                2 spartrail: FOLDER/config.json: 'settings' is missing or not an object
                 2 spartrail: FOLDER/config.json: no address of the form host:port: front:3000
-                2 spartrail: FOLDER/config.json: 'discovery' is missing or no text
+                2 spartrail: FOLDER/config.json: 'discovery' is missing or not a string
                 2 spartrail: FOLDER/config.json: a line of the list has 'uid' and 'pod_group'
                 2 spartrail: FOLDER/config.json: the settings lack 'aim' of class orders
-                2 spartrail: FOLDER/config.json: unknown effect 'odd' of class orders
-                2 spartrail: FOLDER/config.json: class orders has a second step or a stream, which is not served
+                2 spartrail: FOLDER/config.json: 'effect' of class orders: found 'odd', free, guarded or single_shot is expected
+                2 spartrail: FOLDER/config.json: class orders: found a second step or a stream, which this node does not support
                 2 spartrail: FOLDER/config.json: 'slabs of family-info': found "4", a number of 0 or more is expected
-                2 spartrail: FOLDER/config.json: min-extra or further-ratio is there, so 'budget-window' is to be above 0; found null
-                2 spartrail: FOLDER/config.json: class orders: found aim 5.0 over deadline 4.0, an aim of no more is expected
+                2 spartrail: FOLDER/config.json: 'budget-window' of rules: found null, a number above 0 is expected with min-extra or further-ratio
+                2 spartrail: FOLDER/config.json: class orders: found aim 5.0, no more than its deadline, 4.0, is expected
                 2 spartrail: FOLDER/config.json: 'late-share': found 3, a share of 0 to 1 is expected
                 2 spartrail: FOLDER/config.json: 'try-limit of bounds': found -4, a number of 0 or more is expected
                 2 spartrail: FOLDER/config.json: 'cancelling': found 1, true or false is expected
@@ -149,7 +149,7 @@
                         """
                 2 spartrail: FOLDER/subset.json: 'subset' of settings is missing: this node uses all servers
                 2 spartrail: FOLDER/list.json: a list of servers has 'rev' and 'targets'
-                2 spartrail: FOLDER/list.json: no JSON: Unexpected end-of-input: expected close marker for Array
+                2 spartrail: FOLDER/list.json: invalid JSON: Unexpected end-of-input: expected close marker for Array
                 2 spartrail: FOLDER/subset.json: 'leastZones of subset': found 3, 1 to 'replicasPerShard', 2, is expected
                 2 spartrail: FOLDER/subset.json: 'replicasPerShard of subset': found 1.5, a whole number is expected
                 2 spartrail: FOLDER/subset.json: the settings lack 'leastZones' of subset
--- a/node/src/test/java/spartrail/cli/SignalsTest.java
+++ b/node/src/test/java/spartrail/cli/SignalsTest.java
@@ -153,7 +153,7 @@
             signal("HUP");
             assertThat(awaitLine("configuration"))
                     .startsWith(
-                            "spartrail.cli: configuration rejected, the previous one stays in effect: DIR/config.json: no JSON: ");
+                            "spartrail.cli: configuration rejected, the previous one stays in effect: DIR/config.json: invalid JSON: ");
             // One whose op type is another's waits for a start; what is in hand goes on by its own.
             Files.writeString(file, good.replace("\"orders\"", "\"others\""));
             signal("HUP");
--- a/node/src/test/java/spartrail/front/FrontNodeEndpointTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeEndpointTest.java
@@ -181,7 +181,7 @@
             "\"sets\": 4, \"width\": 2",
             "\"sets\": 2, \"width\": 1"
         };
-        SubsetSelector selector = deployment(subset).subsetSelector();
+        SubsetSelector selector = deployment(subset).createSubsetSelector();
         selector.apply(
                 List.of(
                         new SubsetSelector.LiveServer("s-0", "a", 0, 1),
--- a/node/src/test/java/spartrail/record/MultigetRecordFormTest.java
+++ b/node/src/test/java/spartrail/record/MultigetRecordFormTest.java
@@ -11,13 +11,16 @@
 import org.junit.jupiter.api.io.TempDir;
 import spartrail.client.ClientQuery;
 
-/** The file of {@code --record} keeps the bytes that version d4872eb wrote. */
+/**
+ * The file of {@code --record} must stay byte for byte as version d4872eb wrote it, so that old records can be
+ * replayed.
+ */
 class MultigetRecordFormTest {
     @TempDir
     private Path folder;
 
     @Test
-    void eachKindOfLineKeepsItsBytes() throws Exception {
+    void eachKindOfLineIsEncodedToTheStoredBytes() throws Exception {
         Path file = folder.resolve("record");
         byte[] text = "text".getBytes(StandardCharsets.UTF_8);
         ClientQuery.QueriedPart first = new ClientQuery.QueriedPart(3, 0.25, 2);
@@ -32,8 +35,8 @@
             record.append(keyed, 1_782_324_000_002.0, 2_300_973_830_377L, "0|1");
             record.append(keyless, 1_782_324_000_003.0, -5, "17?");
         }
-        try (InputStream kept = getClass().getResourceAsStream("/forms/record.jsonl")) {
-            assertThat(Files.readString(file)).isEqualTo(new String(kept.readAllBytes(), StandardCharsets.UTF_8));
+        try (InputStream stored = getClass().getResourceAsStream("/forms/record.jsonl")) {
+            assertThat(Files.readString(file)).isEqualTo(new String(stored.readAllBytes(), StandardCharsets.UTF_8));
         }
     }
 }
--- a/node/src/test/java/spartrail/record/MultigetRecordTest.java
+++ b/node/src/test/java/spartrail/record/MultigetRecordTest.java
@@ -14,7 +14,7 @@
     @TempDir
     private Path folder;
 
-    private static ClientQuery ask(String key) {
+    private static ClientQuery createQuery(String key) {
         return new ClientQuery(
                 "9b1f",
                 "orders",
@@ -26,11 +26,11 @@
     }
 
     @Test
-    void eachMultigetTakenIsALine() throws Exception {
+    void eachMultigetIsWrittenAsOneLine() throws Exception {
         Path file = folder.resolve("record");
         try (MultigetRecord record = new MultigetRecord(file, 10_000)) {
-            record.append(ask("k\"1"), 1_782_324_000_000.125, 0, "");
-            record.append(ask(null), 1_782_324_000_001.0, 0, "");
+            record.append(createQuery("k\"1"), 1_782_324_000_000.125, 0, "");
+            record.append(createQuery(null), 1_782_324_000_001.0, 0, "");
         }
         assertThat(Files.readString(file))
                 .isEqualTo(
@@ -43,11 +43,11 @@
     }
 
     @Test
-    void theRecordEndsAtItsBoundWithAWholeLine() throws Exception {
+    void theRecordEndsBelowItsSizeLimitWithACompleteLine() throws Exception {
         Path file = folder.resolve("record");
         try (MultigetRecord record = new MultigetRecord(file, 1000)) {
             for (int i = 0; i < 100; i++) {
-                record.append(ask("k" + i), i, 0, "");
+                record.append(createQuery("k" + i), i, 0, "");
             }
         }
         String text = Files.readString(file);
