--- a/node/src/main/java/spartrail/cli/CheckCommand.java
+++ b/node/src/main/java/spartrail/cli/CheckCommand.java
@@ -14,20 +14,22 @@
 import spartrail.endpoint.sources.EndpointSourcesFile;
 import spartrail.front.FrontNode;
 
-/** Checks whether a node could start with a configuration, and on demand starts one. */
+/** Checks whether a node can start with a configuration, and with {@code --start} starts one. */
 public final class CheckCommand implements Command {
     private static final int RESPONSE_TIMEOUT_MS = 10_000;
 
     @Argument(required = true, metaVar = "FILE")
     private Path config;
 
-    @Option(name = "--start", usage = "start such a node on a free port of the loopback and ask it a multiget")
+    @Option(
+            name = "--start",
+            usage = "start a node with this configuration on a free loopback port and send it a multiget")
     private boolean start;
 
-    @Option(name = "--members", metaVar = "FILE", usage = "check this members' file, too")
+    @Option(name = "--members", metaVar = "FILE", usage = "also check this members' file")
     private Path members;
 
-    @Option(name = "--peers", metaVar = "FILE", usage = "check this peers' file, too")
+    @Option(name = "--peers", metaVar = "FILE", usage = "also check this peers' file")
     private Path peers;
 
     @Override
@@ -44,12 +46,12 @@
                 + deployment.knownEndpoints().endpoints().size()
                 + " servers known");
         if (start) {
-            startAndAsk(deployment, out);
+            startAndQuery(deployment, out);
         }
         return 0;
     }
 
-    private static void startAndAsk(DeploymentFile deployment, PrintStream out) throws Exception {
+    private static void startAndQuery(DeploymentFile deployment, PrintStream out) throws Exception {
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         try (FrontNode node = new FrontNode(deployment, anyPort)) {
             node.start();
@@ -62,7 +64,7 @@
         }
     }
 
-    /** The status line of the response. */
+    /** Sends a request and returns the status line of its response, or "none". */
     private static String requestStatusLine(InetSocketAddress address, String head, String body) throws IOException {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
--- a/node/src/main/java/spartrail/cli/Command.java
+++ b/node/src/main/java/spartrail/cli/Command.java
@@ -4,6 +4,9 @@
 
 /** A sub-command with its options. */
 interface Command {
-    /** Runs to the exit status; an IllegalArgumentException says what of the arguments or the configuration cannot be used. */
+    /**
+     * Runs the command and returns the exit status; an IllegalArgumentException names an unusable argument or the fault
+     * of a configuration.
+     */
     int run(PrintStream out, PrintStream err) throws Exception;
 }
--- a/node/src/main/java/spartrail/cli/CommandLine.java
+++ b/node/src/main/java/spartrail/cli/CommandLine.java
@@ -10,7 +10,7 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 
-/** The command line: one of its sub-commands, run to its exit status. */
+/** Parses the command line and runs the sub-command that it names. */
 public final class CommandLine {
     @Argument(required = true, metaVar = "COMMAND", handler = SubCommandHandler.class)
     @SubCommands({
@@ -22,7 +22,7 @@
     })
     private Command command;
 
-    /** The exit status for arguments or a configuration that cannot be used. */
+    /** The exit status for unusable arguments or an unusable configuration. */
     private static final int STATUS_UNUSABLE = 2;
 
     private static final int STATUS_FAILED = 1;
@@ -31,9 +31,9 @@
     private static final String USAGE =
             "usage: spartrail serve [--config FILE] [--record FILE] [--members FILE] [--peers FILE]"
                     + " | check [--start] [--members FILE] [--peers FILE] FILE | simhost"
-                    + " | subset show --config FILE --list FILE | version; --help behind a command tells its options";
+                    + " | subset show --config FILE --list FILE | version; --help after a command prints its options";
 
-    /** Prints the options of the command of this name; without such a command, which commands there are. */
+    /** Prints the options of the command of this name; if there is none, prints the commands. */
     private static void printHelp(String name, PrintStream out) {
         Object command = createCommand(name);
         if (command == null) {
@@ -48,7 +48,7 @@
         parser.printUsage(out);
     }
 
-    /** The command of this name, or null. */
+    /** Creates the command of this name, or returns null if there is none. */
     private static Object createCommand(String name) {
         try {
             SubCommand[] subCommands = CommandLine.class
@@ -62,13 +62,13 @@
             }
             return null;
         } catch (ReflectiveOperationException e) {
-            throw new AssertionError("a command that cannot be made", e);
+            throw new AssertionError("cannot create the command " + name, e);
         }
     }
 
-    /** Runs the command that the arguments name; what is unknown ends with the usage and status 2. */
+    /** Runs the command that the arguments name; an unknown command or option prints the usage and returns status 2. */
     public static int run(String[] args, PrintStream out, PrintStream err) {
-        // Before anything logs, the parser of arguments included.
+        // These must be set before the first use of a logger, and the argument parser uses one.
         System.setProperty("java.util.logging.manager", "spartrail.cli.DrainingLogManager");
         System.setProperty("java.util.logging.SimpleFormatter.format", "%1$tF %1$tT.%1$tL %4$s %3$s: %5$s%6$s%n");
         CommandLine commandLine = new CommandLine();
@@ -87,7 +87,7 @@
             err.println("spartrail: " + e.getMessage());
             return STATUS_UNUSABLE;
         } catch (Exception e) {
-            // The program's edge: whatever else ended the command is printed in one line.
+            // All other exceptions of the command are reported here, in one line.
             err.println("spartrail: " + (e.getMessage() == null ? e : e.getMessage()));
             return STATUS_FAILED;
         }
--- a/node/src/main/java/spartrail/cli/ServeCommand.java
+++ b/node/src/main/java/spartrail/cli/ServeCommand.java
@@ -15,43 +15,49 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** Serves clients as a front node until SIGTERM; then it drains. */
+/** Runs a front node until SIGTERM, and then drains it. */
 public final class ServeCommand implements Command {
     private static final System.Logger LOG = System.getLogger("spartrail.cli");
     private static final String CONFIG_VARIABLE = "BALANCER_CONFIG";
     private static final long BYTES_PER_MB = 1024L * 1024;
 
-    /** Referenced, or the JVM would collect the logger and its level with it. */
+    /** A strong reference: without it, the JVM could collect the logger and lose its level. */
     private Logger xnioLogger;
 
-    @Option(name = "--config", metaVar = "FILE", usage = "the node's configuration; else BALANCER_CONFIG names it")
+    @Option(
+            name = "--config",
+            metaVar = "FILE",
+            usage = "the node's configuration; by default the file that BALANCER_CONFIG names")
     private Path config;
 
-    @Option(name = "--members", metaVar = "FILE", usage = "servers also from the sources that this file names")
+    @Option(name = "--members", metaVar = "FILE", usage = "get servers also from the sources in this file")
     private Path members;
 
-    @Option(name = "--peers", metaVar = "FILE", usage = "talk to the other front nodes, as this file says")
+    @Option(
+            name = "--peers",
+            metaVar = "FILE",
+            usage = "exchange gossip with the other front nodes, with the settings in this file")
     private Path peers;
 
     @Option(
             name = "--history",
             metaVar = "FILE",
-            usage = "with --peers: a line for each change of what it knows of them")
+            usage = "with --peers: write a line for each change in the node's view of the others")
     private Path history;
 
     @Option(
             name = "--state",
             metaVar = "FOLDER",
-            usage = "with --peers: go by versions of policy, and keep there what must not be forgotten")
+            usage = "with --peers: apply policy versions, and keep their persistent state in this folder")
     private Path state;
 
-    @Option(name = "--record", metaVar = "FILE", usage = "keep a line for each multiget taken, to replay it elsewhere")
+    @Option(name = "--record", metaVar = "FILE", usage = "write a line for each received multiget, for a later replay")
     private Path recordFile;
 
     @Option(
             name = "--record-mb",
             metaVar = "N",
-            usage = "the record, and the history, end at so many megabytes (default 64)")
+            usage = "the size limit of the record, and of the history, in megabytes (default 64)")
     private int maxRecordMb = 64;
 
     @Override
@@ -62,14 +68,14 @@
         CountDownLatch ended = new CountDownLatch(1);
         AtomicReference<FrontNode> startedNode = new AtomicReference<>();
         synchronized (ServeCommand.class) {
-            // Before the node reports ready, as a JVM without a handler ends on a signal with all that it has in
-            // flight. Both
-            // handlers wait for the start.
+            // Both signal handlers are installed before the node reports ready, and wait for the end of the start.
+            // Without
+            // a handler, a signal would end the JVM at once, and with it all requests in flight.
             handleReloadSignal(startedNode, path);
             FrontNode node = createNode(path);
             MultigetRecord record = recordFile == null ? null : openRecord();
             node.setRecord(record);
-            // The log opens with its first line, and of a process that ends by then nothing would ever be read.
+            // The log is opened by its first line. A process that begins to shut down before could not log any more.
             LOG.log(System.Logger.Level.INFO, "starting with configuration " + path);
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
@@ -92,7 +98,7 @@
         }
         String fromEnvironment = System.getenv(CONFIG_VARIABLE);
         if (fromEnvironment == null || fromEnvironment.isEmpty()) {
-            throw new IllegalArgumentException("no configuration: give --config or " + CONFIG_VARIABLE);
+            throw new IllegalArgumentException("no configuration: neither --config nor " + CONFIG_VARIABLE + " is set");
         }
         return Path.of(fromEnvironment);
     }
@@ -100,11 +106,11 @@
     private static void handleReloadSignal(AtomicReference<FrontNode> startedNode, Path path) {
         SignalHandler previous = Signal.handle(new Signal("HUP"), signal -> reloadConfiguration(startedNode, path));
         if (previous == SignalHandler.SIG_IGN) {
-            // A JVM leaves a signal ignored that was so at its start, as below nohup, and is silent when one comes.
+            // A JVM keeps ignoring a signal that was ignored when it started, as under nohup, and reports nothing.
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "SIGHUP is ignored, as it was by whoever started this process:"
-                            + " a new configuration is taken at the next start only");
+                    "SIGHUP is ignored, as the process that started this one ignored it;"
+                            + " a changed configuration takes effect only at the next start");
         }
     }
 
@@ -122,7 +128,7 @@
         return node;
     }
 
-    /** Waits for the start, and does nothing where it failed; a SIGHUP is taken meanwhile. */
+    /** Waits for the end of the start, and does nothing if that failed. A SIGHUP is handled during the drain. */
     private static void drainAndClose(AtomicReference<FrontNode> startedNode, MultigetRecord record) {
         FrontNode node;
         synchronized (ServeCommand.class) {
@@ -148,11 +154,13 @@
         try {
             return new MultigetRecord(recordFile, maxRecordMb * BYTES_PER_MB);
         } catch (IOException e) {
-            throw new IllegalArgumentException("cannot write the record " + recordFile, e);
+            throw new IllegalArgumentException("--record: cannot write " + recordFile, e);
         }
     }
 
-    /** One at a time and none before the start, so that of two signals the later one's reading counts. */
+    /**
+     * Reloads the configuration, one signal at a time and not before the start, so that the last signal's file counts.
+     */
     private static synchronized void reloadConfiguration(AtomicReference<FrontNode> startedNode, Path path) {
         if (startedNode.get() == null) {
             return;
--- a/node/src/main/java/spartrail/cli/SimHostCommand.java
+++ b/node/src/main/java/spartrail/cli/SimHostCommand.java
@@ -6,7 +6,9 @@
 import java.nio.charset.StandardCharsets;
 import spartrail.sim.SimHost;
 
-/** Hosts decision modules on the simulator's wire. */
+/**
+ * Runs coordinators for the simulator, which sends events on the standard input and reads decisions from the output.
+ */
 public final class SimHostCommand implements Command {
     @Override
     public int run(PrintStream out, PrintStream err) throws Exception {
--- a/node/src/main/java/spartrail/cli/SubsetCommand.java
+++ b/node/src/main/java/spartrail/cli/SubsetCommand.java
@@ -17,9 +17,9 @@
 import spartrail.subset.SubsetSelector;
 import spartrail.subset.SubsetSelector.LiveServer;
 
-/** Shows the subset of index servers that a node uses, by its configuration and a list of all servers. */
+/** Prints the subset of index servers that a node selects from a list of all servers. */
 public final class SubsetCommand implements Command {
-    @Argument(required = true, metaVar = "show", usage = "the one thing that it does")
+    @Argument(required = true, metaVar = "show", usage = "the only action")
     private String action;
 
     @Option(
@@ -29,10 +29,17 @@
             usage = "the node's configuration, with a subset in its settings")
     private Path configFile;
 
-    @Option(name = "--list", required = true, metaVar = "FILE", usage = "a whole list of servers in discovery's form")
+    @Option(
+            name = "--list",
+            required = true,
+            metaVar = "FILE",
+            usage = "a complete list of servers, as discovery sends it")
     private Path listFile;
 
-    @Option(name = "--spares", metaVar = "N", usage = "so many of those that follow are shown (default 3)")
+    @Option(
+            name = "--spares",
+            metaVar = "N",
+            usage = "the number of further servers to show, in order of preference (default 3)")
     private int maxSpares = 3;
 
     @Override
@@ -43,7 +50,7 @@
         DeploymentFile deployment = DeploymentFile.read(configFile);
         if (deployment.subset() == null) {
             throw new IllegalArgumentException(
-                    configFile + ": 'subset' of settings is missing: this node uses all servers");
+                    configFile + ": 'subset' of settings is missing, so this node uses all servers");
         }
         SubsetSelector selector = deployment.createSubsetSelector();
         selector.apply(readLiveServers(), List.of());
--- a/node/src/main/java/spartrail/cli/VersionCommand.java
+++ b/node/src/main/java/spartrail/cli/VersionCommand.java
@@ -2,7 +2,7 @@
 
 import java.io.PrintStream;
 
-/** Says which version this is. */
+/** Prints the version of the program. */
 public final class VersionCommand implements Command {
     @Override
     public int run(PrintStream out, PrintStream err) {
--- a/node/src/test/java/example/ToyFleet.java
+++ b/node/src/test/java/example/ToyFleet.java
@@ -240,7 +240,7 @@
                             connection, new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
                     case 'G', 'T' -> connection.sendFrame((char) frame[0], frame[0] == 'G' ? "OK" : "-");
                     default -> {
-                        connection.sendFrame('N', "unknown letter");
+                        connection.sendFrame('N', "unknown frame type");
                         return;
                     }
                 }
@@ -259,16 +259,16 @@
     }
 
     private static void notifyParts(Connection connection, byte[] frame) throws IOException {
-        int at = 1;
-        while (at < frame.length) {
-            int lineEnd = at;
+        int position = 1;
+        while (position < frame.length) {
+            int lineEnd = position;
             while (frame[lineEnd] != '\n') {
                 lineEnd++;
             }
-            String[] words = new String(frame, at, lineEnd - at, StandardCharsets.US_ASCII).split(" ");
+            String[] words = new String(frame, position, lineEnd - position, StandardCharsets.US_ASCII).split(" ");
             int length = Integer.parseInt(words[3]);
             String text = new String(frame, lineEnd + 1, length, StandardCharsets.UTF_8);
-            at = lineEnd + 1 + length;
+            position = lineEnd + 1 + length;
             connection.server.behavior.onPart(connection, words[0], Integer.parseInt(words[1]), text);
         }
     }
--- a/node/src/test/java/spartrail/cli/CommandLineTest.java
+++ b/node/src/test/java/spartrail/cli/CommandLineTest.java
@@ -39,7 +39,7 @@
         return run("check", file.toString());
     }
 
-    /** What the check prints of a good configuration, of others with one fault each, and of a file that is missing. */
+    /** The output of the check for a good configuration, for others with one fault each, and for a missing file. */
     private String checkAll(String good) throws IOException {
         return String.join(
                 "\n",
@@ -109,20 +109,20 @@
                 2 spartrail: cannot read FOLDER/none""");
     }
 
-    private String subset(String stated, String list) throws IOException {
+    private String showSubset(String setting, String list) throws IOException {
         Path config = folder.resolve("subset.json");
         Files.writeString(
                 config,
                 Files.readString(Path.of("example/config.json"))
                         .replace("\"sets\": 4, \"width\": 2", "\"sets\": 2, \"width\": 1")
-                        .replace("\"tick\"", stated + "\"tick\""));
+                        .replace("\"tick\"", setting + "\"tick\""));
         Path servers = folder.resolve("list.json");
         Files.writeString(servers, list);
         return run("subset", "show", "--config", config.toString(), "--list", servers.toString());
     }
 
     @Test
-    void theServersOfASubsetAreShownAndAWrongSettingIsOneLine() throws IOException {
+    void theServersOfASubsetAreShownAndAFaultySettingIsReportedInOneLine() throws IOException {
         String list = "{\"rev\":1,\"all\":true,\"targets\":["
                 + IntStream.range(0, 8)
                         .mapToObj(number -> "{\"uid\":\"s-" + number
@@ -132,22 +132,22 @@
                         .collect(Collectors.joining(","))
                 + "]}";
         String good = "\"subset\": {\"replicasPerShard\": 2, \"leastZones\": 2}, ";
-        assertThat(subset(good, list))
+        assertThat(showSubset(good, list))
                 .startsWith("0 node n0 uses 4 of 8 live servers; each is used by 0.5 of 1 nodes on average, by more"
                         + " than 1 with a chance below 1e-06")
                 .contains("(2 spares, 2 zones)");
         assertThat(String.join(
                         "\n",
-                        subset("", list),
-                        subset(good, "{}"),
-                        subset(good, "["),
-                        subset(good.replace("2}", "3}"), list),
-                        subset(good.replace(": 2,", ": 1.5,"), list),
-                        subset(good.replace("leastZones", "zones"), list),
-                        subset("\"subset\": 4, ", list)))
+                        showSubset("", list),
+                        showSubset(good, "{}"),
+                        showSubset(good, "["),
+                        showSubset(good.replace("2}", "3}"), list),
+                        showSubset(good.replace(": 2,", ": 1.5,"), list),
+                        showSubset(good.replace("leastZones", "zones"), list),
+                        showSubset("\"subset\": 4, ", list)))
                 .isEqualTo(
                         """
-                2 spartrail: FOLDER/subset.json: 'subset' of settings is missing: this node uses all servers
+                2 spartrail: FOLDER/subset.json: 'subset' of settings is missing, so this node uses all servers
                 2 spartrail: FOLDER/list.json: a list of servers has 'rev' and 'targets'
                 2 spartrail: FOLDER/list.json: invalid JSON: Unexpected end-of-input: expected close marker for Array
                 2 spartrail: FOLDER/subset.json: 'leastZones of subset': found 3, 1 to 'replicasPerShard', 2, is expected
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void whatIsUnknownEndsWithTheUsage() {
+    void anUnknownCommandOrOptionPrintsTheUsage() {
         assertThat(run("launch")).startsWith("2 spartrail: ").contains("usage: spartrail serve [--config FILE]");
         assertThat(run("serve", "--colour", "red")).startsWith("2 spartrail: ").contains("usage: ");
         assertThat(run()).startsWith("2 spartrail: ").contains("usage: ");
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void helpTellsWhatACommandTakes() {
+    void helpPrintsTheOptionsOfACommand() {
         assertThat(run("serve", "--help"))
                 .startsWith("0 spartrail serve [--config FILE]")
                 .contains("--record-mb N", "BALANCER_CONFIG");
@@ -176,37 +176,39 @@
         assertThat(run("--help")).startsWith("0 usage: spartrail serve");
     }
 
-    /** Discovery that tells of its calls and answers none. */
-    private static HttpServer discovery(String name, BlockingQueue<String> seen) throws IOException {
+    /** Starts a discovery service that records its requests and answers none. */
+    private static HttpServer startDiscovery(String name, BlockingQueue<String> events) throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
-        server.createContext("/", exchange -> seen.add(name + " is asked"));
+        server.createContext("/", exchange -> events.add(name + " was requested"));
         server.start();
         return server;
     }
 
     @Test
-    void onSighupDiscoveryMovesAndAFileThatCannotBeUsedChangesNothing() throws Exception {
-        BlockingQueue<String> seen = new LinkedBlockingQueue<>();
-        HttpServer before = discovery("the old address", seen);
-        HttpServer after = discovery("the new address", seen);
+    void sighupMovesDiscoveryAndIgnoresAnInvalidFile() throws Exception {
+        BlockingQueue<String> events = new LinkedBlockingQueue<>();
+        HttpServer oldDiscovery = startDiscovery("the old address", events);
+        HttpServer newDiscovery = startDiscovery("the new address", events);
         String text = Files.readString(Path.of("example/config.json")).replace("127.0.0.1:3000", "127.0.0.1:0");
         Path file = folder.resolve("config.json");
-        Files.writeString(file, text.replace(":8500", ":" + before.getAddress().getPort()));
+        Files.writeString(
+                file, text.replace(":8500", ":" + oldDiscovery.getAddress().getPort()));
         Thread serving = new Thread(() -> run("serve", "--config", file.toString()));
         serving.setDaemon(true);
         serving.start();
-        assertThat(seen.poll(20, TimeUnit.SECONDS)).isEqualTo("the old address is asked");
+        assertThat(events.poll(20, TimeUnit.SECONDS)).isEqualTo("the old address was requested");
         Files.writeString(file, "{");
         Signal.raise(new Signal("HUP"));
-        Files.writeString(file, text.replace(":8500", ":" + after.getAddress().getPort()));
+        Files.writeString(
+                file, text.replace(":8500", ":" + newDiscovery.getAddress().getPort()));
         Signal.raise(new Signal("HUP"));
-        // One that is silent is asked again and again, until the signal.
-        String next = seen.poll(20, TimeUnit.SECONDS);
-        while ("the old address is asked".equals(next)) {
-            next = seen.poll(20, TimeUnit.SECONDS);
+        // The node repeats its request to a silent discovery until the signal.
+        String next = events.poll(20, TimeUnit.SECONDS);
+        while ("the old address was requested".equals(next)) {
+            next = events.poll(20, TimeUnit.SECONDS);
         }
-        assertThat(next).isEqualTo("the new address is asked");
-        before.stop(0);
-        after.stop(0);
+        assertThat(next).isEqualTo("the new address was requested");
+        oldDiscovery.stop(0);
+        newDiscovery.stop(0);
     }
 }
--- a/node/src/test/java/spartrail/cli/KnownRedTest.java
+++ b/node/src/test/java/spartrail/cli/KnownRedTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The script that CI runs, with a stand-in for Maven that notes its calls: the test ATest#red fails, all others pass. */
+/** Runs the CI script with a fake Maven that records its calls. In it the test ATest#red fails, and all others pass. */
 class KnownRedTest {
     private static final String MAVEN =
             """
@@ -43,15 +43,15 @@
         ProcessBuilder builder = new ProcessBuilder("bash", script.toString()).redirectErrorStream(true);
         builder.environment().putAll(Map.of("PATH", maven.getParent() + ":" + System.getenv("PATH")));
         Process process = builder.start();
-        String said = new String(process.getInputStream().readAllBytes()).strip();
+        String output = new String(process.getInputStream().readAllBytes()).strip();
         assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
         Path calls = root.resolve("calls");
-        return process.exitValue() + " " + said + "; "
+        return process.exitValue() + " " + output + "; "
                 + (Files.exists(calls) ? Files.readString(calls).strip() : "no call");
     }
 
     @Test
-    void passesOverExactlyWhatIsKnownToBeRed() throws Exception {
+    void exactlyTheKnownFailingTestsAreExcluded() throws Exception {
         String red = "ATest#red | mvn test, seed 7 | 2 where 1 is right | 12\n";
         assertThat(String.join(
                         "\n",
--- a/node/src/test/java/spartrail/cli/OncallLogLinesTest.java
+++ b/node/src/test/java/spartrail/cli/OncallLogLinesTest.java
@@ -13,7 +13,9 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The log lines of the on-call page are those that the code prints: reads both. */
+/**
+ * Compares the log lines on the on-call page with the string literals in the code, so that the page stays up to date.
+ */
 class OncallLogLinesTest {
     private static final Path PAGE = Path.of("docs/oncall.md");
     private static final List<String> MODULES = List.of("core", "node", "dns", "peers", "policy");
@@ -21,7 +23,7 @@
     /** A row of the page's table of log lines: the logger's name and the text. */
     private static final Pattern ROW = Pattern.compile("^\\| `(spartrail\\.[a-z.]+): ([^`]+)`", Pattern.MULTILINE);
 
-    /** What differs from line to line: words in capitals, numbers, names with a digit, what is left out. */
+    /** The variable text in a log line: words in capitals, words with a digit, and an ellipsis. */
     private static final Pattern VARIABLE = Pattern.compile("\\b[A-Z][A-Z_]*\\b|\\S*\\d\\S*|\\.\\.\\.");
 
     private static final Pattern LITERAL = Pattern.compile("\"((?:[^\"\\\\]|\\\\.)*)\"");
@@ -30,7 +32,7 @@
     private record LogLine(String logger, String text) {}
 
     @Test
-    void eachLineOfThePageIsPrintedByTheCode() throws IOException {
+    void eachLogLineOfThePageIsInTheCode() throws IOException {
         Set<String> loggers = new HashSet<>();
         StringBuilder printed = new StringBuilder();
         for (String source : mainSources()) {
--- a/node/src/test/java/spartrail/cli/SignalsTest.java
+++ b/node/src/test/java/spartrail/cli/SignalsTest.java
@@ -22,79 +22,83 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A process of its own, what is sent to it, and its log. */
+/** Runs a node as a separate process, and checks by its log how it reacts to signals. */
 class SignalsTest {
-    /** Most that a process may hold in the test of a crowd; a JVM has some dozens open itself. */
-    private static final int DESCRIPTORS = 160;
+    /** The descriptor limit in the test of many idle clients; the JVM itself has some dozens open. */
+    private static final int MAX_DESCRIPTORS = 160;
 
     @TempDir
     private Path dir;
 
     private final ToyFleet fleet = new ToyFleet(4, 0, 0);
     private final BlockingQueue<String> log = new LinkedBlockingQueue<>();
-    private Path file;
-    private String good;
+    private Path configurationFile;
+    private String validConfiguration;
     private Process process;
 
     SignalsTest() throws IOException {}
 
     @BeforeEach
     void start() throws IOException {
-        good = Files.readString(Path.of("example/config.json"))
+        validConfiguration = Files.readString(Path.of("example/config.json"))
                 .replace("127.0.0.1:3000", "127.0.0.1:0")
                 .replace("127.0.0.1:8500", fleet.discoveryEndpoint())
                 .replace("\"aim\": 2.0, \"deadline\": 4.0", "\"aim\": 1, \"deadline\": 2");
         for (int i = 0; i < 4; i++) {
-            good = good.replace("127.0.0.1:" + (7001 + i), fleet.servers.get(i).endpoint());
+            validConfiguration = validConfiguration.replace(
+                    "127.0.0.1:" + (7001 + i), fleet.servers.get(i).endpoint());
         }
-        file = dir.resolve("config.json");
-        Files.writeString(file, good);
+        configurationFile = dir.resolve("config.json");
+        Files.writeString(configurationFile, validConfiguration);
     }
 
-    private static String jvm() {
+    private static String javaCommand() {
         return ProcessHandle.current().info().command().orElse("java");
     }
 
-    private void serve(String before) throws IOException {
-        start(new ProcessBuilder(
+    /** Starts a node from a shell that first runs the given commands. */
+    private void startNode(String shellPrefix) throws IOException {
+        startProcess(new ProcessBuilder(
                 "sh",
                 "-c",
-                before + "exec \"$@\"",
+                shellPrefix + "exec \"$@\"",
                 "sh",
-                jvm(),
+                javaCommand(),
                 "-cp",
                 System.getProperty("java.class.path"),
                 "spartrail.Main",
                 "serve",
                 "--config",
-                file.toString()));
+                configurationFile.toString()));
     }
 
-    /** By the start command that is deployed; the JVM that it finds runs these classes, as there is no jar yet. */
-    private void serveByStartCommand(String before) throws IOException {
+    /**
+     * Starts a node by the deployed start command. Its {@code java} runs the compiled classes, as there is no jar yet.
+     */
+    private void startNodeByStartCommand(String shellPrefix) throws IOException {
         Path java = Files.createDirectories(dir.resolve("bin")).resolve("java");
         Files.writeString(
                 java,
-                "#!/bin/sh\nexec '" + jvm() + "' -cp '" + System.getProperty("java.class.path")
+                "#!/bin/sh\nexec '" + javaCommand() + "' -cp '" + System.getProperty("java.class.path")
                         + "' spartrail.Main serve\n");
         assertThat(java.toFile().setExecutable(true)).isTrue();
-        ProcessBuilder command = new ProcessBuilder("sh", "-c", before + "exec sh deploy/run.sh");
+        ProcessBuilder command = new ProcessBuilder("sh", "-c", shellPrefix + "exec sh deploy/run.sh");
         command.environment().put("PATH", java.getParent() + ":" + System.getenv("PATH"));
-        command.environment().put("BALANCER_CONFIG", file.toString());
-        start(command);
+        command.environment().put("BALANCER_CONFIG", configurationFile.toString());
+        startProcess(command);
     }
 
-    private void start(ProcessBuilder command) throws IOException {
+    private void startProcess(ProcessBuilder command) throws IOException {
         process = command.redirectErrorStream(true).start();
-        Thread reading = new Thread(() -> {
+        Thread logReader = new Thread(() -> {
             try (BufferedReader lines = process.inputReader()) {
                 lines.lines().forEach(log::add);
             } catch (IOException e) {
                 log.add(String.valueOf(e));
             }
         });
-        reading.setDaemon(true);
-        reading.start();
+        logReader.setDaemon(true);
+        logReader.start();
     }
 
     @AfterEach
@@ -103,7 +107,7 @@
         fleet.close();
     }
 
-    /** The next line of the log with these words, without its time. */
+    /** Waits for the next log line with these words, and returns it without its time. */
     private String awaitLine(String words) throws InterruptedException {
         for (String line = ""; line != null; line = log.poll(20, TimeUnit.SECONDS)) {
             if (line.contains(words)) {
@@ -114,7 +118,7 @@
                 + (process.isAlive() ? "runs" : "ended with " + process.exitValue());
     }
 
-    private void signal(String name) throws IOException, InterruptedException {
+    private void sendSignal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid())
                 .start()
                 .waitFor();
@@ -129,12 +133,12 @@
                 held.complete(connection);
             }
         });
-        serve("");
+        startNode("");
         String port = awaitLine("serving on").replaceAll(".*:(\\d+), 4 servers known", "$1");
-        signal("HUP");
+        sendSignal("HUP");
         assertThat(awaitLine("configuration")).isEqualTo("spartrail.cli: configuration reloaded");
-        Files.delete(file);
-        signal("HUP");
+        Files.delete(configurationFile);
+        sendSignal("HUP");
         assertThat(awaitLine("configuration"))
                 .isEqualTo(
                         "spartrail.cli: configuration rejected, the previous one stays in effect: cannot read DIR/config.json");
@@ -146,17 +150,17 @@
                                             + "Content-Length: " + body.length() + "\r\n\r\n" + body)
                                     .getBytes(StandardCharsets.US_ASCII));
             ToyFleet.Connection connection = held.get(20, TimeUnit.SECONDS);
-            Files.writeString(file, good.substring(0, good.length() / 2));
-            signal("TERM");
+            Files.writeString(configurationFile, validConfiguration.substring(0, validConfiguration.length() / 2));
+            sendSignal("TERM");
             assertThat(awaitLine("draining")).startsWith("spartrail.front: draining: ");
-            signal("TERM");
-            signal("HUP");
+            sendSignal("TERM");
+            sendSignal("HUP");
             assertThat(awaitLine("configuration"))
                     .startsWith(
                             "spartrail.cli: configuration rejected, the previous one stays in effect: DIR/config.json: invalid JSON: ");
-            // One whose op type is another's waits for a start; what is in hand goes on by its own.
-            Files.writeString(file, good.replace("\"orders\"", "\"others\""));
-            signal("HUP");
+            // Another op type needs a restart; the request in flight keeps its op type.
+            Files.writeString(configurationFile, validConfiguration.replace("\"orders\"", "\"others\""));
+            sendSignal("HUP");
             assertThat(awaitLine("configuration"))
                     .isEqualTo("spartrail.cli: configuration reloaded; its settings need a restart: "
                             + "classes: found [others], in use [orders]");
@@ -173,26 +177,26 @@
     @Test
     void aNodeTerminatedBeforeDiscoveryAnswersEnds() throws Exception {
         fleet.silent = true;
-        serve("");
+        startNode("");
         fleet.awaitPolled();
-        signal("TERM");
+        sendSignal("TERM");
         assertThat(awaitLine("drained")).isEqualTo("spartrail.front: drained");
         assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
         assertThat(process.exitValue()).isEqualTo(143);
     }
 
     @Test
-    void aNodeThatIgnoresSighupLogsIt() throws Exception {
-        serve("trap '' HUP; ");
+    void aNodeLogsThatItIgnoresSighup() throws Exception {
+        startNode("trap '' HUP; ");
         assertThat(awaitLine("SIGHUP")).startsWith("spartrail.cli: SIGHUP is ignored, ");
         assertThat(awaitLine("serving on")).startsWith("spartrail.front: serving on ");
     }
 
     @Test
     void theStartCommandRestoresAnIgnoredSighup() throws Exception {
-        serveByStartCommand("trap '' HUP; ");
+        startNodeByStartCommand("trap '' HUP; ");
         assertThat(awaitLine("serving on")).startsWith("spartrail.front: serving on ");
-        signal("HUP");
+        sendSignal("HUP");
         assertThat(awaitLine("configuration")).isEqualTo("spartrail.cli: configuration reloaded");
     }
 
@@ -200,38 +204,39 @@
     void aNodeWhoseDiscoveryIsSilentIsReadyWithinTenSeconds() throws Exception {
         fleet.silent = true;
         long fromNs = System.nanoTime();
-        serveByStartCommand("");
+        startNodeByStartCommand("");
         assertThat(awaitLine("serving on")).startsWith("spartrail.front: serving on ");
         assertThat(System.nanoTime() - fromNs).isLessThan(10_000_000_000L);
     }
 
     @Test
     void idleClientsThatFillTheDescriptorsDoNotStopEndpointUpdates() throws Exception {
-        Files.writeString(file, good.replace("\"sockets\": 1024", "\"sockets\": " + DESCRIPTORS));
-        // The process cannot hold more than that, whatever it counts itself.
-        serve("ulimit -n " + DESCRIPTORS + "; ");
+        Files.writeString(
+                configurationFile, validConfiguration.replace("\"sockets\": 1024", "\"sockets\": " + MAX_DESCRIPTORS));
+        // The system enforces the limit, whatever the node itself counts.
+        startNode("ulimit -n " + MAX_DESCRIPTORS + "; ");
         int port = Integer.parseInt(awaitLine("serving on").replaceAll(".*:(\\d+), 4 servers known", "$1"));
         fleet.silent = true;
         fleet.publish(fleet.servers.get(0), "SERVING");
         assertThat(awaitLine("cannot be had")).contains("no answer in time");
         List<Socket> idle = new ArrayList<>();
         try {
-            for (int i = 0; i < 2 * DESCRIPTORS; i++) {
+            for (int i = 0; i < 2 * MAX_DESCRIPTORS; i++) {
                 Socket client = new Socket("127.0.0.1", port);
                 idle.add(client);
-                // One that has asked once may rest; others are closed soon.
+                // A connection that has sent a request may stay idle; others are closed soon.
                 client.getOutputStream()
                         .write("GET /up HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             }
-            awaitAnswerOrEnd(idle.get(idle.size() - 1));
-            assertThat(descriptorsHeld())
-                    .as("some are left to discovery and to servers")
-                    .isLessThan(DESCRIPTORS);
+            awaitResponseOrEnd(idle.get(idle.size() - 1));
+            assertThat(countDescriptors())
+                    .as("open descriptors, of which some must be left for discovery and servers")
+                    .isLessThan(MAX_DESCRIPTORS);
             fleet.publish(fleet.servers.get(0), "DRAINING");
-            long reachableNs = System.nanoTime();
+            long discoveryAnswersNs = System.nanoTime();
             fleet.silent = false;
             fleet.awaitPublished(true);
-            assertThat(System.nanoTime() - reachableNs).isLessThan(6_000_000_000L);
+            assertThat(System.nanoTime() - discoveryAnswersNs).isLessThan(6_000_000_000L);
         } finally {
             for (Socket socket : idle) {
                 socket.close();
@@ -239,8 +244,8 @@
         }
     }
 
-    /** The last one to come is answered or turned away, unless there is no descriptor left for it. */
-    private static void awaitAnswerOrEnd(Socket client) throws IOException {
+    /** Waits until the last client is answered or disconnected, or for 3 s if there is no descriptor left for it. */
+    private static void awaitResponseOrEnd(Socket client) throws IOException {
         client.setSoTimeout(3000);
         try {
             client.getInputStream().read();
@@ -249,9 +254,9 @@
         }
     }
 
-    private int descriptorsHeld() {
-        String[] held =
+    private int countDescriptors() {
+        String[] open =
                 Path.of("/proc", String.valueOf(process.pid()), "fd").toFile().list();
-        return held == null ? 0 : held.length;
+        return open == null ? 0 : open.length;
     }
 }
