--- a/node/src/main/java/spartrail/cli/ServeCommand.java
+++ b/node/src/main/java/spartrail/cli/ServeCommand.java
@@ -62,7 +62,7 @@
 
     @Override
     public int run(PrintStream out, PrintStream err) throws Exception {
-        Path path = configurationFile();
+        Path path = findConfigurationFile();
         xnioLogger = Logger.getLogger("org.xnio");
         xnioLogger.setLevel(Level.WARNING);
         CountDownLatch ended = new CountDownLatch(1);
@@ -92,7 +92,7 @@
         return 0;
     }
 
-    private Path configurationFile() {
+    private Path findConfigurationFile() {
         if (config != null) {
             return config;
         }
--- a/node/src/main/java/spartrail/client/ClientConnections.java
+++ b/node/src/main/java/spartrail/client/ClientConnections.java
@@ -83,21 +83,21 @@
      * order, clients that connect and send nothing would evict the connections of those that send requests.
      */
     boolean evict() {
-        ClientConnection withoutRequest = first(ClientConnection::isEvictableWithoutRequest);
-        ClientConnection candidate = withoutRequest != null ? withoutRequest : first(ClientConnection::isEvictable);
+        ClientConnection withoutRequest = findFirst(ClientConnection::isEvictableWithoutRequest);
+        ClientConnection candidate = withoutRequest != null ? withoutRequest : findFirst(ClientConnection::isEvictable);
         if (candidate != null) {
             closeNow(candidate.channel);
         }
         return candidate != null;
     }
 
-    private Stream<ClientConnection> matching(Predicate<ClientConnection> condition) {
+    private Stream<ClientConnection> filter(Predicate<ClientConnection> condition) {
         return connections.values().stream().filter(condition);
     }
 
     /** The longest unused connection that meets the condition, or null. */
-    private ClientConnection first(Predicate<ClientConnection> condition) {
-        return matching(condition).findFirst().orElse(null);
+    private ClientConnection findFirst(Predicate<ClientConnection> condition) {
+        return filter(condition).findFirst().orElse(null);
     }
 
     /** The connection of this channel, or null if it is closed. */
@@ -127,10 +127,10 @@
      * incomplete bodies, the longest unused first: filling the heap would end the node with all its requests in flight.
      */
     void reserveBody(ClientConnection client, long bytes) {
-        ClientConnection other = first(ClientConnection::isSendingBody);
+        ClientConnection other = findFirst(ClientConnection::isSendingBody);
         while (bufferedBytes + bytes > maxBufferedBytes && other != null) {
             closeNow(other.channel);
-            other = first(ClientConnection::isSendingBody);
+            other = findFirst(ClientConnection::isSendingBody);
         }
         client.bodyBytes = bytes;
         bufferedBytes += bytes;
@@ -190,7 +190,7 @@
     }
 
     /**
-     * Closes a connection after its last response has been delivered; bytes that its client still sends are discarded.
+     * Closes a connection after its last response was written; bytes that its client still sends are discarded.
      */
     void closeGracefully(StreamConnection channel) {
         ClientConnection client = connections.get(channel);
@@ -202,7 +202,7 @@
     }
 
     void closeIdleGracefully() {
-        matching(ClientConnection::isIdle).toList().forEach(client -> closeGracefully(client.channel));
+        filter(ClientConnection::isIdle).toList().forEach(client -> closeGracefully(client.channel));
     }
 
     void closeAll() {
--- a/node/src/main/java/spartrail/client/ClientQueryDecoder.java
+++ b/node/src/main/java/spartrail/client/ClientQueryDecoder.java
@@ -44,16 +44,16 @@
     }
 
     ClientQuery decode(String path, HeaderMap headers, byte[] body) throws MalformedMessageException {
-        String id = singleValue(headers, ID_HEADER);
+        String id = findSingleValue(headers, ID_HEADER);
         if (id == null || !ID_FORMAT.matcher(id).matches()) {
             throw new MalformedMessageException("Req-Id is missing or unusable");
         }
         String[] pathSegments = path.split("/", 3);
-        String opType = singleValue(headers, KIND_HEADER);
+        String opType = findSingleValue(headers, KIND_HEADER);
         if (opType == null || !opTypes.contains(opType) || pathSegments.length < 2 || !pathSegments[1].equals(opType)) {
             throw new MalformedMessageException("Req-Kind is unknown or not the path's");
         }
-        double clientTimeoutMs = MS_PER_SECOND * parseDeadlineSeconds(singleValue(headers, DEADLINE_HEADER));
+        double clientTimeoutMs = MS_PER_SECOND * parseDeadlineSeconds(findSingleValue(headers, DEADLINE_HEADER));
         try (JsonParser parser = jsonFactory.createParser(body)) {
             return decodeBody(
                     parser,
@@ -68,7 +68,7 @@
     }
 
     /** The value of this header; null if the header is missing or repeated. */
-    private static String singleValue(HeaderMap headers, HttpString name) {
+    private static String findSingleValue(HeaderMap headers, HttpString name) {
         return headers.count(name) == 1 ? headers.getFirst(name) : null;
     }
 
--- a/node/src/main/java/spartrail/client/ClientResponse.java
+++ b/node/src/main/java/spartrail/client/ClientResponse.java
@@ -48,20 +48,20 @@
         return new ClientResponse(
                 503,
                 retryAfterMs > 0 ? String.format(Locale.ROOT, "%.3f", retryAfterMs / 1000) : null,
-                textBody("pushed back"));
+                encodeTextBody("pushed back"));
     }
 
     /** The response to a failed query, of which parts may have run. */
     public static ClientResponse failure() {
-        return new ClientResponse(500, null, textBody("failed"));
+        return new ClientResponse(500, null, encodeTextBody("failed"));
     }
 
     /** The response to a malformed request; the body names the problem in one sentence. */
     static ClientResponse malformed(int status, String problem) {
-        return new ClientResponse(status, null, textBody(problem));
+        return new ClientResponse(status, null, encodeTextBody(problem));
     }
 
-    private static byte[] textBody(String text) {
+    private static byte[] encodeTextBody(String text) {
         return (text + '\n').getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/node/src/main/java/spartrail/config/DeploymentFile.java
+++ b/node/src/main/java/spartrail/config/DeploymentFile.java
@@ -146,16 +146,16 @@
      * The differences from the running file that a node can only apply at a start, as its queues, listener and
      * connections depend on them; empty if there are none.
      */
-    public String changesThatNeedRestart(DeploymentFile running) {
-        Map<String, Object> changed = restartOnlySettings();
-        Map<String, Object> current = running.restartOnlySettings();
+    public String findChangesThatNeedRestart(DeploymentFile running) {
+        Map<String, Object> changed = collectRestartOnlySettings();
+        Map<String, Object> current = running.collectRestartOnlySettings();
         return changed.keySet().stream()
                 .filter(name -> !changed.get(name).equals(current.get(name)))
                 .map(name -> name + ": found " + changed.get(name) + ", in use " + current.get(name))
                 .collect(Collectors.joining("; "));
     }
 
-    private Map<String, Object> restartOnlySettings() {
+    private Map<String, Object> collectRestartOnlySettings() {
         Map<String, Object> values = new LinkedHashMap<>();
         values.put("classes", opTypes().stream().map(op -> op.name).toList());
         values.put("slabs", shards());
--- a/node/src/main/java/spartrail/front/DrainSchedule.java
+++ b/node/src/main/java/spartrail/front/DrainSchedule.java
@@ -18,7 +18,7 @@
     private static final double LAST_RESPONSE_BEFORE_KILL_MS = 150;
     /** Within this time the load balancer in front of the node has seen that it is not ready. */
     private static final double MIN_SERVING_MS = 450;
-    /** The time allowed for sending the last bytes written. */
+    /** The time limit for sending the bytes that were written last. */
     static final double FLUSH_TIMEOUT_MS = 50;
 
     static DrainSchedule of(DeploymentFile deployment) {
--- a/node/src/main/java/spartrail/front/FileDescriptorLimit.java
+++ b/node/src/main/java/spartrail/front/FileDescriptorLimit.java
@@ -14,13 +14,13 @@
      * servers and to discovery.
      */
     static int forClientConnections(int maxDescriptors, int servers) {
-        int free = maxDescriptors - openCount();
+        int free = maxDescriptors - countOpen();
         int leftByServers = free - DESCRIPTORS_PER_SERVER * servers - free / 4;
         return Math.max(1, Math.max(free / 2, leftByServers));
     }
 
     /** The number of descriptors that are open; 0 where the system does not report it. */
-    static int openCount() {
+    static int countOpen() {
         String[] open = new File("/proc/self/fd").list();
         return open == null ? 0 : open.length;
     }
--- a/node/src/main/java/spartrail/shard/ShardPool.java
+++ b/node/src/main/java/spartrail/shard/ShardPool.java
@@ -43,7 +43,7 @@
      * @param partsPerConnection the most parts in flight on a connection
      * @param keepAliveMs the idle time after which a server closes a connection
      * @param cancelling whether servers are notified of cancelled parts
-     * @param graceMs the time within which sending to a server must stop after it has begun to drain or is gone
+     * @param graceMs the time after which nothing may be sent to a server that drains or is gone
      */
     public record Settings(
             int partsPerConnection, double connectTimeoutMs, double keepAliveMs, boolean cancelling, double graceMs) {}
--- a/node/src/test/java/example/ToyFleet.java
+++ b/node/src/test/java/example/ToyFleet.java
@@ -114,7 +114,7 @@
     private long version = 1;
     /** The latest version of the list that was written to a front node. */
     private long writtenVersion;
-    /** The latest version after which a front node has asked for changes, and which it has so received. */
+    /** The latest version that a front node has received: it has asked for the changes after this version. */
     private long polledVersion;
 
     private boolean polled;
--- a/node/src/test/java/spartrail/cli/OncallLogLinesTest.java
+++ b/node/src/test/java/spartrail/cli/OncallLogLinesTest.java
@@ -35,7 +35,7 @@
     void eachLogLineOfThePageIsInTheCode() throws IOException {
         Set<String> loggers = new HashSet<>();
         StringBuilder printed = new StringBuilder();
-        for (String source : mainSources()) {
+        for (String source : readMainSources()) {
             LOGGER.matcher(source).results().forEach(match -> loggers.add(match.group(1)));
             LITERAL.matcher(source).results().forEach(match -> printed.append(match.group(1))
                     .append('\n'));
@@ -48,14 +48,14 @@
         assertThat(lines).extracting(LogLine::logger).isSubsetOf(loggers);
         List<String> missing = new ArrayList<>();
         for (LogLine line : lines) {
-            fragments(line.text()).stream()
+            splitIntoFragments(line.text()).stream()
                     .filter(fragment -> printed.indexOf(fragment) < 0)
                     .forEach(fragment -> missing.add(line + ": '" + fragment + "'"));
         }
         assertThat(missing).isEmpty();
     }
 
-    private static List<String> fragments(String text) {
+    private static List<String> splitIntoFragments(String text) {
         return Stream.of(VARIABLE.split(text))
                 .flatMap(part -> Stream.of(part.split("[,;:()]")))
                 .map(String::strip)
@@ -63,7 +63,7 @@
                 .toList();
     }
 
-    private static List<String> mainSources() throws IOException {
+    private static List<String> readMainSources() throws IOException {
         List<String> sources = new ArrayList<>();
         for (String module : MODULES) {
             try (Stream<Path> files = Files.walk(Path.of(module, "src/main/java"))) {
--- a/node/src/test/java/spartrail/cli/SignalsTest.java
+++ b/node/src/test/java/spartrail/cli/SignalsTest.java
@@ -52,7 +52,7 @@
         Files.writeString(configurationFile, validConfiguration);
     }
 
-    private static String javaCommand() {
+    private static String findJavaCommand() {
         return ProcessHandle.current().info().command().orElse("java");
     }
 
@@ -63,7 +63,7 @@
                 "-c",
                 shellPrefix + "exec \"$@\"",
                 "sh",
-                javaCommand(),
+                findJavaCommand(),
                 "-cp",
                 System.getProperty("java.class.path"),
                 "spartrail.Main",
@@ -79,7 +79,7 @@
         Path java = Files.createDirectories(dir.resolve("bin")).resolve("java");
         Files.writeString(
                 java,
-                "#!/bin/sh\nexec '" + javaCommand() + "' -cp '" + System.getProperty("java.class.path")
+                "#!/bin/sh\nexec '" + findJavaCommand() + "' -cp '" + System.getProperty("java.class.path")
                         + "' spartrail.Main serve\n");
         assertThat(java.toFile().setExecutable(true)).isTrue();
         ProcessBuilder command = new ProcessBuilder("sh", "-c", shellPrefix + "exec sh deploy/run.sh");
--- a/node/src/test/java/spartrail/client/ClientListenerTest.java
+++ b/node/src/test/java/spartrail/client/ClientListenerTest.java
@@ -28,7 +28,7 @@
 import spartrail.model.NodeClock;
 
 class ClientListenerTest {
-    private static int openDescriptors() {
+    private static int countOpenDescriptors() {
         String[] open = new File("/proc/self/fd").list();
         return open == null ? 0 : open.length;
     }
@@ -228,14 +228,14 @@
             }
         });
         accepting.await();
-        int initialDescriptors = openDescriptors();
+        int initialDescriptors = countOpenDescriptors();
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             clients.add(new Socket(
                     listener.address().getAddress(), listener.address().getPort()));
         }
         for (int check = 0; check < 50; check++) {
-            assertThat(openDescriptors() - initialDescriptors - clients.size())
+            assertThat(countOpenDescriptors() - initialDescriptors - clients.size())
                     .as("connections accepted")
                     .isLessThanOrEqualTo(24);
             TimeUnit.MILLISECONDS.sleep(10);
--- a/node/src/test/java/spartrail/front/FrontNodeClientTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeClientTest.java
@@ -31,9 +31,9 @@
         assertThat(client.query("a", 2, 0).readResponse())
                 .isEqualTo("200 {\"all_in\":true,\"matches\":"
                         + "[{\"segment\":2,\"payload\":\"\\\"é\\n2t\"},{\"segment\":0,\"payload\":\"\\\"é\\n0t\"}]}");
-        String body = body(1);
+        String body = buildBody(1);
         String chunked =
-                request("b", "0.9", body).replaceAll("(?s)Content-Length.*", "Transfer-Encoding: chunked\r\n\r\n")
+                buildRequest("b", "0.9", body).replaceAll("(?s)Content-Length.*", "Transfer-Encoding: chunked\r\n\r\n")
                         + "5\r\n" + body.substring(0, 5) + "\r\n" + Integer.toHexString(body.length() - 5) + "\r\n"
                         + body.substring(5)
                         + "\r\n0\r\n\r\n";
@@ -42,7 +42,7 @@
         }
         assertThat(client.readResponse())
                 .isEqualTo("200 {\"all_in\":true,\"matches\":[{\"segment\":1,\"payload\":\"\\\"é\\n1t\"}]}");
-        client.send(request("c", "1", "")
+        client.send(buildRequest("c", "1", "")
                 .replaceAll(
                         "(?s)Content-Length.*",
                         "Expect: 100-continue\r\nContent-Length: " + body.length() + "\r\n\r\n"));
@@ -52,29 +52,29 @@
         assertThat(client.send(UP).readResponse()).isEqualTo("200 ");
     }
 
-    private static List<String> malformedRequests(String good) {
+    private static List<String> createMalformedRequests(String good) {
         return List.of(
-                request("a b", "1", body(0)),
+                buildRequest("a b", "1", buildBody(0)),
                 good.replace("Req-Kind", "Req-Id: b\r\nReq-Kind"),
-                request("a", "soon", body(0)),
-                request("a", "-1", body(0)),
-                request("a", "1d", body(0)),
-                request("a", "NaN", body(0)),
-                request("a", "1", "{"),
-                request("a", "1", "[]"),
-                request("a", "1", body(0, 0)),
-                request("a", "1", body(4)),
-                request("a", "1", "{\"segments\":[{\"segment\":0}]}"),
-                request("a", "1", "{\"text\":7}"),
-                request("a", "1", body(0) + body(0)),
-                request("a", "1", body(0).replace("\"text\":\"t\"", "\"test\":\"t\"")),
-                request("a", "1", body(0).replace("\"t\"}", "\"\\ud800\"}")),
-                request("a", "1", "{\"segments\":[{\"segment\":0,\"boost\":0.4}],\"text\":\"t\"}"),
-                request("a", "1", "{\"segments\":[{\"segment\":\"0\",\"boost\":1}]}"),
-                request("a", "1", body(0).replace(":0,", ":0.5,")),
-                request("a", "1", body(0).replace("\"work\":", "\"work\":-")),
-                request("a", "1", body(0).replace("\"work\"", "\"boost\"")),
-                request("a", "1", body(0).replace("00ff", "no")),
+                buildRequest("a", "soon", buildBody(0)),
+                buildRequest("a", "-1", buildBody(0)),
+                buildRequest("a", "1d", buildBody(0)),
+                buildRequest("a", "NaN", buildBody(0)),
+                buildRequest("a", "1", "{"),
+                buildRequest("a", "1", "[]"),
+                buildRequest("a", "1", buildBody(0, 0)),
+                buildRequest("a", "1", buildBody(4)),
+                buildRequest("a", "1", "{\"segments\":[{\"segment\":0}]}"),
+                buildRequest("a", "1", "{\"text\":7}"),
+                buildRequest("a", "1", buildBody(0) + buildBody(0)),
+                buildRequest("a", "1", buildBody(0).replace("\"text\":\"t\"", "\"test\":\"t\"")),
+                buildRequest("a", "1", buildBody(0).replace("\"t\"}", "\"\\ud800\"}")),
+                buildRequest("a", "1", "{\"segments\":[{\"segment\":0,\"boost\":0.4}],\"text\":\"t\"}"),
+                buildRequest("a", "1", "{\"segments\":[{\"segment\":\"0\",\"boost\":1}]}"),
+                buildRequest("a", "1", buildBody(0).replace(":0,", ":0.5,")),
+                buildRequest("a", "1", buildBody(0).replace("\"work\":", "\"work\":-")),
+                buildRequest("a", "1", buildBody(0).replace("\"work\"", "\"boost\"")),
+                buildRequest("a", "1", buildBody(0).replace("00ff", "no")),
                 good.replace("/orders/", "/others/"),
                 good.replace("Req-Kind", "Kind"),
                 "GET /else HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -85,9 +85,9 @@
         // Before the start, so that a warm-up request that reached a server would be recorded as an event.
         answerOnly("a");
         start();
-        String good = request("a", "1", body(0));
+        String good = buildRequest("a", "1", buildBody(0));
         StringBuilder messages = new StringBuilder();
-        for (String bad : malformedRequests(good)) {
+        for (String bad : createMalformedRequests(good)) {
             messages.append(new Client().send(bad).readResponse()).append('\n');
         }
         assertThat(messages.toString())
@@ -120,16 +120,16 @@
                 """);
         assertThat(new Client().query("a", 0).readResponse()).startsWith("200 {\"all_in\":true");
         assertThat(events).containsExactly("part a.0");
-        assertThat(new Client().send(request("a", "1", " ".repeat(70_000))).readResponse())
+        assertThat(new Client().send(buildRequest("a", "1", " ".repeat(70_000))).readResponse())
                 .startsWith("413 close ");
     }
 
     @Test
-    void nothingIsReadAsARequestBehindABodyWithoutAKnownEnd() throws Exception {
+    void nothingAfterABodyWithAnUnknownEndIsReadAsARequest() throws Exception {
         start();
         answerOnly("hidden", "b");
-        String hidden = request("hidden", "1", body(0));
-        String good = request("a", "1", body(0));
+        String hidden = buildRequest("hidden", "1", buildBody(0));
+        String good = buildRequest("a", "1", buildBody(0));
         String chunked = good.replaceAll("(?s)Content-Length.*", "Transfer-Encoding: chunked\r\n\r\n");
         StringBuilder messages = new StringBuilder();
         for (String bad : List.of(
@@ -161,11 +161,11 @@
         answerOnly("b");
         Client inFlight = new Client().query("a", 0);
         assertThat(nextEvent()).isEqualTo("part a.0");
-        String half = request("c", "4", body(0));
+        String incomplete = buildRequest("c", "4", buildBody(0));
         for (Client client : List.of(
                 new Client(),
-                new Client().send(half.substring(0, 30)),
-                new Client().send(half.substring(0, half.length() - 1)))) {
+                new Client().send(incomplete.substring(0, 30)),
+                new Client().send(incomplete.substring(0, incomplete.length() - 1)))) {
             assertThat(client.readResponse()).isIn("closed", "400 close ", "408 close ");
         }
         inFlight.socket.setSoTimeout(1);
@@ -174,7 +174,7 @@
 
     @Test
     void silentConnectionsDoNotEvictAClientThatSendsRequests() throws Exception {
-        start("\"sockets\": 1024", "\"sockets\": " + (FileDescriptorLimit.openCount() + 60));
+        start("\"sockets\": 1024", "\"sockets\": " + (FileDescriptorLimit.countOpen() + 60));
         answerOnly("b");
         Client kept = new Client();
         List<Client> silent = new ArrayList<>();
@@ -188,7 +188,7 @@
 
     @Test
     void theLongestIdleClientIsEvictedFirst() throws Exception {
-        start("\"sockets\": 1024", "\"sockets\": " + (FileDescriptorLimit.openCount() + 60));
+        start("\"sockets\": 1024", "\"sockets\": " + (FileDescriptorLimit.countOpen() + 60));
         List<Client> idle = new ArrayList<>();
         answerOnly("b");
         Client inFlight = new Client().query("a", 0);
@@ -205,21 +205,22 @@
     }
 
     @Test
-    void halfSentRequestsTakeNoCapacityAndAreEvictedFirst() throws Exception {
+    void incompleteRequestsTakeNoCapacityAndAreEvictedFirst() throws Exception {
         start(
                 "\"sockets\": 1024",
-                "\"sockets\": " + (FileDescriptorLimit.openCount() + 60),
+                "\"sockets\": " + (FileDescriptorLimit.countOpen() + 60),
                 "\"open-cap\": 187",
                 "\"open-cap\": 3");
         answerOnly("b");
-        String half = request("a", "4", body(0));
+        String incomplete = buildRequest("a", "4", buildBody(0));
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            clients.add(new Client().send(half.substring(0, half.length() - 1)));
+            clients.add(new Client().send(incomplete.substring(0, incomplete.length() - 1)));
         }
         assertThat(new Client().query("b", 0, 1).readResponse()).startsWith("200 ");
         assertThat(clients.get(0).readResponse()).isEqualTo("closed");
-        assertThat(new Client().send(half.replace('}', 'x')).readResponse()).startsWith("400 ");
+        assertThat(new Client().send(incomplete.replace('}', 'x')).readResponse())
+                .startsWith("400 ");
     }
 
     private static String readResponseOrTimeout(Client client) throws IOException {
@@ -245,7 +246,7 @@
     void aDisconnectAfterPipelinedBytesIsDetected() throws Exception {
         start();
         answerOnly("b");
-        for (String pipelined : List.of("P", request("z", "4", body(1)), "x".repeat(300_000))) {
+        for (String pipelined : List.of("P", buildRequest("z", "4", buildBody(1)), "x".repeat(300_000))) {
             Client client = new Client().query("a", 0);
             assertThat(nextEvent()).isEqualTo("part a.0");
             client.send(pipelined);
@@ -342,7 +343,7 @@
     void aPipelinedRequestIsServedAfterTheOneInFlight() throws Exception {
         start();
         answerOnly("a", "b");
-        Client client = new Client().send(request("a", "4", body(0)) + request("b", "4", body(1)));
+        Client client = new Client().send(buildRequest("a", "4", buildBody(0)) + buildRequest("b", "4", buildBody(1)));
         assertThat(client.readResponse()).contains("\"segment\":0");
         assertThat(client.readResponse()).contains("\"segment\":1");
     }
--- a/node/src/test/java/spartrail/front/FrontNodeEndpointTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeEndpointTest.java
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void aPartIsRetriedElsewhereWhenItsServerDiesOrSendsMalformedFrames() throws Exception {
+    void aPartIsRetriedElsewhereWhenItsServerFailsOrSendsMalformedFrames() throws Exception {
         start();
         fleet.kill(fleet.servers.get(0));
         fleet.servers.get(2).behavior = new ToyFleet.ServerBehavior() {
@@ -181,7 +181,7 @@
             "\"sets\": 4, \"width\": 2",
             "\"sets\": 2, \"width\": 1"
         };
-        SubsetSelector selector = deployment(subset).createSubsetSelector();
+        SubsetSelector selector = createDeployment(subset).createSubsetSelector();
         selector.apply(
                 List.of(
                         new SubsetSelector.LiveServer("s-0", "a", 0, 1),
--- a/node/src/test/java/spartrail/front/FrontNodeFixture.java
+++ b/node/src/test/java/spartrail/front/FrontNodeFixture.java
@@ -41,9 +41,9 @@
 
     FrontNodeFixture() throws IOException {}
 
-    /** Starts a node; for the changes see {@link #deployment}. */
+    /** Starts a node; for the changes see {@link #createDeployment}. */
     void start(String... changes) throws IOException {
-        DeploymentFile deployment = deployment(changes);
+        DeploymentFile deployment = createDeployment(changes);
         node = new FrontNode(deployment, deployment.listen(), coordinatorDecorator);
         node.start();
     }
@@ -51,7 +51,7 @@
     /**
      * The example's configuration with the ports of this fleet; the changes are pairs of a text and its replacement.
      */
-    DeploymentFile deployment(String... changes) throws IOException {
+    DeploymentFile createDeployment(String... changes) throws IOException {
         String text = Files.readString(Path.of("example/config.json"))
                 .replace("127.0.0.1:3000", "127.0.0.1:0")
                 .replace("127.0.0.1:8500", fleet.discoveryEndpoint());
@@ -94,7 +94,7 @@
         }
 
         Client query(String id, int... shards) throws IOException {
-            return send(request(id, "4", body(shards)));
+            return send(buildRequest(id, "4", buildBody(shards)));
         }
 
         /** Reads the next response: status, "close" if the head says so, and body; or "closed" if there is none. */
@@ -117,7 +117,7 @@
         }
     }
 
-    static String body(int... shards) {
+    static String buildBody(int... shards) {
         StringBuilder body = new StringBuilder("{\"segments\":[");
         for (int shard : shards) {
             body.append("{\"segment\":")
@@ -130,7 +130,7 @@
         return body.append(",\"text\":\"t\"}").toString();
     }
 
-    static String request(String id, String deadline, String body) {
+    static String buildRequest(String id, String deadline, String body) {
         return "POST /orders/k HTTP/1.1\r\nHost: api.internal\r\nReq-Id: " + id
                 + "\r\nReq-Kind: orders\r\nReq-Deadline: " + deadline + "\r\nContent-Length: "
                 + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body;
--- a/node/src/test/java/spartrail/front/FrontNodeTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeTest.java
@@ -26,7 +26,7 @@
         Client inFlight = new Client().query("a", 0);
         assertThat(nextEvent()).isEqualTo("part a.0");
         answerOnly("a", "b", "c");
-        assertThat(node.reload(deployment(
+        assertThat(node.reload(createDeployment(
                         "\"open-cap\": 187",
                         "\"open-cap\": 3",
                         "\"fall\": 1.0",
@@ -36,7 +36,8 @@
         // The new retry budget allows a hedged request for the multiget in flight, which is then answered.
         assertThat(inFlight.readResponse()).startsWith("200 {\"all_in\":true");
         assertThat(new Client().query("c", 1).readResponse()).startsWith("200 {\"all_in\":true");
-        assertThat(node.reload(deployment("\"slabs\": 4", "\"slabs\": 5", "\"open-cap\": 187", "\"open-cap\": 1")))
+        assertThat(node.reload(
+                        createDeployment("\"slabs\": 4", "\"slabs\": 5", "\"open-cap\": 187", "\"open-cap\": 1")))
                 .isEqualTo("slabs: found 5, in use 4");
         assertThat(new Client().query("c", 1).readResponse()).startsWith("200 {\"all_in\":true");
         assertThat(node.configurationSwitchCount()).isEqualTo(1);
@@ -53,7 +54,7 @@
             }
         });
         assertThat(new Client().query("a", 0).readResponse()).startsWith("200 ");
-        assertThat(node.reload(deployment(
+        assertThat(node.reload(createDeployment(
                         "\"keepalive\": 30.0",
                         "\"keepalive\": 0.4",
                         "\"aim\": 2.0, \"deadline\": 4.0",
@@ -103,7 +104,7 @@
     void anUnansweredMultigetIsRejectedBeforeItsClientsTimeout() throws Exception {
         start("\"aim\": 2.0, \"deadline\": 4.0", "\"aim\": 0.3, \"deadline\": 0.6");
         answerOnly();
-        assertThat(new Client().send(request("a", "0.5", body(0, 1))).readResponse())
+        assertThat(new Client().send(buildRequest("a", "0.5", buildBody(0, 1))).readResponse())
                 .isEqualTo("503 pushed back");
     }
 
@@ -122,7 +123,7 @@
                 });
         start();
         answerOnly("b");
-        Client affected = new Client().send(request("a", "0.3", body(0)));
+        Client affected = new Client().send(buildRequest("a", "0.3", buildBody(0)));
         assertThat(new Client().query("b", 0).readResponse()).startsWith("200 ");
         assertThat(affected.readResponse()).isEqualTo("500 failed");
         expectedViolations = Map.of("a multiget is answered in the client's time", 1L);
@@ -213,7 +214,7 @@
 
     @Test
     void aNodeTerminatedDuringItsStartNeverReportsReadyAndEndsAtOnce() throws Exception {
-        DeploymentFile deployment = deployment();
+        DeploymentFile deployment = createDeployment();
         node = new FrontNode(deployment, deployment.listen(), coordinatorDecorator);
         node.beginTermination();
         node.start();
--- a/node/src/test/java/spartrail/shard/ShardConnectionTest.java
+++ b/node/src/test/java/spartrail/shard/ShardConnectionTest.java
@@ -26,7 +26,7 @@
     @Test
     void partsOfAnUnestablishedConnectionEndAsConnectFailed() throws Exception {
         createPool(100, 50, 60_000);
-        InetSocketAddress address = hangingAddress();
+        InetSocketAddress address = openHangingAddress();
         runOnIoThread(() -> pool.send(address, List.of(createPart("1.0"), createPart("2.0"))));
         assertThat(List.of(nextEvent(), nextEvent())).containsExactly("1.0 CONNECT_FAILED", "2.0 CONNECT_FAILED");
         ServerSocket closedSocket = new ServerSocket(0);
@@ -57,7 +57,7 @@
     }
 
     /** The outcome of a part whose server reads its frame, sends these bytes and resets the connection. */
-    private String outcomeAfterReset(byte[] bytes) throws Exception {
+    private String resetAndGetOutcome(byte[] bytes) throws Exception {
         createPool(100, 1000, 60_000);
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             runOnIoThread(
@@ -83,7 +83,7 @@
         for (int sent : List.of(0, 2, 5, 8, headLength, headLength + 3)) {
             outcomes.append(sent)
                     .append(' ')
-                    .append(outcomeAfterReset(Arrays.copyOf(response, sent)))
+                    .append(resetAndGetOutcome(Arrays.copyOf(response, sent)))
                     .append('\n');
         }
         assertThat(outcomes.toString())
@@ -221,7 +221,7 @@
     }
 
     /** The outcomes of two parts on one connection after the server has sent these bytes. */
-    private String outcomesAfter(byte[] bytes) throws Exception {
+    private String sendAndGetOutcomes(byte[] bytes) throws Exception {
         createPool(100, 50, 60_000);
         CountDownLatch unreceived = new CountDownLatch(2);
         InetSocketAddress address = startServer(new ToyFleet.ServerBehavior() {
@@ -256,14 +256,14 @@
                 ShardFrameCodec.encodeFrame('Y', "3.0 OK 1 -\nv".getBytes(StandardCharsets.US_ASCII))
                         .array(),
                 ShardFrameCodec.encodeFrame('T', new byte[] {'-'}).array())) {
-            assertThat(outcomesAfter(bytes)).isEqualTo(bothMalformed);
+            assertThat(sendAndGetOutcomes(bytes)).isEqualTo(bothMalformed);
         }
         byte[] surplus = ByteBuffer.allocate(2 * good.length + 3)
                 .put(good)
                 .put(good)
                 .put(new byte[] {9, 9, 9})
                 .array();
-        assertThat(outcomesAfter(surplus)).isEqualTo("1.0 ANSWERED, 2.0 MALFORMED");
+        assertThat(sendAndGetOutcomes(surplus)).isEqualTo("1.0 ANSWERED, 2.0 MALFORMED");
     }
 
     @Test
--- a/node/src/test/java/spartrail/shard/ShardFrameCodecTest.java
+++ b/node/src/test/java/spartrail/shard/ShardFrameCodecTest.java
@@ -112,9 +112,9 @@
                 .array();
         Random random = new Random(7);
         Set<String> decodedValues = new TreeSet<>();
-        for (int at = 4; at < 50 * (good.length - 5); at++) {
+        for (int step = 4; step < 50 * (good.length - 5); step++) {
             byte[] bytes = good.clone();
-            bytes[Math.max(4, at % (good.length - 5))] ^= (byte) (1 + random.nextInt(255));
+            bytes[Math.max(4, step % (good.length - 5))] ^= (byte) (1 + random.nextInt(255));
             ShardFrameCodec.Decoder decoder = new ShardFrameCodec.Decoder();
             decoder.append(ByteBuffer.wrap(bytes));
             try {
--- a/node/src/test/java/spartrail/shard/ShardPoolFixture.java
+++ b/node/src/test/java/spartrail/shard/ShardPoolFixture.java
@@ -98,7 +98,7 @@
     }
 
     /** An address where a connect neither succeeds nor fails, as the listening socket's backlog is full. */
-    InetSocketAddress hangingAddress() throws IOException {
+    InetSocketAddress openHangingAddress() throws IOException {
         return (InetSocketAddress) openHangingSocket().getLocalSocketAddress();
     }
 
--- a/node/src/test/java/spartrail/shard/ShardPoolTest.java
+++ b/node/src/test/java/spartrail/shard/ShardPoolTest.java
@@ -21,7 +21,7 @@
     @Test
     void queuedPartsAreNotSentOnceTheServerDrainsOrTheyAreWithdrawn() throws Exception {
         createPool(100, 60_000, 60_000);
-        InetSocketAddress address = hangingAddress();
+        InetSocketAddress address = openHangingAddress();
         PartRequest one = createPart("1.0");
         PartRequest two = createPart("2.0");
         PartRequest three = createPart("3.0");
