--- a/node/src/main/java/spartrail/front/DrainSchedule.java
+++ b/node/src/main/java/spartrail/front/DrainSchedule.java
@@ -10,7 +10,9 @@
  * @param killAfterMs the earliest time at which the node is killed
  */
 record DrainSchedule(double killAfterMs) {
-    /** A node is killed no sooner than the grace after the longest route timeout, which counts for at most this much. */
+    /**
+     * A node is killed no sooner than the grace after the longest route timeout, which counts for at most this much.
+     */
     private static final double MAX_COUNTED_ROUTE_TIMEOUT_MS = 3000;
 
     private static final double KILL_GRACE_MS = 700;
