--- a/node/src/test/java/spartrail/cli/OncallLogLinesTest.java
+++ b/node/src/test/java/spartrail/cli/OncallLogLinesTest.java
@@ -13,7 +13,9 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The log lines of the on-call page are those that the code prints: reads both. */
+/**
+ * Compares the log lines on the on-call page with the string literals in the code, so that the page stays up to date.
+ */
 class OncallLogLinesTest {
     private static final Path PAGE = Path.of("docs/oncall.md");
     private static final List<String> MODULES = List.of("core", "node", "dns", "peers", "policy");
@@ -21,7 +23,7 @@
     /** A row of the page's table of log lines: the logger's name and the text. */
     private static final Pattern ROW = Pattern.compile("^\\| `(spartrail\\.[a-z.]+): ([^`]+)`", Pattern.MULTILINE);
 
-    /** What differs from line to line: words in capitals, numbers, names with a digit, what is left out. */
+    /** The variable text in a log line: words in capitals, words with a digit, and an ellipsis. */
     private static final Pattern VARIABLE = Pattern.compile("\\b[A-Z][A-Z_]*\\b|\\S*\\d\\S*|\\.\\.\\.");
 
     private static final Pattern LITERAL = Pattern.compile("\"((?:[^\"\\\\]|\\\\.)*)\"");
@@ -30,10 +32,10 @@
     private record LogLine(String logger, String text) {}
 
     @Test
-    void eachLineOfThePageIsPrintedByTheCode() throws IOException {
+    void eachLogLineOfThePageIsInTheCode() throws IOException {
         Set<String> loggers = new HashSet<>();
         StringBuilder printed = new StringBuilder();
-        for (String source : mainSources()) {
+        for (String source : readMainSources()) {
             LOGGER.matcher(source).results().forEach(match -> loggers.add(match.group(1)));
             LITERAL.matcher(source).results().forEach(match -> printed.append(match.group(1))
                     .append('\n'));
@@ -46,14 +48,14 @@
         assertThat(lines).extracting(LogLine::logger).isSubsetOf(loggers);
         List<String> missing = new ArrayList<>();
         for (LogLine line : lines) {
-            fragments(line.text()).stream()
+            splitIntoFragments(line.text()).stream()
                     .filter(fragment -> printed.indexOf(fragment) < 0)
                     .forEach(fragment -> missing.add(line + ": '" + fragment + "'"));
         }
         assertThat(missing).isEmpty();
     }
 
-    private static List<String> fragments(String text) {
+    private static List<String> splitIntoFragments(String text) {
         return Stream.of(VARIABLE.split(text))
                 .flatMap(part -> Stream.of(part.split("[,;:()]")))
                 .map(String::strip)
@@ -61,7 +63,7 @@
                 .toList();
     }
 
-    private static List<String> mainSources() throws IOException {
+    private static List<String> readMainSources() throws IOException {
         List<String> sources = new ArrayList<>();
         for (String module : MODULES) {
             try (Stream<Path> files = Files.walk(Path.of(module, "src/main/java"))) {
--- a/node/src/test/java/spartrail/shard/ShardPoolFixture.java
+++ b/node/src/test/java/spartrail/shard/ShardPoolFixture.java
@@ -26,25 +26,26 @@
 import spartrail.model.Invariants;
 import spartrail.model.NodeClock;
 
-/** A pool on an I/O thread of its own, the servers it connects to, and how its parts end. */
+/** Provides a pool on its own I/O thread and the servers that it connects to, and records the outcomes of parts. */
 abstract class ShardPoolFixture {
     final XnioWorker worker;
 
     final NodeClock clock = new NodeClock();
 
-    final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
     final Invariants invariants = new Invariants();
 
     final List<AutoCloseable> opened = new ArrayList<>();
 
-    final Set<String> gone = ConcurrentHashMap.newKeySet();
+    /** The ids of the parts whose clients have disconnected. */
+    final Set<String> disconnected = ConcurrentHashMap.newKeySet();
 
-    final BlockingQueue<ToyFleet.Link> links = new LinkedBlockingQueue<>();
+    final BlockingQueue<ToyFleet.Connection> connections = new LinkedBlockingQueue<>();
 
     double graceMs = 10_000;
 
-    double leaveByMs = Double.POSITIVE_INFINITY;
+    double sendDeadlineMs = Double.POSITIVE_INFINITY;
 
     ShardPool pool;
 
@@ -54,24 +55,24 @@
 
     @AfterEach
     void close() throws Exception {
-        io(pool::close);
+        runOnIoThread(pool::close);
         worker.shutdown();
-        for (AutoCloseable each : opened) {
-            each.close();
+        for (AutoCloseable resource : opened) {
+            resource.close();
         }
         assertThat(invariants.violations()).isEmpty();
     }
 
-    void pool(int partsPerConnection, double connectTimeoutMs, double keepAliveMs) {
+    void createPool(int partsPerConnection, double connectTimeoutMs, double keepAliveMs) {
         pool = new ShardPool(
                 worker.getIoThread(),
                 clock,
                 new ShardPool.Settings(partsPerConnection, connectTimeoutMs, keepAliveMs, true, graceMs),
-                (part, outcome, value, atMs) -> seen.add(part.id + " " + outcome),
+                (part, outcome, value, atMs) -> events.add(part.id + " " + outcome),
                 invariants);
     }
 
-    void io(Runnable task) throws InterruptedException {
+    void runOnIoThread(Runnable task) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         worker.getIoThread().execute(() -> {
             task.run();
@@ -80,27 +81,28 @@
         done.await();
     }
 
-    PartRequest part(String id) {
-        return part(id, 1);
+    PartRequest createPart(String id) {
+        return createPart(id, 1);
     }
 
-    PartRequest part(String id, int bytes) {
-        Attempt send = new Attempt(null, null, 0, clock.nowMs(), 10_000);
-        send.sendDeadlineMs = leaveByMs;
-        return new PartRequest(send, id, 0, new byte[bytes], clock.nowMs() + 10_000, () -> !gone.contains(id));
+    PartRequest createPart(String id, int bytes) {
+        Attempt attempt = new Attempt(null, null, 0, clock.nowMs(), 10_000);
+        attempt.sendDeadlineMs = sendDeadlineMs;
+        return new PartRequest(
+                attempt, id, 0, new byte[bytes], clock.nowMs() + 10_000, () -> !disconnected.contains(id));
     }
 
-    String next() throws InterruptedException {
-        String next = seen.poll(20, TimeUnit.SECONDS);
+    String nextEvent() throws InterruptedException {
+        String next = events.poll(20, TimeUnit.SECONDS);
         return next == null ? "nothing" : next;
     }
 
-    /** An address where connecting neither succeeds nor fails: its queue of new connections is full. */
-    InetSocketAddress hanging() throws IOException {
-        return (InetSocketAddress) hangingSocket().getLocalSocketAddress();
+    /** An address where a connect neither succeeds nor fails, as the listening socket's backlog is full. */
+    InetSocketAddress openHangingAddress() throws IOException {
+        return (InetSocketAddress) openHangingSocket().getLocalSocketAddress();
     }
 
-    ServerSocket hangingSocket() throws IOException {
+    ServerSocket openHangingSocket() throws IOException {
         ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         opened.add(full);
         for (int i = 0; i < 4; i++) {
@@ -115,42 +117,43 @@
         return full;
     }
 
-    /** A server that does as told with each part, and tells what it sees. */
-    InetSocketAddress toy(ToyFleet.ServerBehavior behavior) throws IOException {
+    /** Starts a server with this behavior. */
+    InetSocketAddress startServer(ToyFleet.ServerBehavior behavior) throws IOException {
         ToyFleet fleet = new ToyFleet(1, 0, 0);
         opened.add(fleet);
         fleet.servers.get(0).behavior = behavior;
         return EndpointAddress.parse(fleet.servers.get(0).endpoint());
     }
 
-    /** Answers, and tells on which connection each part came. */
-    class Linking implements ToyFleet.ServerBehavior {
+    /** Answers each part and records the connection on which it came. */
+    class ConnectionRecording implements ToyFleet.ServerBehavior {
         @Override
-        public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
-            links.add(link);
-            link.answer(id, "OK", text);
+        public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
+            connections.add(connection);
+            connection.sendResponse(id, "OK", text);
         }
     }
 
+    /** Records what it receives as events and answers no part. */
     class Silent implements ToyFleet.ServerBehavior {
         @Override
-        public void part(ToyFleet.Link link, String id, int shard, String text) throws IOException {
-            seen.add("server: part " + id);
+        public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
+            events.add("server: part " + id);
         }
 
         @Override
-        public void givenUp(ToyFleet.Link link, String id) {
-            seen.add("server: given up " + id);
+        public void onCancelled(ToyFleet.Connection connection, String id) {
+            events.add("server: cancelled " + id);
         }
 
         @Override
-        public void opened(ToyFleet.Link link) {
-            seen.add("server: opened");
+        public void onConnected(ToyFleet.Connection connection) {
+            events.add("server: connected");
         }
 
         @Override
-        public void closed(ToyFleet.Link link) {
-            seen.add("server: closed");
+        public void onDisconnected(ToyFleet.Connection connection) {
+            events.add("server: disconnected");
         }
     }
 }
