--- a/core/src/main/java/spartrail/coordination/WindowCoordinator.java
+++ b/core/src/main/java/spartrail/coordination/WindowCoordinator.java
@@ -215,8 +215,8 @@
     }
 
     /**
-     * Passes an outcome to each concern. The latency estimates are updated last because the other concerns compare the
-     * outcome with the estimates from before it.
+     * Passes an outcome to each concern. The latency estimates are updated last, because the other concerns compare the
+     * outcome with the previous estimates.
      */
     private void recordOutcome(Attempt attempt, Attempt.Outcome outcome, double tookMs) {
         Server server = attempt.server;
