--- a/lab/src/main/java/spartrail/lab/cli/DrillList.java
+++ b/lab/src/main/java/spartrail/lab/cli/DrillList.java
@@ -22,10 +22,10 @@
         for (Drill drill : Drills.all()) {
             list.addObject()
                     .put("name", drill.name())
-                    .put("about", drill.about())
+                    .put("about", drill.subsystem())
                     .put("summary", drill.summary());
             if (!json) {
-                out.printf("%-20s %-18s %s%n", drill.name(), drill.about(), drill.summary());
+                out.printf("%-20s %-18s %s%n", drill.name(), drill.subsystem(), drill.summary());
             }
         }
         if (json) {
--- a/lab/src/main/java/spartrail/lab/cli/DrillRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/DrillRun.java
@@ -35,7 +35,7 @@
         for (Drill drill : drills) {
             Drill.Findings findings = new Drill.Findings();
             drill.run(seed, findings);
-            boolean all = findings.all().stream().allMatch(Drill.Finding::good);
+            boolean all = findings.all().stream().allMatch(Drill.Finding::passed);
             good &= all;
             var node = list.addObject()
                     .put("drill", drill.name())
@@ -50,14 +50,17 @@
             }
             for (Drill.Finding finding : findings.all()) {
                 lines.addObject()
-                        .put("what", finding.what())
+                        .put("what", finding.description())
                         .put("expected", finding.expected())
-                        .put("seen", finding.seen())
-                        .put("good", finding.good());
+                        .put("seen", finding.observed())
+                        .put("good", finding.passed());
                 if (!json) {
                     out.printf(
                             "  %-58s %-30s %-30s%s%n",
-                            finding.what(), finding.expected(), finding.seen(), finding.good() ? "" : " <-- differs");
+                            finding.description(),
+                            finding.expected(),
+                            finding.observed(),
+                            finding.passed() ? "" : " <-- differs");
                 }
             }
         }
--- a/lab/src/main/java/spartrail/lab/cli/NodesJudge.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesJudge.java
@@ -31,11 +31,11 @@
     int run(PrintStream out, PrintStream err) {
         List<ClusterHistory.Line> lines;
         try {
-            lines = ClusterHistory.kept(file);
+            lines = ClusterHistory.readMerged(file);
         } catch (IOException | RuntimeException e) {
             throw new InvalidInputException(file + ": is no history: " + e.getMessage());
         }
-        PeersRules rules = new HistoryChecker(nodes).read(lines, settled);
+        PeersRules rules = new HistoryChecker(nodes).check(lines, settled);
         out.println(lines.size() + " lines, " + rules.judgedChanges() + " changes of views judged, "
                 + rules.breaches().size() + " breaches");
         rules.breaches().forEach(breach -> out.println("BROKEN " + breach));
--- a/lab/src/main/java/spartrail/lab/cli/NodesRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesRun.java
@@ -53,14 +53,14 @@
         try (ClusterHarness rig = new ClusterHarness(plan, work, line -> err.println(line))) {
             ClusterHarness.Outcome outcome = rig.play();
             List<ClusterHistory.Line> lines = outcome.history().inOrder();
-            PeersRules rules = new HistoryChecker(plan.nodes()).read(lines, false);
+            PeersRules rules = new HistoryChecker(plan.nodes()).check(lines, false);
             List<String> broken = new ArrayList<>();
             rules.breaches().forEach(breach -> broken.add("peers " + breach));
             outcome.rules().verdicts().stream()
                     .filter(verdict -> verdict.broken() > 0)
                     .forEach(verdict -> broken.add("rule: " + verdict.rule().text + ": " + verdict.broken() + " times, "
                             + verdict.examples()));
-            outcome.notTaken()
+            outcome.unexecutedSteps()
                     .forEach(step -> broken.add("step " + step + " was not taken: what it waits for was not seen"));
             out.println(lines.size() + " lines of history, " + rules.judgedChanges() + " changes of views judged");
             outcome.nodes().forEach(out::println);
@@ -102,7 +102,7 @@
 
     private void keep(List<ClusterHistory.Line> lines, ClusterHarness.Outcome outcome, ClusterPlan plan)
             throws IOException {
-        Files.writeString(folder.resolve("history.jsonl"), outcome.history().text());
+        Files.writeString(folder.resolve("history.jsonl"), outcome.history().toJsonLines());
         JsonNode report = outcome.load() == null ? Document.JSON.createObjectNode() : outcome.load();
         Files.writeString(folder.resolve("report.json"), report.toPrettyString());
         Files.writeString(folder.resolve("nodes.svg"), TimelineChart.of(lines, plan.nodes()));
--- a/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
@@ -41,7 +41,7 @@
             ObjectNode load,
             ObjectNode servers,
             List<ObjectNode> nodes,
-            List<String> notTaken,
+            List<String> unexecutedSteps,
             List<Step> done,
             List<PolicyRules.Taken> taken,
             double lastedMs) {}
--- a/lab/src/main/java/spartrail/lab/cluster/ClusterHistory.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHistory.java
@@ -42,7 +42,7 @@
     private long unreadable;
 
     /** A merged history as it was kept; lines of the rig have {@code node} "rig". */
-    public static List<Line> kept(Path file) throws IOException {
+    public static List<Line> readMerged(Path file) throws IOException {
         List<Line> lines = new ArrayList<>();
         for (String text : Files.readAllLines(file)) {
             JsonNode tree = Document.JSON.readTree(text);
@@ -114,7 +114,7 @@
     }
 
     /** As it is kept, a JSON line each; lines of the rig have {@code node} "rig". */
-    public String text() throws IOException {
+    public String toJsonLines() throws IOException {
         StringBuilder text = new StringBuilder();
         for (Line line : inOrder()) {
             JsonNode tree = line.node() < 0
--- a/lab/src/main/java/spartrail/lab/cluster/HistoryChecker.java
+++ b/lab/src/main/java/spartrail/lab/cluster/HistoryChecker.java
@@ -52,7 +52,7 @@
     }
 
     /** All lines in order of time; times are told from the first line on. {@code settled}: views must be equal at the end. */
-    public PeersRules read(List<Line> lines, boolean settled) {
+    public PeersRules check(List<Line> lines, boolean settled) {
         long startNs = lines.isEmpty() ? 0 : lines.get(0).ns();
         for (Line line : lines) {
             lastMs = (line.ns() - startNs) / 1e6;
--- a/lab/src/main/java/spartrail/lab/cluster/PolicyHistoryChecker.java
+++ b/lab/src/main/java/spartrail/lab/cluster/PolicyHistoryChecker.java
@@ -40,7 +40,7 @@
         java.util.Arrays.fill(outSince, -1);
     }
 
-    public PolicyRules read(List<Line> lines, List<PolicyRules.Taken> taken) {
+    public PolicyRules check(List<Line> lines, List<PolicyRules.Taken> taken) {
         Map<String, long[]> ended = new HashMap<>();
         long lastNs = 0;
         for (Line line : lines) {
--- a/lab/src/main/java/spartrail/lab/drill/ConfigPushDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/ConfigPushDrill.java
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public String about() {
+    public String subsystem() {
         return "policy";
     }
 
@@ -96,13 +96,14 @@
         PeersDrill.played(plan, outcome -> {
             List<Line> lines = outcome.history().inOrder();
             PolicyRules rules = new PolicyHistoryChecker(NODES, List.of(0, 1, 2), PolicyDrill.USUAL_BOUNDS)
-                    .read(lines, outcome.taken());
-            findings.equal("steps that were not taken", "[]", outcome.notTaken().toString());
-            findings.least("multigets that were judged", 1000, rules.judged());
+                    .check(lines, outcome.taken());
+            findings.checkEqual(
+                    "steps that were not taken", "[]", outcome.unexecutedSteps().toString());
+            findings.checkAtLeast("multigets that were judged", 1000, rules.judged());
             Map<String, Integer> counts = rules.counts();
             for (String rule :
                     List.of("(b) refused is never", "(c) one version at an instant", "(e) out of touch it stops")) {
-                findings.least("caught: " + rule, 1, counts.getOrDefault(rule, 0));
+                findings.checkAtLeast("caught: " + rule, 1, counts.getOrDefault(rule, 0));
             }
             findings.note("multigets and pairs of versions that broke a rule", counts.toString());
             rules.breaches().forEach(breach -> findings.note("example", breach.toString()));
--- a/lab/src/main/java/spartrail/lab/drill/DnsNodeDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/DnsNodeDrill.java
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public String about() {
+    public String subsystem() {
         return "membership";
     }
 
@@ -115,14 +115,15 @@
             Findings findings, LoadSession session, RuleChecker checker, Fleet fleet, NodeProcess node) {
         long whole = session.recorder().count(AttemptResult.WHOLE);
         long all = session.recorder().all();
-        checker.verdicts().forEach(verdict -> findings.equal("broken: " + verdict.rule().text, 0L, verdict.broken()));
-        findings.least("tries served whole, share", 0.95, whole / (double) Math.max(1, all));
+        checker.verdicts()
+                .forEach(verdict -> findings.checkEqual("broken: " + verdict.rule().text, 0L, verdict.broken()));
+        findings.checkAtLeast("tries served whole, share", 0.95, whole / (double) Math.max(1, all));
         int used = 0;
         for (var server : fleet.figures()) {
             used += server.path("parts").asLong() > 0 ? 1 : 0;
         }
-        findings.equal("servers that were sent parts", SERVERS, used);
-        findings.equal("the node is alive", true, node.handle().isAlive());
+        findings.checkEqual("servers that were sent parts", SERVERS, used);
+        findings.checkEqual("the node is alive", true, node.handle().isAlive());
     }
 
     /** Puts every server into DNS, a name for each cell, and writes the node's file of sources. */
--- a/lab/src/main/java/spartrail/lab/drill/DnsResolverDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/DnsResolverDrill.java
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public String about() {
+    public String subsystem() {
         return "DNS";
     }
 
@@ -85,12 +85,12 @@
                 boolean isPresentEnough = !latest.isStale() && !hasShrunk;
                 SrvTargets last = await(received, received.size(), isPresentEnough);
                 boolean saysNone = behavior == Behavior.EMPTY || behavior == Behavior.NXDOMAIN;
-                findings.equal(behavior + ": a whole list that lacks servers", saysNone, hasShrunk);
-                findings.least(
+                findings.checkEqual(behavior + ": a whole list that lacks servers", saysNone, hasShrunk);
+                findings.checkAtLeast(
                         behavior + ": servers in use, at the least",
                         saysNone ? MERGE_LIMITS.floor() : TARGETS,
                         leastInUse.get());
-                findings.equal(
+                findings.checkEqual(
                         behavior + ": targets afterwards",
                         TARGETS,
                         last.targets().size());
--- a/lab/src/main/java/spartrail/lab/drill/Drill.java
+++ b/lab/src/main/java/spartrail/lab/drill/Drill.java
@@ -7,14 +7,14 @@
 /** A scenario that says itself whether it went as it should. */
 public interface Drill {
     /** What was expected beside what was seen. */
-    record Finding(String what, String expected, String seen, boolean good) {}
+    record Finding(String description, String expected, String observed, boolean passed) {}
 
     /** Collects findings. */
     final class Findings {
         private final List<Finding> all = new ArrayList<>();
 
         /** Equal to so many digits. */
-        public void same(String what, double expected, double seen, double tolerance) {
+        public void checkClose(String what, double expected, double seen, double tolerance) {
             all.add(new Finding(
                     what,
                     String.format(Locale.ROOT, "%.3f", expected),
@@ -22,7 +22,7 @@
                     Math.abs(expected - seen) <= tolerance));
         }
 
-        public void most(String what, double most, double seen) {
+        public void checkAtMost(String what, double most, double seen) {
             all.add(new Finding(
                     what,
                     String.format(Locale.ROOT, "at most %.3f", most),
@@ -30,7 +30,7 @@
                     seen <= most));
         }
 
-        public void least(String what, double least, double seen) {
+        public void checkAtLeast(String what, double least, double seen) {
             all.add(new Finding(
                     what,
                     String.format(Locale.ROOT, "at least %.3f", least),
@@ -38,7 +38,7 @@
                     seen >= least));
         }
 
-        public void equal(String what, Object expected, Object seen) {
+        public void checkEqual(String what, Object expected, Object seen) {
             all.add(new Finding(what, String.valueOf(expected), String.valueOf(seen), expected.equals(seen)));
         }
 
@@ -57,7 +57,7 @@
     String summary();
 
     /** Which subsystem or rule it belongs to. */
-    String about();
+    String subsystem();
 
     void run(long seed, Findings findings) throws Exception;
 }
--- a/lab/src/main/java/spartrail/lab/drill/LoadDelayDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/LoadDelayDrill.java
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public String about() {
+    public String subsystem() {
         return "load generator";
     }
 
@@ -72,7 +72,7 @@
                     measured.groups.keySet().removeIf(group -> group.phase() == 0);
                 }
             }
-            findings.most("loopback: longest standstill of either side, in ms", FIT_MS, stoodMs);
+            findings.checkAtMost("loopback: longest standstill of either side, in ms", FIT_MS, stoodMs);
             findings.note("loopback: runs in which a side stood still for longer", String.valueOf(unfit));
             judge(findings, "loopback", measured, 2, 0.01);
             findings.note(
@@ -91,10 +91,10 @@
 
     private static void judge(Findings findings, String where, Recorder recorder, double absolute, double relative) {
         Histogram all = recorder.total(kind -> true, true);
-        findings.equal(where + ": served whole", (long) COUNT, recorder.count(AttemptResult.WHOLE));
+        findings.checkEqual(where + ": served whole", (long) COUNT, recorder.count(AttemptResult.WHOLE));
         double[][] expected = {{50, USUAL_MS}, {99, USUAL_MS}, {99.9, SLOW_MS}, {100, SLOWEST_MS}};
         for (double[] line : expected) {
-            findings.same(
+            findings.checkClose(
                     where + ": p" + line[0] + " in ms",
                     line[1],
                     all.getValueAtPercentile(line[0]) / 1000.0,
--- a/lab/src/main/java/spartrail/lab/drill/LoadStallDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/LoadStallDrill.java
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public String about() {
+    public String subsystem() {
         return "load generator";
     }
 
@@ -60,7 +60,7 @@
         sockets.play(new LoadGenerator(plan, plan.arrivals(), sockets, recorder, LoadListener.NONE));
         judge(findings, "virtual clock, open loop", recorder, 0);
         findings.note("virtual clock, closed loop: p99 in ms", String.valueOf(closedP99Ms()));
-        findings.most("closed loop's p99 as a part of the open loop's", 0.05, closedP99Ms() / expectedMs(99));
+        findings.checkAtMost("closed loop's p99 as a part of the open loop's", 0.05, closedP99Ms() / expectedMs(99));
 
         double[] fromMs = new double[1];
         try (NullResponder responder = new NullResponder(0, (number, atMs) -> {
@@ -74,20 +74,20 @@
                         LoadListener.NONE)) {
             session.await(60_000);
             judge(findings, "loopback, open loop", session.recorder(), 10);
-            findings.most(
+            findings.checkAtMost(
                     "loopback: own lag p99 in ms", 50, session.recorder().lag.getValueAtPercentile(99) / 1000.0);
         }
     }
 
     private static void judge(Findings findings, String where, Recorder recorder, double toleranceMs) {
-        findings.equal(
+        findings.checkEqual(
                 where + ": sent on, none dropped",
                 Math.round(PER_S * LASTS_MS / 1000),
                 recorder.count(AttemptResult.WHOLE));
         Histogram all = recorder.total(kind -> true, true);
         for (double percentile : new double[] {50, 90, 99, 99.9}) {
             double expected = expectedMs(percentile);
-            findings.same(
+            findings.checkClose(
                     where + ": p" + percentile + " in ms",
                     expected,
                     all.getValueAtPercentile(percentile) / 1000.0,
--- a/lab/src/main/java/spartrail/lab/drill/LoadTraceOrderDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/LoadTraceOrderDrill.java
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public String about() {
+    public String subsystem() {
         return "traces";
     }
 
@@ -47,15 +47,15 @@
             for (int i = 0; i + 5 <= COUNT; i += 5) {
                 Collections.shuffle(mixed.subList(i, i + 5), random);
             }
-            findings.equal(
+            findings.checkEqual(
                     "out of order by up to 40 ms, window 50 ms: keys in order",
                     keys(folder, inOrder, 50, false),
                     keys(folder, mixed, 50, false));
-            findings.equal("the same, window 5 ms", "refused", refused(folder, mixed, 5));
+            findings.checkEqual("the same, window 5 ms", "refused", refused(folder, mixed, 5));
             List<String> doubled = new ArrayList<>(inOrder);
             doubled.add(8, inOrder.get(7));
             doubled.add(101, inOrder.get(100));
-            findings.equal(
+            findings.checkEqual(
                     "two lines doubled: left out",
                     2L,
                     counts(folder, doubled, 50, false).get("duplicates").asLong());
@@ -63,13 +63,13 @@
             for (int i = 0; i < COUNT; i++) {
                 stepped.add(line(i, 10 * i - (i >= COUNT / 2 ? 5000 : 0)));
             }
-            findings.equal("a clock 5 s back midway", "refused", refused(folder, stepped, 50));
+            findings.checkEqual("a clock 5 s back midway", "refused", refused(folder, stepped, 50));
             ObjectNode clamped = counts(folder, stepped, 50, true);
-            findings.equal(
+            findings.checkEqual(
                     "the same with clamp: steps of the clock",
                     1L,
                     clamped.get("clockSteps").asLong());
-            findings.equal(
+            findings.checkEqual(
                     "the same with clamp: multigets kept",
                     (long) COUNT,
                     clamped.get("multigets").asLong());
@@ -78,11 +78,11 @@
             Files.writeString(torn, text.substring(0, text.length() - 6));
             ObjectNode tornCounts =
                     TraceImport.run(torn, folder.resolve("torn"), TraceImport.Columns.ofRecord(), 50, false, 0, false);
-            findings.equal(
+            findings.checkEqual(
                     "a torn last line: counted",
                     1L,
                     tornCounts.get("tornLastLine").asLong());
-            findings.equal(
+            findings.checkEqual(
                     "a torn last line: the rest kept",
                     COUNT - 1L,
                     tornCounts.get("multigets").asLong());
--- a/lab/src/main/java/spartrail/lab/drill/PeersDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/PeersDrill.java
@@ -71,7 +71,7 @@
                         + "{'name':'third','when':{'seen':{'node':'any','of':'n3','is':'SUSPECT'}},'do':'kill','nodes':['n4']}",
                 (findings, lines, rules, outcome) -> {
                     known(findings, rules, 4 * 3);
-                    findings.equal(
+                    findings.checkEqual(
                             "ends told of nodes that ran",
                             "{}",
                             rules.falseRemovals().toString());
@@ -86,17 +86,18 @@
                 "{'name':'stop','when':{'atMs':2000},'do':'stop','nodes':['n2'],'lastsMs':30000},"
                         + "{'name':'slow','when':{'atMs':40000},'do':'slow','nodes':['n6'],'share':0.05,'lastsMs':20000}",
                 (findings, lines, rules, outcome) -> {
-                    findings.equal("n2, waking: ends by its own verdict", 0L, verdicts(lines, "n2", "GONE"));
-                    findings.least("n2, waking: times it said that it doubts itself", 1, doubts(lines, "n2"));
-                    findings.equal("n6, while slow: ends by its own verdict", 0L, since(lines, 40_000, "n6", "GONE"));
+                    findings.checkEqual("n2, waking: ends by its own verdict", 0L, verdicts(lines, "n2", "GONE"));
+                    findings.checkAtLeast("n2, waking: times it said that it doubts itself", 1, doubts(lines, "n2"));
+                    findings.checkEqual(
+                            "n6, while slow: ends by its own verdict", 0L, since(lines, 40_000, "n6", "GONE"));
                     findings.note(
                             "n6, while slow: suspicions by its own verdict",
                             String.valueOf(since(lines, 40_000, "n6", "SUSPECT")));
-                    findings.most(
+                    findings.checkAtMost(
                             "n6, slow: times that one of six others held it for gone in 20 s",
                             6,
                             rules.falseRemovals().getOrDefault(6, 0));
-                    findings.equal(
+                    findings.checkEqual(
                             "ends told of nodes neither stopped nor slow",
                             0,
                             rules.falseRemovals().entrySet().stream()
@@ -117,11 +118,11 @@
                         + "{'name':'left','when':{'atMs':45000},'do':'cut','nodes':['n0','n1'],'others':['n4','n5','n6'],'lastsMs':6000},"
                         + "{'name':'right','when':{'atMs':45000},'do':'cut','nodes':['n2'],'others':['n6'],'lastsMs':6000}",
                 (findings, lines, rules, outcome) -> {
-                    findings.least(
+                    findings.checkAtLeast(
                             "nodes that held the other half for gone while cut (of 7)",
                             7,
                             holders(lines, 2000, 15_000));
-                    findings.equal(
+                    findings.checkEqual(
                             "ends by verdicts of nodes that were all alone",
                             0L,
                             verdictsWithin(lines, 26_000 + 6000, 34_000));
@@ -137,15 +138,15 @@
                         + "{'name':'pair','when':{'atMs':2000},'do':'cut','nodes':['n3'],'others':['n4'],'lastsMs':10000},"
                         + "{'name':'mute','when':{'atMs':16000},'do':'one-way','nodes':['n6'],'lastsMs':10000}",
                 (findings, lines, rules, outcome) -> {
-                    findings.equal(
+                    findings.checkEqual(
                             "ends told of n0 to n5",
                             0,
                             rules.falseRemovals().entrySet().stream()
                                     .filter(each -> each.getKey() != 6)
                                     .mapToInt(each -> each.getValue())
                                     .sum());
-                    findings.equal("n6, mute: ends by its own verdict", 0L, verdicts(lines, "n6", "GONE"));
-                    findings.least(
+                    findings.checkEqual("n6, mute: ends by its own verdict", 0L, verdicts(lines, "n6", "GONE"));
+                    findings.checkAtLeast(
                             "n6, mute: held for gone by so many others",
                             6,
                             rules.falseRemovals().getOrDefault(6, 0));
@@ -167,11 +168,11 @@
                         + "{'name':'flap2','when':{'atMs':34000},'do':'kill','nodes':['n6']},"
                         + "{'name':'back2','when':{'step':'flap2','afterMs':300},'do':'start','nodes':['n6']}",
                 (findings, lines, rules, outcome) -> {
-                    findings.equal(
+                    findings.checkEqual(
                             "ends told of lives that ran",
                             "{}",
                             rules.falseRemovals().toString());
-                    findings.most(
+                    findings.checkAtMost(
                             "time until all nine others knew that n2 leaves, in ms", 2000, leftMs(lines, "n2", 9));
                 });
     }
@@ -192,16 +193,16 @@
                         + "'clock':{'aheadMs':60000,'pace':1.02}},"
                         + "{'name':'alone','when':{'atMs':36000},'do':'kill','nodes':['n2']}",
                 (findings, lines, rules, outcome) -> {
-                    findings.equal(
+                    findings.checkEqual(
                             "ends told of lives that ran",
                             "{}",
                             rules.falseRemovals().toString());
-                    findings.least(
+                    findings.checkAtLeast(
                             "times that the earlier of two processes said that it takes no part",
                             1,
                             steppedBack(lines, 3).size());
-                    findings.equal("its own verdicts while it took no part", 0L, steppedBackVerdicts(lines, 3));
-                    findings.least(
+                    findings.checkEqual("its own verdicts while it took no part", 0L, steppedBackVerdicts(lines, 3));
+                    findings.checkAtLeast(
                             "nodes that held the earlier one for there again once the later one was killed (of 5)",
                             5,
                             lines.stream()
@@ -225,11 +226,11 @@
                         + "{'name':'links','when':{'atMs':2000},'do':'link','nodes':['n0','n1','n2','n3','n4','n5','n6'],"
                         + "'others':['n0','n1','n2','n3','n4','n5','n6'],'jitterMs':150,'twice':0.3,'flipped':0.05,'loss':0.02,'lastsMs':15000}",
                 (findings, lines, rules, outcome) -> {
-                    findings.equal(
+                    findings.checkEqual(
                             "ends told of nodes that ran",
                             "{}",
                             rules.falseRemovals().toString());
-                    findings.most(
+                    findings.checkAtMost(
                             "messages a second a node, on average while flooded",
                             SwimMembership.maxMessagesPerSecond(GossipTimings.DEFAULT),
                             outcome.nodes().stream()
@@ -268,7 +269,7 @@
     }
 
     @Override
-    public String about() {
+    public String subsystem() {
         return "peers";
     }
 
@@ -291,10 +292,11 @@
         ObjectNode silent = played(plan.silent(), outcome -> {});
         ObjectNode talking = played(plan, outcome -> {
             List<Line> lines = outcome.history().inOrder();
-            PeersRules rules = new HistoryChecker(nodes).read(lines, true);
-            findings.equal("steps that were not taken", "[]", outcome.notTaken().toString());
-            findings.least("changes of views that were judged", 20, rules.judgedChanges());
-            findings.equal("rules of peers broken", "[]", rules.breaches().toString());
+            PeersRules rules = new HistoryChecker(nodes).check(lines, true);
+            findings.checkEqual(
+                    "steps that were not taken", "[]", outcome.unexecutedSteps().toString());
+            findings.checkAtLeast("changes of views that were judged", 20, rules.judgedChanges());
+            findings.checkEqual("rules of peers broken", "[]", rules.breaches().toString());
             wants.judge(findings, lines, rules, outcome);
             findings.note(
                     "bytes a second that a node sent, least and most",
@@ -302,11 +304,11 @@
             findings.note("memory of a node, least and most, in MB", memory(outcome));
             outcome.rules()
                     .verdicts()
-                    .forEach(verdict -> findings.equal("broken: " + verdict.rule().text, 0L, verdict.broken()));
+                    .forEach(verdict -> findings.checkEqual("broken: " + verdict.rule().text, 0L, verdict.broken()));
         });
         double without = served(silent);
         findings.note("served whole of the day without talk, share", String.format(Locale.ROOT, "%.4f", without));
-        findings.least("served whole, share", without - SERVICE, served(talking));
+        findings.checkAtLeast("served whole, share", without - SERVICE, served(talking));
     }
 
     private static String bytes(ClusterHarness.Outcome outcome, Comparator<Long> order) {
@@ -338,7 +340,7 @@
             ClusterHarness.Outcome outcome = rig.play();
             if (KEEP != null) {
                 Files.writeString(
-                        folder.resolve("history.jsonl"), outcome.history().text());
+                        folder.resolve("history.jsonl"), outcome.history().toJsonLines());
             }
             seen.of(outcome);
             return outcome.load();
@@ -368,11 +370,11 @@
     private static void known(Findings findings, PeersRules rules, int least) {
         List<Double> known = new ArrayList<>(rules.detectionTimesMs());
         Collections.sort(known);
-        findings.least("times that a crash came to be known", least, known.size());
+        findings.checkAtLeast("times that a crash came to be known", least, known.size());
         if (!known.isEmpty()) {
             findings.note(
                     "time until it was known, median in ms", String.valueOf(Math.round(known.get(known.size() / 2))));
-            findings.most(
+            findings.checkAtMost(
                     "time until it was known, longest in ms",
                     GossipTimings.DEFAULT.detectionBoundMs(USUAL_NODES),
                     known.get(known.size() - 1));
--- a/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
@@ -317,7 +317,7 @@
                 USUAL_CHANGES,
                 0.95,
                 20_000,
-                (findings, lines, rules) -> findings.least(
+                (findings, lines, rules) -> findings.checkAtLeast(
                         "nodes that served out of touch",
                         4,
                         lines.stream()
@@ -388,14 +388,14 @@
                             .filter(line -> line.node() < 0 && line.what().equals("ended"))
                             .map(Line::tree)
                             .toList();
-                    findings.equal(
+                    findings.checkEqual(
                             "refused, with the name of the node that said no",
                             10L,
                             ends.stream()
                                     .filter(end -> end.get("stage").asText().equals("REFUSED")
                                             && end.path("why").asText().startsWith("n7: "))
                                     .count());
-                    findings.equal(
+                    findings.checkEqual(
                             "of two proposals at once, told of the other one",
                             5L,
                             ends.stream()
@@ -455,7 +455,7 @@
                                     1,
                                     Integer::sum));
                     findings.note("what deciding nodes said at their starts", seen.toString());
-                    findings.least(
+                    findings.checkAtLeast(
                             "starts that refused to vote",
                             12,
                             seen.entrySet().stream()
@@ -478,7 +478,7 @@
     }
 
     @Override
-    public String about() {
+    public String subsystem() {
         return "policy";
     }
 
@@ -508,7 +508,7 @@
         double[] lasted = new double[1];
         ObjectNode changing = PeersDrill.played(plan, outcome -> {
             List<Line> lines = outcome.history().inOrder();
-            PolicyRules rules = new PolicyHistoryChecker(NODES, List.of(0, 1, 2), bounds).read(lines, outcome.taken());
+            PolicyRules rules = new PolicyHistoryChecker(NODES, List.of(0, 1, 2), bounds).check(lines, outcome.taken());
             faults.addAll(faults(outcome, lines));
             lasted[0] = outcome.lastedMs();
             judge(findings, outcome, lines, rules);
@@ -517,14 +517,14 @@
         double without = PeersDrill.served(still);
         findings.note(
                 "served whole of the same faults without a change, share", String.format(Locale.ROOT, "%.4f", without));
-        findings.least("served whole, share", without * goodput, PeersDrill.served(changing));
+        findings.checkAtLeast("served whole, share", without * goodput, PeersDrill.served(changing));
     }
 
     private void judge(Findings findings, ClusterHarness.Outcome outcome, List<Line> lines, PolicyRules rules) {
-        findings.equal(
+        findings.checkEqual(
                 "steps that were not taken",
                 "[]",
-                outcome.notTaken().stream()
+                outcome.unexecutedSteps().stream()
                         .filter(step -> !step.matches("[rs][0-9]+") || name.equals("policy-disk"))
                         .toList()
                         .toString());
@@ -533,18 +533,18 @@
                         && line.what().equals("ended")
                         && !line.tree().get("stage").asText().equals("UNKNOWN"))
                 .count();
-        findings.least("changes that ended", least, ended);
-        findings.least("versions that took hold", least / 3, rules.held() - 1);
-        findings.least("multigets that were judged", 1000, rules.judged());
-        findings.equal("rules of policy broken", "{}", rules.counts().toString());
+        findings.checkAtLeast("changes that ended", least, ended);
+        findings.checkAtLeast("versions that took hold", least / 3, rules.held() - 1);
+        findings.checkAtLeast("multigets that were judged", 1000, rules.judged());
+        findings.checkEqual("rules of policy broken", "{}", rules.counts().toString());
         rules.breaches().forEach(breach -> findings.note("example", breach.toString()));
-        findings.most("longest time guarded between two versions, ms", bounds.overlapMs(), rules.widestMs());
-        findings.most("longest from proposal to end with a majority, ms", bounds.endsMs(), rules.slowestMs());
+        findings.checkAtMost("longest time guarded between two versions, ms", bounds.overlapMs(), rules.widestMs());
+        findings.checkAtMost("longest from proposal to end with a majority, ms", bounds.endsMs(), rules.slowestMs());
         findings.note("from proposal to hold where no leader was lost, median in ms", String.valueOf(median(lines)));
         wants.judge(findings, lines, rules);
         outcome.rules()
                 .verdicts()
-                .forEach(verdict -> findings.equal("broken: " + verdict.rule().text, 0L, verdict.broken()));
+                .forEach(verdict -> findings.checkEqual("broken: " + verdict.rule().text, 0L, verdict.broken()));
     }
 
     private static long median(List<Line> lines) {
--- a/lab/src/main/java/spartrail/lab/drill/RuleMutationDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/RuleMutationDrill.java
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public String about() {
+    public String subsystem() {
         return "rule checker";
     }
 
@@ -56,7 +56,7 @@
     public void run(long seed, Findings findings) throws Exception {
         for (FaultyFrontNode.Fault fault : FaultyFrontNode.Fault.values()) {
             Set<Rule> broken = play(fault, seed);
-            findings.equal(fault.name(), new TreeSet<>(EXPECTED.get(fault)), new TreeSet<>(broken));
+            findings.checkEqual(fault.name(), new TreeSet<>(EXPECTED.get(fault)), new TreeSet<>(broken));
         }
     }
 
--- a/lab/src/main/java/spartrail/lab/drill/SubsetDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/SubsetDrill.java
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public String about() {
+    public String subsystem() {
         return "subset";
     }
 
@@ -80,8 +80,8 @@
         ObjectNode with = PeersDrill.played(plan(seed, true), outcome -> {
             outcome.rules()
                     .verdicts()
-                    .forEach(verdict -> findings.equal("broken: " + verdict.rule().text, 0L, verdict.broken()));
-            findings.equal("nodes alive at the end", NODES, (int) outcome.nodes().stream()
+                    .forEach(verdict -> findings.checkEqual("broken: " + verdict.rule().text, 0L, verdict.broken()));
+            findings.checkEqual("nodes alive at the end", NODES, (int) outcome.nodes().stream()
                     .filter(node -> node.get("alive").asBoolean())
                     .count());
             List<Long> parts = Stream.of(outcome.servers())
@@ -93,13 +93,13 @@
                     .map(server -> server.path("parts").asLong())
                     .sorted()
                     .toList();
-            findings.least(
+            findings.checkAtLeast(
                     "servers that were sent parts",
                     SERVERS * 3 / 4,
                     parts.stream().filter(count -> count > 0).count());
         });
         double served = PeersDrill.served(without);
         findings.note("served whole of the day without subsets, share", String.format(Locale.ROOT, "%.4f", served));
-        findings.least("served whole, share", served - SERVICE, PeersDrill.served(with));
+        findings.checkAtLeast("served whole, share", served - SERVICE, PeersDrill.served(with));
     }
 }
--- a/lab/src/test/java/spartrail/lab/cluster/HistoryCheckerTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/HistoryCheckerTest.java
@@ -15,13 +15,13 @@
  * started again; nothing is wrong with it.
  */
 class HistoryCheckerTest {
-    private final List<Line> clean = ClusterHistory.kept(Path.of("lab/src/test/resources/history-restart.jsonl"));
+    private final List<Line> clean = ClusterHistory.readMerged(Path.of("lab/src/test/resources/history-restart.jsonl"));
 
     HistoryCheckerTest() throws Exception {}
 
     private static String judged(List<Line> lines) {
         return new HistoryChecker(4)
-                .read(lines, true).breaches().stream()
+                .check(lines, true).breaches().stream()
                         .map(breach -> breach.rule())
                         .distinct()
                         .toList()
--- a/lab/src/test/java/spartrail/lab/cluster/HistoryFormTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/HistoryFormTest.java
@@ -28,7 +28,7 @@
     @BeforeEach
     void readTheKeptHistory() throws Exception {
         file = Files.write(folder.resolve("history.jsonl"), Forms.bytes("history.jsonl"));
-        lines = ClusterHistory.kept(file);
+        lines = ClusterHistory.readMerged(file);
     }
 
     private static String unclocked(String text) {
@@ -62,7 +62,7 @@
             history.follow(node, Files.write(folder.resolve(name), own));
         }
         assertThat(history.more()).hasSize(kept.size());
-        assertThat(history.text()).isEqualTo(String.join("\n", kept) + "\n");
+        assertThat(history.toJsonLines()).isEqualTo(String.join("\n", kept) + "\n");
     }
 
     @Test
@@ -76,15 +76,15 @@
         }
         List<String> kept = new ArrayList<>(Files.readAllLines(file));
         kept.removeIf(text -> !text.contains("\"node\":\"rig\""));
-        assertThat(unclocked(history.text())).isEqualTo(unclocked(String.join("\n", kept) + "\n"));
+        assertThat(unclocked(history.toJsonLines())).isEqualTo(unclocked(String.join("\n", kept) + "\n"));
     }
 
     @Test
     void itIsJudgedAsBefore() {
-        PeersRules peers = new HistoryChecker(NODES).read(lines, true);
+        PeersRules peers = new HistoryChecker(NODES).check(lines, true);
         PolicyRules policy = new PolicyHistoryChecker(
                         NODES, List.of(0, 1, 2), new PolicyRules.Bounds(2000, 60_000, 90_000))
-                .read(
+                .check(
                         lines,
                         List.of(new PolicyRules.Taken(
                                 lines.get(lines.size() - 1).ns(), 0, 1, "5")));
--- a/lab/src/test/java/spartrail/lab/cluster/SeveralProcessesTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/SeveralProcessesTest.java
@@ -40,8 +40,8 @@
                 + "{'name':'second','when':{'seen':{'node':'any','of':'n3','is':'SUSPECT'}},'do':'kill','nodes':['n4']},"
                 + "{'when':{'seen':{'node':'any','of':'n3','is':'GONE','times':3}},'do':'heal'},"
                 + "{'name':'last','when':{'seen':{'node':'any','of':'n4','is':'GONE','times':3}},'do':'heal'}");
-        PeersRules rules = new HistoryChecker(5).read(outcome.history().inOrder(), false);
-        assertThat(outcome.notTaken()).isEmpty();
+        PeersRules rules = new HistoryChecker(5).check(outcome.history().inOrder(), false);
+        assertThat(outcome.unexecutedSteps()).isEmpty();
         assertThat(rules.breaches()).isEmpty();
         assertThat(rules.detectionTimesMs()).hasSizeGreaterThanOrEqualTo(6);
     }
@@ -53,9 +53,9 @@
                         + "{'name':'gone','when':{'seen':{'node':'n4','of':'n0','is':'GONE'}},'do':'heal'},"
                         + "{'name':'back','when':{'step':'gone','seen':{'node':'n4','of':'n0','is':'ALIVE'}},'do':'terminate','nodes':['n1']},"
                         + "{'name':'last','when':{'seen':{'node':'n4','of':'n1','is':'LEFT'}},'do':'heal'}");
-        assertThat(outcome.notTaken()).isEmpty();
+        assertThat(outcome.unexecutedSteps()).isEmpty();
         assertThat(new HistoryChecker(5)
-                        .read(outcome.history().inOrder(), false)
+                        .check(outcome.history().inOrder(), false)
                         .breaches())
                 .isEmpty();
     }
@@ -82,8 +82,8 @@
             ClusterHarness.Outcome outcome = rig.play();
             PolicyRules rules = new PolicyHistoryChecker(
                             5, List.of(0, 1, 2), new PolicyRules.Bounds(2000, 60_000, 90_000))
-                    .read(outcome.history().inOrder(), outcome.taken());
-            assertThat(outcome.notTaken()).isEmpty();
+                    .check(outcome.history().inOrder(), outcome.taken());
+            assertThat(outcome.unexecutedSteps()).isEmpty();
             assertThat(rules.breaches()).isEmpty();
             assertThat(rules.judged()).isPositive();
             assertThat(outcome.taken()).extracting(PolicyRules.Taken::by).contains("0", "0|1");
--- a/lab/src/test/java/spartrail/lab/drill/DnsResolverDrillTest.java
+++ b/lab/src/test/java/spartrail/lab/drill/DnsResolverDrillTest.java
@@ -18,7 +18,7 @@
         }) {
             Drill.Findings findings = new Drill.Findings();
             DnsResolverDrill.play(behavior, 5, findings);
-            assertThat(findings.all()).allMatch(Drill.Finding::good);
+            assertThat(findings.all()).allMatch(Drill.Finding::passed);
         }
     }
 }
