--- a/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
@@ -42,30 +42,30 @@
             ObjectNode servers,
             List<ObjectNode> nodes,
             List<String> unexecutedSteps,
-            List<Step> done,
-            List<PolicyRules.Taken> taken,
-            double lastedMs) {}
+            List<Step> executedSteps,
+            List<PolicyRules.Taken> policyRecords,
+            double elapsedMs) {}
 
-    private static final double LOOK_MS = 5;
+    private static final double POLL_INTERVAL_MS = 5;
     /** A process is ended, or goes on, so much later at the most than the rig asks for it. */
-    private static final double EXCUSED_MS = 500;
+    private static final double TOLERANCE_MS = 500;
 
-    private static final double KNOWN_WITHIN_MS = 20_000;
+    private static final double MEMBERSHIP_TIMEOUT_MS = 20_000;
 
     /** A step that has not been taken yet, and how often what it waits for was seen. */
-    private static final class Pending {
+    private static final class PendingStep {
         final Step step;
-        int seen;
-        int who = -1;
+        int observations;
+        int observedNode = -1;
         double dueMs;
 
-        Pending(Step step) {
+        PendingStep(Step step) {
             this.step = step;
-            this.dueMs = step.when().atMs() >= 0 ? step.when().atMs() : Double.NaN;
+            this.dueMs = step.trigger().atMs() >= 0 ? step.trigger().atMs() : Double.NaN;
         }
     }
 
-    private record Due(double atMs, Runnable what) {}
+    private record ScheduledAction(double atMs, Runnable action) {}
 
     private final ClusterPlan plan;
     private final Path folder;
@@ -76,19 +76,19 @@
     private final List<NodeProcess> nodes = new ArrayList<>();
     private final List<LoadPlan.Target> targets = new ArrayList<>();
     private final DatagramLinks links;
-    private final List<Due> dues = new ArrayList<>();
-    private final Map<String, Double> taken = new HashMap<>();
+    private final List<ScheduledAction> scheduledActions = new ArrayList<>();
+    private final Map<String, Double> executedAtMs = new HashMap<>();
     private final Set<Integer> slowed = new HashSet<>();
     private final List<DatagramFlood> floods = new ArrayList<>();
-    private final List<Integer> talkPorts = new ArrayList<>();
-    private OperatorCommands orders;
+    private final List<Integer> peerPorts = new ArrayList<>();
+    private OperatorCommands operatorCommands;
     /** Steps as they were taken: when, and whom they concerned. */
-    private final List<Step> steps = new ArrayList<>();
+    private final List<Step> executedSteps = new ArrayList<>();
 
-    private final Set<Integer> over = new HashSet<>();
+    private final Set<Integer> endedNodes = new HashSet<>();
     private int leader = -1;
     /** All that are not known to be over ran then. */
-    private double aliveMs;
+    private double lastCheckedMs;
 
     private double startMs;
 
@@ -102,58 +102,58 @@
         this.fleet = new Fleet(
                 plan.fleet().varied(plan.seed(), plan.nodes()),
                 Runner.watching(checker, (what, atMs) -> progress.accept("servers: " + what)));
-        DatagramLinks made = null;
+        DatagramLinks newLinks = null;
         try {
             for (int node = 0; node < plan.nodes(); node++) {
-                talkPorts.add(NodeProcess.freePort());
+                peerPorts.add(NodeProcess.freePort());
             }
-            made = new DatagramLinks(talkPorts, "rig", plan.seed());
-            launch(made);
+            newLinks = new DatagramLinks(peerPorts, "rig", plan.seed());
+            launchNodes(newLinks);
         } catch (IOException | InterruptedException | RuntimeException e) {
             nodes.forEach(NodeProcess::close);
             fleet.close();
-            if (made != null) {
-                made.close();
+            if (newLinks != null) {
+                newLinks.close();
             }
             throw e;
         }
-        this.links = made;
-        startMs = now();
-        awaitKnown();
-        startMs = now();
+        this.links = newLinks;
+        startMs = currentTimeMs();
+        awaitFullMembership();
+        startMs = currentTimeMs();
     }
 
-    private void launch(DatagramLinks made) throws IOException, InterruptedException {
+    private void launchNodes(DatagramLinks newLinks) throws IOException, InterruptedException {
         List<String> zones = NodeSettings.zones(plan.fleet());
         List<String> seeds = Stream.iterate(0, node -> node + 1)
                 .limit(Math.min(plan.seeds(), plan.nodes()))
-                .map(made::address)
+                .map(newLinks::address)
                 .toList();
         for (int node = 0; node < plan.nodes(); node++) {
             int port = NodeProcess.freePort();
             targets.add(new LoadPlan.Target("127.0.0.1", port, zones.get(node % zones.size())));
-            Path peers = null;
-            Path kept = null;
-            Path state = null;
-            if (plan.policy()) {
-                state = folder.resolve("n" + node + ".state");
-                if (plan.deciders().contains("n" + node)) {
-                    AdminClient.bootstrap(state, "rig", "n" + node, plan.deciders());
+            Path peersFile = null;
+            Path historyFile = null;
+            Path stateFolder = null;
+            if (plan.hasPolicy()) {
+                stateFolder = folder.resolve("n" + node + ".state");
+                if (plan.voters().contains("n" + node)) {
+                    AdminClient.bootstrap(stateFolder, "rig", "n" + node, plan.voters());
                 }
             }
             if (plan.peers() != null) {
-                peers = folder.resolve("n" + node + ".peers.json");
-                kept = folder.resolve("n" + node + ".history");
+                peersFile = folder.resolve("n" + node + ".peers.json");
+                historyFile = folder.resolve("n" + node + ".history");
                 Files.writeString(
-                        peers,
-                        plan.peersFile(node, "127.0.0.1:" + talkPorts.get(node), made.address(node), seeds)
+                        peersFile,
+                        plan.buildPeersFile(node, "127.0.0.1:" + peerPorts.get(node), newLinks.address(node), seeds)
                                 .toPrettyString());
-                history.follow(node, kept);
+                history.follow(node, historyFile);
             }
-            history.done("started", whom(node));
+            history.recordHarnessEvent("started", nodesField(node));
             ObjectNode config = plan.settings().config(node, plan.nodes(), "127.0.0.1:" + port, fleet, plan.seed());
-            if (plan.own().has("n" + node)) {
-                ConfigPush.change(config, plan.own().get("n" + node));
+            if (plan.nodeOverrides().has("n" + node)) {
+                ConfigPush.applySettings(config, plan.nodeOverrides().get("n" + node));
             }
             nodes.add(NodeProcess.launched(
                     NodeProcess.ownJar(),
@@ -161,16 +161,17 @@
                     folder,
                     "n" + node,
                     plan.settings().memoryMb(),
-                    new NodeProcess.Extras(null, peers, kept, state, folder.resolve("n" + node + ".record"))));
+                    new NodeProcess.Extras(
+                            null, peersFile, historyFile, stateFolder, folder.resolve("n" + node + ".record"))));
         }
         for (NodeProcess node : nodes) {
             node.awaitReady();
         }
-        if (plan.policy()) {
-            orders = new OperatorCommands(history, talkPorts, address -> {
+        if (plan.hasPolicy()) {
+            operatorCommands = new OperatorCommands(history, peerPorts, address -> {
                 for (int node = 0; node < plan.nodes(); node++) {
-                    if (made.address(node).equals(address)) {
-                        return "127.0.0.1:" + talkPorts.get(node);
+                    if (newLinks.address(node).equals(address)) {
+                        return "127.0.0.1:" + peerPorts.get(node);
                     }
                 }
                 return address;
@@ -179,98 +180,99 @@
         progress.accept(plan.nodes() + " nodes serve");
     }
 
-    private static ObjectNode whom(int node) {
+    private static ObjectNode nodesField(int node) {
         ObjectNode tree = Document.JSON.createObjectNode();
         tree.putArray("nodes").add("n" + node);
         return tree;
     }
 
-    private static double now() {
+    private static double currentTimeMs() {
         return System.nanoTime() / 1e6;
     }
 
-    private double sinceMs() {
-        return now() - startMs;
+    private double elapsedMs() {
+        return currentTimeMs() - startMs;
     }
 
     /** Until every node says that so many are there. */
-    private void awaitKnown() throws IOException, InterruptedException {
+    private void awaitFullMembership() throws IOException, InterruptedException {
         if (plan.peers() == null) {
             return;
         }
-        Set<Integer> knowing = new HashSet<>();
-        while (knowing.size() < plan.nodes()) {
-            for (Line line : history.more()) {
-                leads(line);
-                if (line.what().equals("view")) {
+        Set<Integer> nodesWithFullView = new HashSet<>();
+        while (nodesWithFullView.size() < plan.nodes()) {
+            for (Line line : history.readNewLines()) {
+                updateLeader(line);
+                if (line.event().equals("view")) {
                     if (line.tree().get("there").asInt() == plan.nodes()
                             && line.tree().get("doubt").asText().isEmpty()) {
-                        knowing.add(line.node());
+                        nodesWithFullView.add(line.node());
                     } else {
-                        knowing.remove(line.node());
+                        nodesWithFullView.remove(line.node());
                     }
                 }
             }
-            if (sinceMs() > KNOWN_WITHIN_MS) {
-                throw new IOException("after " + KNOWN_WITHIN_MS / 1000 + " s only " + knowing.size() + " of "
-                        + plan.nodes() + " nodes know all others; their logs are in " + folder);
+            if (elapsedMs() > MEMBERSHIP_TIMEOUT_MS) {
+                throw new IOException("after " + MEMBERSHIP_TIMEOUT_MS / 1000 + " s only " + nodesWithFullView.size()
+                        + " of " + plan.nodes() + " nodes know all others; their logs are in " + folder);
             }
-            pause();
+            sleepPollInterval();
         }
-        progress.accept("all nodes know each other after " + Math.round(sinceMs()) + " ms");
+        progress.accept("all nodes know each other after " + Math.round(elapsedMs()) + " ms");
     }
 
-    private void leads(Line line) {
-        if (line.what().equals("leads")) {
+    private void updateLeader(Line line) {
+        if (line.event().equals("leads")) {
             leader = line.tree().get("on").asBoolean() ? line.node() : leader == line.node() ? -1 : leader;
         }
     }
 
-    private static void pause() throws InterruptedException {
-        Thread.sleep((long) LOOK_MS);
+    private static void sleepPollInterval() throws InterruptedException {
+        Thread.sleep((long) POLL_INTERVAL_MS);
     }
 
     /** Plays all steps under load, to the plan's end. */
     public Outcome play() throws IOException, InterruptedException {
-        List<Pending> pending = new ArrayList<>();
-        plan.steps().forEach(step -> pending.add(new Pending(step)));
+        List<PendingStep> pendingSteps = new ArrayList<>();
+        plan.steps().forEach(step -> pendingSteps.add(new PendingStep(step)));
         LoadPlan load = plan.load() == null ? null : plan.load().withTargets(targets);
-        history.done("begins", Document.JSON.createObjectNode());
-        startMs = now();
+        history.recordHarnessEvent("begins", Document.JSON.createObjectNode());
+        startMs = currentTimeMs();
         fleet.play();
         try (LoadSession session =
                 load == null ? null : new LoadSession(load, load.arrivals(), load.durationMs(), checker)) {
-            double toldMs = 0;
-            while (sinceMs() < plan.lastsMs()
-                    && !taken.containsKey(String.valueOf(plan.ends()))
-                    && !("all".equals(plan.ends()) && pending.isEmpty())) {
-                look(pending);
-                if (sinceMs() - toldMs > 10_000) {
-                    toldMs = sinceMs();
-                    progress.accept(Math.round(toldMs / 1000) + " s of " + Math.round(plan.lastsMs() / 1000) + " s");
+            double reportedMs = 0;
+            while (elapsedMs() < plan.durationMs()
+                    && !executedAtMs.containsKey(String.valueOf(plan.endStep()))
+                    && !("all".equals(plan.endStep()) && pendingSteps.isEmpty())) {
+                poll(pendingSteps);
+                if (elapsedMs() - reportedMs > 10_000) {
+                    reportedMs = elapsedMs();
+                    progress.accept(
+                            Math.round(reportedMs / 1000) + " s of " + Math.round(plan.durationMs() / 1000) + " s");
                 }
-                pause();
+                sleepPollInterval();
             }
             if (session != null) {
                 session.await(15_000);
             }
-            look(List.of());
-            return outcome(session, pending);
+            poll(List.of());
+            return buildOutcome(session, pendingSteps);
         }
     }
 
-    private Outcome outcome(LoadSession session, List<Pending> pending) {
-        List<ObjectNode> figures = new ArrayList<>();
+    private Outcome buildOutcome(LoadSession session, List<PendingStep> pendingSteps) {
+        List<ObjectNode> nodeReports = new ArrayList<>();
         for (int node = 0; node < nodes.size(); node++) {
             boolean alive = nodes.get(node).handle().isAlive();
-            figures.add(Document.JSON
+            nodeReports.add(Document.JSON
                     .createObjectNode()
                     .put("name", "n" + node)
                     .put("alive", alive)
                     .put("cpuMs", alive ? Math.round(nodes.get(node).cpuMs()) : 0)
                     .put("memoryMb", alive ? Math.round(nodes.get(node).memoryMb()) : 0)
-                    .put("sentBytes", links.bytes(node))
-                    .put("sentMessages", links.messages(node)));
+                    .put("sentBytes", links.sentBytes(node))
+                    .put("sentMessages", links.sentMessages(node)));
         }
         ObjectNode servers = fleet.figures();
         servers.forEach(server -> checker.cold(server.path("worstColdLoad").asDouble()));
@@ -279,27 +281,29 @@
                 checker,
                 session == null ? null : session.report(),
                 servers,
-                figures,
-                pending.stream().map(each -> each.step.name()).toList(),
-                List.copyOf(steps),
-                records(),
-                sinceMs());
+                nodeReports,
+                pendingSteps.stream().map(each -> each.step.name()).toList(),
+                List.copyOf(executedSteps),
+                readPolicyRecords(),
+                elapsedMs());
     }
 
     /** By what every life of every node decided its multigets. */
-    private List<PolicyRules.Taken> records() {
-        List<PolicyRules.Taken> all = new ArrayList<>();
+    private List<PolicyRules.Taken> readPolicyRecords() {
+        List<PolicyRules.Taken> policyRecords = new ArrayList<>();
         for (int node = 0; node < nodes.size(); node++) {
-            for (int life = 0; Files.exists(folder.resolve("n" + node + ".record." + life)); life++) {
+            for (int incarnation = 0;
+                    Files.exists(folder.resolve("n" + node + ".record." + incarnation));
+                    incarnation++) {
                 try {
-                    for (String line : Files.readAllLines(folder.resolve("n" + node + ".record." + life))) {
+                    for (String line : Files.readAllLines(folder.resolve("n" + node + ".record." + incarnation))) {
                         // A line torn by a kill is none.
                         if (line.endsWith("}") && line.contains("\"policy\"")) {
                             JsonNode tree = Document.JSON.readTree(line);
-                            all.add(new PolicyRules.Taken(
+                            policyRecords.add(new PolicyRules.Taken(
                                     tree.get("ns").asLong(),
                                     node,
-                                    life,
+                                    incarnation,
                                     tree.get("policy").asText()));
                         }
                     }
@@ -308,69 +312,80 @@
                 }
             }
         }
-        return all;
+        return policyRecords;
     }
 
     /** Reads what nodes have written and takes the steps whose time has come. */
-    private void look(List<Pending> pending) throws IOException, InterruptedException {
-        for (Line line : history.more()) {
-            leads(line);
-            for (Pending each : pending) {
-                saw(each, line);
+    private void poll(List<PendingStep> pendingSteps) throws IOException, InterruptedException {
+        for (Line line : history.readNewLines()) {
+            updateLeader(line);
+            for (PendingStep pendingStep : pendingSteps) {
+                matchTrigger(pendingStep, line);
             }
         }
-        lost();
-        for (Due due : List.copyOf(dues)) {
-            if (due.atMs <= sinceMs()) {
-                dues.remove(due);
-                due.what.run();
+        recordUnexpectedExits();
+        for (ScheduledAction scheduled : List.copyOf(scheduledActions)) {
+            if (scheduled.atMs <= elapsedMs()) {
+                scheduledActions.remove(scheduled);
+                scheduled.action.run();
             }
         }
-        for (Pending each : List.copyOf(pending)) {
-            String after = each.step.when().step();
-            if (Double.isNaN(each.dueMs) && after != null && !each.step.when().seen() && taken.containsKey(after)) {
-                each.dueMs = taken.get(after) + each.step.when().afterMs();
+        for (PendingStep pendingStep : List.copyOf(pendingSteps)) {
+            String afterStep = pendingStep.step.trigger().afterStep();
+            if (Double.isNaN(pendingStep.dueMs)
+                    && afterStep != null
+                    && !pendingStep.step.trigger().waitsForObservation()
+                    && executedAtMs.containsKey(afterStep)) {
+                pendingStep.dueMs =
+                        executedAtMs.get(afterStep) + pendingStep.step.trigger().delayMs();
             }
-            if (each.dueMs <= sinceMs()) {
-                pending.remove(each);
-                taken.put(each.step.name(), sinceMs());
-                take(whom(each));
+            if (pendingStep.dueMs <= elapsedMs()) {
+                pendingSteps.remove(pendingStep);
+                executedAtMs.put(pendingStep.step.name(), elapsedMs());
+                execute(resolveNodes(pendingStep));
             }
         }
     }
 
     /** Whom a step concerns, now that it is taken. */
-    private Step whom(Pending each) {
-        List<Integer> whom = new ArrayList<>();
-        for (int node : each.step.nodes()) {
+    private Step resolveNodes(PendingStep pendingStep) {
+        List<Integer> nodeNumbers = new ArrayList<>();
+        for (int node : pendingStep.step.nodes()) {
             if (node >= 0) {
-                whom.add(node);
+                nodeNumbers.add(node);
             } else if (node == ClusterPlan.LEADER || node == ClusterPlan.FOLLOWER) {
-                plan.deciders().stream()
+                plan.voters().stream()
                         .map(name -> Integer.parseInt(name.substring(1)))
-                        .filter(decider -> (decider == leader) == (node == ClusterPlan.LEADER))
-                        .filter(decider -> nodes.get(decider).handle().isAlive())
+                        .filter(voter -> (voter == leader) == (node == ClusterPlan.LEADER))
+                        .filter(voter -> nodes.get(voter).handle().isAlive())
                         .findFirst()
-                        .ifPresent(whom::add);
-            } else if (node == ClusterPlan.SEEN && each.who >= 0) {
-                whom.add(each.who);
+                        .ifPresent(nodeNumbers::add);
+            } else if (node == ClusterPlan.OBSERVED && pendingStep.observedNode >= 0) {
+                nodeNumbers.add(pendingStep.observedNode);
             } else if (node == ClusterPlan.DOWN) {
                 for (int down = 0; down < nodes.size(); down++) {
                     if (!nodes.get(down).handle().isAlive()) {
-                        whom.add(down);
+                        nodeNumbers.add(down);
                     }
                 }
             }
         }
-        Step step = each.step;
-        return new Step(step.name(), step.when(), step.what(), whom, step.others(), step.lastsMs(), step.how());
+        Step step = pendingStep.step;
+        return new Step(
+                step.name(),
+                step.trigger(),
+                step.action(),
+                nodeNumbers,
+                step.others(),
+                step.durationMs(),
+                step.parameters());
     }
 
-    private static boolean has(Line line, JsonNode values) {
+    private static boolean hasValues(Line line, JsonNode values) {
         for (var fields = values.fields(); fields.hasNext(); ) {
             var field = fields.next();
             JsonNode found = field.getKey().equals("what")
-                    ? com.fasterxml.jackson.databind.node.TextNode.valueOf(line.what())
+                    ? com.fasterxml.jackson.databind.node.TextNode.valueOf(line.event())
                     : line.tree().path(field.getKey());
             if (!found.asText().equals(field.getValue().asText())) {
                 return false;
@@ -380,172 +395,185 @@
     }
 
     /** Processes that are gone though nobody here ended them: a point that was armed has been reached. */
-    private void lost() {
-        double sinceMs = aliveMs;
-        aliveMs = fleet.loop().nowMs();
+    private void recordUnexpectedExits() {
+        double previousCheckMs = lastCheckedMs;
+        lastCheckedMs = fleet.loop().nowMs();
         for (int node = 0; node < nodes.size(); node++) {
-            if (!over.contains(node) && !nodes.get(node).handle().isAlive()) {
-                over.add(node);
+            if (!endedNodes.contains(node) && !nodes.get(node).handle().isAlive()) {
+                endedNodes.add(node);
                 double nowMs = fleet.loop().nowMs();
-                checker.excuse(targets.get(node).toString(), sinceMs - LOOK_MS, nowMs + EXCUSED_MS);
-                history.done("killed", whom(node));
+                checker.excuse(targets.get(node).toString(), previousCheckMs - POLL_INTERVAL_MS, nowMs + TOLERANCE_MS);
+                history.recordHarnessEvent("killed", nodesField(node));
             }
         }
     }
 
-    private void saw(Pending each, Line line) {
-        ClusterPlan.When when = each.step.when();
-        if (!when.seen() || !Double.isNaN(each.dueMs) || when.step() != null && !taken.containsKey(when.step())) {
+    private void matchTrigger(PendingStep pendingStep, Line line) {
+        ClusterPlan.Trigger trigger = pendingStep.step.trigger();
+        if (!trigger.waitsForObservation()
+                || !Double.isNaN(pendingStep.dueMs)
+                || trigger.afterStep() != null && !executedAtMs.containsKey(trigger.afterStep())) {
             return;
         }
-        if (when.line() != null) {
-            String of = line.node() < 0 ? "rig" : "n" + line.node();
-            if ((when.node().equals("any") || when.node().equals(of))
-                    && has(line, when.line())
-                    && ++each.seen >= when.times()) {
-                each.who = line.node();
-                each.dueMs = sinceMs() + when.afterMs();
+        if (trigger.lineValues() != null) {
+            String writer = line.node() < 0 ? "rig" : "n" + line.node();
+            if ((trigger.observer().equals("any") || trigger.observer().equals(writer))
+                    && hasValues(line, trigger.lineValues())
+                    && ++pendingStep.observations >= trigger.count()) {
+                pendingStep.observedNode = line.node();
+                pendingStep.dueMs = elapsedMs() + trigger.delayMs();
             }
             return;
         }
-        if (!line.what().equals("standing")
+        if (!line.event().equals("standing")
                 || line.node() < 0
-                || !when.node().equals("any")
-                        && !when.node().equals(line.tree().get("node").asText())
-                || when.of() != null && !when.of().equals(line.tree().get("of").asText())
-                || when.is() != null && !when.is().equals(line.tree().get("is").asText())) {
+                || !trigger.observer().equals("any")
+                        && !trigger.observer().equals(line.tree().get("node").asText())
+                || trigger.subject() != null
+                        && !trigger.subject().equals(line.tree().get("of").asText())
+                || trigger.state() != null
+                        && !trigger.state().equals(line.tree().get("is").asText())) {
             return;
         }
-        if (++each.seen >= when.times()) {
-            each.who = line.node();
-            each.dueMs = sinceMs() + when.afterMs();
+        if (++pendingStep.observations >= trigger.count()) {
+            pendingStep.observedNode = line.node();
+            pendingStep.dueMs = elapsedMs() + trigger.delayMs();
         }
     }
 
     // ---- Steps ----
 
-    private void take(Step step) throws IOException, InterruptedException {
-        steps.add(new Step(
+    private void execute(Step step) throws IOException, InterruptedException {
+        executedSteps.add(new Step(
                 step.name(),
-                new ClusterPlan.When(sinceMs(), null, null, null, null, 1, null, 0),
-                step.what(),
+                new ClusterPlan.Trigger(elapsedMs(), null, null, null, null, 1, null, 0),
+                step.action(),
                 step.nodes(),
                 step.others(),
-                step.lastsMs(),
-                step.how()));
-        progress.accept(step.what() + " "
+                step.durationMs(),
+                step.parameters()));
+        progress.accept(step.action() + " "
                 + step.nodes().stream().map(node -> "n" + node).toList()
                 + (step.others().isEmpty()
                         ? ""
                         : " and "
                                 + step.others().stream().map(node -> "n" + node).toList()));
-        switch (step.what()) {
+        switch (step.action()) {
             case "kill" -> {
-                excuse(step, 0);
-                over.addAll(step.nodes());
+                tolerateOutage(step, 0);
+                endedNodes.addAll(step.nodes());
                 for (int node : step.nodes()) {
                     nodes.get(node).handle().destroyForcibly();
                 }
                 for (int node : step.nodes()) {
                     nodes.get(node).awaitEnd(10);
                 }
-                done(step, "killed");
+                recordStep(step, "killed");
             }
             case "terminate" -> {
-                done(step, "asked to end");
-                over.addAll(step.nodes());
+                recordStep(step, "asked to end");
+                endedNodes.addAll(step.nodes());
                 step.nodes().forEach(node -> nodes.get(node).terminate());
             }
             case "start" -> {
-                done(step, "started");
+                recordStep(step, "started");
                 for (int i = 0; i < step.nodes().size(); i++) {
                     int node = step.nodes().get(i);
-                    if (plan.peers() != null && step.how().has("as")) {
-                        named(node, step.how().get("as").get(i).asText());
+                    if (plan.peers() != null && step.parameters().has("as")) {
+                        setPeerName(node, step.parameters().get("as").get(i).asText());
                     }
-                    nodes.get(node).launch(machine(step.how()));
-                    over.remove(node);
+                    nodes.get(node).launch(machineOptions(step.parameters()));
+                    endedNodes.remove(node);
                 }
             }
             case "stop" -> {
-                excuse(step, step.lastsMs() > 0 ? step.lastsMs() : plan.lastsMs());
+                tolerateOutage(step, step.durationMs() > 0 ? step.durationMs() : plan.durationMs());
                 for (int node : step.nodes()) {
                     nodes.get(node).stop(true);
                 }
-                done(step, "stopped");
-                later(step, "goes on", () -> each(step, node -> nodes.get(node).stop(false)));
+                recordStep(step, "stopped");
+                scheduleEnd(
+                        step,
+                        "goes on",
+                        () -> forEachNode(step, node -> nodes.get(node).stop(false)));
             }
             case "slow" -> {
-                excuse(step, step.lastsMs() > 0 ? step.lastsMs() : plan.lastsMs());
-                done(step, "slowed");
+                tolerateOutage(step, step.durationMs() > 0 ? step.durationMs() : plan.durationMs());
+                recordStep(step, "slowed");
                 slowed.addAll(step.nodes());
-                Thread slowing =
-                        new Thread(() -> slow(step, step.how().path("share").asDouble(0.05)), "spartrail-slowing");
+                Thread slowing = new Thread(
+                        () -> throttle(step, step.parameters().path("share").asDouble(0.05)), "spartrail-slowing");
                 slowing.setDaemon(true);
                 slowing.start();
-                later(step, "quick again", () -> slowed.removeAll(step.nodes()));
+                scheduleEnd(step, "quick again", () -> slowed.removeAll(step.nodes()));
             }
             case "flood" -> {
-                done(step, "flooded");
+                recordStep(step, "flooded");
                 DatagramFlood flood = new DatagramFlood(
-                        step.how().path("perS").asDouble(2000),
-                        step.how().path("manner").asText("names"),
+                        step.parameters().path("perS").asDouble(2000),
+                        step.parameters().path("manner").asText("names"),
                         step.nodes().stream()
                                 .map(node -> PORT_OF.apply(links.address(node)))
                                 .toList(),
                         "rig",
                         plan.seed());
                 floods.add(flood);
-                later(step, "flood ends", flood::close);
+                scheduleEnd(step, "flood ends", flood::close);
             }
-            case "propose" -> orders.propose(
+            case "propose" -> operatorCommands.propose(
                     step.name(),
                     step.nodes().isEmpty() ? 0 : step.nodes().get(0),
-                    step.how().get("settings"));
-            case "abort" -> orders.abort(
+                    step.parameters().get("settings"));
+            case "abort" -> operatorCommands.abort(
                     step.name(),
                     step.nodes().isEmpty() ? 0 : step.nodes().get(0),
-                    step.how().path("number").asLong());
-            case "push" -> push(step);
-            case "abandon" -> done(step, "abandoned");
+                    step.parameters().path("number").asLong());
+            case "push" -> schedulePush(step);
+            case "abandon" -> recordStep(step, "abandoned");
             case "harm" -> {
                 for (int node : step.nodes()) {
-                    DiskFault.to(folder, node, step.how().path("harm").asText());
+                    DiskFault.apply(folder, node, step.parameters().path("harm").asText());
                 }
-                done(step, "harmed");
+                recordStep(step, "harmed");
             }
-            case "crash" -> orders.arm(
+            case "crash" -> operatorCommands.armCrashPoint(
                     step.name(),
                     step.nodes().isEmpty() ? leader : step.nodes().get(0),
-                    step.how().path("point").asText());
+                    step.parameters().path("point").asText());
             case "heal" -> {
-                links.setAll(node -> true, node -> true, () -> null);
-                done(step, "healed");
+                links.setFaults(node -> true, node -> true, () -> null);
+                recordStep(step, "healed");
             }
-            default -> link(step);
+            default -> executeLinkStep(step);
         }
     }
 
     /** The easy way to another policy: files and SIGHUP, node after node. Who is down is passed over, as a script would. */
-    private void push(Step step) throws IOException {
-        done(step, "pushed");
-        List<Integer> all = step.nodes();
+    private void schedulePush(Step step) throws IOException {
+        recordStep(step, "pushed");
         double atMs = 0;
-        for (int node : all) {
-            dues.add(new Due(
-                    sinceMs() + atMs,
-                    () -> each(
-                            new Step(step.name(), step.when(), "push", List.of(node), List.of(), 0, step.how()),
-                            one -> {
-                                if (nodes.get(one).handle().isAlive()) {
-                                    ConfigPush.write(
-                                            nodes.get(one).config(),
-                                            step.how().get("settings"),
-                                            step.how().path("number").asLong());
-                                    nodes.get(one).hangUp();
+        for (int node : step.nodes()) {
+            scheduledActions.add(new ScheduledAction(
+                    elapsedMs() + atMs,
+                    () -> forEachNode(
+                            new Step(
+                                    step.name(),
+                                    step.trigger(),
+                                    "push",
+                                    List.of(node),
+                                    List.of(),
+                                    0,
+                                    step.parameters()),
+                            target -> {
+                                if (nodes.get(target).handle().isAlive()) {
+                                    ConfigPush.writeConfig(
+                                            nodes.get(target).config(),
+                                            step.parameters().get("settings"),
+                                            step.parameters().path("number").asLong());
+                                    nodes.get(target).hangUp();
                                 }
                             })));
-            atMs += step.how().path("gapMs").asDouble(0);
+            atMs += step.parameters().path("gapMs").asDouble(0);
         }
     }
 
@@ -553,21 +581,21 @@
             address -> Integer.parseInt(address.substring(address.indexOf(':') + 1));
 
     /** What this node does not answer meanwhile is the rig's doing. */
-    private void excuse(Step step, double lastsMs) {
+    private void tolerateOutage(Step step, double durationMs) {
         double nowMs = fleet.loop().nowMs();
         step.nodes()
-                .forEach(node ->
-                        checker.excuse(targets.get(node).toString(), nowMs - LOOK_MS, nowMs + lastsMs + EXCUSED_MS));
+                .forEach(node -> checker.excuse(
+                        targets.get(node).toString(), nowMs - POLL_INTERVAL_MS, nowMs + durationMs + TOLERANCE_MS));
     }
 
-    private interface Deed {
-        void to(int node) throws IOException, InterruptedException;
+    private interface NodeAction {
+        void apply(int node) throws IOException, InterruptedException;
     }
 
-    private static void each(Step step, Deed deed) {
+    private static void forEachNode(Step step, NodeAction action) {
         for (int node : step.nodes()) {
             try {
-                deed.to(node);
+                action.apply(node);
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
             } catch (InterruptedException e) {
@@ -577,7 +605,7 @@
     }
 
     /** A node gets so small a share of a core: it runs for a part of each tenth of a second and stands still for the rest. */
-    private void slow(Step step, double share) {
+    private void throttle(Step step, double share) {
         try {
             while (step.nodes().stream().anyMatch(slowed::contains)) {
                 for (int node : step.nodes()) {
@@ -599,44 +627,44 @@
         }
     }
 
-    private void link(Step step) {
-        boolean both = step.what().equals("cut") || step.what().equals("link");
-        if (!both && !step.what().equals("one-way") && !step.what().equals("link-one-way")) {
-            throw new InvalidInputException("no step is named '" + step.what() + "'");
-        }
-        JsonNode how = step.how();
-        double untilMs = links.nowMs() + how.path("heldMs").asDouble(0);
-        java.util.function.Supplier<DatagramLinks.Trouble> trouble = () -> {
-            DatagramLinks.Trouble made = new DatagramLinks.Trouble();
-            made.cut = step.what().equals("cut") || step.what().equals("one-way");
-            made.loss = how.path("loss").asDouble(0);
-            made.delayMs = how.path("delayMs").asDouble(0);
-            made.jitterMs = how.path("jitterMs").asDouble(0);
-            made.twice = how.path("twice").asDouble(0);
-            made.flipped = how.path("flipped").asDouble(0);
-            made.mostBytes = how.path("mostBytes").asInt(Integer.MAX_VALUE);
-            made.bytesPerS = how.path("bytesPerS").asDouble(0);
-            made.kind = how.path("kind").asText(null);
-            made.heldUntilMs = how.has("heldMs") ? untilMs : 0;
-            return made;
+    private void executeLinkStep(Step step) {
+        boolean bothWays = step.action().equals("cut") || step.action().equals("link");
+        if (!bothWays && !step.action().equals("one-way") && !step.action().equals("link-one-way")) {
+            throw new InvalidInputException("no step is named '" + step.action() + "'");
+        }
+        JsonNode parameters = step.parameters();
+        double untilMs = links.nowMs() + parameters.path("heldMs").asDouble(0);
+        java.util.function.Supplier<DatagramLinks.Fault> faults = () -> {
+            DatagramLinks.Fault fault = new DatagramLinks.Fault();
+            fault.cut = step.action().equals("cut") || step.action().equals("one-way");
+            fault.lossProbability = parameters.path("loss").asDouble(0);
+            fault.delayMs = parameters.path("delayMs").asDouble(0);
+            fault.jitterMs = parameters.path("jitterMs").asDouble(0);
+            fault.duplicateProbability = parameters.path("twice").asDouble(0);
+            fault.bitFlipProbability = parameters.path("flipped").asDouble(0);
+            fault.maxBytes = parameters.path("mostBytes").asInt(Integer.MAX_VALUE);
+            fault.bytesPerSecond = parameters.path("bytesPerS").asDouble(0);
+            fault.messageKind = parameters.path("kind").asText(null);
+            fault.heldUntilMs = parameters.has("heldMs") ? untilMs : 0;
+            return fault;
         };
-        connect(step, both, trouble);
-        done(step, step.what());
-        later(step, step.what() + " ends", () -> connect(step, both, () -> null));
+        setLinkFaults(step, bothWays, faults);
+        recordStep(step, step.action());
+        scheduleEnd(step, step.action() + " ends", () -> setLinkFaults(step, bothWays, () -> null));
     }
 
-    private void connect(Step step, boolean both, java.util.function.Supplier<DatagramLinks.Trouble> trouble) {
-        java.util.function.Predicate<Integer> far = node -> step.others().isEmpty()
+    private void setLinkFaults(Step step, boolean bothWays, java.util.function.Supplier<DatagramLinks.Fault> faults) {
+        java.util.function.Predicate<Integer> isFarEnd = node -> step.others().isEmpty()
                 ? !step.nodes().contains(node)
                 : step.others().contains(node);
-        links.setAll(step.nodes()::contains, far, trouble);
-        if (both) {
-            links.setAll(far, step.nodes()::contains, trouble);
+        links.setFaults(step.nodes()::contains, isFarEnd, faults);
+        if (bothWays) {
+            links.setFaults(isFarEnd, step.nodes()::contains, faults);
         }
     }
 
     /** The process on this machine bears another name from its next start on. */
-    private void named(int node, String name) throws IOException {
+    private void setPeerName(int node, String name) throws IOException {
         Path file = folder.resolve("n" + node + ".peers.json");
         Files.writeString(
                 file,
@@ -646,52 +674,52 @@
     }
 
     /** How far the machine's clock is from the right time, how fast the node's own one runs, and what room its disk has. */
-    private static List<String> machine(JsonNode how) {
+    private static List<String> machineOptions(JsonNode parameters) {
         List<String> options = new ArrayList<>(List.of("-D" + CrashPoint.ENABLING_PROPERTY + "=true"));
-        if (how.has("clock")) {
+        if (parameters.has("clock")) {
             options.add("-Dspartrail.clock.aheadMs="
-                    + how.get("clock").path("aheadMs").asLong(0));
-            options.add(
-                    "-Dspartrail.clock.pace=" + how.get("clock").path("pace").asDouble(1));
+                    + parameters.get("clock").path("aheadMs").asLong(0));
+            options.add("-Dspartrail.clock.pace="
+                    + parameters.get("clock").path("pace").asDouble(1));
         }
-        if (how.has("point")) {
-            options.add("-Dspartrail.crash.at=" + how.get("point").asText());
+        if (parameters.has("point")) {
+            options.add("-Dspartrail.crash.at=" + parameters.get("point").asText());
         }
-        if (how.has("disk")) {
+        if (parameters.has("disk")) {
             options.add("-Dspartrail.disk.mostBytes="
-                    + how.get("disk").path("mostBytes").asLong());
+                    + parameters.get("disk").path("mostBytes").asLong());
         }
         return options;
     }
 
-    private void done(Step step, String what) {
+    private void recordStep(Step step, String event) {
         ObjectNode tree = Document.JSON.createObjectNode().put("step", step.name());
         var names = tree.putArray("nodes");
         step.nodes().forEach(node -> names.add("n" + node));
-        if (step.how().has("number")) {
-            tree.set("number", step.how().get("number"));
+        if (step.parameters().has("number")) {
+            tree.set("number", step.parameters().get("number"));
         }
-        if (step.how().has("as")) {
-            tree.set("as", step.how().get("as"));
+        if (step.parameters().has("as")) {
+            tree.set("as", step.parameters().get("as"));
         }
         var others = tree.putArray("others");
         step.others().forEach(node -> others.add("n" + node));
-        history.done(what, tree);
+        history.recordHarnessEvent(event, tree);
     }
 
-    private void later(Step step, String what, Runnable deed) {
-        if (step.lastsMs() > 0) {
-            dues.add(new Due(sinceMs() + step.lastsMs(), () -> {
-                deed.run();
-                done(step, what);
-                progress.accept(what + " "
+    private void scheduleEnd(Step step, String event, Runnable action) {
+        if (step.durationMs() > 0) {
+            scheduledActions.add(new ScheduledAction(elapsedMs() + step.durationMs(), () -> {
+                action.run();
+                recordStep(step, event);
+                progress.accept(event + " "
                         + step.nodes().stream().map(node -> "n" + node).toList());
             }));
         }
     }
 
     /** What a node has logged so far. */
-    public String log(int node) throws IOException {
+    public String readLog(int node) throws IOException {
         return Files.readString(folder.resolve("n" + node + ".log"));
     }
 
@@ -699,8 +727,8 @@
     public void close() {
         slowed.clear();
         floods.forEach(DatagramFlood::close);
-        if (orders != null) {
-            orders.close();
+        if (operatorCommands != null) {
+            operatorCommands.close();
         }
         // Those that stand still cannot end by themselves.
         for (NodeProcess node : nodes) {
--- a/lab/src/main/java/spartrail/lab/cluster/ClusterHistory.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHistory.java
@@ -21,25 +21,25 @@
      * @param node whose, or -1 for the rig's own
      * @param what {@code began}, {@code standing} or {@code view} of a node; of the rig what it did
      */
-    public record Line(long ns, int node, String what, JsonNode tree) {}
+    public record Line(long ns, int node, String event, JsonNode tree) {}
 
     /** A file that grows, and how far it has been read. */
-    private static final class Tail {
+    private static final class FollowedFile {
         final Path file;
         final int node;
-        long at;
-        String half = "";
+        long position;
+        String partialLine = "";
 
-        Tail(Path file, int node) {
+        FollowedFile(Path file, int node) {
             this.file = file;
             this.node = node;
         }
     }
 
     private final List<Line> lines = new ArrayList<>();
-    private final List<Line> own = new ArrayList<>();
-    private final List<Tail> tails = new ArrayList<>();
-    private long unreadable;
+    private final List<Line> newHarnessLines = new ArrayList<>();
+    private final List<FollowedFile> followedFiles = new ArrayList<>();
+    private long unreadableLines;
 
     /** A merged history as it was kept; lines of the rig have {@code node} "rig". */
     public static List<Line> readMerged(Path file) throws IOException {
@@ -58,51 +58,53 @@
 
     /** From now on this file, which a node writes, belongs to the history. */
     public void follow(int node, Path file) {
-        tails.add(new Tail(file, node));
+        followedFiles.add(new FollowedFile(file, node));
     }
 
     /** What the rig did, or saw. */
-    public synchronized void done(String what, JsonNode tree) {
-        Line line = new Line(System.nanoTime(), -1, what, tree);
+    public synchronized void recordHarnessEvent(String event, JsonNode tree) {
+        Line line = new Line(System.nanoTime(), -1, event, tree);
         lines.add(line);
-        own.add(line);
+        newHarnessLines.add(line);
     }
 
     /** Reads what has been written since; the new lines, and then those of the rig itself. */
-    public synchronized List<Line> more() throws IOException {
-        List<Line> fresh = new ArrayList<>();
-        for (Tail tail : tails) {
-            if (!Files.exists(tail.file)) {
+    public synchronized List<Line> readNewLines() throws IOException {
+        List<Line> newLines = new ArrayList<>();
+        for (FollowedFile followed : followedFiles) {
+            if (!Files.exists(followed.file)) {
                 continue;
             }
-            try (FileChannel channel = FileChannel.open(tail.file, StandardOpenOption.READ)) {
-                ByteBuffer bytes = ByteBuffer.allocate((int) Math.min(1 << 20, Math.max(0, channel.size() - tail.at)));
-                int count = bytes.capacity() == 0 ? 0 : channel.read(bytes, tail.at);
+            try (FileChannel channel = FileChannel.open(followed.file, StandardOpenOption.READ)) {
+                ByteBuffer bytes =
+                        ByteBuffer.allocate((int) Math.min(1 << 20, Math.max(0, channel.size() - followed.position)));
+                int count = bytes.capacity() == 0 ? 0 : channel.read(bytes, followed.position);
                 if (count <= 0) {
                     continue;
                 }
-                tail.at += count;
-                String text = tail.half + new String(bytes.array(), 0, count, StandardCharsets.UTF_8);
+                followed.position += count;
+                String text = followed.partialLine + new String(bytes.array(), 0, count, StandardCharsets.UTF_8);
                 int end = text.lastIndexOf('\n') + 1;
-                tail.half = text.substring(end);
+                followed.partialLine = text.substring(end);
                 for (String line : text.substring(0, end).split("\n")) {
-                    read(tail.node, line, fresh);
+                    parseLine(followed.node, line, newLines);
                 }
             }
         }
-        lines.addAll(fresh);
-        fresh.addAll(own);
-        own.clear();
-        return fresh;
+        lines.addAll(newLines);
+        newLines.addAll(newHarnessLines);
+        newHarnessLines.clear();
+        return newLines;
     }
 
     /** A line torn by a kill and glued to the next life's first one is counted, not guessed at. */
-    private void read(int node, String line, List<Line> fresh) {
+    private void parseLine(int node, String line, List<Line> newLines) {
         try {
             JsonNode tree = Document.JSON.readTree(line);
-            fresh.add(new Line(tree.get("ns").asLong(), node, tree.get("what").asText(), tree));
+            newLines.add(
+                    new Line(tree.get("ns").asLong(), node, tree.get("what").asText(), tree));
         } catch (IOException | RuntimeException e) {
-            unreadable++;
+            unreadableLines++;
         }
     }
 
@@ -121,7 +123,7 @@
                     ? Document.JSON
                             .createObjectNode()
                             .put("ns", line.ns())
-                            .put("what", line.what())
+                            .put("what", line.event())
                             .put("node", "rig")
                             .setAll((com.fasterxml.jackson.databind.node.ObjectNode) line.tree())
                     : line.tree();
@@ -130,7 +132,7 @@
         return text.toString();
     }
 
-    public long unreadable() {
-        return unreadable;
+    public long unreadableLines() {
+        return unreadableLines;
     }
 }
--- a/lab/src/main/java/spartrail/lab/cluster/ClusterPlan.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterPlan.java
@@ -23,10 +23,10 @@
         long seed,
         int nodes,
         int seeds,
-        double lastsMs,
-        String ends,
+        double durationMs,
+        String endStep,
         JsonNode peers,
-        JsonNode own,
+        JsonNode nodeOverrides,
         FleetPlan fleet,
         NodeSettings settings,
         LoadPlan load,
@@ -36,32 +36,39 @@
      * Seen is what a node says: that it holds another one (or anybody) for this, by its own history; or a line of it that has
      * all these values; with a step, after that only.
      */
-    public record When(
-            double atMs, String node, String of, String is, JsonNode line, int times, String step, double afterMs) {
-        boolean seen() {
-            return node != null;
+    public record Trigger(
+            double atMs,
+            String observer,
+            String subject,
+            String state,
+            JsonNode lineValues,
+            int count,
+            String afterStep,
+            double delayMs) {
+        boolean waitsForObservation() {
+            return observer != null;
         }
     }
 
     /** Who wrote what the step waited for; and all whose processes do not run. */
-    public static final int SEEN = -1;
+    public static final int OBSERVED = -1;
 
     public static final int DOWN = -2;
     /** Who leads those that decide about policy, as far as the rig was told; and one of the others of them. */
     public static final int LEADER = -3;
 
     public static final int FOLLOWER = -4;
-    private static final List<String> WORDS = List.of("seen", "down", "leader", "follower");
+    private static final List<String> NODE_WORDS = List.of("seen", "down", "leader", "follower");
 
     /** What is done, to whom; {@code others} are the far ends of links, all other nodes where empty. */
     public record Step(
             String name,
-            When when,
-            String what,
+            Trigger trigger,
+            String action,
             List<Integer> nodes,
             List<Integer> others,
-            double lastsMs,
-            JsonNode how) {}
+            double durationMs,
+            JsonNode parameters) {}
 
     public static ClusterPlan read(Path file) {
         return of(Document.read(file, "nodes"));
@@ -81,14 +88,15 @@
                         place + "/when/step", "found '" + after + "', the name of an earlier step is expected");
             }
             if (step.has("as")
-                    && numbers(document, step.get("as"), count, place + "/as").size()
+                    && parseNodes(document, step.get("as"), count, place + "/as")
+                                    .size()
                             != step.path("nodes").size()) {
                 throw document.invalid(
                         place + "/as", "found " + step.get("as").size() + " names, one for each of /nodes is expected");
             }
             steps.add(new Step(
                     step.path("name").asText("step-" + steps.size()),
-                    new When(
+                    new Trigger(
                             when.path("atMs").asDouble(-1),
                             seen.path("node").asText(null),
                             seen.path("of").asText(null),
@@ -98,8 +106,8 @@
                             after,
                             when.path("afterMs").asDouble(0)),
                     step.get("do").asText(),
-                    numbers(document, step.path("nodes"), count, place + "/nodes"),
-                    numbers(document, step.path("others"), count, place + "/others"),
+                    parseNodes(document, step.path("nodes"), count, place + "/nodes"),
+                    parseNodes(document, step.path("others"), count, place + "/others"),
                     step.path("lastsMs").asDouble(0),
                     step));
         }
@@ -111,62 +119,64 @@
                 tree.path("ends").asText(null),
                 tree.path("peers").isObject() ? tree.get("peers") : null,
                 tree.path("own"),
-                FleetPlan.of(part(document, "fleet")),
+                FleetPlan.of(subdocument(document, "fleet")),
                 new NodeSettings(tree.get("settings")),
-                tree.has("load") ? LoadPlan.of(part(document, "load")) : null,
+                tree.has("load") ? LoadPlan.of(subdocument(document, "load")) : null,
                 List.copyOf(steps));
     }
 
-    private static Document part(Document document, String name) {
+    private static Document subdocument(Document document, String name) {
         return Document.of(document.name + " /" + name, document.tree.get(name), name);
     }
 
-    private static List<Integer> numbers(Document document, JsonNode names, int count, String place) {
-        List<Integer> numbers = new ArrayList<>();
+    private static List<Integer> parseNodes(Document document, JsonNode names, int count, String place) {
+        List<Integer> nodeNumbers = new ArrayList<>();
         for (JsonNode name : names) {
-            if (WORDS.contains(name.asText())) {
-                numbers.add(-1 - WORDS.indexOf(name.asText()));
+            if (NODE_WORDS.contains(name.asText())) {
+                nodeNumbers.add(-1 - NODE_WORDS.indexOf(name.asText()));
                 continue;
             }
             if (!name.asText().matches("n[0-9]{1,4}")
                     || Integer.parseInt(name.asText().substring(1)) >= count) {
                 throw document.invalid(
-                        place + "/" + numbers.size(),
-                        "found '" + name.asText() + "', one of n0 to n" + (count - 1) + ", or one of " + WORDS
+                        place + "/" + nodeNumbers.size(),
+                        "found '" + name.asText() + "', one of n0 to n" + (count - 1) + ", or one of " + NODE_WORDS
                                 + " is expected");
             }
-            numbers.add(Integer.parseInt(name.asText().substring(1)));
+            nodeNumbers.add(Integer.parseInt(name.asText().substring(1)));
         }
-        return List.copyOf(numbers);
+        return List.copyOf(nodeNumbers);
     }
 
     /** The same without talk among nodes, for comparison. */
-    public ClusterPlan silent() {
-        return new ClusterPlan(seed, nodes, seeds, lastsMs, ends, null, own, fleet, settings, load, steps);
+    public ClusterPlan withoutPeers() {
+        return new ClusterPlan(
+                seed, nodes, seeds, durationMs, endStep, null, nodeOverrides, fleet, settings, load, steps);
     }
 
     /** The same with other steps, for so long. */
-    public ClusterPlan with(List<Step> others, double lasts) {
-        return new ClusterPlan(seed, nodes, seeds, lasts, null, peers, own, fleet, settings, load, others);
+    public ClusterPlan withSteps(List<Step> newSteps, double newDurationMs) {
+        return new ClusterPlan(
+                seed, nodes, seeds, newDurationMs, null, peers, nodeOverrides, fleet, settings, load, newSteps);
     }
 
     /** Whether nodes go by versions of policy, and who decides about them. */
-    boolean policy() {
+    boolean hasPolicy() {
         return peers != null && peers.has("policy");
     }
 
-    List<String> deciders() {
+    List<String> voters() {
         List<String> names = new ArrayList<>();
         peers.path("policy").path("deciders").forEach(name -> names.add(name.asText()));
         return names;
     }
 
     /** The peers' file of one node. */
-    ObjectNode peersFile(int node, String listen, String advertise, List<String> seedAddresses) {
+    ObjectNode buildPeersFile(int node, String listen, String advertise, List<String> seedAddresses) {
         ObjectNode file = Document.JSON.createObjectNode();
         file.put("fleet", "rig").put("name", "n" + node).put("listen", listen).put("advertise", advertise);
-        var list = file.putArray("seeds");
-        seedAddresses.forEach(list::add);
+        var seedList = file.putArray("seeds");
+        seedAddresses.forEach(seedList::add);
         peers.fields().forEachRemaining(field -> file.set(field.getKey(), field.getValue()));
         return file;
     }
--- a/lab/src/main/java/spartrail/lab/cluster/ConfigPush.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ConfigPush.java
@@ -13,10 +13,10 @@
     private ConfigPush() {}
 
     /** Times of op types, in a node's configuration. */
-    static void change(ObjectNode config, JsonNode settings) {
-        for (JsonNode line : config.get("settings").get("classes")) {
-            JsonNode changed = settings.path("opTypes").path(line.get("name").asText());
-            changed.fields().forEachRemaining(field -> ((ObjectNode) line)
+    static void applySettings(ObjectNode config, JsonNode settings) {
+        for (JsonNode opType : config.get("settings").get("classes")) {
+            JsonNode budgets = settings.path("opTypes").path(opType.get("name").asText());
+            budgets.fields().forEachRemaining(field -> ((ObjectNode) opType)
                     .put(
                             field.getKey().equals("budgetMs") ? "aim" : "deadline",
                             field.getValue().asDouble() / 1000));
@@ -24,12 +24,12 @@
     }
 
     /** Budgets of op types are all that it changes; the version is what the record names. */
-    static void write(Path config, JsonNode settings, long version) throws IOException {
+    static void writeConfig(Path config, JsonNode settings, long version) throws IOException {
         ObjectNode tree = (ObjectNode) Document.JSON.readTree(Files.readString(config));
         tree.put("version", Long.toString(version));
-        change(tree, settings);
-        Path fresh = config.resolveSibling(config.getFileName() + ".new");
-        Files.writeString(fresh, tree.toPrettyString());
-        Files.move(fresh, config, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        applySettings(tree, settings);
+        Path newFile = config.resolveSibling(config.getFileName() + ".new");
+        Files.writeString(newFile, tree.toPrettyString());
+        Files.move(newFile, config, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 }
--- a/lab/src/main/java/spartrail/lab/cluster/DatagramFlood.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DatagramFlood.java
@@ -18,31 +18,32 @@
 /** A stranger that sends nodes what it likes: bytes that are no frame, frames of another fleet, invented names, old words. */
 final class DatagramFlood implements AutoCloseable {
     private final Thread thread;
-    private volatile boolean ended;
+    private volatile boolean closed;
 
     /** So many datagrams a second, to these ports of the loopback in turn. */
-    DatagramFlood(double perS, String manner, List<Integer> ports, String fleet, long seed) throws IOException {
+    DatagramFlood(double datagramsPerSecond, String contentKind, List<Integer> ports, String fleet, long seed)
+            throws IOException {
         DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-        RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
+        RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         thread = new Thread(
                 () -> {
                     try (socket) {
                         long startNs = System.nanoTime();
-                        for (long sent = 0; !ended; sent++) {
-                            byte[] bytes = bytes(
-                                    manner.equals("all")
+                        for (long sentDatagrams = 0; !closed; sentDatagrams++) {
+                            byte[] bytes = buildDatagram(
+                                    contentKind.equals("all")
                                             ? List.of("garbage", "fleet", "names", "words", "large")
-                                                    .get((int) (sent % 5))
-                                            : manner,
+                                                    .get((int) (sentDatagrams % 5))
+                                            : contentKind,
                                     fleet,
-                                    sent,
+                                    sentDatagrams,
                                     socket.getLocalPort(),
-                                    chance);
+                                    random);
                             socket.send(new DatagramPacket(
                                     bytes, bytes.length, InetAddress.getLoopbackAddress(), ports.get((int)
-                                            (sent % ports.size()))));
-                            long dueNs = startNs + (long) (1e9 * (sent + 1) / perS);
-                            while (System.nanoTime() < dueNs && !ended) {
+                                            (sentDatagrams % ports.size()))));
+                            long dueNs = startNs + (long) (1e9 * (sentDatagrams + 1) / datagramsPerSecond);
+                            while (System.nanoTime() < dueNs && !closed) {
                                 LockSupport.parkNanos(Math.max(1, dueNs - System.nanoTime()));
                             }
                         }
@@ -55,18 +56,19 @@
         thread.start();
     }
 
-    private static byte[] bytes(String manner, String fleet, long number, int port, RandomGenerator chance) {
-        switch (manner) {
+    private static byte[] buildDatagram(
+            String contentKind, String fleet, long number, int port, RandomGenerator random) {
+        switch (contentKind) {
             case "garbage" -> {
-                byte[] bytes = new byte[1 + chance.nextInt(1400)];
-                chance.nextBytes(bytes);
+                byte[] bytes = new byte[1 + random.nextInt(1400)];
+                random.nextBytes(bytes);
                 return bytes;
             }
             case "large" -> {
                 return new byte[20_000];
             }
             default -> {
-                PeerDescriptor from = new PeerDescriptor(
+                PeerDescriptor sender = new PeerDescriptor(
                         "invented-" + number,
                         "127.0.0.1:" + port,
                         "",
@@ -77,7 +79,7 @@
                         0);
                 // Names that exist, in lives that are over or never were: whoever believed them would hold live nodes
                 // for gone.
-                List<PeerUpdate> words = manner.equals("words")
+                List<PeerUpdate> updates = contentKind.equals("words")
                         ? List.of(new PeerUpdate(
                                 new PeerDescriptor(
                                         "n" + number % 7,
@@ -93,15 +95,15 @@
                                 "invented-1"))
                         : List.of();
                 return PeerMessageCodec.encode(
-                        manner.equals("fleet") ? "another" : fleet,
+                        contentKind.equals("fleet") ? "another" : fleet,
                         new PeerMessage(
-                                PeerMessage.Kind.PING, from, PeerState.ALIVE, 1000, "n0", number, 0, null, words));
+                                PeerMessage.Kind.PING, sender, PeerState.ALIVE, 1000, "n0", number, 0, null, updates));
             }
         }
     }
 
     @Override
     public void close() {
-        ended = true;
+        closed = true;
     }
 }
--- a/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
@@ -28,56 +28,56 @@
  */
 public final class DatagramLinks implements AutoCloseable {
     /** What is wrong with a link; the next one set replaces it. */
-    public static final class Trouble {
+    public static final class Fault {
         boolean cut;
-        double loss;
+        double lossProbability;
         double delayMs;
         double jitterMs;
-        double twice;
-        double flipped;
-        int mostBytes = Integer.MAX_VALUE;
-        double bytesPerS;
+        double duplicateProbability;
+        double bitFlipProbability;
+        int maxBytes = Integer.MAX_VALUE;
+        double bytesPerSecond;
         /** Only messages of this kind; null for all. */
-        String kind;
+        String messageKind;
 
         double heldUntilMs;
-        private double freeMs;
+        private double linkFreeAtMs;
     }
 
-    private static final int LONGEST = 65_536;
+    private static final int MAX_DATAGRAM_BYTES = 65_536;
 
     private final Selector selector;
     private final NodeClock clock = new NodeClock();
-    private final List<DatagramChannel> doors = new ArrayList<>();
+    private final List<DatagramChannel> channels = new ArrayList<>();
     private final List<Integer> ports = new ArrayList<>();
     private final Map<Integer, Integer> nodeOfPort = new HashMap<>();
-    private final Trouble[][] troubles;
-    private final RandomGenerator chance;
+    private final Fault[][] faults;
+    private final RandomGenerator random;
     private final String fleet;
-    private final TimerQueue timetable = new TimerQueue();
+    private final TimerQueue delayedDatagrams = new TimerQueue();
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final ByteBuffer in = ByteBuffer.allocate(LONGEST);
+    private final ByteBuffer receiveBuffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
     private final Thread thread;
-    private final long[] bytes;
-    private final long[] messages;
-    private long dropped;
-    private volatile boolean ended;
+    private final long[] sentBytes;
+    private final long[] sentMessages;
+    private long droppedDatagrams;
+    private volatile boolean closed;
 
     /** So many nodes, each listening on the port given. */
     public DatagramLinks(List<Integer> nodePorts, String fleet, long seed) throws IOException {
         this.selector = Selector.open();
         this.fleet = fleet;
-        this.chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        this.troubles = new Trouble[nodePorts.size()][nodePorts.size()];
-        this.bytes = new long[nodePorts.size()];
-        this.messages = new long[nodePorts.size()];
+        this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
+        this.faults = new Fault[nodePorts.size()][nodePorts.size()];
+        this.sentBytes = new long[nodePorts.size()];
+        this.sentMessages = new long[nodePorts.size()];
         for (int node = 0; node < nodePorts.size(); node++) {
-            DatagramChannel door = DatagramChannel.open();
-            door.configureBlocking(false);
-            door.setOption(java.net.StandardSocketOptions.SO_RCVBUF, 1 << 20);
-            door.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
-            door.register(selector, SelectionKey.OP_READ, node);
-            doors.add(door);
+            DatagramChannel channel = DatagramChannel.open();
+            channel.configureBlocking(false);
+            channel.setOption(java.net.StandardSocketOptions.SO_RCVBUF, 1 << 20);
+            channel.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+            channel.register(selector, SelectionKey.OP_READ, node);
+            channels.add(channel);
             ports.add(nodePorts.get(node));
             nodeOfPort.put(nodePorts.get(node), node);
         }
@@ -88,58 +88,58 @@
 
     /** Where others reach this node. */
     public String address(int node) {
-        return "127.0.0.1:" + doors.get(node).socket().getLocalPort();
+        return "127.0.0.1:" + channels.get(node).socket().getLocalPort();
     }
 
     /** From now on this is wrong with the link from one node to the other; null for nothing. */
-    public void set(int from, int to, Trouble trouble) {
-        tasks.add(() -> troubles[from][to] = trouble);
+    public void setFault(int from, int to, Fault fault) {
+        tasks.add(() -> faults[from][to] = fault);
         selector.wakeup();
     }
 
-    public void setAll(Predicate<Integer> from, Predicate<Integer> to, java.util.function.Supplier<Trouble> trouble) {
+    public void setFaults(Predicate<Integer> from, Predicate<Integer> to, java.util.function.Supplier<Fault> faults) {
         for (int i = 0; i < ports.size(); i++) {
             for (int j = 0; j < ports.size(); j++) {
                 if (i != j && from.test(i) && to.test(j)) {
-                    set(i, j, trouble.get());
+                    setFault(i, j, faults.get());
                 }
             }
         }
     }
 
     /** Bytes that a node has sent to others so far, and messages. */
-    public synchronized long bytes(int node) {
-        return bytes[node];
+    public synchronized long sentBytes(int node) {
+        return sentBytes[node];
     }
 
-    public synchronized long messages(int node) {
-        return messages[node];
+    public synchronized long sentMessages(int node) {
+        return sentMessages[node];
     }
 
-    public synchronized long dropped() {
-        return dropped;
+    public synchronized long droppedDatagrams() {
+        return droppedDatagrams;
     }
 
     private void run() {
-        while (!ended) {
+        while (!closed) {
             try {
-                double waitMs = timetable.nextDueMs() - clock.nowMs();
+                double waitMs = delayedDatagrams.nextDueMs() - clock.nowMs();
                 if (waitMs <= 0) {
                     selector.selectNow();
                 } else {
                     selector.select(Math.max(1, (long) Math.min(200, waitMs)));
                 }
-                settle();
+                runTasks();
                 for (SelectionKey key : selector.selectedKeys()) {
                     int to = (Integer) key.attachment();
-                    while (take(to)) {
+                    while (receiveDatagram(to)) {
                         // Until it is empty.
                     }
                 }
                 selector.selectedKeys().clear();
-                timetable.runDue(clock.nowMs());
+                delayedDatagrams.runDue(clock.nowMs());
             } catch (IOException e) {
-                if (!ended) {
+                if (!closed) {
                     System.getLogger("spartrail.lab.nodes")
                             .log(System.Logger.Level.WARNING, "links: " + e.getMessage());
                 }
@@ -147,24 +147,24 @@
         }
     }
 
-    private void settle() {
+    private void runTasks() {
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
             task.run();
         }
     }
 
-    private boolean take(int to) throws IOException {
-        in.clear();
-        InetSocketAddress source = (InetSocketAddress) doors.get(to).receive(in);
+    private boolean receiveDatagram(int to) throws IOException {
+        receiveBuffer.clear();
+        InetSocketAddress source = (InetSocketAddress) channels.get(to).receive(receiveBuffer);
         if (source == null) {
             return false;
         }
         // Applies changed faults first: otherwise a datagram sent after a change would be handled by the fault before
         // it.
-        settle();
-        in.flip();
-        byte[] datagram = new byte[in.remaining()];
-        in.get(datagram);
+        runTasks();
+        receiveBuffer.flip();
+        byte[] datagram = new byte[receiveBuffer.remaining()];
+        receiveBuffer.get(datagram);
         Integer from = nodeOfPort.get(source.getPort());
         if (from == null) {
             // A stranger: a flood, say. It comes from where it comes from.
@@ -172,52 +172,52 @@
             return true;
         }
         synchronized (this) {
-            bytes[from] += datagram.length;
-            messages[from]++;
+            sentBytes[from] += datagram.length;
+            sentMessages[from]++;
         }
-        Trouble trouble = troubles[from][to];
-        if (trouble == null || trouble.kind != null && !trouble.kind.equals(kind(datagram))) {
+        Fault fault = faults[from][to];
+        if (fault == null || fault.messageKind != null && !fault.messageKind.equals(readMessageKind(datagram))) {
             forward(datagram, from, to);
             return true;
         }
-        carry(datagram, from, to, trouble);
+        carryWithFault(datagram, from, to, fault);
         return true;
     }
 
-    private void carry(byte[] datagram, int from, int to, Trouble trouble) {
+    private void carryWithFault(byte[] datagram, int from, int to, Fault fault) {
         double nowMs = clock.nowMs();
-        if (trouble.cut || chance.nextDouble() < trouble.loss) {
+        if (fault.cut || random.nextDouble() < fault.lossProbability) {
             synchronized (this) {
-                dropped++;
+                droppedDatagrams++;
             }
             return;
         }
-        byte[] carried =
-                datagram.length > trouble.mostBytes ? java.util.Arrays.copyOf(datagram, trouble.mostBytes) : datagram;
-        if (chance.nextDouble() < trouble.flipped) {
-            carried = carried.clone();
-            carried[chance.nextInt(carried.length)] ^= (byte) (1 << chance.nextInt(8));
+        byte[] payload =
+                datagram.length > fault.maxBytes ? java.util.Arrays.copyOf(datagram, fault.maxBytes) : datagram;
+        if (random.nextDouble() < fault.bitFlipProbability) {
+            payload = payload.clone();
+            payload[random.nextInt(payload.length)] ^= (byte) (1 << random.nextInt(8));
         }
-        double atMs = nowMs + trouble.delayMs + trouble.jitterMs * chance.nextDouble();
-        if (trouble.bytesPerS > 0) {
-            trouble.freeMs = Math.max(trouble.freeMs, nowMs) + 1000 * carried.length / trouble.bytesPerS;
-            atMs = Math.max(atMs, trouble.freeMs);
+        double atMs = nowMs + fault.delayMs + fault.jitterMs * random.nextDouble();
+        if (fault.bytesPerSecond > 0) {
+            fault.linkFreeAtMs = Math.max(fault.linkFreeAtMs, nowMs) + 1000 * payload.length / fault.bytesPerSecond;
+            atMs = Math.max(atMs, fault.linkFreeAtMs);
         }
-        atMs = Math.max(atMs, trouble.heldUntilMs);
-        byte[] sent = carried;
-        int times = chance.nextDouble() < trouble.twice ? 2 : 1;
-        for (int i = 0; i < times; i++) {
+        atMs = Math.max(atMs, fault.heldUntilMs);
+        byte[] forwarded = payload;
+        int copies = random.nextDouble() < fault.duplicateProbability ? 2 : 1;
+        for (int i = 0; i < copies; i++) {
             if (atMs <= nowMs) {
-                forward(sent, from, to);
+                forward(forwarded, from, to);
             } else {
-                timetable.schedule(atMs, () -> forward(sent, from, to));
+                delayedDatagrams.schedule(atMs, () -> forward(forwarded, from, to));
             }
         }
     }
 
-    private String kind(byte[] datagram) {
+    private String readMessageKind(byte[] datagram) {
         try {
-            DatagramFrame frame = DatagramFrame.decode(datagram, datagram.length, fleet, LONGEST);
+            DatagramFrame frame = DatagramFrame.decode(datagram, datagram.length, fleet, MAX_DATAGRAM_BYTES);
             return planText(PeerMessageCodec.decode(frame).kind());
         } catch (MalformedDatagramException e) {
             return "";
@@ -237,14 +237,14 @@
 
     private void forward(byte[] datagram, int from, int to) {
         try {
-            doors.get(from)
+            channels.get(from)
                     .send(
                             ByteBuffer.wrap(datagram),
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(to)));
         } catch (IOException e) {
             // As on a wire: nobody is told.
             synchronized (this) {
-                dropped++;
+                droppedDatagrams++;
             }
         }
     }
@@ -255,12 +255,12 @@
 
     @Override
     public void close() {
-        ended = true;
+        closed = true;
         selector.wakeup();
         try {
             thread.join(2000);
-            for (DatagramChannel door : doors) {
-                door.close();
+            for (DatagramChannel channel : channels) {
+                channel.close();
             }
             selector.close();
         } catch (InterruptedException e) {
--- a/lab/src/main/java/spartrail/lab/cluster/DiskFault.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DiskFault.java
@@ -13,23 +13,23 @@
 
     private DiskFault() {}
 
-    static void to(Path folder, int node, String harm) throws IOException {
-        Path state = folder.resolve("n" + node + ".state");
-        Path log = state.resolve(LOG);
-        Path kept = state.resolve(LOG + ".kept");
-        switch (harm) {
+    static void apply(Path folder, int node, String faultKind) throws IOException {
+        Path stateFolder = folder.resolve("n" + node + ".state");
+        Path log = stateFolder.resolve(LOG);
+        Path backup = stateFolder.resolve(LOG + ".kept");
+        switch (faultKind) {
             case "full" -> {}
                 // What a crash in the middle of a write leaves: the beginning of a record that was never synced.
             case "torn" -> Files.write(log, new byte[] {0, 0, 0, 100, 1, 2, 3, 4, 5, 6, 7}, StandardOpenOption.APPEND);
             case "flipped" -> {
-                Files.copy(log, kept, StandardCopyOption.REPLACE_EXISTING);
+                Files.copy(log, backup, StandardCopyOption.REPLACE_EXISTING);
                 byte[] bytes = Files.readAllBytes(log);
                 bytes[bytes.length / 2] ^= 0x10;
                 Files.write(log, bytes);
             }
-            case "lost" -> Files.move(log, kept, StandardCopyOption.REPLACE_EXISTING);
+            case "lost" -> Files.move(log, backup, StandardCopyOption.REPLACE_EXISTING);
             case "swapped" -> {
-                Files.copy(log, kept, StandardCopyOption.REPLACE_EXISTING);
+                Files.copy(log, backup, StandardCopyOption.REPLACE_EXISTING);
                 Files.copy(
                         folder.resolve("n" + (node + 1) % 3 + ".state").resolve(LOG),
                         log,
@@ -37,14 +37,14 @@
             }
             case "mended" -> {
                 // Only where the node refused to use what it found, so that nothing was added meanwhile.
-                if (Files.exists(kept)) {
-                    Files.move(kept, log, StandardCopyOption.REPLACE_EXISTING);
-                    try (FileChannel synced = FileChannel.open(log, StandardOpenOption.WRITE)) {
-                        synced.force(true);
+                if (Files.exists(backup)) {
+                    Files.move(backup, log, StandardCopyOption.REPLACE_EXISTING);
+                    try (FileChannel channel = FileChannel.open(log, StandardOpenOption.WRITE)) {
+                        channel.force(true);
                     }
                 }
             }
-            default -> throw new IllegalArgumentException(harm);
+            default -> throw new IllegalArgumentException(faultKind);
         }
     }
 }
--- a/lab/src/main/java/spartrail/lab/cluster/HistoryChecker.java
+++ b/lab/src/main/java/spartrail/lab/cluster/HistoryChecker.java
@@ -18,7 +18,7 @@
  */
 public final class HistoryChecker {
     /** What the rig does that is no trouble. */
-    private static final Set<String> HARMLESS = Set.of(
+    private static final Set<String> NON_FAULT_EVENTS = Set.of(
             "started",
             "begins",
             "flooded",
@@ -33,16 +33,16 @@
 
     private final PeersRules rules;
     private final List<String> names = new ArrayList<>();
-    private final Map<Integer, Boolean> asked = new HashMap<>();
+    private final Map<Integer, Boolean> terminating = new HashMap<>();
     /** Which name each machine's process bears, and which machine's process has a name. */
-    private final Map<Integer, Integer> bears = new HashMap<>();
+    private final Map<Integer, Integer> nameByMachine = new HashMap<>();
 
-    private final Map<Integer, Integer> has = new HashMap<>();
-    private final Map<Integer, Incarnation> lives = new HashMap<>();
+    private final Map<Integer, Integer> machineByName = new HashMap<>();
+    private final Map<Integer, Incarnation> incarnations = new HashMap<>();
     /** What the process on each machine holds, whether it takes part or not. */
-    private final Map<Integer, Map<Integer, PeersRules.KnownPeer>> holds = new HashMap<>();
+    private final Map<Integer, Map<Integer, PeersRules.KnownPeer>> viewsByMachine = new HashMap<>();
 
-    private double lastMs;
+    private double currentMs;
 
     public HistoryChecker(int size) {
         rules = new PeersRules(size);
@@ -55,105 +55,109 @@
     public PeersRules check(List<Line> lines, boolean settled) {
         long startNs = lines.isEmpty() ? 0 : lines.get(0).ns();
         for (Line line : lines) {
-            lastMs = (line.ns() - startNs) / 1e6;
+            currentMs = (line.ns() - startNs) / 1e6;
             if (line.node() < 0) {
-                rig(line);
+                readHarnessLine(line);
             } else {
-                node(line);
+                readNodeLine(line);
             }
         }
         if (settled) {
-            rules.checkAgreement(lastMs);
+            rules.checkAgreement(currentMs);
         }
         return rules;
     }
 
-    private void rig(Line line) {
+    private void readHarnessLine(Line line) {
         JsonNode machines = line.tree().path("nodes");
         for (int i = 0; i < machines.size(); i++) {
             int machine = names.indexOf(machines.get(i).asText());
-            if (line.what().equals("started")) {
-                JsonNode as = line.tree().path("as");
-                bears.put(
-                        machine, as.has(i) ? names.indexOf(as.get(i).asText()) : bears.getOrDefault(machine, machine));
+            if (line.event().equals("started")) {
+                JsonNode newNames = line.tree().path("as");
+                nameByMachine.put(
+                        machine,
+                        newNames.has(i)
+                                ? names.indexOf(newNames.get(i).asText())
+                                : nameByMachine.getOrDefault(machine, machine));
             }
-            int node = bears.getOrDefault(machine, machine);
-            if (!line.what().equals("started") && has.getOrDefault(node, machine) != machine) {
+            int node = nameByMachine.getOrDefault(machine, machine);
+            if (!line.event().equals("started") && machineByName.getOrDefault(node, machine) != machine) {
                 continue;
             }
-            switch (line.what()) {
+            switch (line.event()) {
                 case "started" -> {
-                    has.put(node, machine);
-                    holds.remove(machine);
-                    lives.remove(node);
+                    machineByName.put(node, machine);
+                    viewsByMachine.remove(machine);
+                    incarnations.remove(node);
                     rules.onStart(node);
-                    asked.remove(node);
+                    terminating.remove(node);
                 }
-                case "killed" -> rules.onEnd(node, asked.containsKey(node), lastMs);
+                case "killed" -> rules.onEnd(node, terminating.containsKey(node), currentMs);
                     // It serves on while it drains; others may hold it for left as soon as it says so.
                 case "asked to end" -> {
-                    asked.put(node, true);
-                    rules.onEnd(node, true, lastMs);
+                    terminating.put(node, true);
+                    rules.onEnd(node, true, currentMs);
                 }
                 default -> {}
             }
         }
-        if (!HARMLESS.contains(line.what())) {
-            rules.onFault(lastMs);
+        if (!NON_FAULT_EVENTS.contains(line.event())) {
+            rules.onFault(currentMs);
         }
     }
 
     /** The process on this machine has begun a life. */
-    private void began(int machine, int node, Incarnation life) {
-        if (has.getOrDefault(node, machine) != machine
-                && lives.containsKey(node)
-                && life.compareTo(lives.get(node)) <= 0) {
+    private void startIncarnation(int machine, int node, Incarnation incarnation) {
+        if (machineByName.getOrDefault(node, machine) != machine
+                && incarnations.containsKey(node)
+                && incarnation.compareTo(incarnations.get(node)) <= 0) {
             return;
         }
-        if (has.getOrDefault(node, machine) != machine) {
+        if (machineByName.getOrDefault(node, machine) != machine) {
             // The other process of the name is over, and this one takes part again.
-            rules.onResume(node, holds.getOrDefault(machine, Map.of()));
+            rules.onResume(node, viewsByMachine.getOrDefault(machine, Map.of()));
         }
-        has.put(node, machine);
-        lives.put(node, life);
-        rules.onIncarnation(node, life);
+        machineByName.put(node, machine);
+        incarnations.put(node, incarnation);
+        rules.onIncarnation(node, incarnation);
     }
 
-    private static PeersRules.KnownPeer held(JsonNode tree) {
+    private static PeersRules.KnownPeer parseKnownPeer(JsonNode tree) {
         return new PeersRules.KnownPeer(
                 new Incarnation(tree.get("startMs").asLong(), tree.get("nonce").asInt()),
                 tree.get("turn").asInt(),
                 PeerState.valueOf(tree.get("is").asText()));
     }
 
-    private void node(Line line) {
+    private void readNodeLine(Line line) {
         JsonNode tree = line.tree();
-        int viewer = bears.getOrDefault(line.node(), line.node());
-        if (line.what().equals("standing")) {
+        int viewer = nameByMachine.getOrDefault(line.node(), line.node());
+        if (line.event().equals("standing")) {
             int other = names.indexOf(tree.get("of").asText());
-            Map<Integer, PeersRules.KnownPeer> held = holds.computeIfAbsent(line.node(), machine -> new HashMap<>());
+            Map<Integer, PeersRules.KnownPeer> view =
+                    viewsByMachine.computeIfAbsent(line.node(), machine -> new HashMap<>());
             if (tree.get("is").isNull()) {
-                held.remove(other);
+                view.remove(other);
             } else if (other != viewer) {
-                held.put(other, held(tree));
+                view.put(other, parseKnownPeer(tree));
             }
         }
-        if (line.what().equals("began")) {
-            began(
+        if (line.event().equals("began")) {
+            startIncarnation(
                     line.node(),
                     viewer,
                     new Incarnation(
                             tree.get("startMs").asLong(), tree.get("nonce").asInt()));
         }
-        if (has.getOrDefault(viewer, line.node()) != line.node()) {
+        if (machineByName.getOrDefault(viewer, line.node()) != line.node()) {
             return;
         }
-        switch (line.what()) {
+        switch (line.event()) {
             case "standing" -> {
                 int other = names.indexOf(tree.get("of").asText());
                 if (other < 0) {
                     rules.breach(
-                            lastMs,
+                            currentMs,
                             "3 only known words",
                             tree.get("node").asText() + " holds "
                                     + tree.get("of").asText() + " for "
@@ -162,10 +166,10 @@
                     rules.onForgotten(viewer, other);
                 } else if (other != viewer) {
                     rules.onChange(new PeersRules.Change(
-                            lastMs,
+                            currentMs,
                             viewer,
                             other,
-                            held(tree),
+                            parseKnownPeer(tree),
                             tree.get("by").asText().equals(tree.get("node").asText()),
                             tree.get("doubt").asText()));
                 }
--- a/lab/src/main/java/spartrail/lab/cluster/OperatorCommands.java
+++ b/lab/src/main/java/spartrail/lab/cluster/OperatorCommands.java
@@ -17,42 +17,42 @@
  * were told: {@code proposed} with its number, {@code ended} with what came of it.
  */
 final class OperatorCommands implements AutoCloseable {
-    private static final int LOOK_MS = 100;
+    private static final int POLL_INTERVAL_MS = 100;
 
     private final ClusterHistory history;
     private final List<Integer> ports;
-    private final Function<String, String> where;
+    private final Function<String, String> addressResolver;
     private final ExecutorService operators = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "spartrail-operator");
         thread.setDaemon(true);
         return thread;
     });
-    private volatile boolean ended;
-    private volatile long last;
+    private volatile boolean closed;
+    private volatile long lastProposal;
 
     /** Nodes listen on these ports; {@code where} tells the port of an address that nodes name to each other. */
-    OperatorCommands(ClusterHistory history, List<Integer> ports, Function<String, String> where) {
+    OperatorCommands(ClusterHistory history, List<Integer> ports, Function<String, String> addressResolver) {
         this.history = history;
         this.ports = ports;
-        this.where = where;
+        this.addressResolver = addressResolver;
     }
 
-    void propose(String step, int via, JsonNode settings) {
+    void propose(String step, int firstNode, JsonNode settings) {
         operators.execute(() -> {
-            try (AdminClient operator = new AdminClient(new AdminFrameCodec("rig"), true)) {
-                String came = order(operator, via, LogOperation.Kind.PROPOSE, 0, settings.toString());
-                ObjectNode line = Document.JSON.createObjectNode().put("step", step);
-                if (came.startsWith("!")) {
-                    history.done(
+            try (AdminClient client = new AdminClient(new AdminFrameCodec("rig"), true)) {
+                String reply = submit(client, firstNode, LogOperation.Kind.PROPOSE, 0, settings.toString());
+                ObjectNode event = Document.JSON.createObjectNode().put("step", step);
+                if (reply.startsWith("!")) {
+                    history.recordHarnessEvent(
                             "ended",
-                            line.put("number", 0).put("stage", "NOT TAKEN").put("why", came.substring(1)));
+                            event.put("number", 0).put("stage", "NOT TAKEN").put("why", reply.substring(1)));
                     return;
                 }
-                history.done("proposed", line.deepCopy().put("number", Long.parseLong(came)));
-                last = Long.parseLong(came);
-                follow(operator, line, last);
+                history.recordHarnessEvent("proposed", event.deepCopy().put("number", Long.parseLong(reply)));
+                lastProposal = Long.parseLong(reply);
+                awaitEnd(client, event, lastProposal);
             } catch (IOException e) {
-                history.done(
+                history.recordHarnessEvent(
                         "ended",
                         Document.JSON
                                 .createObjectNode()
@@ -65,19 +65,24 @@
     }
 
     /** Below 0: the proposal that was taken last. */
-    void abort(String step, int via, long number) {
+    void abort(String step, int firstNode, long number) {
         operators.execute(() -> {
-            try (AdminClient operator = new AdminClient(new AdminFrameCodec("rig"), true)) {
-                history.done(
+            try (AdminClient client = new AdminClient(new AdminFrameCodec("rig"), true)) {
+                history.recordHarnessEvent(
                         "aborted",
                         Document.JSON
                                 .createObjectNode()
                                 .put("step", step)
                                 .put(
                                         "came",
-                                        order(operator, via, LogOperation.Kind.ABORT, number < 0 ? last : number, "")));
+                                        submit(
+                                                client,
+                                                firstNode,
+                                                LogOperation.Kind.ABORT,
+                                                number < 0 ? lastProposal : number,
+                                                "")));
             } catch (IOException e) {
-                history.done(
+                history.recordHarnessEvent(
                         "aborted",
                         Document.JSON.createObjectNode().put("step", step).put("came", "!" + e.getMessage()));
             }
@@ -85,48 +90,54 @@
     }
 
     /** The node's process is to be gone when it next gets to this point. */
-    void arm(String step, int node, String point) {
+    void armCrashPoint(String step, int node, String point) {
         operators.execute(() -> {
-            ObjectNode line = Document.JSON.createObjectNode().put("step", step).put("point", point);
-            try (AdminClient operator = new AdminClient(new AdminFrameCodec("rig"), true)) {
-                boolean armed = node >= 0 && operator.armCrashPoint("127.0.0.1:" + ports.get(node), point);
-                history.done("armed", line.put("on", "n" + node).put("armed", armed));
+            ObjectNode event =
+                    Document.JSON.createObjectNode().put("step", step).put("point", point);
+            try (AdminClient client = new AdminClient(new AdminFrameCodec("rig"), true)) {
+                boolean armed = node >= 0 && client.armCrashPoint("127.0.0.1:" + ports.get(node), point);
+                history.recordHarnessEvent("armed", event.put("on", "n" + node).put("armed", armed));
             } catch (IOException e) {
-                history.done("armed", line.put("armed", false));
+                history.recordHarnessEvent("armed", event.put("armed", false));
             }
         });
     }
 
     /** By way of one node, or of the next where that one does not answer. */
-    private String order(AdminClient operator, int via, LogOperation.Kind kind, long number, String text)
+    private String submit(AdminClient client, int firstNode, LogOperation.Kind kind, long number, String text)
             throws IOException {
-        IOException last = null;
-        for (int i = 0; i < ports.size() && !ended; i++) {
+        IOException lastError = null;
+        for (int i = 0; i < ports.size() && !closed; i++) {
             try {
-                return operator.submit(
-                        "127.0.0.1:" + ports.get((via + i) % ports.size()), kind, number, text, "operator", where);
+                return client.submit(
+                        "127.0.0.1:" + ports.get((firstNode + i) % ports.size()),
+                        kind,
+                        number,
+                        text,
+                        "operator",
+                        addressResolver);
             } catch (IOException e) {
-                last = e;
+                lastError = e;
             }
         }
-        throw last == null ? new IOException("the rig has ended") : last;
+        throw lastError == null ? new IOException("the rig has ended") : lastError;
     }
 
-    private void follow(AdminClient operator, ObjectNode line, long number) throws IOException {
-        for (int node = 0; !ended; node = (node + 1) % ports.size()) {
+    private void awaitEnd(AdminClient client, ObjectNode event, long number) throws IOException {
+        for (int node = 0; !closed; node = (node + 1) % ports.size()) {
             try {
-                JsonNode page = Document.JSON.readTree(operator.fetchStatusOnce("127.0.0.1:" + ports.get(node)));
-                for (JsonNode entry : page.get("entries")) {
+                JsonNode status = Document.JSON.readTree(client.fetchStatusOnce("127.0.0.1:" + ports.get(node)));
+                for (JsonNode entry : status.get("entries")) {
                     if (entry.get("number").asLong() == number) {
-                        history.done(
+                        history.recordHarnessEvent(
                                 "ended",
-                                line.put("number", number)
+                                event.put("number", number)
                                         .put("stage", entry.get("stage").asText())
                                         .put("why", entry.get("why").asText()));
                         return;
                     }
                 }
-                Thread.sleep(LOOK_MS);
+                Thread.sleep(POLL_INTERVAL_MS);
             } catch (IOException e) {
                 // It is down or cut off; another one knows.
             } catch (InterruptedException e) {
@@ -137,7 +148,7 @@
 
     @Override
     public void close() {
-        ended = true;
+        closed = true;
         operators.shutdownNow();
     }
 }
--- a/lab/src/main/java/spartrail/lab/cluster/PolicyHistoryChecker.java
+++ b/lab/src/main/java/spartrail/lab/cluster/PolicyHistoryChecker.java
@@ -15,54 +15,54 @@
  */
 public final class PolicyHistoryChecker {
     /** The rig's lines that take a link away, and give it back. */
-    private static final Map<String, Integer> LINKS =
+    private static final Map<String, Integer> LINK_CHANGES =
             Map.of("cut", 1, "cut ends", -1, "one-way", 1, "one-way ends", -1);
 
     private final int size;
-    private final List<Integer> deciders;
+    private final List<Integer> voters;
     private final PolicyRules rules;
-    private final boolean[] runs;
-    private final boolean[] stands;
-    private final int[][] barred;
-    private final long[] outSince;
-    private final Map<String, Long> proposed = new TreeMap<>();
-    private final List<long[]> withoutMajority = new ArrayList<>();
-    private long noMajoritySince = -1;
+    private final boolean[] running;
+    private final boolean[] suspended;
+    private final int[][] blockedLinks;
+    private final long[] unreachableSinceNs;
+    private final Map<String, Long> proposedAtNs = new TreeMap<>();
+    private final List<long[]> spansWithoutMajority = new ArrayList<>();
+    private long noMajoritySinceNs = -1;
 
-    public PolicyHistoryChecker(int size, List<Integer> deciders, PolicyRules.Bounds bounds) {
+    public PolicyHistoryChecker(int size, List<Integer> voters, PolicyRules.Bounds bounds) {
         this.size = size;
-        this.deciders = deciders;
+        this.voters = voters;
         this.rules = new PolicyRules(bounds);
-        this.runs = new boolean[size];
-        this.stands = new boolean[size];
-        this.barred = new int[size][size];
-        this.outSince = new long[size];
-        java.util.Arrays.fill(outSince, -1);
+        this.running = new boolean[size];
+        this.suspended = new boolean[size];
+        this.blockedLinks = new int[size][size];
+        this.unreachableSinceNs = new long[size];
+        java.util.Arrays.fill(unreachableSinceNs, -1);
     }
 
     public PolicyRules check(List<Line> lines, List<PolicyRules.Taken> taken) {
-        Map<String, long[]> ended = new HashMap<>();
-        long lastNs = 0;
+        Map<String, long[]> endedAtNs = new HashMap<>();
+        long lineNs = 0;
         for (Line line : lines) {
-            lastNs = line.ns();
+            lineNs = line.ns();
             if (line.node() >= 0) {
-                node(line);
+                readNodeLine(line);
                 continue;
             }
-            rig(line, ended);
+            readHarnessLine(line, endedAtNs);
         }
         for (int node = 0; node < size; node++) {
-            if (outSince[node] >= 0) {
-                rules.out(node, outSince[node], Long.MAX_VALUE);
+            if (unreachableSinceNs[node] >= 0) {
+                rules.out(node, unreachableSinceNs[node], Long.MAX_VALUE);
             }
         }
-        if (noMajoritySince >= 0) {
-            withoutMajority.add(new long[] {noMajoritySince, Long.MAX_VALUE});
+        if (noMajoritySinceNs >= 0) {
+            spansWithoutMajority.add(new long[] {noMajoritySinceNs, Long.MAX_VALUE});
         }
-        long endNs = lastNs;
-        proposed.forEach((step, fromNs) -> {
-            long toNs = ended.containsKey(step) ? ended.get(step)[0] : endNs;
-            if (withoutMajority.stream().noneMatch(span -> span[0] < toNs && fromNs < span[1])) {
+        long endNs = lineNs;
+        proposedAtNs.forEach((step, fromNs) -> {
+            long toNs = endedAtNs.containsKey(step) ? endedAtNs.get(step)[0] : endNs;
+            if (spansWithoutMajority.stream().noneMatch(span -> span[0] < toNs && fromNs < span[1])) {
                 rules.proposal(step, fromNs, toNs);
             }
         });
@@ -70,97 +70,101 @@
         return rules;
     }
 
-    private void node(Line line) {
-        if (line.what().equals("log")) {
+    private void readNodeLine(Line line) {
+        if (line.event().equals("log")) {
             JsonNode tree = line.tree();
             rules.holds(tree.get("holds").asLong());
             String[] last = tree.get("last").asText().split(" ", 3);
             if (last.length > 1 && (last[1].equals("REFUSED") || last[1].equals("ABORTED"))) {
                 rules.over(Long.parseLong(last[0]), last[1]);
             }
-        } else if (line.what().equals("policy")) {
+        } else if (line.event().equals("policy")) {
             rules.ruled(line.node(), line.tree().get("by").asText());
-        } else if (line.what().equals("told")) {
+        } else if (line.event().equals("told")) {
             rules.holds(line.tree().get("holds").asLong());
         }
     }
 
-    private void rig(Line line, Map<String, long[]> ended) {
-        List<Integer> nodes = numbers(line.tree().path("nodes"));
-        List<Integer> others = numbers(line.tree().path("others"));
-        switch (line.what()) {
+    private void readHarnessLine(Line line, Map<String, long[]> endedAtNs) {
+        List<Integer> nodes = parseNodes(line.tree().path("nodes"));
+        List<Integer> others = parseNodes(line.tree().path("others"));
+        switch (line.event()) {
             case "started" -> nodes.forEach(node -> {
-                runs[node] = true;
+                running[node] = true;
                 rules.started(node);
             });
-            case "killed" -> nodes.forEach(node -> runs[node] = false);
-            case "stopped" -> nodes.forEach(node -> stands[node] = true);
-            case "goes on" -> nodes.forEach(node -> stands[node] = false);
+            case "killed" -> nodes.forEach(node -> running[node] = false);
+            case "stopped" -> nodes.forEach(node -> suspended[node] = true);
+            case "goes on" -> nodes.forEach(node -> suspended[node] = false);
             case "healed" -> {
-                for (int[] row : barred) {
+                for (int[] row : blockedLinks) {
                     java.util.Arrays.fill(row, 0);
                 }
             }
-            case "proposed" -> proposed.put(line.tree().get("step").asText(), line.ns());
-            case "ended" -> ended.put(line.tree().get("step").asText(), new long[] {line.ns()});
+            case "proposed" -> proposedAtNs.put(line.tree().get("step").asText(), line.ns());
+            case "ended" -> endedAtNs.put(line.tree().get("step").asText(), new long[] {line.ns()});
             case "abandoned" -> rules.over(line.tree().path("number").asLong(), "abandoned");
             case "pushed" -> rules.holds(line.tree().path("number").asLong());
             default -> {
-                if (LINKS.containsKey(line.what())) {
-                    cut(nodes, others, LINKS.get(line.what()), line.what().startsWith("cut"));
+                if (LINK_CHANGES.containsKey(line.event())) {
+                    changeLinks(
+                            nodes,
+                            others,
+                            LINK_CHANGES.get(line.event()),
+                            line.event().startsWith("cut"));
                 }
             }
         }
-        look(line.ns());
+        updateReachability(line.ns());
     }
 
-    private static List<Integer> numbers(JsonNode names) {
-        List<Integer> numbers = new ArrayList<>();
-        names.forEach(name -> numbers.add(Integer.parseInt(name.asText().substring(1))));
-        return numbers;
+    private static List<Integer> parseNodes(JsonNode names) {
+        List<Integer> nodeNumbers = new ArrayList<>();
+        names.forEach(name -> nodeNumbers.add(Integer.parseInt(name.asText().substring(1))));
+        return nodeNumbers;
     }
 
-    private void cut(List<Integer> nodes, List<Integer> others, int by, boolean both) {
+    private void changeLinks(List<Integer> nodes, List<Integer> others, int change, boolean bothWays) {
         for (int node : nodes) {
             for (int other = 0; other < size; other++) {
                 if (others.isEmpty() ? !nodes.contains(other) : others.contains(other)) {
-                    barred[node][other] = Math.max(0, barred[node][other] + by);
-                    barred[other][node] = Math.max(0, barred[other][node] + (both ? by : 0));
+                    blockedLinks[node][other] = Math.max(0, blockedLinks[node][other] + change);
+                    blockedLinks[other][node] = Math.max(0, blockedLinks[other][node] + (bothWays ? change : 0));
                 }
             }
         }
     }
 
-    private boolean linked(int one, int other) {
-        return one == other || barred[one][other] == 0 && barred[other][one] == 0;
+    private boolean isLinked(int node, int other) {
+        return node == other || blockedLinks[node][other] == 0 && blockedLinks[other][node] == 0;
     }
 
-    private boolean majority(int decider) {
-        return runs[decider]
-                && !stands[decider]
+    private boolean hasMajority(int voter) {
+        return running[voter]
+                && !suspended[voter]
                 && 2
-                                * deciders.stream()
-                                        .filter(other -> runs[other] && !stands[other] && linked(decider, other))
+                                * voters.stream()
+                                        .filter(other -> running[other] && !suspended[other] && isLinked(voter, other))
                                         .count()
-                        > deciders.size();
+                        > voters.size();
     }
 
-    private void look(long ns) {
-        boolean any = deciders.stream().anyMatch(this::majority);
-        if (!any && noMajoritySince < 0) {
-            noMajoritySince = ns;
-        } else if (any && noMajoritySince >= 0) {
-            withoutMajority.add(new long[] {noMajoritySince, ns});
-            noMajoritySince = -1;
+    private void updateReachability(long ns) {
+        boolean hasMajority = voters.stream().anyMatch(this::hasMajority);
+        if (!hasMajority && noMajoritySinceNs < 0) {
+            noMajoritySinceNs = ns;
+        } else if (hasMajority && noMajoritySinceNs >= 0) {
+            spansWithoutMajority.add(new long[] {noMajoritySinceNs, ns});
+            noMajoritySinceNs = -1;
         }
         for (int node = 0; node < size; node++) {
-            int seeing = node;
-            boolean out = deciders.stream().noneMatch(decider -> majority(decider) && linked(seeing, decider));
-            if (out && outSince[node] < 0) {
-                outSince[node] = ns;
-            } else if (!out && outSince[node] >= 0) {
-                rules.out(node, outSince[node], ns);
-                outSince[node] = -1;
+            int observer = node;
+            boolean isUnreachable = voters.stream().noneMatch(voter -> hasMajority(voter) && isLinked(observer, voter));
+            if (isUnreachable && unreachableSinceNs[node] < 0) {
+                unreachableSinceNs[node] = ns;
+            } else if (!isUnreachable && unreachableSinceNs[node] >= 0) {
+                rules.out(node, unreachableSinceNs[node], ns);
+                unreachableSinceNs[node] = -1;
             }
         }
     }
--- a/lab/src/main/java/spartrail/lab/cluster/TimelineChart.java
+++ b/lab/src/main/java/spartrail/lab/cluster/TimelineChart.java
@@ -10,11 +10,11 @@
 /** A history as a picture: a row for each node over time, faults as bands, below each row how many it held to be there. */
 public final class TimelineChart {
     private static final int WIDTH = 1100;
-    private static final int LEFT = 60;
-    private static final int ROW = 44;
-    private static final int TOP = 30;
-    private static final int BAND = 16;
-    private static final int APART = 14;
+    private static final int LEFT_MARGIN = 60;
+    private static final int ROW_HEIGHT = 44;
+    private static final int TOP_MARGIN = 30;
+    private static final int BAND_HEIGHT = 16;
+    private static final int MIN_LABEL_GAP = 14;
     /** What begins a band, what ends it, and its colour. */
     private static final String[][] BANDS = {
         {"killed", "started", "#555555"},
@@ -36,91 +36,92 @@
                 Locale.ROOT,
                 "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%d\" "
                         + "height=\"%d\" font-family=\"sans-serif\" font-size=\"11\">%n<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>%n",
-                WIDTH + LEFT + 20,
-                TOP + nodes * ROW + 40));
-        Map<String, Double> open = new HashMap<>();
+                WIDTH + LEFT_MARGIN + 20,
+                TOP_MARGIN + nodes * ROW_HEIGHT + 40));
+        Map<String, Double> bandStarts = new HashMap<>();
         for (Line line : lines) {
-            double x = LEFT + WIDTH * (line.ns() - beginNs) / spanNs;
+            double x = LEFT_MARGIN + WIDTH * (line.ns() - beginNs) / spanNs;
             if (line.node() < 0) {
                 for (String[] band : BANDS) {
                     for (JsonNode name : line.tree().path("nodes")) {
                         String key = name.asText() + band[0];
-                        if (line.what().equals(band[0])) {
-                            open.put(key, x);
-                        } else if (line.what().equals(band[1]) && open.containsKey(key)) {
-                            band(svg, name.asText(), open.remove(key), x, band);
+                        if (line.event().equals(band[0])) {
+                            bandStarts.put(key, x);
+                        } else if (line.event().equals(band[1]) && bandStarts.containsKey(key)) {
+                            drawBand(svg, name.asText(), bandStarts.remove(key), x, band);
                         }
                     }
                 }
             }
         }
         for (String[] band : BANDS) {
-            open.forEach((key, x) -> {
+            bandStarts.forEach((key, x) -> {
                 if (key.endsWith(band[0])) {
-                    band(svg, key.substring(0, key.length() - band[0].length()), x, LEFT + WIDTH, band);
+                    drawBand(svg, key.substring(0, key.length() - band[0].length()), x, LEFT_MARGIN + WIDTH, band);
                 }
             });
         }
         for (int node = 0; node < nodes; node++) {
-            row(svg, lines, node, beginNs, spanNs);
+            drawRow(svg, lines, node, beginNs, spanNs);
         }
         for (int i = 0; i <= 10; i++) {
             svg.append(String.format(
                     Locale.ROOT,
                     "<text x=\"%.1f\" y=\"%d\" fill=\"#333\">%.1f s</text>%n",
-                    LEFT + WIDTH * i / 10.0,
-                    TOP + nodes * ROW + 18,
+                    LEFT_MARGIN + WIDTH * i / 10.0,
+                    TOP_MARGIN + nodes * ROW_HEIGHT + 18,
                     spanNs * i / 1e10));
         }
         return svg.append("</svg>\n").toString();
     }
 
-    private static void band(StringBuilder svg, String name, double from, double to, String[] band) {
+    private static void drawBand(StringBuilder svg, String name, double from, double to, String[] band) {
         int node = Integer.parseInt(name.substring(1));
         svg.append(String.format(
                 Locale.ROOT,
                 "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\" fill-opacity=\"0.6\">"
                         + "<title>%s %s</title></rect>%n",
                 from,
-                TOP + node * ROW,
+                TOP_MARGIN + node * ROW_HEIGHT,
                 Math.max(1, to - from),
-                BAND,
+                BAND_HEIGHT,
                 band[2],
                 name,
                 band[0]));
     }
 
     /** Its view over time: a number where it changes, red while it doubts itself. */
-    private static void row(StringBuilder svg, List<Line> lines, int node, long beginNs, double spanNs) {
-        int y = TOP + node * ROW;
+    private static void drawRow(StringBuilder svg, List<Line> lines, int node, long beginNs, double spanNs) {
+        int y = TOP_MARGIN + node * ROW_HEIGHT;
         svg.append(String.format(
                 Locale.ROOT,
                 "<text x=\"4\" y=\"%d\">n%d</text><line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\" "
                         + "stroke=\"#bbb\"/>%n",
                 y + 12,
                 node,
-                LEFT,
-                y + BAND + 2,
-                LEFT + WIDTH,
-                y + BAND + 2));
+                LEFT_MARGIN,
+                y + BAND_HEIGHT + 2,
+                LEFT_MARGIN + WIDTH,
+                y + BAND_HEIGHT + 2));
         List<Line> views = lines.stream()
-                .filter(line -> line.node() == node && line.what().equals("view"))
+                .filter(line -> line.node() == node && line.event().equals("view"))
                 .toList();
         String last = "";
         for (int i = 0; i < views.size(); i++) {
-            double x = LEFT + WIDTH * (views.get(i).ns() - beginNs) / spanNs;
-            double nextX =
-                    i + 1 < views.size() ? LEFT + WIDTH * (views.get(i + 1).ns() - beginNs) / spanNs : Double.MAX_VALUE;
-            boolean doubts = !views.get(i).tree().get("doubt").asText().isEmpty();
-            String text = views.get(i).tree().get("there").asText() + (doubts ? "?" : "");
+            double x = LEFT_MARGIN + WIDTH * (views.get(i).ns() - beginNs) / spanNs;
+            double nextX = i + 1 < views.size()
+                    ? LEFT_MARGIN + WIDTH * (views.get(i + 1).ns() - beginNs) / spanNs
+                    : Double.MAX_VALUE;
+            boolean isInDoubt = !views.get(i).tree().get("doubt").asText().isEmpty();
+            String text = views.get(i).tree().get("there").asText() + (isInDoubt ? "?" : "");
             // Of several too close to be read the last one stands.
-            if (!text.equals(last) && nextX - x > APART) {
+            if (!text.equals(last) && nextX - x > MIN_LABEL_GAP) {
                 svg.append(String.format(
                         Locale.ROOT,
                         "<text x=\"%.1f\" y=\"%d\" fill=\"%s\">%s</text>%n",
                         x,
-                        y + BAND + 14,
-                        doubts ? "#c00" : "#060",
+                        y + BAND_HEIGHT + 14,
+                        isInDoubt ? "#c00" : "#060",
                         text));
                 last = text;
             }
--- a/lab/src/main/java/spartrail/lab/drill/ConfigPushDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/ConfigPushDrill.java
@@ -96,7 +96,7 @@
         PeersDrill.played(plan, outcome -> {
             List<Line> lines = outcome.history().inOrder();
             PolicyRules rules = new PolicyHistoryChecker(NODES, List.of(0, 1, 2), PolicyDrill.USUAL_BOUNDS)
-                    .check(lines, outcome.taken());
+                    .check(lines, outcome.policyRecords());
             findings.checkEqual(
                     "steps that were not taken", "[]", outcome.unexecutedSteps().toString());
             findings.checkAtLeast("multigets that were judged", 1000, rules.judged());
--- a/lab/src/main/java/spartrail/lab/drill/DrillPlans.java
+++ b/lab/src/main/java/spartrail/lab/drill/DrillPlans.java
@@ -10,9 +10,9 @@
     private DrillPlans() {}
 
     /** One op type, evenly spaced, one shard. */
-    public static LoadPlan even(double perS, double lastsMs, double clientMs, int connections, long seed) {
+    public static LoadPlan even(double perS, double durationMs, double clientMs, int connections, long seed) {
         return parse("{'seed':" + seed + ",'gaps':{'kind':'even'},'lagBoundMs':50,'connections':{'most':" + connections
-                + "},'phases':[{'name':'all','lastsMs':" + lastsMs + ",'rate':{'shape':'steady','perS':" + perS
+                + "},'phases':[{'name':'all','lastsMs':" + durationMs + ",'rate':{'shape':'steady','perS':" + perS
                 + "}}],'streams':[{'opTypes':[{'name':'orders'}],'shards':{'of':8,'least':2},'clientMs':" + clientMs
                 + "}]}");
     }
--- a/lab/src/main/java/spartrail/lab/drill/PeersDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/PeersDrill.java
@@ -41,19 +41,19 @@
     private final int nodes;
     private final String name;
     private final String summary;
-    private final double lastsMs;
+    private final double durationMs;
     private final String steps;
     private final Wants wants;
 
-    private PeersDrill(String name, String summary, double lastsMs, String steps, Wants wants) {
-        this(USUAL_NODES, name, summary, lastsMs, steps, wants);
+    private PeersDrill(String name, String summary, double durationMs, String steps, Wants wants) {
+        this(USUAL_NODES, name, summary, durationMs, steps, wants);
     }
 
-    private PeersDrill(int nodes, String name, String summary, double lastsMs, String steps, Wants wants) {
+    private PeersDrill(int nodes, String name, String summary, double durationMs, String steps, Wants wants) {
         this.nodes = nodes;
         this.name = name;
         this.summary = summary;
-        this.lastsMs = lastsMs;
+        this.durationMs = durationMs;
         this.steps = steps;
         this.wants = wants;
     }
@@ -207,7 +207,7 @@
                             5,
                             lines.stream()
                                     .filter(line -> line.ns() - startNs(lines) > 36_000e6
-                                            && line.what().equals("standing")
+                                            && line.event().equals("standing")
                                             && line.tree().get("of").asText().equals("n3")
                                             && line.tree().get("is").asText().equals("ALIVE"))
                                     .map(Line::node)
@@ -242,7 +242,7 @@
                 });
     }
 
-    private static String alone(double atMs, double lastsMs) {
+    private static String alone(double atMs, double durationMs) {
         StringBuilder steps = new StringBuilder();
         for (int node = 0; node < USUAL_NODES; node++) {
             steps.append("{'name':'alone")
@@ -252,7 +252,7 @@
                     .append("},'do':'one-way','nodes':['n")
                     .append(node)
                     .append("'],'lastsMs':")
-                    .append(lastsMs)
+                    .append(durationMs)
                     .append("},");
         }
         return steps.toString();
@@ -274,11 +274,11 @@
     }
 
     private ClusterPlan plan(long seed) {
-        String text = ("{'seed':" + seed + ",'nodes':" + nodes + ",'seeds':2,'lastsMs':" + lastsMs + ",'peers':{},"
+        String text = ("{'seed':" + seed + ",'nodes':" + nodes + ",'seeds':2,'lastsMs':" + durationMs + ",'peers':{},"
                         + "'fleet':{'layout':{'shards':8,'cells':4,'reach':2},'kinds':{'std':{'cores':2,'workMs':2,'warmMs':1000,"
                         + "'tipMultiple':1000}},'servers':[{'kind':'std','count':8}]},"
                         + "'settings':{'opTypes':[{'name':'orders','budgetMs':2000,'timeoutMs':4000,'floor':0.9}]},"
-                        + "'load':{'lagBoundMs':60000,'phases':[{'lastsMs':" + lastsMs
+                        + "'load':{'lagBoundMs':60000,'phases':[{'lastsMs':" + durationMs
                         + ",'rate':{'shape':'steady','perS':140}}],"
                         + "'streams':[{'opTypes':[{'name':'orders'}],'shards':{'of':8,'least':3},'clientMs':4000}]},"
                         + "'steps':[" + steps + "]}")
@@ -289,7 +289,7 @@
     @Override
     public void run(long seed, Findings findings) throws Exception {
         ClusterPlan plan = plan(seed);
-        ObjectNode silent = played(plan.silent(), outcome -> {});
+        ObjectNode silent = played(plan.withoutPeers(), outcome -> {});
         ObjectNode talking = played(plan, outcome -> {
             List<Line> lines = outcome.history().inOrder();
             PeersRules rules = new HistoryChecker(nodes).check(lines, true);
@@ -313,7 +313,7 @@
 
     private static String bytes(ClusterHarness.Outcome outcome, Comparator<Long> order) {
         return outcome.nodes().stream()
-                .map(node -> Math.round(node.get("sentBytes").asDouble() / outcome.lastedMs() * 1000))
+                .map(node -> Math.round(node.get("sentBytes").asDouble() / outcome.elapsedMs() * 1000))
                 .min(order)
                 .map(String::valueOf)
                 .orElse("-");
@@ -336,8 +336,9 @@
                 ? Files.createTempDirectory("spartrail-nodes")
                 : Files.createTempDirectory(Path.of(KEEP), "nodes");
         System.Logger log = System.getLogger("spartrail.lab.drill");
-        try (ClusterHarness rig = new ClusterHarness(plan, folder, line -> log.log(System.Logger.Level.DEBUG, line))) {
-            ClusterHarness.Outcome outcome = rig.play();
+        try (ClusterHarness cluster =
+                new ClusterHarness(plan, folder, line -> log.log(System.Logger.Level.DEBUG, line))) {
+            ClusterHarness.Outcome outcome = cluster.play();
             if (KEEP != null) {
                 Files.writeString(
                         folder.resolve("history.jsonl"), outcome.history().toJsonLines());
@@ -384,14 +385,14 @@
     /** Lines count from the first step's time on. */
     private static double startNs(List<Line> lines) {
         return lines.stream()
-                .filter(line -> line.node() < 0 && line.what().equals("begins"))
+                .filter(line -> line.node() < 0 && line.event().equals("begins"))
                 .mapToLong(Line::ns)
                 .findFirst()
                 .orElse(0);
     }
 
     private static boolean own(Line line, String is) {
-        return line.what().equals("standing")
+        return line.event().equals("standing")
                 && is.equals(line.tree().get("is").asText())
                 && line.tree().get("by").asText().equals(line.tree().get("node").asText());
     }
@@ -422,7 +423,7 @@
 
     private static long doubts(List<Line> lines, String node) {
         return lines.stream()
-                .filter(line -> line.what().equals("view")
+                .filter(line -> line.event().equals("view")
                         && line.tree().get("node").asText().equals(node)
                         && !line.tree().get("doubt").asText().isEmpty())
                 .count();
@@ -433,7 +434,7 @@
         List<double[]> spans = new ArrayList<>();
         double since = Double.NaN;
         for (Line line : lines) {
-            if (line.node() != machine || !line.what().equals("view")) {
+            if (line.node() != machine || !line.event().equals("view")) {
                 continue;
             }
             boolean back = line.tree().get("doubt").asText().startsWith("another process has the name");
@@ -459,7 +460,7 @@
     private static long holders(List<Line> lines, double fromMs, double toMs) {
         double startNs = startNs(lines);
         return lines.stream()
-                .filter(line -> line.what().equals("standing")
+                .filter(line -> line.event().equals("standing")
                         && "GONE".equals(line.tree().get("is").asText())
                         && line.ns() - startNs > 1e6 * fromMs
                         && line.ns() - startNs < 1e6 * toMs)
@@ -471,12 +472,12 @@
     /** From the order to end until the last of so many nodes knew it; endless where fewer did. */
     private static double leftMs(List<Line> lines, String node, int others) {
         long askedNs = lines.stream()
-                .filter(line -> line.node() < 0 && line.what().equals("asked to end"))
+                .filter(line -> line.node() < 0 && line.event().equals("asked to end"))
                 .mapToLong(Line::ns)
                 .findFirst()
                 .orElse(0);
         long[] known = lines.stream()
-                .filter(line -> line.what().equals("standing")
+                .filter(line -> line.event().equals("standing")
                         && "LEFT".equals(line.tree().get("is").asText())
                         && line.tree().get("of").asText().equals(node)
                         && !line.tree().get("node").asText().equals(node))
--- a/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
@@ -107,7 +107,7 @@
 
     private final String name;
     private final String summary;
-    private final double lastsMs;
+    private final double durationMs;
     private final String own;
     private final String steps;
     private final int least;
@@ -118,7 +118,7 @@
     private PolicyDrill(
             String name,
             String summary,
-            double lastsMs,
+            double durationMs,
             String own,
             String steps,
             int least,
@@ -127,7 +127,7 @@
             Wants wants) {
         this.name = name;
         this.summary = summary;
-        this.lastsMs = lastsMs;
+        this.durationMs = durationMs;
         this.own = own;
         this.steps = steps;
         this.least = least;
@@ -195,11 +195,11 @@
                     TreeSet<String> missed = new TreeSet<>(points);
                     Map<String, String> armed = new TreeMap<>();
                     for (Line line : lines) {
-                        if (line.node() < 0 && line.what().equals("armed")) {
+                        if (line.node() < 0 && line.event().equals("armed")) {
                             armed.put(
                                     line.tree().path("on").asText(),
                                     line.tree().get("point").asText());
-                        } else if (line.node() < 0 && line.what().equals("killed")) {
+                        } else if (line.node() < 0 && line.event().equals("killed")) {
                             line.tree()
                                     .get("nodes")
                                     .forEach(node -> missed.remove(armed.getOrDefault(node.asText(), "")));
@@ -321,7 +321,7 @@
                         "nodes that served out of touch",
                         4,
                         lines.stream()
-                                .filter(line -> line.what().equals("policy")
+                                .filter(line -> line.event().equals("policy")
                                         && line.tree().get("by").asText().endsWith("?"))
                                 .map(Line::node)
                                 .distinct()
@@ -385,7 +385,7 @@
                 0,
                 (findings, lines, rules) -> {
                     List<JsonNode> ends = lines.stream()
-                            .filter(line -> line.node() < 0 && line.what().equals("ended"))
+                            .filter(line -> line.node() < 0 && line.event().equals("ended"))
                             .map(Line::tree)
                             .toList();
                     findings.checkEqual(
@@ -411,24 +411,23 @@
         String[] harms = {"full", "torn", "flipped", "lost", "swapped"};
         for (int i = 0; i < USUAL_CHANGES; i++) {
             String harm = harms[i % harms.length];
-            int decider = i % 3;
-            script.step("k" + i, script.after(1500), "'do':'kill','nodes':['n" + decider + "']");
+            int voter = i % 3;
+            script.step("k" + i, script.after(1500), "'do':'kill','nodes':['n" + voter + "']");
             script.step(
                     "h" + i,
                     "{'step':'k" + i + "','afterMs':100}",
-                    "'do':'harm','nodes':['n" + decider + "'],'harm':'" + harm + "'");
+                    "'do':'harm','nodes':['n" + voter + "'],'harm':'" + harm + "'");
             script.step(
                     "s" + i,
                     "{'step':'h" + i + "','afterMs':100}",
-                    "'do':'start','nodes':['n" + decider + "']"
-                            + (harm.equals("full") ? ",'disk':{'mostBytes':1}" : ""));
+                    "'do':'start','nodes':['n" + voter + "']" + (harm.equals("full") ? ",'disk':{'mostBytes':1}" : ""));
             script.change("{'step':'s" + i + "','afterMs':1500}", 3 + i % 6);
-            script.step("m" + i, script.after(300), "'do':'kill','nodes':['n" + decider + "']");
+            script.step("m" + i, script.after(300), "'do':'kill','nodes':['n" + voter + "']");
             script.step(
                     "u" + i,
                     "{'step':'m" + i + "','afterMs':100}",
-                    "'do':'harm','nodes':['n" + decider + "'],'harm':'mended'");
-            script.step("b" + i, "{'step':'u" + i + "','afterMs':100}", "'do':'start','nodes':['n" + decider + "']");
+                    "'do':'harm','nodes':['n" + voter + "'],'harm':'mended'");
+            script.step("b" + i, "{'step':'u" + i + "','afterMs':100}", "'do':'start','nodes':['n" + voter + "']");
             script.change("{'step':'b" + i + "','afterMs':3500}", 3 + i % 6);
         }
         return new PolicyDrill(
@@ -443,7 +442,7 @@
                 (findings, lines, rules) -> {
                     Map<String, Integer> seen = new TreeMap<>();
                     lines.stream()
-                            .filter(line -> line.what().equals("decider"))
+                            .filter(line -> line.event().equals("decider"))
                             .forEach(line -> seen.merge(
                                     line.tree().get("on").asBoolean()
                                             ? "decides"
@@ -483,17 +482,17 @@
     }
 
     private ClusterPlan plan(long seed) {
-        return plan(seed, name, lastsMs, POLICY, own, steps);
+        return plan(seed, name, durationMs, POLICY, own, steps);
     }
 
-    static ClusterPlan plan(long seed, String name, double lastsMs, String policy, String own, String steps) {
-        String text = ("{'seed':" + seed + ",'nodes':" + NODES + ",'seeds':2,'lastsMs':" + lastsMs
+    static ClusterPlan plan(long seed, String name, double durationMs, String policy, String own, String steps) {
+        String text = ("{'seed':" + seed + ",'nodes':" + NODES + ",'seeds':2,'lastsMs':" + durationMs
                         + ",'ends':'last','peers':"
                         + (policy.isEmpty() ? "{}" : "{'policy':" + policy + "}") + ",'own':" + own
                         + ",'fleet':{'layout':{'shards':8,'cells':4,'reach':2},'kinds':{'std':{'cores':2,'workMs':2,'warmMs':1000,"
                         + "'tipMultiple':1000}},'servers':[{'kind':'std','count':8}]},"
                         + "'settings':{'opTypes':[{'name':'orders','budgetMs':2000,'timeoutMs':4000,'floor':0.9}]},"
-                        + "'load':{'lagBoundMs':60000,'phases':[{'lastsMs':" + lastsMs
+                        + "'load':{'lagBoundMs':60000,'phases':[{'lastsMs':" + durationMs
                         + ",'rate':{'shape':'steady','perS':140}}],"
                         + "'streams':[{'opTypes':[{'name':'orders'}],'shards':{'of':8,'least':3},'clientMs':4000}]},"
                         + "'steps':[" + steps + "]}")
@@ -508,12 +507,13 @@
         double[] lasted = new double[1];
         ObjectNode changing = PeersDrill.played(plan, outcome -> {
             List<Line> lines = outcome.history().inOrder();
-            PolicyRules rules = new PolicyHistoryChecker(NODES, List.of(0, 1, 2), bounds).check(lines, outcome.taken());
+            PolicyRules rules =
+                    new PolicyHistoryChecker(NODES, List.of(0, 1, 2), bounds).check(lines, outcome.policyRecords());
             faults.addAll(faults(outcome, lines));
-            lasted[0] = outcome.lastedMs();
+            lasted[0] = outcome.elapsedMs();
             judge(findings, outcome, lines, rules);
         });
-        ObjectNode still = PeersDrill.played(plan.with(faults, lasted[0]), outcome -> {});
+        ObjectNode still = PeersDrill.played(plan.withSteps(faults, lasted[0]), outcome -> {});
         double without = PeersDrill.served(still);
         findings.note(
                 "served whole of the same faults without a change, share", String.format(Locale.ROOT, "%.4f", without));
@@ -530,7 +530,7 @@
                         .toString());
         long ended = lines.stream()
                 .filter(line -> line.node() < 0
-                        && line.what().equals("ended")
+                        && line.event().equals("ended")
                         && !line.tree().get("stage").asText().equals("UNKNOWN"))
                 .count();
         findings.checkAtLeast("changes that ended", least, ended);
@@ -551,10 +551,10 @@
         Map<String, Long> from = new TreeMap<>();
         List<Long> took = new ArrayList<>();
         for (Line line : lines) {
-            if (line.node() < 0 && line.what().equals("proposed")) {
+            if (line.node() < 0 && line.event().equals("proposed")) {
                 from.put(line.tree().get("step").asText(), line.ns());
             } else if (line.node() < 0
-                    && line.what().equals("ended")
+                    && line.event().equals("ended")
                     && line.tree().get("stage").asText().equals("HOLDS")) {
                 took.add((line.ns() - from.get(line.tree().get("step").asText())) / 1_000_000);
             }
@@ -567,17 +567,17 @@
     static List<ClusterPlan.Step> faults(ClusterHarness.Outcome outcome, List<Line> lines) {
         List<ClusterPlan.Step> faults = new ArrayList<>();
         long beginNs = lines.stream()
-                .filter(line -> line.node() < 0 && line.what().equals("begins"))
+                .filter(line -> line.node() < 0 && line.event().equals("begins"))
                 .mapToLong(Line::ns)
                 .findFirst()
                 .orElse(0);
-        for (ClusterPlan.Step step : outcome.done()) {
-            if (!List.of("propose", "abort", "crash", "push", "kill", "harm").contains(step.what())) {
+        for (ClusterPlan.Step step : outcome.executedSteps()) {
+            if (!List.of("propose", "abort", "crash", "push", "kill", "harm").contains(step.action())) {
                 faults.add(step);
             }
         }
         for (Line line : lines) {
-            if (line.node() < 0 && line.what().equals("killed")) {
+            if (line.node() < 0 && line.event().equals("killed")) {
                 List<Integer> nodes = new ArrayList<>();
                 line.tree()
                         .get("nodes")
@@ -585,7 +585,7 @@
                                 node -> nodes.add(Integer.parseInt(node.asText().substring(1))));
                 faults.add(new ClusterPlan.Step(
                         "kill" + faults.size(),
-                        new ClusterPlan.When((line.ns() - beginNs) / 1e6, null, null, null, null, 1, null, 0),
+                        new ClusterPlan.Trigger((line.ns() - beginNs) / 1e6, null, null, null, null, 1, null, 0),
                         "kill",
                         nodes,
                         List.of(),
--- a/lab/src/test/java/spartrail/lab/cluster/DatagramLinksTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/DatagramLinksTest.java
@@ -23,14 +23,14 @@
 
 /** Each trouble of a link does what it says, one way only. A last message on a sound link tells that nothing more comes. */
 class DatagramLinksTest {
-    private static final String LAST = "last";
-    private final DatagramSocket[] sockets = {socket(), socket(), socket()};
+    private static final String END_MARKER = "last";
+    private final DatagramSocket[] sockets = {openSocket(), openSocket(), openSocket()};
     private final DatagramLinks links = new DatagramLinks(
             List.of(sockets[0].getLocalPort(), sockets[1].getLocalPort(), sockets[2].getLocalPort()), "rig", 1);
 
     DatagramLinksTest() throws IOException {}
 
-    private static DatagramSocket socket() throws IOException {
+    private static DatagramSocket openSocket() throws IOException {
         DatagramSocket socket = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         socket.setSoTimeout(20_000);
         return socket;
@@ -53,32 +53,35 @@
                 Integer.parseInt(address.substring(address.indexOf(':') + 1))));
     }
 
-    private byte[] next(int node) throws IOException {
+    private byte[] receive(int node) throws IOException {
         DatagramPacket packet = new DatagramPacket(new byte[65_536], 65_536);
         sockets[node].receive(packet);
         return Arrays.copyOf(packet.getData(), packet.getLength());
     }
 
     /** What node 1 gets of these from node 0 while that link is so, up to the message that tells that all is through. */
-    private List<byte[]> through(Consumer<DatagramLinks.Trouble> how, byte[]... sent) throws IOException {
-        DatagramLinks.Trouble trouble = new DatagramLinks.Trouble();
-        how.accept(trouble);
-        links.set(0, 1, trouble);
-        for (byte[] bytes : sent) {
+    private List<byte[]> receiveThrough(Consumer<DatagramLinks.Fault> configure, byte[]... datagrams)
+            throws IOException {
+        DatagramLinks.Fault fault = new DatagramLinks.Fault();
+        configure.accept(fault);
+        links.setFault(0, 1, fault);
+        for (byte[] bytes : datagrams) {
             send(0, 1, bytes);
         }
         // Node 2 gets one from node 0 after all of these were taken, and passes it on to node 1 on a sound link.
-        send(0, 2, LAST.getBytes(StandardCharsets.US_ASCII));
-        send(2, 1, next(2));
-        List<byte[]> got = new ArrayList<>();
-        for (byte[] bytes = next(1); !new String(bytes, StandardCharsets.US_ASCII).equals(LAST); bytes = next(1)) {
-            got.add(bytes);
+        send(0, 2, END_MARKER.getBytes(StandardCharsets.US_ASCII));
+        send(2, 1, receive(2));
+        List<byte[]> received = new ArrayList<>();
+        for (byte[] bytes = receive(1);
+                !new String(bytes, StandardCharsets.US_ASCII).equals(END_MARKER);
+                bytes = receive(1)) {
+            received.add(bytes);
         }
-        links.set(0, 1, null);
-        return got;
+        links.setFault(0, 1, null);
+        return received;
     }
 
-    private static byte[] message(PeerMessage.Kind kind) {
+    private static byte[] encodeMessage(PeerMessage.Kind kind) {
         return PeerMessageCodec.encode(
                 "rig",
                 new PeerMessage(
@@ -94,59 +97,62 @@
     }
 
     @Test
-    void eachTroubleDoesWhatItSaysAndOnlyOneWay() throws IOException {
-        byte[] one = "abcdefgh".getBytes(StandardCharsets.US_ASCII);
-        assertThat(through(trouble -> {}, one)).containsExactly(one);
-        assertThat(through(trouble -> trouble.cut = true, one, one)).isEmpty();
-        assertThat(through(trouble -> trouble.loss = 1, one, one)).isEmpty();
-        assertThat(through(trouble -> trouble.twice = 1, one)).containsExactly(one, one);
-        assertThat(through(trouble -> trouble.mostBytes = 3, one))
+    void eachFaultAffectsOnlyItsOwnDirection() throws IOException {
+        byte[] payload = "abcdefgh".getBytes(StandardCharsets.US_ASCII);
+        assertThat(receiveThrough(fault -> {}, payload)).containsExactly(payload);
+        assertThat(receiveThrough(fault -> fault.cut = true, payload, payload)).isEmpty();
+        assertThat(receiveThrough(fault -> fault.lossProbability = 1, payload, payload))
+                .isEmpty();
+        assertThat(receiveThrough(fault -> fault.duplicateProbability = 1, payload))
+                .containsExactly(payload, payload);
+        assertThat(receiveThrough(fault -> fault.maxBytes = 3, payload))
                 .containsExactly("abc".getBytes(StandardCharsets.US_ASCII));
-        List<byte[]> flipped = through(trouble -> trouble.flipped = 1, one);
+        List<byte[]> flipped = receiveThrough(fault -> fault.bitFlipProbability = 1, payload);
         int bits = 0;
-        for (int i = 0; i < one.length; i++) {
-            bits += Integer.bitCount((flipped.get(0)[i] ^ one[i]) & 0xff);
+        for (int i = 0; i < payload.length; i++) {
+            bits += Integer.bitCount((flipped.get(0)[i] ^ payload[i]) & 0xff);
         }
         assertThat(bits).isEqualTo(1);
-        assertThat(through(
-                        trouble -> {
-                            trouble.cut = true;
-                            trouble.kind = "PING";
+        assertThat(receiveThrough(
+                        fault -> {
+                            fault.cut = true;
+                            fault.messageKind = "PING";
                         },
-                        message(PeerMessage.Kind.PING),
-                        message(PeerMessage.Kind.ACK)))
-                .containsExactly(message(PeerMessage.Kind.ACK));
-        links.set(0, 1, null);
-        DatagramLinks.Trouble cut = new DatagramLinks.Trouble();
+                        encodeMessage(PeerMessage.Kind.PING),
+                        encodeMessage(PeerMessage.Kind.ACK)))
+                .containsExactly(encodeMessage(PeerMessage.Kind.ACK));
+        links.setFault(0, 1, null);
+        DatagramLinks.Fault cut = new DatagramLinks.Fault();
         cut.cut = true;
-        links.set(0, 1, cut);
-        send(1, 0, one);
-        assertThat(next(0)).as("the other way").isEqualTo(one);
+        links.setFault(0, 1, cut);
+        send(1, 0, payload);
+        assertThat(receive(0)).as("the other way").isEqualTo(payload);
     }
 
     @Test
-    void whatIsHeldOrThrottledComesLaterThanWhatWasSentAfterIt() throws IOException {
-        for (Consumer<DatagramLinks.Trouble> how : List.<Consumer<DatagramLinks.Trouble>>of(
-                trouble -> trouble.heldUntilMs = links.nowMs() + 300,
-                trouble -> trouble.delayMs = 300,
-                trouble -> trouble.bytesPerS = 10)) {
-            assertThat(through(how, "hold".getBytes(StandardCharsets.US_ASCII))).isEmpty();
-            assertThat(next(1)).isEqualTo("hold".getBytes(StandardCharsets.US_ASCII));
+    void heldDelayedAndThrottledDatagramsArriveAfterLaterOnes() throws IOException {
+        for (Consumer<DatagramLinks.Fault> configure : List.<Consumer<DatagramLinks.Fault>>of(
+                fault -> fault.heldUntilMs = links.nowMs() + 300,
+                fault -> fault.delayMs = 300,
+                fault -> fault.bytesPerSecond = 10)) {
+            assertThat(receiveThrough(configure, "hold".getBytes(StandardCharsets.US_ASCII)))
+                    .isEmpty();
+            assertThat(receive(1)).isEqualTo("hold".getBytes(StandardCharsets.US_ASCII));
         }
     }
 
     @Test
-    void aReceiverSeesThePortThatStandsForTheSender() throws IOException {
+    void receiverSeesTheLinkPortOfTheSender() throws IOException {
         send(0, 1, new byte[] {1});
         DatagramPacket packet = new DatagramPacket(new byte[10], 10);
         sockets[1].receive(packet);
         assertThat("127.0.0.1:" + packet.getPort()).isEqualTo(links.address(0));
-        assertThat(links.bytes(0)).isEqualTo(1);
+        assertThat(links.sentBytes(0)).isEqualTo(1);
     }
 
     /** Plans that exist name kinds of messages by these texts, whatever the constants are called. */
     @Test
-    void kindsOfMessagesHaveThePlansTexts() {
+    void messageKindsKeepTheirTextsInPlans() {
         assertThat(Stream.of(PeerMessage.Kind.values()).map(DatagramLinks::planText))
                 .containsExactly("PING", "ACK", "ASK", "FOUND", "NOT_FOUND");
     }
--- a/lab/src/test/java/spartrail/lab/cluster/HistoryCheckerTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/HistoryCheckerTest.java
@@ -19,7 +19,7 @@
 
     HistoryCheckerTest() throws Exception {}
 
-    private static String judged(List<Line> lines) {
+    private static String brokenRules(List<Line> lines) {
         return new HistoryChecker(4)
                 .check(lines, true).breaches().stream()
                         .map(breach -> breach.rule())
@@ -28,10 +28,10 @@
                         .toString();
     }
 
-    private int first(String what, String node, String of, String is) {
+    private int indexOf(String what, String node, String of, String is) {
         for (int i = 0; i < clean.size(); i++) {
             var tree = clean.get(i).tree();
-            if (clean.get(i).what().equals(what)
+            if (clean.get(i).event().equals(what)
                     && tree.path("node").asText().equals(node)
                     && tree.path("of").asText().equals(of)
                     && tree.path("is").asText().equals(is)) {
@@ -42,39 +42,39 @@
     }
 
     /** The line at one place once more at another, with something else in it. */
-    private List<Line> planted(int from, int to, Consumer<ObjectNode> change) {
+    private List<Line> withInsertedLine(int from, int to, Consumer<ObjectNode> change) {
         List<Line> lines = new ArrayList<>(clean);
         Line line = clean.get(from);
         ObjectNode tree = line.tree().deepCopy();
         change.accept(tree);
-        lines.add(to, new Line(clean.get(Math.min(to, clean.size() - 1)).ns(), line.node(), line.what(), tree));
+        lines.add(to, new Line(clean.get(Math.min(to, clean.size() - 1)).ns(), line.node(), line.event(), tree));
         return lines;
     }
 
     @Test
-    void aCleanHistoryIsCleanAndEachPlantedBreachIsCaught() {
-        assertThat(judged(clean)).isEqualTo("[]");
-        int gone = first("standing", "n0", "n3", "GONE");
-        int suspect = first("standing", "n0", "n3", "SUSPECT");
-        int alive = first("standing", "n0", "n1", "ALIVE");
-        assertThat(judged(planted(suspect, gone + 1, tree -> {}))).contains("1 never back");
-        assertThat(judged(planted(alive, alive + 1, tree -> tree.put("is", "LEFT"))))
+    void acceptsCleanHistoryAndDetectsEachInsertedBreach() {
+        assertThat(brokenRules(clean)).isEqualTo("[]");
+        int gone = indexOf("standing", "n0", "n3", "GONE");
+        int suspect = indexOf("standing", "n0", "n3", "SUSPECT");
+        int alive = indexOf("standing", "n0", "n1", "ALIVE");
+        assertThat(brokenRules(withInsertedLine(suspect, gone + 1, tree -> {}))).contains("1 never back");
+        assertThat(brokenRules(withInsertedLine(alive, alive + 1, tree -> tree.put("is", "LEFT"))))
                 .contains("2 only its own word");
-        assertThat(judged(planted(alive, alive + 1, tree -> tree.put("of", "n9"))))
+        assertThat(brokenRules(withInsertedLine(alive, alive + 1, tree -> tree.put("of", "n9"))))
                 .contains("3 only known words");
-        assertThat(judged(planted(gone, gone, tree -> tree.put("doubt", "it stood still")
+        assertThat(brokenRules(withInsertedLine(gone, gone, tree -> tree.put("doubt", "it stood still")
                         .put("by", "n0")
                         .put("turn", 0))))
                 .contains("4 no verdict in doubt");
-        assertThat(judged(planted(alive, alive + 1, tree -> tree.put("is", "GONE"))))
+        assertThat(brokenRules(withInsertedLine(alive, alive + 1, tree -> tree.put("is", "GONE"))))
                 .contains("no false end");
-        List<Line> forgetful = new ArrayList<>(clean);
-        forgetful.removeIf(line -> line.what().equals("standing")
+        List<Line> withoutOneView = new ArrayList<>(clean);
+        withoutOneView.removeIf(line -> line.event().equals("standing")
                 && line.node() == 2
                 && line.tree().get("of").asText().equals("n1"));
-        assertThat(judged(forgetful)).isEqualTo("[views agree]");
-        List<Line> unkilled = new ArrayList<>(clean);
-        unkilled.removeIf(line -> line.what().equals("killed"));
-        assertThat(judged(unkilled)).contains("no false end");
+        assertThat(brokenRules(withoutOneView)).isEqualTo("[views agree]");
+        List<Line> withoutKillEvent = new ArrayList<>(clean);
+        withoutKillEvent.removeIf(line -> line.event().equals("killed"));
+        assertThat(brokenRules(withoutKillEvent)).contains("no false end");
     }
 }
--- a/lab/src/test/java/spartrail/lab/cluster/HistoryFormTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/HistoryFormTest.java
@@ -26,23 +26,23 @@
     private List<ClusterHistory.Line> lines;
 
     @BeforeEach
-    void readTheKeptHistory() throws Exception {
+    void readStoredHistory() throws Exception {
         file = Files.write(folder.resolve("history.jsonl"), Forms.bytes("history.jsonl"));
         lines = ClusterHistory.readMerged(file);
     }
 
-    private static String unclocked(String text) {
+    private static String withoutTimes(String text) {
         return text.replaceAll("\\{\"ns\":[0-9]+", "{\"ns\":0");
     }
 
     @Test
     void eachKindOfLineIsRead() {
-        TreeMap<String, Integer> kinds = new TreeMap<>();
-        lines.forEach(line -> kinds.merge((line.node() < 0 ? "rig " : "node ") + line.what(), 1, Integer::sum));
-        assertThat(kinds.toString() + "\n").isEqualTo(text("history-kinds.txt"));
+        TreeMap<String, Integer> countsByKind = new TreeMap<>();
+        lines.forEach(line -> countsByKind.merge((line.node() < 0 ? "rig " : "node ") + line.event(), 1, Integer::sum));
+        assertThat(countsByKind.toString() + "\n").isEqualTo(readForm("history-kinds.txt"));
     }
 
-    private static String text(String name) {
+    private static String readForm(String name) {
         try {
             return Forms.text(name);
         } catch (java.io.IOException e) {
@@ -52,35 +52,35 @@
 
     @Test
     void linesOfNodesAreWrittenBackWithTheSameBytes() throws Exception {
-        List<String> kept = new ArrayList<>(Files.readAllLines(file));
-        kept.removeIf(text -> text.contains("\"node\":\"rig\""));
+        List<String> storedLines = new ArrayList<>(Files.readAllLines(file));
+        storedLines.removeIf(text -> text.contains("\"node\":\"rig\""));
         ClusterHistory history = new ClusterHistory();
         for (int node = 0; node < NODES; node++) {
             String name = "n" + node;
-            List<String> own = new ArrayList<>(kept);
-            own.removeIf(text -> !text.contains("\"node\":\"" + name + "\""));
-            history.follow(node, Files.write(folder.resolve(name), own));
+            List<String> nodeLines = new ArrayList<>(storedLines);
+            nodeLines.removeIf(text -> !text.contains("\"node\":\"" + name + "\""));
+            history.follow(node, Files.write(folder.resolve(name), nodeLines));
         }
-        assertThat(history.more()).hasSize(kept.size());
-        assertThat(history.toJsonLines()).isEqualTo(String.join("\n", kept) + "\n");
+        assertThat(history.readNewLines()).hasSize(storedLines.size());
+        assertThat(history.toJsonLines()).isEqualTo(String.join("\n", storedLines) + "\n");
     }
 
     @Test
-    void linesOfTheRigAreWrittenBackWithTheSameBytes() throws Exception {
+    void linesOfTheHarnessAreWrittenBackWithTheSameBytes() throws Exception {
         ClusterHistory history = new ClusterHistory();
         for (ClusterHistory.Line line : lines) {
             if (line.node() < 0) {
                 ObjectNode tree = line.tree().deepCopy();
-                history.done(line.what(), tree.without(List.of("ns", "what", "node")));
+                history.recordHarnessEvent(line.event(), tree.without(List.of("ns", "what", "node")));
             }
         }
-        List<String> kept = new ArrayList<>(Files.readAllLines(file));
-        kept.removeIf(text -> !text.contains("\"node\":\"rig\""));
-        assertThat(unclocked(history.toJsonLines())).isEqualTo(unclocked(String.join("\n", kept) + "\n"));
+        List<String> storedLines = new ArrayList<>(Files.readAllLines(file));
+        storedLines.removeIf(text -> !text.contains("\"node\":\"rig\""));
+        assertThat(withoutTimes(history.toJsonLines())).isEqualTo(withoutTimes(String.join("\n", storedLines) + "\n"));
     }
 
     @Test
-    void itIsJudgedAsBefore() {
+    void checkersReportTheStoredFindings() {
         PeersRules peers = new HistoryChecker(NODES).check(lines, true);
         PolicyRules policy = new PolicyHistoryChecker(
                         NODES, List.of(0, 1, 2), new PolicyRules.Bounds(2000, 60_000, 90_000))
@@ -90,6 +90,6 @@
                                 lines.get(lines.size() - 1).ns(), 0, 1, "5")));
         assertThat(peers.judgedChanges() + " asked\n" + peers.breaches() + "\n" + peers.detectionTimesMs() + "\n"
                         + policy.judged() + " judged\n" + policy.breaches() + "\n")
-                .isEqualTo(text("history-judged.txt"));
+                .isEqualTo(readForm("history-judged.txt"));
     }
 }
--- a/lab/src/test/java/spartrail/lab/cluster/SeveralProcessesTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/SeveralProcessesTest.java
@@ -29,13 +29,13 @@
     private ClusterHarness.Outcome play(String steps) throws Exception {
         ClusterPlan plan = ClusterPlan.of(Document.parse(
                 "plan", (PLAN + steps + "]}").replace('\'', '"').getBytes(StandardCharsets.UTF_8), "nodes"));
-        try (ClusterHarness rig = new ClusterHarness(plan, folder, line -> {})) {
-            return rig.play();
+        try (ClusterHarness cluster = new ClusterHarness(plan, folder, line -> {})) {
+            return cluster.play();
         }
     }
 
     @Test
-    void aNodeThatIsKilledTheMomentAnotherIsSuspectedIsKnownByAllToo() throws Exception {
+    void allNodesDetectASecondCrashDuringTheSuspicionOfTheFirst() throws Exception {
         ClusterHarness.Outcome outcome = play("{'when':{'atMs':200},'do':'kill','nodes':['n3']},"
                 + "{'name':'second','when':{'seen':{'node':'any','of':'n3','is':'SUSPECT'}},'do':'kill','nodes':['n4']},"
                 + "{'when':{'seen':{'node':'any','of':'n3','is':'GONE','times':3}},'do':'heal'},"
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void twoSidesOfACutFindEachOtherAgainAndOneThatEndsSaysSo() throws Exception {
+    void viewsMergeAfterAPartitionAndALeavingNodeIsSeenAsLeft() throws Exception {
         ClusterHarness.Outcome outcome =
                 play("{'name':'cut','when':{'atMs':200},'do':'cut','nodes':['n0','n1'],'others':['n2','n3','n4']},"
                         + "{'name':'gone','when':{'seen':{'node':'n4','of':'n0','is':'GONE'}},'do':'heal'},"
@@ -62,7 +62,7 @@
 
     /** The leader is lost the moment it knows of the decision; the version holds all the same, and nobody decides by two at once. */
     @Test
-    void aVersionOfPolicyTakesHoldThoughTheLeaderIsLost() throws Exception {
+    void policyVersionTakesEffectAlthoughTheLeaderIsKilled() throws Exception {
         ClusterPlan plan = ClusterPlan.of(Document.parse(
                 "plan",
                 (PLAN.replace(
@@ -78,23 +78,25 @@
                         .replace('\'', '"')
                         .getBytes(StandardCharsets.UTF_8),
                 "nodes"));
-        try (ClusterHarness rig = new ClusterHarness(plan, folder, line -> {})) {
-            ClusterHarness.Outcome outcome = rig.play();
+        try (ClusterHarness cluster = new ClusterHarness(plan, folder, line -> {})) {
+            ClusterHarness.Outcome outcome = cluster.play();
             PolicyRules rules = new PolicyHistoryChecker(
                             5, List.of(0, 1, 2), new PolicyRules.Bounds(2000, 60_000, 90_000))
-                    .check(outcome.history().inOrder(), outcome.taken());
+                    .check(outcome.history().inOrder(), outcome.policyRecords());
             assertThat(outcome.unexecutedSteps()).isEmpty();
             assertThat(rules.breaches()).isEmpty();
             assertThat(rules.judged()).isPositive();
-            assertThat(outcome.taken()).extracting(PolicyRules.Taken::by).contains("0", "0|1");
+            assertThat(outcome.policyRecords())
+                    .extracting(PolicyRules.Taken::by)
+                    .contains("0", "0|1");
         }
     }
 
     @Test
-    void whenTheRigIsKilledEveryProcessEnds() throws Exception {
+    void allProcessesEndWhenTheHarnessIsKilled() throws Exception {
         Path plan = folder.resolve("plan.json");
         Files.writeString(plan, (PLAN + "]}").replace("'ends':'all',", "").replace('\'', '"'));
-        Process rig = new ProcessBuilder(
+        Process cluster = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
                         System.getProperty("java.class.path"),
@@ -105,14 +107,14 @@
                 .redirectErrorStream(true)
                 .start();
         List<ProcessHandle> nodes;
-        try (BufferedReader lines = rig.inputReader()) {
+        try (BufferedReader lines = cluster.inputReader()) {
             for (String line = lines.readLine();
                     line != null && !line.contains("know each other");
                     line = lines.readLine()) {
                 // Until all nodes run.
             }
-            nodes = rig.descendants().toList();
-            rig.destroyForcibly();
+            nodes = cluster.descendants().toList();
+            cluster.destroyForcibly();
         }
         assertThat(nodes).hasSizeGreaterThanOrEqualTo(5);
         for (ProcessHandle node : nodes) {
@@ -121,7 +123,7 @@
     }
 
     @Test
-    void withoutAPeersFileNothingOfItIsLoaded() throws Exception {
+    void noPeerOrPolicyClassIsLoadedWithoutAPeersFile() throws Exception {
         Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xlog:class+load",
