--- a/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
@@ -29,12 +29,19 @@
 import spartrail.policy.replication.CrashPoint;
 
 /**
- * Plays a plan with processes. Steps are tied to times, to what nodes say in their histories, or to other steps; who waits for
- * something to be seen waits until it is, or the plan is over, so that no sleep decides. Run by one thread; links, servers,
- * load and the nodes have theirs.
+ * Executes a cluster plan with real front node processes. A step is due at a time, after a matching line in a node's
+ * history, or after another step. A step that waits for a history line has no time-out of its own: it waits until the
+ * line appears or the plan ends, so no outcome depends on the length of a sleep. One thread runs the harness; links,
+ * servers, load and nodes run on their own threads.
  */
 public final class ClusterHarness implements AutoCloseable {
-    /** What was seen of a run, beside the history. */
+    /**
+     * The results of a run.
+     *
+     * @param unexecutedSteps names of the steps whose trigger did not fire
+     * @param policyRecords the policy version that decided each recorded multiget
+     * @param elapsedMs how long the run took
+     */
     public record Outcome(
             ClusterHistory history,
             RuleChecker rules,
@@ -47,16 +54,18 @@
             double elapsedMs) {}
 
     private static final double POLL_INTERVAL_MS = 5;
-    /** A process is ended, or goes on, so much later at the most than the rig asks for it. */
+    /** Longest delay between the harness signalling a process and the process ending or resuming. */
     private static final double TOLERANCE_MS = 500;
 
     private static final double MEMBERSHIP_TIMEOUT_MS = 20_000;
 
-    /** A step that has not been taken yet, and how often what it waits for was seen. */
+    /** A step that has not been executed yet, with the number of history lines that matched its trigger so far. */
     private static final class PendingStep {
         final Step step;
         int observations;
+        /** The node whose history line fired the trigger, -1 before that. */
         int observedNode = -1;
+
         double dueMs;
 
         PendingStep(Step step) {
@@ -77,22 +86,26 @@
     private final List<LoadPlan.Target> targets = new ArrayList<>();
     private final DatagramLinks links;
     private final List<ScheduledAction> scheduledActions = new ArrayList<>();
+    /** Time since the start of the run at which each step was executed, by step name. */
     private final Map<String, Double> executedAtMs = new HashMap<>();
+
     private final Set<Integer> slowed = new HashSet<>();
     private final List<DatagramFlood> floods = new ArrayList<>();
     private final List<Integer> peerPorts = new ArrayList<>();
     private OperatorCommands operatorCommands;
-    /** Steps as they were taken: when, and whom they concerned. */
+    /** Executed steps, each with its actual time and the nodes that it affected. */
     private final List<Step> executedSteps = new ArrayList<>();
 
+    /** Nodes whose process the harness ended, or whose exit it has recorded. */
     private final Set<Integer> endedNodes = new HashSet<>();
+
     private int leader = -1;
-    /** All that are not known to be over ran then. */
+    /** The fleet clock's time of the last check at which every node outside {@link #endedNodes} was running. */
     private double lastCheckedMs;
 
     private double startMs;
 
-    /** Starts servers, links and processes; returns when all nodes serve, and, where they talk, know each other. */
+    /** Starts servers, links and processes. Returns when all nodes serve and, where they gossip, know each other. */
     public ClusterHarness(ClusterPlan plan, Path folder, Consumer<String> progress)
             throws IOException, InterruptedException {
         this.plan = plan;
@@ -101,7 +114,7 @@
         this.checker = new RuleChecker(plan.settings().terms());
         this.fleet = new Fleet(
                 plan.fleet().varied(plan.seed(), plan.nodes()),
-                Runner.watching(checker, (what, atMs) -> progress.accept("servers: " + what)));
+                Runner.watching(checker, (event, atMs) -> progress.accept("servers: " + event)));
         DatagramLinks newLinks = null;
         try {
             for (int node = 0; node < plan.nodes(); node++) {
@@ -177,7 +190,7 @@
                 return address;
             });
         }
-        progress.accept(plan.nodes() + " nodes serve");
+        progress.accept(plan.nodes() + " nodes are ready to serve");
     }
 
     private static ObjectNode nodesField(int node) {
@@ -194,7 +207,7 @@
         return currentTimeMs() - startMs;
     }
 
-    /** Until every node says that so many are there. */
+    /** Waits until every node reports all nodes of the plan as present and is not in doubt about its own view. */
     private void awaitFullMembership() throws IOException, InterruptedException {
         if (plan.peers() == null) {
             return;
@@ -214,7 +227,7 @@
             }
             if (elapsedMs() > MEMBERSHIP_TIMEOUT_MS) {
                 throw new IOException("after " + MEMBERSHIP_TIMEOUT_MS / 1000 + " s only " + nodesWithFullView.size()
-                        + " of " + plan.nodes() + " nodes know all others; their logs are in " + folder);
+                        + " of " + plan.nodes() + " nodes know all others; the logs of the nodes are in " + folder);
             }
             sleepPollInterval();
         }
@@ -231,7 +244,7 @@
         Thread.sleep((long) POLL_INTERVAL_MS);
     }
 
-    /** Plays all steps under load, to the plan's end. */
+    /** Executes the steps under load until the plan ends. */
     public Outcome play() throws IOException, InterruptedException {
         List<PendingStep> pendingSteps = new ArrayList<>();
         plan.steps().forEach(step -> pendingSteps.add(new PendingStep(step)));
@@ -288,7 +301,7 @@
                 elapsedMs());
     }
 
-    /** By what every life of every node decided its multigets. */
+    /** Reads which policy version decided each multiget, from the records of every incarnation of every node. */
     private List<PolicyRules.Taken> readPolicyRecords() {
         List<PolicyRules.Taken> policyRecords = new ArrayList<>();
         for (int node = 0; node < nodes.size(); node++) {
@@ -297,7 +310,7 @@
                     incarnation++) {
                 try {
                     for (String line : Files.readAllLines(folder.resolve("n" + node + ".record." + incarnation))) {
-                        // A line torn by a kill is none.
+                        // A line that a kill has truncated is skipped.
                         if (line.endsWith("}") && line.contains("\"policy\"")) {
                             JsonNode tree = Document.JSON.readTree(line);
                             policyRecords.add(new PolicyRules.Taken(
@@ -315,7 +328,7 @@
         return policyRecords;
     }
 
-    /** Reads what nodes have written and takes the steps whose time has come. */
+    /** Reads new history lines, then runs the scheduled actions and the steps that are due. */
     private void poll(List<PendingStep> pendingSteps) throws IOException, InterruptedException {
         for (Line line : history.readNewLines()) {
             updateLeader(line);
@@ -347,7 +360,7 @@
         }
     }
 
-    /** Whom a step concerns, now that it is taken. */
+    /** Replaces the plan's words for nodes (leader, follower, seen, down) with the nodes that they stand for now. */
     private Step resolveNodes(PendingStep pendingStep) {
         List<Integer> nodeNumbers = new ArrayList<>();
         for (int node : pendingStep.step.nodes()) {
@@ -394,7 +407,7 @@
         return true;
     }
 
-    /** Processes that are gone though nobody here ended them: a point that was armed has been reached. */
+    /** Records processes that exited without the harness ending them: they have reached an armed crash point. */
     private void recordUnexpectedExits() {
         double previousCheckMs = lastCheckedMs;
         lastCheckedMs = fleet.loop().nowMs();
@@ -441,7 +454,7 @@
         }
     }
 
-    // ---- Steps ----
+    // ---- Executing steps ----
 
     private void execute(Step step) throws IOException, InterruptedException {
         executedSteps.add(new Step(
@@ -452,11 +465,11 @@
                 step.others(),
                 step.durationMs(),
                 step.parameters()));
-        progress.accept(step.action() + " "
+        progress.accept("executing " + step.action() + " on "
                 + step.nodes().stream().map(node -> "n" + node).toList()
                 + (step.others().isEmpty()
                         ? ""
-                        : " and "
+                        : " with far ends "
                                 + step.others().stream().map(node -> "n" + node).toList()));
         switch (step.action()) {
             case "kill" -> {
@@ -548,7 +561,10 @@
         }
     }
 
-    /** The easy way to another policy: files and SIGHUP, node after node. Who is down is passed over, as a script would. */
+    /**
+     * Changes policy without the agreed log: writes each node's configuration file and sends SIGHUP, node after node. A
+     * node that is down is skipped, as a deployment script would do.
+     */
     private void schedulePush(Step step) throws IOException {
         recordStep(step, "pushed");
         double atMs = 0;
@@ -580,7 +596,9 @@
     private static final java.util.function.Function<String, Integer> PORT_OF =
             address -> Integer.parseInt(address.substring(address.indexOf(':') + 1));
 
-    /** What this node does not answer meanwhile is the rig's doing. */
+    /**
+     * Excludes the step's nodes from the rule checks for this long: the harness itself causes their missing responses.
+     */
     private void tolerateOutage(Step step, double durationMs) {
         double nowMs = fleet.loop().nowMs();
         step.nodes()
@@ -604,7 +622,10 @@
         }
     }
 
-    /** A node gets so small a share of a core: it runs for a part of each tenth of a second and stands still for the rest. */
+    /**
+     * Limits the step's nodes to a share of a core: each runs for that share of every 100 ms and is suspended for the
+     * rest.
+     */
     private void throttle(Step step, double share) {
         try {
             while (step.nodes().stream().anyMatch(slowed::contains)) {
@@ -621,7 +642,8 @@
                 nodes.get(node).stop(false);
             }
         } catch (IOException e) {
-            progress.accept("a node cannot be slowed: " + e.getMessage());
+            progress.accept(
+                    "step " + step.name() + " cannot slow its nodes: " + e.getMessage() + "; it stops slowing them");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -630,7 +652,8 @@
     private void executeLinkStep(Step step) {
         boolean bothWays = step.action().equals("cut") || step.action().equals("link");
         if (!bothWays && !step.action().equals("one-way") && !step.action().equals("link-one-way")) {
-            throw new InvalidInputException("no step is named '" + step.action() + "'");
+            throw new InvalidInputException(
+                    "step '" + step.name() + "': found the unknown action '" + step.action() + "'");
         }
         JsonNode parameters = step.parameters();
         double untilMs = links.nowMs() + parameters.path("heldMs").asDouble(0);
@@ -663,7 +686,7 @@
         }
     }
 
-    /** The process on this machine bears another name from its next start on. */
+    /** Gives the node another peer name, which applies from its next start on. */
     private void setPeerName(int node, String name) throws IOException {
         Path file = folder.resolve("n" + node + ".peers.json");
         Files.writeString(
@@ -673,7 +696,10 @@
                         .toPrettyString());
     }
 
-    /** How far the machine's clock is from the right time, how fast the node's own one runs, and what room its disk has. */
+    /**
+     * JVM options that emulate machine faults: an offset of the wall clock, the pace of the node's own clock, a crash
+     * point and a limit on disk space.
+     */
     private static List<String> machineOptions(JsonNode parameters) {
         List<String> options = new ArrayList<>(List.of("-D" + CrashPoint.ENABLING_PROPERTY + "=true"));
         if (parameters.has("clock")) {
@@ -712,13 +738,12 @@
             scheduledActions.add(new ScheduledAction(elapsedMs() + step.durationMs(), () -> {
                 action.run();
                 recordStep(step, event);
-                progress.accept(event + " "
+                progress.accept(event + ": "
                         + step.nodes().stream().map(node -> "n" + node).toList());
             }));
         }
     }
 
-    /** What a node has logged so far. */
     public String readLog(int node) throws IOException {
         return Files.readString(folder.resolve("n" + node + ".log"));
     }
@@ -730,7 +755,7 @@
         if (operatorCommands != null) {
             operatorCommands.close();
         }
-        // Those that stand still cannot end by themselves.
+        // A suspended process cannot end by itself.
         for (NodeProcess node : nodes) {
             node.handle().destroyForcibly();
         }
--- a/lab/src/main/java/spartrail/lab/cluster/ClusterHistory.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHistory.java
@@ -13,17 +13,21 @@
 import java.util.List;
 import spartrail.lab.file.Document;
 
-/** What all processes wrote of themselves and what the rig did, in the order of the machine's one monotonic clock. */
+/**
+ * The merged history of a run: the lines that all node processes wrote and the events of the harness, ordered by the
+ * machine's monotonic clock, which all of them share.
+ */
 public final class ClusterHistory {
     /**
-     * One line.
+     * One line of a history.
      *
-     * @param node whose, or -1 for the rig's own
-     * @param what {@code began}, {@code standing} or {@code view} of a node; of the rig what it did
+     * @param node the node that wrote the line, or -1 for the harness
+     * @param event for a node {@code began}, {@code standing} or {@code view}, for example; for the harness the action
+     *     it took
      */
     public record Line(long ns, int node, String event, JsonNode tree) {}
 
-    /** A file that grows, and how far it has been read. */
+    /** A history file that a node appends to, and how far it has been read. */
     private static final class FollowedFile {
         final Path file;
         final int node;
@@ -41,7 +45,7 @@
     private final List<FollowedFile> followedFiles = new ArrayList<>();
     private long unreadableLines;
 
-    /** A merged history as it was kept; lines of the rig have {@code node} "rig". */
+    /** Reads a merged history from a file; lines of the harness have {@code node} "rig". */
     public static List<Line> readMerged(Path file) throws IOException {
         List<Line> lines = new ArrayList<>();
         for (String text : Files.readAllLines(file)) {
@@ -56,19 +60,22 @@
         return lines;
     }
 
-    /** From now on this file, which a node writes, belongs to the history. */
+    /** Adds a file that a node writes to the history; its lines are read from now on. */
     public void follow(int node, Path file) {
         followedFiles.add(new FollowedFile(file, node));
     }
 
-    /** What the rig did, or saw. */
+    /** Adds an action or an observation of the harness. */
     public synchronized void recordHarnessEvent(String event, JsonNode tree) {
         Line line = new Line(System.nanoTime(), -1, event, tree);
         lines.add(line);
         newHarnessLines.add(line);
     }
 
-    /** Reads what has been written since; the new lines, and then those of the rig itself. */
+    /**
+     * Reads what the nodes have written since the last call. Returns these lines, followed by the new lines of the
+     * harness.
+     */
     public synchronized List<Line> readNewLines() throws IOException {
         List<Line> newLines = new ArrayList<>();
         for (FollowedFile followed : followedFiles) {
@@ -97,7 +104,10 @@
         return newLines;
     }
 
-    /** A line torn by a kill and glued to the next life's first one is counted, not guessed at. */
+    /**
+     * Parses one line. A kill may truncate a line, which the first line of the next incarnation then continues: such a
+     * line is counted as unreadable and not repaired.
+     */
     private void parseLine(int node, String line, List<Line> newLines) {
         try {
             JsonNode tree = Document.JSON.readTree(line);
@@ -108,14 +118,14 @@
         }
     }
 
-    /** All lines in order of time. */
+    /** All lines, ordered by time. */
     public synchronized List<Line> inOrder() {
         List<Line> sorted = new ArrayList<>(lines);
         sorted.sort(Comparator.comparingLong(Line::ns));
         return sorted;
     }
 
-    /** As it is kept, a JSON line each; lines of the rig have {@code node} "rig". */
+    /** The stored form: one JSON object per line; lines of the harness have {@code node} "rig". */
     public String toJsonLines() throws IOException {
         StringBuilder text = new StringBuilder();
         for (Line line : inOrder()) {
--- a/lab/src/main/java/spartrail/lab/cluster/ClusterPlan.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterPlan.java
@@ -11,13 +11,15 @@
 import spartrail.lab.plan.LoadPlan;
 
 /**
- * What a rig plays, as its file tells it; the form is {@code schema/nodes.json}.
+ * A plan for {@link ClusterHarness}, read from a file in the form of {@code schema/nodes.json}.
  *
- * @param peers what the nodes' peers' files say beside names and addresses; null: they do not talk
- * @param own by node, what its own settings have that others' have not
- * @param lastsMs so long at the most
- * @param ends the run ends when the step of this name is taken, or {@code all} are; null: at its time
- * @param load null for none
+ * @param seeds number of nodes that are listed as gossip seeds
+ * @param durationMs longest duration of the run
+ * @param endStep the run ends when the step of this name, or with {@code all} every step, has been executed; null:
+ *     after {@code durationMs}
+ * @param peers content of the nodes' peers files apart from names and addresses; null: the nodes do not gossip
+ * @param nodeOverrides settings that apply to single nodes, by node name
+ * @param load null for a run without load
  */
 public record ClusterPlan(
         long seed,
@@ -32,9 +34,14 @@
         LoadPlan load,
         List<Step> steps) {
     /**
-     * When a step is taken: at a time after all nodes are up, or so long after something was seen, or after another step.
-     * Seen is what a node says: that it holds another one (or anybody) for this, by its own history; or a line of it that has
-     * all these values; with a step, after that only.
+     * When a step is due: at {@code atMs} after the start of the run, or {@code delayMs} after another step or an
+     * observation. The run starts once all nodes are up. An observation is a history line of {@code observer} (or of
+     * any node) that reports {@code subject} in {@code state}, or that has all of {@code lineValues}. With {@code
+     * afterStep}, only lines read after that step count.
+     *
+     * @param atMs below 0 where the step waits for another step or an observation
+     * @param observer null where the step does not wait for an observation
+     * @param count how many matching lines the step waits for
      */
     public record Trigger(
             double atMs,
@@ -50,17 +57,27 @@
         }
     }
 
-    /** Who wrote what the step waited for; and all whose processes do not run. */
+    /** Stands for the node whose history line fired the step's trigger. */
     public static final int OBSERVED = -1;
 
+    /** Stands for all nodes whose processes are not running. */
     public static final int DOWN = -2;
-    /** Who leads those that decide about policy, as far as the rig was told; and one of the others of them. */
+    /** Stands for the voter that leads the policy log, according to the nodes' histories. */
     public static final int LEADER = -3;
 
+    /** Stands for the first running voter that is not the leader. */
     public static final int FOLLOWER = -4;
+
+    /** The plan's words for the constants above, in the order of their values. */
     private static final List<String> NODE_WORDS = List.of("seen", "down", "leader", "follower");
 
-    /** What is done, to whom; {@code others} are the far ends of links, all other nodes where empty. */
+    /**
+     * An action on some nodes.
+     *
+     * @param others nodes at the far ends of links; empty for all other nodes
+     * @param durationMs how long the action lasts; 0 for no end
+     * @param parameters the whole step as it stands in the plan
+     */
     public record Step(
             String name,
             Trigger trigger,
@@ -76,44 +93,47 @@
 
     public static ClusterPlan of(Document document) {
         JsonNode tree = document.tree;
-        int count = tree.get("nodes").asInt();
+        int nodeCount = tree.get("nodes").asInt();
         List<Step> steps = new ArrayList<>();
         for (JsonNode step : tree.path("steps")) {
-            String place = "/steps/" + steps.size();
+            String jsonPointer = "/steps/" + steps.size();
             JsonNode when = step.get("when");
-            JsonNode seen = when.path("seen");
-            String after = when.path("step").asText(null);
-            if (after != null && steps.stream().noneMatch(each -> each.name().equals(after))) {
+            JsonNode observation = when.path("seen");
+            String afterStep = when.path("step").asText(null);
+            if (afterStep != null
+                    && steps.stream().noneMatch(each -> each.name().equals(afterStep))) {
                 throw document.invalid(
-                        place + "/when/step", "found '" + after + "', the name of an earlier step is expected");
+                        jsonPointer + "/when/step",
+                        "found '" + afterStep + "', the name of an earlier step is expected");
             }
             if (step.has("as")
-                    && parseNodes(document, step.get("as"), count, place + "/as")
+                    && parseNodes(document, step.get("as"), nodeCount, jsonPointer + "/as")
                                     .size()
                             != step.path("nodes").size()) {
                 throw document.invalid(
-                        place + "/as", "found " + step.get("as").size() + " names, one for each of /nodes is expected");
+                        jsonPointer + "/as",
+                        "found " + step.get("as").size() + " names, one for each of /nodes is expected");
             }
             steps.add(new Step(
                     step.path("name").asText("step-" + steps.size()),
                     new Trigger(
                             when.path("atMs").asDouble(-1),
-                            seen.path("node").asText(null),
-                            seen.path("of").asText(null),
-                            seen.path("is").asText(null),
-                            seen.get("line"),
-                            seen.path("times").asInt(1),
-                            after,
+                            observation.path("node").asText(null),
+                            observation.path("of").asText(null),
+                            observation.path("is").asText(null),
+                            observation.get("line"),
+                            observation.path("times").asInt(1),
+                            afterStep,
                             when.path("afterMs").asDouble(0)),
                     step.get("do").asText(),
-                    parseNodes(document, step.path("nodes"), count, place + "/nodes"),
-                    parseNodes(document, step.path("others"), count, place + "/others"),
+                    parseNodes(document, step.path("nodes"), nodeCount, jsonPointer + "/nodes"),
+                    parseNodes(document, step.path("others"), nodeCount, jsonPointer + "/others"),
                     step.path("lastsMs").asDouble(0),
                     step));
         }
         return new ClusterPlan(
                 tree.path("seed").asLong(1),
-                count,
+                nodeCount,
                 tree.path("seeds").asInt(2),
                 tree.get("lastsMs").asDouble(),
                 tree.path("ends").asText(null),
@@ -129,7 +149,7 @@
         return Document.of(document.name + " /" + name, document.tree.get(name), name);
     }
 
-    private static List<Integer> parseNodes(Document document, JsonNode names, int count, String place) {
+    private static List<Integer> parseNodes(Document document, JsonNode names, int nodeCount, String jsonPointer) {
         List<Integer> nodeNumbers = new ArrayList<>();
         for (JsonNode name : names) {
             if (NODE_WORDS.contains(name.asText())) {
@@ -137,10 +157,10 @@
                 continue;
             }
             if (!name.asText().matches("n[0-9]{1,4}")
-                    || Integer.parseInt(name.asText().substring(1)) >= count) {
+                    || Integer.parseInt(name.asText().substring(1)) >= nodeCount) {
                 throw document.invalid(
-                        place + "/" + nodeNumbers.size(),
-                        "found '" + name.asText() + "', one of n0 to n" + (count - 1) + ", or one of " + NODE_WORDS
+                        jsonPointer + "/" + nodeNumbers.size(),
+                        "found '" + name.asText() + "', one of n0 to n" + (nodeCount - 1) + ", or one of " + NODE_WORDS
                                 + " is expected");
             }
             nodeNumbers.add(Integer.parseInt(name.asText().substring(1)));
@@ -148,30 +168,31 @@
         return List.copyOf(nodeNumbers);
     }
 
-    /** The same without talk among nodes, for comparison. */
+    /** A copy of this plan whose nodes do not gossip, for comparison. */
     public ClusterPlan withoutPeers() {
         return new ClusterPlan(
                 seed, nodes, seeds, durationMs, endStep, null, nodeOverrides, fleet, settings, load, steps);
     }
 
-    /** The same with other steps, for so long. */
+    /** A copy of this plan with other steps and another duration. */
     public ClusterPlan withSteps(List<Step> newSteps, double newDurationMs) {
         return new ClusterPlan(
                 seed, nodes, seeds, newDurationMs, null, peers, nodeOverrides, fleet, settings, load, newSteps);
     }
 
-    /** Whether nodes go by versions of policy, and who decides about them. */
+    /** Whether the nodes use versions of policy from the agreed log. */
     boolean hasPolicy() {
         return peers != null && peers.has("policy");
     }
 
+    /** Names of the nodes that vote on policy changes. */
     List<String> voters() {
         List<String> names = new ArrayList<>();
         peers.path("policy").path("deciders").forEach(name -> names.add(name.asText()));
         return names;
     }
 
-    /** The peers' file of one node. */
+    /** Builds the content of one node's peers file. */
     ObjectNode buildPeersFile(int node, String listen, String advertise, List<String> seedAddresses) {
         ObjectNode file = Document.JSON.createObjectNode();
         file.put("fleet", "rig").put("name", "n" + node).put("listen", listen).put("advertise", advertise);
--- a/lab/src/main/java/spartrail/lab/cluster/ConfigPush.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ConfigPush.java
@@ -8,11 +8,14 @@
 import java.nio.file.StandardCopyOption;
 import spartrail.lab.file.Document;
 
-/** The easy way to change policy: another file, and SIGHUP. What the drills of policy are measured against. */
+/**
+ * Changes policy by rewriting a node's configuration file before a SIGHUP, without an agreed log. The policy drills are
+ * compared with this simpler method.
+ */
 final class ConfigPush {
     private ConfigPush() {}
 
-    /** Times of op types, in a node's configuration. */
+    /** Sets the latency objectives and deadlines of op types in a node's configuration. */
     static void applySettings(ObjectNode config, JsonNode settings) {
         for (JsonNode opType : config.get("settings").get("classes")) {
             JsonNode budgets = settings.path("opTypes").path(opType.get("name").asText());
@@ -23,7 +26,9 @@
         }
     }
 
-    /** Budgets of op types are all that it changes; the version is what the record names. */
+    /**
+     * Rewrites a configuration file with the new times of op types and the version that the node's records then name.
+     */
     static void writeConfig(Path config, JsonNode settings, long version) throws IOException {
         ObjectNode tree = (ObjectNode) Document.JSON.readTree(Files.readString(config));
         tree.put("version", Long.toString(version));
--- a/lab/src/main/java/spartrail/lab/cluster/DatagramFlood.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DatagramFlood.java
@@ -15,12 +15,21 @@
 import spartrail.peers.PeerUpdate;
 import spartrail.peers.transport.PeerMessageCodec;
 
-/** A stranger that sends nodes what it likes: bytes that are no frame, frames of another fleet, invented names, old words. */
+/**
+ * An outside sender that floods nodes with datagrams: random bytes, frames of another fleet, invented node names, false
+ * updates about existing nodes, and oversized datagrams.
+ */
 final class DatagramFlood implements AutoCloseable {
     private final Thread thread;
     private volatile boolean closed;
 
-    /** So many datagrams a second, to these ports of the loopback in turn. */
+    /**
+     * Starts to send.
+     *
+     * @param contentKind {@code garbage}, {@code fleet}, {@code names}, {@code words}, {@code large}, or {@code all} in
+     *     turn
+     * @param ports loopback ports, which receive datagrams in turn
+     */
     DatagramFlood(double datagramsPerSecond, String contentKind, List<Integer> ports, String fleet, long seed)
             throws IOException {
         DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
@@ -48,7 +57,7 @@
                             }
                         }
                     } catch (IOException e) {
-                        // Nobody listens any more.
+                        // The receivers have closed their sockets: the flood ends.
                     }
                 },
                 "spartrail-flood");
@@ -77,8 +86,8 @@
                         "",
                         new Incarnation(1_000_000 + number, 1),
                         0);
-                // Names that exist, in lives that are over or never were: whoever believed them would hold live nodes
-                // for gone.
+                // Names that exist, with incarnations that are over or never existed: a receiver that accepted them
+                // would remove live nodes.
                 List<PeerUpdate> updates = contentKind.equals("words")
                         ? List.of(new PeerUpdate(
                                 new PeerDescriptor(
--- a/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
@@ -23,11 +23,12 @@
 import spartrail.peers.transport.PeerMessageCodec;
 
 /**
- * Carries datagrams among nodes. Each node is reached by others at a port of these links, and what it sends comes to its
- * receiver from that port, so that a node cannot tell them from a wire. Every link has a direction and faults of its own.
+ * A proxy that carries datagrams between nodes. Each node has a port of the proxy: other nodes send to that port, and
+ * datagrams of the node arrive at their receivers from it, so nodes cannot distinguish the proxy from a direct
+ * connection. Each direction between two nodes is a link with its own fault.
  */
 public final class DatagramLinks implements AutoCloseable {
-    /** What is wrong with a link; the next one set replaces it. */
+    /** The fault of one link. Setting another fault replaces it. */
     public static final class Fault {
         boolean cut;
         double lossProbability;
@@ -35,12 +36,16 @@
         double jitterMs;
         double duplicateProbability;
         double bitFlipProbability;
+        /** Longer datagrams are truncated to this size. */
         int maxBytes = Integer.MAX_VALUE;
+        /** Throughput limit; 0 for none. */
         double bytesPerSecond;
-        /** Only messages of this kind; null for all. */
+        /** The fault affects only messages of this kind; null for all. */
         String messageKind;
 
+        /** Datagrams are held back until this time of the links' clock. */
         double heldUntilMs;
+
         private double linkFreeAtMs;
     }
 
@@ -63,7 +68,7 @@
     private long droppedDatagrams;
     private volatile boolean closed;
 
-    /** So many nodes, each listening on the port given. */
+    /** Creates the links among nodes that listen on these loopback ports. */
     public DatagramLinks(List<Integer> nodePorts, String fleet, long seed) throws IOException {
         this.selector = Selector.open();
         this.fleet = fleet;
@@ -86,17 +91,18 @@
         thread.start();
     }
 
-    /** Where others reach this node. */
+    /** The address at which other nodes reach this node. */
     public String address(int node) {
         return "127.0.0.1:" + channels.get(node).socket().getLocalPort();
     }
 
-    /** From now on this is wrong with the link from one node to the other; null for nothing. */
+    /** Sets the fault of the link from one node to another; null removes it. */
     public void setFault(int from, int to, Fault fault) {
         tasks.add(() -> faults[from][to] = fault);
         selector.wakeup();
     }
 
+    /** Sets a fault of its own on each link between two different nodes that match. */
     public void setFaults(Predicate<Integer> from, Predicate<Integer> to, java.util.function.Supplier<Fault> faults) {
         for (int i = 0; i < ports.size(); i++) {
             for (int j = 0; j < ports.size(); j++) {
@@ -107,7 +113,7 @@
         }
     }
 
-    /** Bytes that a node has sent to others so far, and messages. */
+    /** Bytes that a node has sent to other nodes so far. */
     public synchronized long sentBytes(int node) {
         return sentBytes[node];
     }
@@ -133,7 +139,7 @@
                 for (SelectionKey key : selector.selectedKeys()) {
                     int to = (Integer) key.attachment();
                     while (receiveDatagram(to)) {
-                        // Until it is empty.
+                        // Reads until the socket is empty.
                     }
                 }
                 selector.selectedKeys().clear();
@@ -141,7 +147,9 @@
             } catch (IOException e) {
                 if (!closed) {
                     System.getLogger("spartrail.lab.nodes")
-                            .log(System.Logger.Level.WARNING, "links: " + e.getMessage());
+                            .log(
+                                    System.Logger.Level.WARNING,
+                                    "carrying datagrams between nodes failed: " + e.getMessage() + "; continuing");
                 }
             }
         }
@@ -159,15 +167,14 @@
         if (source == null) {
             return false;
         }
-        // Applies changed faults first: otherwise a datagram sent after a change would be handled by the fault before
-        // it.
+        // Applies changed faults first: otherwise a datagram sent after a change would meet the previous fault.
         runTasks();
         receiveBuffer.flip();
         byte[] datagram = new byte[receiveBuffer.remaining()];
         receiveBuffer.get(datagram);
         Integer from = nodeOfPort.get(source.getPort());
         if (from == null) {
-            // A stranger: a flood, say. It comes from where it comes from.
+            // The sender is no node, for example a flood. Its datagram carries the receiver's own port as its source.
             forward(datagram, to, to);
             return true;
         }
@@ -224,7 +231,7 @@
         }
     }
 
-    /** The text that plans have for a kind of message. */
+    /** The text that plans use for a kind of message. */
     static String planText(PeerMessage.Kind kind) {
         return switch (kind) {
             case PING -> "PING";
@@ -242,7 +249,7 @@
                             ByteBuffer.wrap(datagram),
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(to)));
         } catch (IOException e) {
-            // As on a wire: nobody is told.
+            // Counted as dropped; as on a network, neither side is informed.
             synchronized (this) {
                 droppedDatagrams++;
             }
@@ -266,7 +273,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            // They go with the process.
+            // The process closes the remaining sockets when it ends.
         }
     }
 }
--- a/lab/src/main/java/spartrail/lab/cluster/DiskFault.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DiskFault.java
@@ -7,7 +7,7 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** What a disk does to a log of policy while its node is down. */
+/** Damages or restores the policy log of a node while the node is down. */
 final class DiskFault {
     private static final String LOG = "policy.log";
 
@@ -19,7 +19,7 @@
         Path backup = stateFolder.resolve(LOG + ".kept");
         switch (faultKind) {
             case "full" -> {}
-                // What a crash in the middle of a write leaves: the beginning of a record that was never synced.
+                // Leaves what a crash during a write leaves: the beginning of a record that was never synced.
             case "torn" -> Files.write(log, new byte[] {0, 0, 0, 100, 1, 2, 3, 4, 5, 6, 7}, StandardOpenOption.APPEND);
             case "flipped" -> {
                 Files.copy(log, backup, StandardCopyOption.REPLACE_EXISTING);
@@ -36,7 +36,8 @@
                         StandardCopyOption.REPLACE_EXISTING);
             }
             case "mended" -> {
-                // Only where the node refused to use what it found, so that nothing was added meanwhile.
+                // There is a backup only for faults that make the node refuse its log, so no record was added
+                // meanwhile.
                 if (Files.exists(backup)) {
                     Files.move(backup, log, StandardCopyOption.REPLACE_EXISTING);
                     try (FileChannel channel = FileChannel.open(log, StandardOpenOption.WRITE)) {
@@ -44,7 +45,8 @@
                     }
                 }
             }
-            default -> throw new IllegalArgumentException(faultKind);
+            default -> throw new IllegalArgumentException(
+                    "found disk fault '" + faultKind + "', expected full, torn, flipped, lost, swapped or mended");
         }
     }
 }
--- a/lab/src/main/java/spartrail/lab/cluster/HistoryChecker.java
+++ b/lab/src/main/java/spartrail/lab/cluster/HistoryChecker.java
@@ -12,12 +12,12 @@
 import spartrail.peers.PeerState;
 
 /**
- * Reads a merged history to the rules of peers, from what the rig did and what each node wrote. A line of a history is a
- * machine's; the rules speak of names. A name is its latest life's: of two processes that bear it the other one takes no part,
- * and what it writes meanwhile is not judged.
+ * Checks a merged history against the rules of peers, from the harness's actions and the lines of each node. A history
+ * line belongs to a machine, whereas the rules are about node names. A name belongs to its latest incarnation: if two
+ * processes have the same name, the earlier one does not take part, and its lines are not checked meanwhile.
  */
 public final class HistoryChecker {
-    /** What the rig does that is no trouble. */
+    /** Harness events that are not faults. */
     private static final Set<String> NON_FAULT_EVENTS = Set.of(
             "started",
             "begins",
@@ -34,12 +34,14 @@
     private final PeersRules rules;
     private final List<String> names = new ArrayList<>();
     private final Map<Integer, Boolean> terminating = new HashMap<>();
-    /** Which name each machine's process bears, and which machine's process has a name. */
+    /** The node name of each machine's process. */
     private final Map<Integer, Integer> nameByMachine = new HashMap<>();
 
+    /** The machine whose process currently owns each node name. */
     private final Map<Integer, Integer> machineByName = new HashMap<>();
+
     private final Map<Integer, Incarnation> incarnations = new HashMap<>();
-    /** What the process on each machine holds, whether it takes part or not. */
+    /** The view of the process on each machine, whether it takes part or not. */
     private final Map<Integer, Map<Integer, PeersRules.KnownPeer>> viewsByMachine = new HashMap<>();
 
     private double currentMs;
@@ -51,7 +53,11 @@
         }
     }
 
-    /** All lines in order of time; times are told from the first line on. {@code settled}: views must be equal at the end. */
+    /**
+     * Checks all lines, which must be ordered by time. Breaches are reported with the time since the first line.
+     *
+     * @param settled whether all views must be equal at the end
+     */
     public PeersRules check(List<Line> lines, boolean settled) {
         long startNs = lines.isEmpty() ? 0 : lines.get(0).ns();
         for (Line line : lines) {
@@ -93,7 +99,7 @@
                     terminating.remove(node);
                 }
                 case "killed" -> rules.onEnd(node, terminating.containsKey(node), currentMs);
-                    // It serves on while it drains; others may hold it for left as soon as it says so.
+                    // The node still serves while it drains; other nodes may record it as left once it announces that.
                 case "asked to end" -> {
                     terminating.put(node, true);
                     rules.onEnd(node, true, currentMs);
@@ -106,7 +112,7 @@
         }
     }
 
-    /** The process on this machine has begun a life. */
+    /** Handles a {@code began} line: the process on this machine starts an incarnation. */
     private void startIncarnation(int machine, int node, Incarnation incarnation) {
         if (machineByName.getOrDefault(node, machine) != machine
                 && incarnations.containsKey(node)
@@ -114,7 +120,8 @@
             return;
         }
         if (machineByName.getOrDefault(node, machine) != machine) {
-            // The other process of the name is over, and this one takes part again.
+            // This process has started a later incarnation than the other process of the same name, and takes part
+            // again.
             rules.onResume(node, viewsByMachine.getOrDefault(machine, Map.of()));
         }
         machineByName.put(node, machine);
@@ -159,9 +166,9 @@
                     rules.breach(
                             currentMs,
                             "3 only known words",
-                            tree.get("node").asText() + " holds "
-                                    + tree.get("of").asText() + " for "
-                                    + tree.get("is").asText() + ", which does not exist");
+                            tree.get("node").asText() + " reports "
+                                    + tree.get("of").asText() + " as "
+                                    + tree.get("is").asText() + ", but no node has that name");
                 } else if (other != viewer && tree.get("is").isNull()) {
                     rules.onForgotten(viewer, other);
                 } else if (other != viewer) {
--- a/lab/src/main/java/spartrail/lab/cluster/OperatorCommands.java
+++ b/lab/src/main/java/spartrail/lab/cluster/OperatorCommands.java
@@ -13,8 +13,9 @@
 import spartrail.policy.replication.AdminClient;
 
 /**
- * The rig's operators: they give an order and follow it to its end, each on a thread of its own, and say in the history what they
- * were told: {@code proposed} with its number, {@code ended} with what came of it.
+ * Sends the plan's operator commands to nodes, each command on a thread of its own, and follows a proposal until it is
+ * closed. The replies go to the history: {@code proposed} with the proposal's number, {@code ended} with its final
+ * stage.
  */
 final class OperatorCommands implements AutoCloseable {
     private static final int POLL_INTERVAL_MS = 100;
@@ -30,7 +31,12 @@
     private volatile boolean closed;
     private volatile long lastProposal;
 
-    /** Nodes listen on these ports; {@code where} tells the port of an address that nodes name to each other. */
+    /**
+     * Creates commands for a cluster.
+     *
+     * @param ports the ports on which the nodes listen
+     * @param addressResolver maps an address that nodes advertise to each other to the one on which the node listens
+     */
     OperatorCommands(ClusterHistory history, List<Integer> ports, Function<String, String> addressResolver) {
         this.history = history;
         this.ports = ports;
@@ -64,7 +70,7 @@
         });
     }
 
-    /** Below 0: the proposal that was taken last. */
+    /** Aborts a proposal; a number below 0 stands for the proposal that was accepted last. */
     void abort(String step, int firstNode, long number) {
         operators.execute(() -> {
             try (AdminClient client = new AdminClient(new AdminFrameCodec("rig"), true)) {
@@ -89,7 +95,7 @@
         });
     }
 
-    /** The node's process is to be gone when it next gets to this point. */
+    /** Makes the node's process end when it next reaches this crash point. */
     void armCrashPoint(String step, int node, String point) {
         operators.execute(() -> {
             ObjectNode event =
@@ -103,7 +109,7 @@
         });
     }
 
-    /** By way of one node, or of the next where that one does not answer. */
+    /** Submits an operation to one node, or to the next node if that one does not reply. */
     private String submit(AdminClient client, int firstNode, LogOperation.Kind kind, long number, String text)
             throws IOException {
         IOException lastError = null;
@@ -120,9 +126,10 @@
                 lastError = e;
             }
         }
-        throw lastError == null ? new IOException("the rig has ended") : lastError;
+        throw lastError == null ? new IOException("the cluster was closed before the command was sent") : lastError;
     }
 
+    /** Polls the nodes in turn until one of them shows the proposal as closed, then records its stage and reason. */
     private void awaitEnd(AdminClient client, ObjectNode event, long number) throws IOException {
         for (int node = 0; !closed; node = (node + 1) % ports.size()) {
             try {
@@ -139,7 +146,7 @@
                 }
                 Thread.sleep(POLL_INTERVAL_MS);
             } catch (IOException e) {
-                // It is down or cut off; another one knows.
+                // This node is down or cut off: the next node is asked.
             } catch (InterruptedException e) {
                 return;
             }
--- a/lab/src/main/java/spartrail/lab/cluster/PolicyHistoryChecker.java
+++ b/lab/src/main/java/spartrail/lab/cluster/PolicyHistoryChecker.java
@@ -10,11 +10,12 @@
 import spartrail.lab.rules.PolicyRules;
 
 /**
- * Reads a merged history and the records of all nodes to the rules of policy. When a node could hear of the log is told from
- * what the rig did alone: which processes ran, which stood still, which links were cut.
+ * Checks a merged history and the records of all nodes against the rules of policy. Whether a node could reach the
+ * policy log at a time is derived from the harness's actions alone: which processes were running or suspended, and
+ * which links were cut.
  */
 public final class PolicyHistoryChecker {
-    /** The rig's lines that take a link away, and give it back. */
+    /** Harness events that cut links (+1) or restore them (-1). */
     private static final Map<String, Integer> LINK_CHANGES =
             Map.of("cut", 1, "cut ends", -1, "one-way", 1, "one-way ends", -1);
 
@@ -23,8 +24,11 @@
     private final PolicyRules rules;
     private final boolean[] running;
     private final boolean[] suspended;
+    /** Number of active cuts of the link from one node to another. */
     private final int[][] blockedLinks;
+    /** Since when each node has been unable to reach a voter that has a majority; -1 if it can. */
     private final long[] unreachableSinceNs;
+
     private final Map<String, Long> proposedAtNs = new TreeMap<>();
     private final List<long[]> spansWithoutMajority = new ArrayList<>();
     private long noMajoritySinceNs = -1;
@@ -139,6 +143,7 @@
         return node == other || blockedLinks[node][other] == 0 && blockedLinks[other][node] == 0;
     }
 
+    /** Whether this voter runs and is linked to a majority of the voters, itself included. */
     private boolean hasMajority(int voter) {
         return running[voter]
                 && !suspended[voter]
--- a/lab/src/main/java/spartrail/lab/cluster/TimelineChart.java
+++ b/lab/src/main/java/spartrail/lab/cluster/TimelineChart.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import spartrail.lab.cluster.ClusterHistory.Line;
 
-/** A history as a picture: a row for each node over time, faults as bands, below each row how many it held to be there. */
+/**
+ * Draws a history as SVG: one row per node over time, with faults as bands and, below each row, the number of nodes
+ * that this node counted as present.
+ */
 public final class TimelineChart {
     private static final int WIDTH = 1100;
     private static final int LEFT_MARGIN = 60;
@@ -15,7 +18,7 @@
     private static final int TOP_MARGIN = 30;
     private static final int BAND_HEIGHT = 16;
     private static final int MIN_LABEL_GAP = 14;
-    /** What begins a band, what ends it, and its colour. */
+    /** The event that begins a band, the event that ends it, and the band's colour. */
     private static final String[][] BANDS = {
         {"killed", "started", "#555555"},
         {"stopped", "goes on", "#e69f00"},
@@ -90,7 +93,7 @@
                 band[0]));
     }
 
-    /** Its view over time: a number where it changes, red while it doubts itself. */
+    /** Draws a node's view over time: a number at each change, in red while the node is in doubt about its own view. */
     private static void drawRow(StringBuilder svg, List<Line> lines, int node, long beginNs, double spanNs) {
         int y = TOP_MARGIN + node * ROW_HEIGHT;
         svg.append(String.format(
@@ -114,7 +117,7 @@
                     : Double.MAX_VALUE;
             boolean isInDoubt = !views.get(i).tree().get("doubt").asText().isEmpty();
             String text = views.get(i).tree().get("there").asText() + (isInDoubt ? "?" : "");
-            // Of several too close to be read the last one stands.
+            // Of several labels too close to each other to be read, only the last one is drawn.
             if (!text.equals(last) && nextX - x > MIN_LABEL_GAP) {
                 svg.append(String.format(
                         Locale.ROOT,
--- a/lab/src/main/java/spartrail/lab/cluster/package-info.java
+++ b/lab/src/main/java/spartrail/lab/cluster/package-info.java
@@ -1,6 +1,7 @@
 /**
- * A rig of several processes of the program: starts front nodes on loopback with stand-in servers and roll, leads all talk
- * among them through links that a script breaks, kills, stops and restarts them, and merges what each knew into one history
- * that is judged. In: a plan. Out: a history, findings, a picture. Every process ends with the rig.
+ * Runs a cluster of front node processes on loopback with emulated servers and discovery. All datagrams between nodes
+ * pass through links on which a plan sets faults; the plan also kills, suspends and restarts processes. What each node
+ * reports is merged into one history, which is checked. Input: a plan. Output: a history, findings and a chart. Every
+ * process ends with the harness.
  */
 package spartrail.lab.cluster;
--- a/lab/src/test/java/spartrail/lab/cluster/DatagramLinksTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/DatagramLinksTest.java
@@ -21,7 +21,10 @@
 import spartrail.peers.PeerState;
 import spartrail.peers.transport.PeerMessageCodec;
 
-/** Each trouble of a link does what it says, one way only. A last message on a sound link tells that nothing more comes. */
+/**
+ * Checks that each fault of a link has its effect, in one direction only. An end marker that takes links without faults
+ * shows that no further datagram will arrive.
+ */
 class DatagramLinksTest {
     private static final String END_MARKER = "last";
     private final DatagramSocket[] sockets = {openSocket(), openSocket(), openSocket()};
@@ -59,7 +62,10 @@
         return Arrays.copyOf(packet.getData(), packet.getLength());
     }
 
-    /** What node 1 gets of these from node 0 while that link is so, up to the message that tells that all is through. */
+    /**
+     * Sends datagrams from node 0 to node 1 over a link with a fault. Returns those that node 1 receives before the end
+     * marker.
+     */
     private List<byte[]> receiveThrough(Consumer<DatagramLinks.Fault> configure, byte[]... datagrams)
             throws IOException {
         DatagramLinks.Fault fault = new DatagramLinks.Fault();
@@ -68,7 +74,7 @@
         for (byte[] bytes : datagrams) {
             send(0, 1, bytes);
         }
-        // Node 2 gets one from node 0 after all of these were taken, and passes it on to node 1 on a sound link.
+        // The end marker goes from node 0 to node 2 behind these datagrams; node 2 sends it to node 1 without a fault.
         send(0, 2, END_MARKER.getBytes(StandardCharsets.US_ASCII));
         send(2, 1, receive(2));
         List<byte[]> received = new ArrayList<>();
@@ -126,7 +132,7 @@
         cut.cut = true;
         links.setFault(0, 1, cut);
         send(1, 0, payload);
-        assertThat(receive(0)).as("the other way").isEqualTo(payload);
+        assertThat(receive(0)).as("the opposite direction has no fault").isEqualTo(payload);
     }
 
     @Test
@@ -150,7 +156,7 @@
         assertThat(links.sentBytes(0)).isEqualTo(1);
     }
 
-    /** Plans that exist name kinds of messages by these texts, whatever the constants are called. */
+    /** Existing plans name message kinds by these texts, whatever the names of the enum constants. */
     @Test
     void messageKindsKeepTheirTextsInPlans() {
         assertThat(Stream.of(PeerMessage.Kind.values()).map(DatagramLinks::planText))
--- a/lab/src/test/java/spartrail/lab/cluster/HistoryCheckerTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/HistoryCheckerTest.java
@@ -11,8 +11,8 @@
 import spartrail.lab.cluster.ClusterHistory.Line;
 
 /**
- * The judge is trusted once it has caught planted breaches. The history is that of four nodes, one of which was killed and
- * started again; nothing is wrong with it.
+ * Checks that the checker detects breaches that are inserted into a correct history. The history is that of four nodes,
+ * one of which was killed and started again.
  */
 class HistoryCheckerTest {
     private final List<Line> clean = ClusterHistory.readMerged(Path.of("lab/src/test/resources/history-restart.jsonl"));
@@ -38,10 +38,10 @@
                 return i;
             }
         }
-        throw new AssertionError("no such line");
+        throw new AssertionError("the history has no " + what + " line of " + node + " about " + of + " with is=" + is);
     }
 
-    /** The line at one place once more at another, with something else in it. */
+    /** The history with a changed copy of the line at one index inserted at another. */
     private List<Line> withInsertedLine(int from, int to, Consumer<ObjectNode> change) {
         List<Line> lines = new ArrayList<>(clean);
         Line line = clean.get(from);
--- a/lab/src/test/java/spartrail/lab/cluster/HistoryFormTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/HistoryFormTest.java
@@ -15,7 +15,10 @@
 import spartrail.lab.rules.PeersRules;
 import spartrail.lab.rules.PolicyRules;
 
-/** A history that version d4872eb wrote, each kind of line, is read, judged and written back as before. */
+/**
+ * Checks that a stored history, which version d4872eb wrote and which has each kind of line, is read, checked and
+ * written back unchanged.
+ */
 class HistoryFormTest {
     private static final int NODES = 4;
 
--- a/lab/src/test/java/spartrail/lab/cluster/SeveralProcessesTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/SeveralProcessesTest.java
@@ -16,7 +16,7 @@
 import spartrail.lab.rules.PeersRules;
 import spartrail.lab.rules.PolicyRules;
 
-/** Processes of the program with faults between them. What is waited for is seen, not slept for. */
+/** Runs several front node processes with faults between them. Steps wait for history lines, not for fixed times. */
 class SeveralProcessesTest {
     private static final String PLAN = "{'nodes':5,'lastsMs':90000,'ends':'all','peers':{},"
             + "'fleet':{'layout':{'shards':4,'cells':2,'reach':2},'kinds':{'std':{'cores':2,'workMs':1,'warmMs':1000,"
@@ -60,7 +60,10 @@
                 .isEmpty();
     }
 
-    /** The leader is lost the moment it knows of the decision; the version holds all the same, and nobody decides by two at once. */
+    /**
+     * Kills the leader as soon as it reports the decision. The version takes effect nevertheless, and no two nodes
+     * decide by different versions at the same time.
+     */
     @Test
     void policyVersionTakesEffectAlthoughTheLeaderIsKilled() throws Exception {
         ClusterPlan plan = ClusterPlan.of(Document.parse(
@@ -111,7 +114,7 @@
             for (String line = lines.readLine();
                     line != null && !line.contains("know each other");
                     line = lines.readLine()) {
-                // Until all nodes run.
+                // Reads on until all nodes know each other.
             }
             nodes = cluster.descendants().toList();
             cluster.destroyForcibly();
