--- a/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
@@ -66,6 +66,7 @@
         /** The node whose history line fired the trigger, -1 before that. */
         int observedNode = -1;
 
+        /** Time since the start of the run at which the step is due; NaN until its trigger has fired. */
         double dueMs;
 
         PendingStep(Step step) {
--- a/lab/src/main/java/spartrail/lab/drill/DnsNodeDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/DnsNodeDrill.java
@@ -40,7 +40,7 @@
     @Override
     public String summary() {
         return isContradiction
-                ? "DNS still lists a server that discovery drains: it gets no work after the grace"
+                ? "DNS lists a server that discovery drains before it stops: no work to it after the grace"
                 : "discovery does not respond and the name servers truncate, then stop: service continues";
     }
 
@@ -114,17 +114,17 @@
 
     private static void check(
             Findings findings, LoadSession session, RuleChecker checker, Fleet fleet, NodeProcess node) {
-        long whole = session.recorder().count(AttemptResult.WHOLE);
-        long all = session.recorder().all();
+        long servedWhole = session.recorder().count(AttemptResult.WHOLE);
+        long attempts = session.recorder().all();
         checker.verdicts()
                 .forEach(verdict ->
                         findings.checkEqual("breaches of rule: " + verdict.rule().text, 0L, verdict.broken()));
-        findings.checkAtLeast("share of attempts served whole", 0.95, whole / (double) Math.max(1, all));
-        int used = 0;
+        findings.checkAtLeast("share of attempts served whole", 0.95, servedWhole / (double) Math.max(1, attempts));
+        int usedServers = 0;
         for (var server : fleet.figures()) {
-            used += server.path("parts").asLong() > 0 ? 1 : 0;
+            usedServers += server.path("parts").asLong() > 0 ? 1 : 0;
         }
-        findings.checkEqual("servers that were sent parts", SERVERS, used);
+        findings.checkEqual("servers that were sent parts", SERVERS, usedServers);
         findings.checkEqual("the node is alive", true, node.handle().isAlive());
     }
 
--- a/lab/src/main/java/spartrail/lab/drill/LoadDelayDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/LoadDelayDrill.java
@@ -100,14 +100,14 @@
             Recorder recorder,
             double absoluteTolerance,
             double relativeTolerance) {
-        Histogram all = recorder.total(kind -> true, true);
+        Histogram latencies = recorder.total(kind -> true, true);
         findings.checkEqual(clockName + ": served whole", (long) REQUEST_COUNT, recorder.count(AttemptResult.WHOLE));
         double[][] expected = {{50, ORDINARY_MS}, {99, ORDINARY_MS}, {99.9, SLOW_MS}, {100, SLOWEST_MS}};
         for (double[] expectedValue : expected) {
             findings.checkClose(
                     clockName + ": p" + expectedValue[0] + " in ms",
                     expectedValue[1],
-                    all.getValueAtPercentile(expectedValue[0]) / 1000.0,
+                    latencies.getValueAtPercentile(expectedValue[0]) / 1000.0,
                     absoluteTolerance + relativeTolerance * expectedValue[1]);
         }
     }
--- a/lab/src/main/java/spartrail/lab/drill/LoadStallDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/LoadStallDrill.java
@@ -90,7 +90,7 @@
 
     private static void checkResults(Findings findings, String clockName, Recorder recorder, double toleranceMs) {
         findings.checkEqual(
-                clockName + ": requests sent during the stall and served whole",
+                clockName + ": requests sent and served whole",
                 Math.round(ARRIVALS_PER_SECOND * DURATION_MS / 1000),
                 recorder.count(AttemptResult.WHOLE));
         Histogram latencies = recorder.total(kind -> true, true);
--- a/lab/src/main/java/spartrail/lab/drill/PeersDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/PeersDrill.java
@@ -115,8 +115,8 @@
                             "times another running node was reported as gone",
                             0,
                             rules.falseRemovals().entrySet().stream()
-                                    .filter(each -> each.getKey() != 2 && each.getKey() != 6)
-                                    .mapToInt(each -> each.getValue())
+                                    .filter(entry -> entry.getKey() != 2 && entry.getKey() != 6)
+                                    .mapToInt(entry -> entry.getValue())
                                     .sum());
                 });
     }
@@ -156,8 +156,8 @@
                             "times one of n0 to n5 was reported as gone",
                             0,
                             rules.falseRemovals().entrySet().stream()
-                                    .filter(each -> each.getKey() != 6)
-                                    .mapToInt(each -> each.getValue())
+                                    .filter(entry -> entry.getKey() != 6)
+                                    .mapToInt(entry -> entry.getValue())
                                     .sum());
                     findings.checkEqual(
                             "n6 while it cannot send: nodes it declared gone itself",
@@ -388,13 +388,13 @@
 
     static double servedShare(JsonNode report) {
         double whole = 0;
-        double all = 0;
+        double total = 0;
         for (var kinds = report.get("kinds").fields(); kinds.hasNext(); ) {
             var kind = kinds.next();
-            all += kind.getValue().asDouble();
+            total += kind.getValue().asDouble();
             whole += kind.getKey().equals("WHOLE") ? kind.getValue().asDouble() : 0;
         }
-        return whole / Math.max(1, all);
+        return whole / Math.max(1, total);
     }
 
     // ---- Evaluating histories ----
--- a/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
@@ -232,7 +232,7 @@
                         }
                     }
                     findings.note("crash points", String.valueOf(points.size()));
-                    findings.note("crash points that no process reached here", missed.toString());
+                    findings.note("crash points at which no process crashed", missed.toString());
                 });
     }
 
@@ -295,7 +295,7 @@
         Script script = new Script();
         for (int i = 0; i < DEFAULT_CHANGES; i++) {
             String change = script.addChange(script.afterLastChange(2500), 3 + i % 6);
-            String far = i % 2 == 0 ? "['n1','n2','n3','n4']" : "['n0','n2','n5','n6']";
+            String farNodes = i % 2 == 0 ? "['n1','n2','n3','n4']" : "['n0','n2','n5','n6']";
             script.addStep(
                     "way" + i,
                     i % 3 == 0
@@ -303,8 +303,10 @@
                             : Script.afterObservation(
                                     change, "any", "'what':'log','stage':'DECIDED','leading':true", 0),
                     i % 4 < 2
-                            ? "'do':'one-way','nodes':['leader'],'others':" + far + ",'lastsMs':" + (4000 + 200 * i)
-                            : "'do':'one-way','nodes':" + far + ",'others':['leader'],'lastsMs':" + (4000 + 200 * i));
+                            ? "'do':'one-way','nodes':['leader'],'others':" + farNodes + ",'lastsMs':"
+                                    + (4000 + 200 * i)
+                            : "'do':'one-way','nodes':" + farNodes + ",'others':['leader'],'lastsMs':"
+                                    + (4000 + 200 * i));
             script.addStep(
                     "late" + i,
                     "{'step':'" + change + "','afterMs':100}",
@@ -366,7 +368,7 @@
             String change = script.addChange(
                     i % 5 == 0 ? "{'step':'down" + i + "','afterMs':200}" : script.afterLastChange(1500), 3 + i % 2);
             if (i % 5 == 3) {
-                // The two nodes restart three versions later, while the majority is down; the majority restarts after
+                // Three versions later the two nodes restart while the majority is down. The majority restarts after
                 // them.
                 script.addStep("out" + i, script.afterLastChange(300), "'do':'kill','nodes':['n0','n1']");
                 script.addStep("back" + i, "{'step':'out" + i + "','afterMs':500}", "'do':'start','nodes':['n5','n6']");
@@ -472,10 +474,10 @@
                 0.99,
                 0,
                 (findings, lines, rules) -> {
-                    Map<String, Integer> seen = new TreeMap<>();
+                    Map<String, Integer> countsByReport = new TreeMap<>();
                     lines.stream()
                             .filter(line -> line.event().equals("decider"))
-                            .forEach(line -> seen.merge(
+                            .forEach(line -> countsByReport.merge(
                                     line.tree().get("on").asBoolean()
                                             ? "decides"
                                             : line.tree()
@@ -485,11 +487,11 @@
                                                     .replaceAll("; .*|:.*", ""),
                                     1,
                                     Integer::sum));
-                    findings.note("what voters reported at their starts", seen.toString());
+                    findings.note("what voters reported at their starts", countsByReport.toString());
                     findings.checkAtLeast(
                             "starts at which a voter refused to vote",
                             12,
-                            seen.entrySet().stream()
+                            countsByReport.entrySet().stream()
                                     .filter(each -> !each.getKey().equals("decides"))
                                     .mapToInt(Map.Entry::getValue)
                                     .sum());
--- a/lab/src/main/java/spartrail/lab/drill/SubsetDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/SubsetDrill.java
@@ -88,9 +88,9 @@
                     .count());
             List<Long> parts = Stream.of(outcome.servers())
                     .flatMap(servers -> {
-                        Stream.Builder<JsonNode> each = Stream.builder();
-                        servers.forEach(each::add);
-                        return each.build();
+                        Stream.Builder<JsonNode> serverReports = Stream.builder();
+                        servers.forEach(serverReports::add);
+                        return serverReports.build();
                     })
                     .map(server -> server.path("parts").asLong())
                     .sorted()
