--- a/lab/src/main/java/spartrail/lab/cluster/DiskFault.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DiskFault.java
@@ -36,8 +36,7 @@
                         StandardCopyOption.REPLACE_EXISTING);
             }
             case "mended" -> {
-                // There is a backup only for faults that make the node refuse its log, so no record was added
-                // meanwhile.
+                // Only faults that make the node refuse its log leave a backup, so no record was added since.
                 if (Files.exists(backup)) {
                     Files.move(backup, log, StandardCopyOption.REPLACE_EXISTING);
                     try (FileChannel channel = FileChannel.open(log, StandardOpenOption.WRITE)) {
--- a/lab/src/main/java/spartrail/lab/cluster/HistoryChecker.java
+++ b/lab/src/main/java/spartrail/lab/cluster/HistoryChecker.java
@@ -120,8 +120,7 @@
             return;
         }
         if (machineByName.getOrDefault(node, machine) != machine) {
-            // This process has started a later incarnation than the other process of the same name, and takes part
-            // again.
+            // The other process of the name has ended: this one starts a later incarnation and takes part again.
             rules.onResume(node, viewsByMachine.getOrDefault(machine, Map.of()));
         }
         machineByName.put(node, machine);
--- a/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
@@ -368,8 +368,7 @@
             String change = script.addChange(
                     i % 5 == 0 ? "{'step':'down" + i + "','afterMs':200}" : script.afterLastChange(1500), 3 + i % 2);
             if (i % 5 == 3) {
-                // Three versions later the two nodes restart while the majority is down. The majority restarts after
-                // them.
+                // Three versions later both nodes restart while the majority is down; then the majority restarts.
                 script.addStep("out" + i, script.afterLastChange(300), "'do':'kill','nodes':['n0','n1']");
                 script.addStep("back" + i, "{'step':'out" + i + "','afterMs':500}", "'do':'start','nodes':['n5','n6']");
                 script.addStep(
--- a/lab/src/main/java/spartrail/lab/drill/RuleMutationDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/RuleMutationDrill.java
@@ -119,8 +119,8 @@
                 .filter(verdict -> verdict.broken() > 0)
                 .forEach(verdict -> brokenRules.add(verdict.rule()));
         if (isCold) {
-            // An overloaded server fails with its open requests, which breaks these rules too. Only the overload of a
-            // cold server is checked here.
+            // An overloaded server fails with its open requests, which breaks these rules too. Here only the report
+            // of the overload itself is checked.
             brokenRules.remove(Rule.ONE_ANSWER);
             brokenRules.remove(Rule.DRAINED);
         }
