--- a/lab/src/main/java/spartrail/lab/cluster/ClusterHistory.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHistory.java
@@ -13,36 +13,40 @@
 import java.util.List;
 import spartrail.lab.file.Document;
 
-/** What all processes wrote of themselves and what the rig did, in the order of the machine's one monotonic clock. */
+/**
+ * The merged history of a run: the lines that all node processes wrote and the events of the harness, ordered by the
+ * machine's monotonic clock, which all of them share.
+ */
 public final class ClusterHistory {
     /**
-     * One line.
+     * One line of a history.
      *
-     * @param node whose, or -1 for the rig's own
-     * @param what {@code began}, {@code standing} or {@code view} of a node; of the rig what it did
+     * @param node the node that wrote the line, or -1 for the harness
+     * @param event for a node {@code began}, {@code standing} or {@code view}, for example; for the harness the action
+     *     it took
      */
-    public record Line(long ns, int node, String what, JsonNode tree) {}
+    public record Line(long ns, int node, String event, JsonNode tree) {}
 
-    /** A file that grows, and how far it has been read. */
-    private static final class Tail {
+    /** A history file that a node appends to, and how far it has been read. */
+    private static final class FollowedFile {
         final Path file;
         final int node;
-        long at;
-        String half = "";
+        long position;
+        String partialLine = "";
 
-        Tail(Path file, int node) {
+        FollowedFile(Path file, int node) {
             this.file = file;
             this.node = node;
         }
     }
 
     private final List<Line> lines = new ArrayList<>();
-    private final List<Line> own = new ArrayList<>();
-    private final List<Tail> tails = new ArrayList<>();
-    private long unreadable;
+    private final List<Line> newHarnessLines = new ArrayList<>();
+    private final List<FollowedFile> followedFiles = new ArrayList<>();
+    private long unreadableLines;
 
-    /** A merged history as it was kept; lines of the rig have {@code node} "rig". */
-    public static List<Line> kept(Path file) throws IOException {
+    /** Reads a merged history from a file; lines of the harness have {@code node} "rig". */
+    public static List<Line> readMerged(Path file) throws IOException {
         List<Line> lines = new ArrayList<>();
         for (String text : Files.readAllLines(file)) {
             JsonNode tree = Document.JSON.readTree(text);
@@ -56,72 +60,80 @@
         return lines;
     }
 
-    /** From now on this file, which a node writes, belongs to the history. */
+    /** Adds a file that a node writes to the history; its lines are read from now on. */
     public void follow(int node, Path file) {
-        tails.add(new Tail(file, node));
+        followedFiles.add(new FollowedFile(file, node));
     }
 
-    /** What the rig did, or saw. */
-    public synchronized void done(String what, JsonNode tree) {
-        Line line = new Line(System.nanoTime(), -1, what, tree);
+    /** Adds an action or an observation of the harness. */
+    public synchronized void recordHarnessEvent(String event, JsonNode tree) {
+        Line line = new Line(System.nanoTime(), -1, event, tree);
         lines.add(line);
-        own.add(line);
+        newHarnessLines.add(line);
     }
 
-    /** Reads what has been written since; the new lines, and then those of the rig itself. */
-    public synchronized List<Line> more() throws IOException {
-        List<Line> fresh = new ArrayList<>();
-        for (Tail tail : tails) {
-            if (!Files.exists(tail.file)) {
+    /**
+     * Reads what the nodes have written since the last call. Returns these lines, followed by the new lines of the
+     * harness.
+     */
+    public synchronized List<Line> readNewLines() throws IOException {
+        List<Line> newLines = new ArrayList<>();
+        for (FollowedFile followed : followedFiles) {
+            if (!Files.exists(followed.file)) {
                 continue;
             }
-            try (FileChannel channel = FileChannel.open(tail.file, StandardOpenOption.READ)) {
-                ByteBuffer bytes = ByteBuffer.allocate((int) Math.min(1 << 20, Math.max(0, channel.size() - tail.at)));
-                int count = bytes.capacity() == 0 ? 0 : channel.read(bytes, tail.at);
+            try (FileChannel channel = FileChannel.open(followed.file, StandardOpenOption.READ)) {
+                ByteBuffer bytes =
+                        ByteBuffer.allocate((int) Math.min(1 << 20, Math.max(0, channel.size() - followed.position)));
+                int count = bytes.capacity() == 0 ? 0 : channel.read(bytes, followed.position);
                 if (count <= 0) {
                     continue;
                 }
-                tail.at += count;
-                String text = tail.half + new String(bytes.array(), 0, count, StandardCharsets.UTF_8);
+                followed.position += count;
+                String text = followed.partialLine + new String(bytes.array(), 0, count, StandardCharsets.UTF_8);
                 int end = text.lastIndexOf('\n') + 1;
-                tail.half = text.substring(end);
+                followed.partialLine = text.substring(end);
                 for (String line : text.substring(0, end).split("\n")) {
-                    read(tail.node, line, fresh);
+                    parseLine(followed.node, line, newLines);
                 }
             }
         }
-        lines.addAll(fresh);
-        fresh.addAll(own);
-        own.clear();
-        return fresh;
+        lines.addAll(newLines);
+        newLines.addAll(newHarnessLines);
+        newHarnessLines.clear();
+        return newLines;
     }
 
-    /** A line torn by a kill and glued to the next life's first one is counted, not guessed at. */
-    private void read(int node, String line, List<Line> fresh) {
+    /**
+     * Parses one line. A kill may truncate a line, which the first line of the next incarnation then continues: such a
+     * line is counted as unreadable and not repaired.
+     */
+    private void parseLine(int node, String line, List<Line> newLines) {
         try {
             JsonNode tree = Document.JSON.readTree(line);
-            fresh.add(new Line(tree.get("ns").asLong(), node, tree.get("what").asText(), tree));
+            newLines.add(
+                    new Line(tree.get("ns").asLong(), node, tree.get("what").asText(), tree));
         } catch (IOException | RuntimeException e) {
-            unreadable++;
+            unreadableLines++;
         }
     }
 
-    /** All lines in order of time. */
+    /** All lines, ordered by time. */
     public synchronized List<Line> inOrder() {
         List<Line> sorted = new ArrayList<>(lines);
         sorted.sort(Comparator.comparingLong(Line::ns));
         return sorted;
     }
 
-    /** As it is kept, a JSON line each; lines of the rig have {@code node} "rig". */
-    public String text() throws IOException {
+    /** The stored form: one JSON object per line; lines of the harness have {@code node} "rig". */
+    public String toJsonLines() throws IOException {
         StringBuilder text = new StringBuilder();
         for (Line line : inOrder()) {
             JsonNode tree = line.node() < 0
                     ? Document.JSON
                             .createObjectNode()
                             .put("ns", line.ns())
-                            .put("what", line.what())
+                            .put("what", line.event())
                             .put("node", "rig")
                             .setAll((com.fasterxml.jackson.databind.node.ObjectNode) line.tree())
                     : line.tree();
@@ -130,7 +142,7 @@
         return text.toString();
     }
 
-    public long unreadable() {
-        return unreadable;
+    public long unreadableLines() {
+        return unreadableLines;
     }
 }
--- a/lab/src/test/java/spartrail/lab/cluster/SeveralProcessesTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/SeveralProcessesTest.java
@@ -16,7 +16,7 @@
 import spartrail.lab.rules.PeersRules;
 import spartrail.lab.rules.PolicyRules;
 
-/** Processes of the program with faults between them. What is waited for is seen, not slept for. */
+/** Runs several front node processes with faults between them. Steps wait for history lines, not for fixed times. */
 class SeveralProcessesTest {
     private static final String PLAN = "{'nodes':5,'lastsMs':90000,'ends':'all','peers':{},"
             + "'fleet':{'layout':{'shards':4,'cells':2,'reach':2},'kinds':{'std':{'cores':2,'workMs':1,'warmMs':1000,"
@@ -29,40 +29,43 @@
     private ClusterHarness.Outcome play(String steps) throws Exception {
         ClusterPlan plan = ClusterPlan.of(Document.parse(
                 "plan", (PLAN + steps + "]}").replace('\'', '"').getBytes(StandardCharsets.UTF_8), "nodes"));
-        try (ClusterHarness rig = new ClusterHarness(plan, folder, line -> {})) {
-            return rig.play();
+        try (ClusterHarness cluster = new ClusterHarness(plan, folder, line -> {})) {
+            return cluster.play();
         }
     }
 
     @Test
-    void aNodeThatIsKilledTheMomentAnotherIsSuspectedIsKnownByAllToo() throws Exception {
+    void allNodesDetectASecondCrashDuringTheSuspicionOfTheFirst() throws Exception {
         ClusterHarness.Outcome outcome = play("{'when':{'atMs':200},'do':'kill','nodes':['n3']},"
                 + "{'name':'second','when':{'seen':{'node':'any','of':'n3','is':'SUSPECT'}},'do':'kill','nodes':['n4']},"
                 + "{'when':{'seen':{'node':'any','of':'n3','is':'GONE','times':3}},'do':'heal'},"
                 + "{'name':'last','when':{'seen':{'node':'any','of':'n4','is':'GONE','times':3}},'do':'heal'}");
-        PeersRules rules = new HistoryChecker(5).read(outcome.history().inOrder(), false);
-        assertThat(outcome.notTaken()).isEmpty();
+        PeersRules rules = new HistoryChecker(5).check(outcome.history().inOrder(), false);
+        assertThat(outcome.unexecutedSteps()).isEmpty();
         assertThat(rules.breaches()).isEmpty();
         assertThat(rules.detectionTimesMs()).hasSizeGreaterThanOrEqualTo(6);
     }
 
     @Test
-    void twoSidesOfACutFindEachOtherAgainAndOneThatEndsSaysSo() throws Exception {
+    void viewsMergeAfterAPartitionAndALeavingNodeIsSeenAsLeft() throws Exception {
         ClusterHarness.Outcome outcome =
                 play("{'name':'cut','when':{'atMs':200},'do':'cut','nodes':['n0','n1'],'others':['n2','n3','n4']},"
                         + "{'name':'gone','when':{'seen':{'node':'n4','of':'n0','is':'GONE'}},'do':'heal'},"
                         + "{'name':'back','when':{'step':'gone','seen':{'node':'n4','of':'n0','is':'ALIVE'}},'do':'terminate','nodes':['n1']},"
                         + "{'name':'last','when':{'seen':{'node':'n4','of':'n1','is':'LEFT'}},'do':'heal'}");
-        assertThat(outcome.notTaken()).isEmpty();
+        assertThat(outcome.unexecutedSteps()).isEmpty();
         assertThat(new HistoryChecker(5)
-                        .read(outcome.history().inOrder(), false)
+                        .check(outcome.history().inOrder(), false)
                         .breaches())
                 .isEmpty();
     }
 
-    /** The leader is lost the moment it knows of the decision; the version holds all the same, and nobody decides by two at once. */
+    /**
+     * Kills the leader as soon as it reports the decision. The version takes effect nevertheless, and no two nodes
+     * decide by different versions at the same time.
+     */
     @Test
-    void aVersionOfPolicyTakesHoldThoughTheLeaderIsLost() throws Exception {
+    void policyVersionTakesEffectAlthoughTheLeaderIsKilled() throws Exception {
         ClusterPlan plan = ClusterPlan.of(Document.parse(
                 "plan",
                 (PLAN.replace(
@@ -78,23 +81,25 @@
                         .replace('\'', '"')
                         .getBytes(StandardCharsets.UTF_8),
                 "nodes"));
-        try (ClusterHarness rig = new ClusterHarness(plan, folder, line -> {})) {
-            ClusterHarness.Outcome outcome = rig.play();
+        try (ClusterHarness cluster = new ClusterHarness(plan, folder, line -> {})) {
+            ClusterHarness.Outcome outcome = cluster.play();
             PolicyRules rules = new PolicyHistoryChecker(
                             5, List.of(0, 1, 2), new PolicyRules.Bounds(2000, 60_000, 90_000))
-                    .read(outcome.history().inOrder(), outcome.taken());
-            assertThat(outcome.notTaken()).isEmpty();
+                    .check(outcome.history().inOrder(), outcome.policyRecords());
+            assertThat(outcome.unexecutedSteps()).isEmpty();
             assertThat(rules.breaches()).isEmpty();
             assertThat(rules.judged()).isPositive();
-            assertThat(outcome.taken()).extracting(PolicyRules.Taken::by).contains("0", "0|1");
+            assertThat(outcome.policyRecords())
+                    .extracting(PolicyRules.Taken::by)
+                    .contains("0", "0|1");
         }
     }
 
     @Test
-    void whenTheRigIsKilledEveryProcessEnds() throws Exception {
+    void allProcessesEndWhenTheHarnessIsKilled() throws Exception {
         Path plan = folder.resolve("plan.json");
         Files.writeString(plan, (PLAN + "]}").replace("'ends':'all',", "").replace('\'', '"'));
-        Process rig = new ProcessBuilder(
+        Process harnessProcess = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
                         System.getProperty("java.class.path"),
@@ -105,14 +110,14 @@
                 .redirectErrorStream(true)
                 .start();
         List<ProcessHandle> nodes;
-        try (BufferedReader lines = rig.inputReader()) {
+        try (BufferedReader lines = harnessProcess.inputReader()) {
             for (String line = lines.readLine();
                     line != null && !line.contains("know each other");
                     line = lines.readLine()) {
-                // Until all nodes run.
+                // Reads on until all nodes know each other.
             }
-            nodes = rig.descendants().toList();
-            rig.destroyForcibly();
+            nodes = harnessProcess.descendants().toList();
+            harnessProcess.destroyForcibly();
         }
         assertThat(nodes).hasSizeGreaterThanOrEqualTo(5);
         for (ProcessHandle node : nodes) {
@@ -121,7 +126,7 @@
     }
 
     @Test
-    void withoutAPeersFileNothingOfItIsLoaded() throws Exception {
+    void noPeerOrPolicyClassIsLoadedWithoutAPeersFile() throws Exception {
         Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xlog:class+load",
