--- a/lab/src/main/java/spartrail/lab/cli/FleetRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/FleetRun.java
@@ -33,21 +33,21 @@
         CountDownLatch over = new CountDownLatch(1);
         try (Fleet fleet = new Fleet(plan, new FleetListener() {
             @Override
-            public void fell(String server, double load, double atMs) {
+            public void onServerCrashed(String server, double load, double atMs) {
                 out.println(server + " fell over");
             }
 
             @Override
-            public void deed(String what, double atMs) {
+            public void onAction(String what, double atMs) {
                 out.println("done: " + what);
             }
         })) {
             for (int node = 0; node < plan.nodes(); node++) {
-                out.println("node " + node + ": roll on " + fleet.rollAddress(node) + ", "
+                out.println("node " + node + ": roll on " + fleet.discoveryAddress(node) + ", "
                         + plan.servers().size() + " servers from " + fleet.serverAddress(node, "s-0") + " on");
             }
             out.println("orders on standard input: WHAT SERVERS [BY] [LASTS_MS], figures, quit");
-            fleet.play();
+            fleet.startScript();
             Signal.handle(new Signal("INT"), signal -> over.countDown());
             Signal.handle(new Signal("TERM"), signal -> over.countDown());
             Thread orders = new Thread(() -> orders(fleet, out, over), "spartrail-orders");
@@ -78,7 +78,7 @@
                     continue;
                 }
                 try {
-                    fleet.order(line);
+                    fleet.runCommand(line);
                 } catch (InvalidInputException e) {
                     out.println(e.getMessage());
                 }
--- a/lab/src/main/java/spartrail/lab/cli/LiveView.java
+++ b/lab/src/main/java/spartrail/lab/cli/LiveView.java
@@ -42,32 +42,32 @@
         }
     }
 
-    void show(LoadSession.Glance glance) {
-        String lasts = Double.isNaN(glance.lastsMs()) ? "?" : Long.toString(Math.round(glance.lastsMs() / 1000));
+    void show(LoadSession.Snapshot snapshot) {
+        String lasts = Double.isNaN(snapshot.lastsMs()) ? "?" : Long.toString(Math.round(snapshot.lastsMs() / 1000));
         String line = String.format(
                 Locale.ROOT,
                 "%6.1f of %s s  %d tries (%.0f a second)  %d in flight on %d connections"
                         + "  p50 %.1f p99 %.1f ms  own lag p99 %.3f ms",
-                glance.ms() / 1000,
+                snapshot.ms() / 1000,
                 lasts,
-                glance.tries(),
-                glance.tries() * 1000 / Math.max(1, glance.ms()),
-                glance.inFlight(),
-                glance.connections(),
-                glance.p50Ms(),
-                glance.p99Ms(),
-                glance.lagP99Ms());
+                snapshot.tries(),
+                snapshot.tries() * 1000 / Math.max(1, snapshot.ms()),
+                snapshot.inFlight(),
+                snapshot.connections(),
+                snapshot.p50Ms(),
+                snapshot.p99Ms(),
+                snapshot.lagP99Ms());
         if (display != null) {
             Size size = terminal.getSize();
             display.resize(Math.max(6, size.getRows()), Math.max(40, size.getColumns()));
             List<AttributedString> lines = new java.util.ArrayList<>();
             lines.add(new AttributedString(line));
-            lines.add(new AttributedString(glance.kinds().toString()));
+            lines.add(new AttributedString(snapshot.kinds().toString()));
             more.get().forEach(text -> lines.add(new AttributedString(text)));
             display.update(lines, 0);
-        } else if (glance.ms() >= plainMs + PLAIN_EVERY_MS) {
-            plainMs = glance.ms();
-            err.println(line + "  " + glance.kinds());
+        } else if (snapshot.ms() >= plainMs + PLAIN_EVERY_MS) {
+            plainMs = snapshot.ms();
+            err.println(line + "  " + snapshot.kinds());
         }
     }
 
--- a/lab/src/main/java/spartrail/lab/cli/LoadRunner.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadRunner.java
@@ -32,7 +32,7 @@
                 LiveView live = new LiveView(err, List::of)) {
             Signal.handle(new Signal("INT"), signal -> session.stop("ended by SIGINT before the plan was through"));
             while (!session.await(500)) {
-                live.show(session.glance());
+                live.show(session.snapshot());
             }
             ObjectNode tree = session.report();
             write(file, tree);
--- a/lab/src/main/java/spartrail/lab/cli/LoadSpeed.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadSpeed.java
@@ -87,10 +87,10 @@
                         LoadListener.NONE);
                 LiveView live = new LiveView(err, List::of)) {
             while (!session.await(250)) {
-                LoadSession.Glance glance = session.glance();
-                live.show(glance);
-                mostConnections = Math.max(mostConnections, glance.connections());
-                int quarter = (int) Math.min(3, 4 * glance.ms() / (1000 * seconds));
+                LoadSession.Snapshot snapshot = session.snapshot();
+                live.show(snapshot);
+                mostConnections = Math.max(mostConnections, snapshot.connections());
+                int quarter = (int) Math.min(3, 4 * snapshot.ms() / (1000 * seconds));
                 heapMb[quarter] = afterCollection() >> 20;
             }
             ObjectNode tree = session.report();
--- a/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
@@ -100,7 +100,7 @@
         this.progress = progress;
         this.checker = new RuleChecker(plan.settings().terms());
         this.fleet = new Fleet(
-                plan.fleet().varied(plan.seed(), plan.nodes()),
+                plan.fleet().withSeedAndNodes(plan.seed(), plan.nodes()),
                 Runner.watching(checker, (what, atMs) -> progress.accept("servers: " + what)));
         DatagramLinks made = null;
         try {
@@ -237,7 +237,7 @@
         LoadPlan load = plan.load() == null ? null : plan.load().withTargets(targets);
         history.done("begins", Document.JSON.createObjectNode());
         startMs = now();
-        fleet.play();
+        fleet.startScript();
         try (LoadSession session =
                 load == null ? null : new LoadSession(load, load.arrivals(), load.durationMs(), checker)) {
             double toldMs = 0;
--- a/lab/src/main/java/spartrail/lab/drill/DnsNodeDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/DnsNodeDrill.java
@@ -74,7 +74,7 @@
                 DnsServerEmulator nameServer = new DnsServerEmulator(seed)) {
             writeSourcesFile(fleet, nameServer, folder);
             if (!isContradiction) {
-                fleet.play();
+                fleet.startScript();
             }
             String listen = "127.0.0.1:" + NodeProcess.freePort();
             ObjectNode config = settings.config(0, 1, listen, fleet, seed);
@@ -91,7 +91,7 @@
                 try (LoadSession session = new LoadSession(
                         DrillPlans.at(load, node.address()), load.arrivals(), load.durationMs(), checker)) {
                     if (isContradiction) {
-                        fleet.play();
+                        fleet.startScript();
                     }
                     for (int i = 0; !session.await(1000) && i < 60; i++) {
                         if (!isContradiction && i == 2) {
@@ -131,7 +131,7 @@
         for (int cell = 0; cell < fleet.plan().cells(); cell++) {
             String name = "_books._tcp.c" + cell + ".books.example.org.";
             List<String> lines = new ArrayList<>();
-            for (FleetPlan.ServerLine server : fleet.plan().servers()) {
+            for (FleetPlan.ServerSpec server : fleet.plan().servers()) {
                 if (server.cell() == cell) {
                     String[] address = fleet.serverAddress(0, server.id()).split(":");
                     lines.add("1 SRV 0 5 " + address[1] + " " + server.id() + ".books.example.org.");
--- a/lab/src/main/java/spartrail/lab/drill/LoadDelayDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/LoadDelayDrill.java
@@ -65,9 +65,10 @@
                         true)) {
                     session.await(WARM_MS);
                     responder.loop().takeLongestPauseMs();
-                    session.standstillMs();
+                    session.takeLongestPauseMs();
                     session.await(60_000);
-                    stoodMs = Math.max(session.standstillMs(), responder.loop().takeLongestPauseMs());
+                    stoodMs = Math.max(
+                            session.takeLongestPauseMs(), responder.loop().takeLongestPauseMs());
                     measured = session.recorder();
                     measured.groups.keySet().removeIf(group -> group.phase() == 0);
                 }
--- a/lab/src/main/java/spartrail/lab/drill/RuleMutationDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/RuleMutationDrill.java
@@ -96,7 +96,7 @@
         try (Fleet fleet = new Fleet(plan, checker);
                 FaultyFrontNode front = new FaultyFrontNode(fleet, fault)) {
             if (cold) {
-                fleet.order("restart s-0 1 2");
+                fleet.runCommand("restart s-0 1 2");
                 Thread.sleep(50);
             }
             try (LoadSession session = new LoadSession(
@@ -105,7 +105,7 @@
                     load.durationMs(),
                     LoadListener.class.cast(checker))) {
                 if (drains) {
-                    fleet.order("drain s-0");
+                    fleet.runCommand("drain s-0");
                 }
                 told.set(session.await(30_000));
             }
--- a/lab/src/main/java/spartrail/lab/experiment/NodeSettings.java
+++ b/lab/src/main/java/spartrail/lab/experiment/NodeSettings.java
@@ -77,13 +77,13 @@
         config.put("name", "n" + node)
                 .put("version", "0")
                 .put("listen", listen)
-                .put("discovery", fleet.rollAddress(node))
+                .put("discovery", fleet.discoveryAddress(node))
                 .put("seed", Long.toHexString(seed * 1_000_003 + node));
         config.putObject("limits")
                 .put("cores", tree.path("cores").asDouble(1))
                 .put("memory_mb", memoryMb())
                 .put("sockets", tree.path("sockets").asInt(1024));
-        config.set("known", Document.JSON.readTree(fleet.list(node)));
+        config.set("known", Document.JSON.readTree(fleet.hostListJson(node)));
         ObjectNode settings = config.putObject("settings");
         settings.put("tick", 0.005)
                 .put("peers-total", nodes)
@@ -137,12 +137,12 @@
                 .put("retry-after", true)
                 .put("streams-per-conn", 100)
                 .put("try-limit", terms().mostSends());
-        var traits = plan.servers().get(0).traits();
+        var profile = plan.servers().get(0).profile();
         ObjectNode rules = settings.putObject("rules")
-                .put("cold-share", traits.coldFrom())
-                .put("warm-within", traits.warmMs() / 1000)
-                .put("tip-multiple", traits.tipMultiple())
-                .put("fall", traits.tipMs() / 1000)
+                .put("cold-share", profile.coldFrom())
+                .put("warm-within", profile.warmMs() / 1000)
+                .put("tip-multiple", profile.tipMultiple())
+                .put("fall", profile.tipMs() / 1000)
                 .put("stop-sending-within", terms().graceMs() / 1000)
                 .put("answer-slack", 0.02);
         if (Double.isFinite(terms().furtherRatio())) {
@@ -156,7 +156,7 @@
     /** The zones that a fleet's servers are in. */
     public static List<String> zones(FleetPlan plan) {
         return plan.servers().stream()
-                .map(FleetPlan.ServerLine::zone)
+                .map(FleetPlan.ServerSpec::zone)
                 .distinct()
                 .toList();
     }
--- a/lab/src/main/java/spartrail/lab/experiment/Runner.java
+++ b/lab/src/main/java/spartrail/lab/experiment/Runner.java
@@ -24,10 +24,10 @@
     private record Event(double atMs, String what) {}
 
     private final ExperimentPlan plan;
-    private final Consumer<LoadSession.Glance> progress;
+    private final Consumer<LoadSession.Snapshot> progress;
     private final BooleanSupplier stopped;
 
-    public Runner(ExperimentPlan plan, Consumer<LoadSession.Glance> progress, BooleanSupplier stopped) {
+    public Runner(ExperimentPlan plan, Consumer<LoadSession.Snapshot> progress, BooleanSupplier stopped) {
         this.plan = plan;
         this.progress = progress;
         this.stopped = stopped;
@@ -35,7 +35,7 @@
 
     /** The run's report, with rules, servers, nodes and events. */
     public ObjectNode play(ExperimentPlan.Cell cell) throws IOException, InterruptedException {
-        FleetPlan fleetPlan = plan.fleet().varied(plan.fleet().seed() * 31 + cell.seed(), cell.nodes());
+        FleetPlan fleetPlan = plan.fleet().withSeedAndNodes(plan.fleet().seed() * 31 + cell.seed(), cell.nodes());
         RuleChecker checker = new RuleChecker(plan.node().terms());
         List<Event> events = java.util.Collections.synchronizedList(new ArrayList<>());
         Path folder = Files.createTempDirectory("spartrail-run");
@@ -60,9 +60,9 @@
             double[] cpuMs = nodes.stream().mapToDouble(NodeProcess::cpuMs).toArray();
             try (LoadSession session = new LoadSession(load, load.arrivals(), load.durationMs(), checker)) {
                 double startMs = fleet.loop().nowMs();
-                fleet.play();
+                fleet.startScript();
                 while (!session.await(500)) {
-                    progress.accept(session.glance());
+                    progress.accept(session.snapshot());
                     if (stopped.getAsBoolean()) {
                         session.stop("ended by SIGINT before the plan was through");
                     }
@@ -120,34 +120,35 @@
     public static FleetListener watching(RuleChecker checker, BiConsumer<String, Double> done) {
         return new FleetListener() {
             @Override
-            public void part(int node, String server, String partId, double atMs) {
-                checker.part(node, server, partId, atMs);
+            public void onPartReceived(int node, String server, String partId, double atMs) {
+                checker.onPartReceived(node, server, partId, atMs);
             }
 
             @Override
-            public void ended(
+            public void onPartEnded(
                     int node, String server, String partId, spartrail.lab.fleet.ServerModel.End end, double atMs) {
-                checker.ended(node, server, partId, end, atMs);
+                checker.onPartEnded(node, server, partId, end, atMs);
             }
 
             @Override
-            public void told(int node, String server, String state, double bornMs, double changedMs, double atMs) {
-                checker.told(node, server, state, bornMs, changedMs, atMs);
+            public void onStateWritten(
+                    int node, String server, String state, double bornMs, double changedMs, double atMs) {
+                checker.onStateWritten(node, server, state, bornMs, changedMs, atMs);
             }
 
             @Override
-            public void changed(int node, String server, String state, double atMs) {
-                checker.changed(node, server, state, atMs);
+            public void onStateChanged(int node, String server, String state, double atMs) {
+                checker.onStateChanged(node, server, state, atMs);
             }
 
             @Override
-            public void fell(String server, double load, double atMs) {
-                checker.fell(server, load, atMs);
+            public void onServerCrashed(String server, double load, double atMs) {
+                checker.onServerCrashed(server, load, atMs);
                 done.accept(server + " fell over", atMs);
             }
 
             @Override
-            public void deed(String what, double atMs) {
+            public void onAction(String what, double atMs) {
                 done.accept(what, atMs);
             }
         };
--- a/lab/src/main/java/spartrail/lab/fleet/DiscoveryEmulator.java
+++ b/lab/src/main/java/spartrail/lab/fleet/DiscoveryEmulator.java
@@ -16,14 +16,14 @@
 final class DiscoveryEmulator implements AutoCloseable {
     /** What the roll says of a server. */
     static final class Line {
-        final FleetPlan.ServerLine server;
+        final FleetPlan.ServerSpec server;
         final String endpoint;
         String state = "SERVING";
         long bornMs;
         long version;
         double changedMs;
 
-        Line(FleetPlan.ServerLine server, String endpoint) {
+        Line(FleetPlan.ServerSpec server, String endpoint) {
             this.server = server;
             this.endpoint = endpoint;
         }
@@ -33,7 +33,7 @@
 
     private final SocketLoop loop;
     private final int node;
-    private final FleetListener watcher;
+    private final FleetListener listener;
     private final Map<String, Line> lines = new LinkedHashMap<>();
     private final List<Watch> watches = new ArrayList<>();
     private final HttpStub stand;
@@ -43,11 +43,11 @@
     /** Answers with what it knew when this began. */
     private boolean stale;
 
-    DiscoveryEmulator(SocketLoop loop, int node, InetSocketAddress address, List<Line> lines, FleetListener watcher)
+    DiscoveryEmulator(SocketLoop loop, int node, InetSocketAddress address, List<Line> lines, FleetListener listener)
             throws IOException {
         this.loop = loop;
         this.node = node;
-        this.watcher = watcher;
+        this.listener = listener;
         lines.forEach(line -> {
             line.version = 1;
             this.lines.put(line.server.id(), line);
@@ -77,7 +77,7 @@
         line.version = ++version;
         line.changedMs = changedMs;
         if (!silent && !stale) {
-            watcher.changed(node, id, state, loop.nowMs());
+            listener.onStateChanged(node, id, state, loop.nowMs());
         }
         tell();
     }
@@ -144,12 +144,13 @@
                         200,
                         "Content-Type: application/json\r\n",
                         body.append("]}").toString().getBytes(StandardCharsets.UTF_8));
-        news.forEach(line -> watcher.told(node, line.server.id(), line.state, line.bornMs, line.changedMs, nowMs));
+        news.forEach(line ->
+                listener.onStateWritten(node, line.server.id(), line.state, line.bornMs, line.changedMs, nowMs));
         if (all) {
             lines.values().stream()
                     .filter(line -> line.state.equals("DELETED"))
-                    .forEach(line ->
-                            watcher.told(node, line.server.id(), line.state, line.bornMs, line.changedMs, nowMs));
+                    .forEach(line -> listener.onStateWritten(
+                            node, line.server.id(), line.state, line.bornMs, line.changedMs, nowMs));
         }
     }
 
@@ -161,7 +162,7 @@
                 line.server.id(),
                 line.endpoint,
                 line.server.zone(),
-                line.server.traits().name(),
+                line.server.profile().name(),
                 line.server.cell(),
                 line.state,
                 line.server.rating(),
--- a/lab/src/main/java/spartrail/lab/fleet/FaultyFrontNode.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FaultyFrontNode.java
@@ -100,7 +100,7 @@
                 // Nothing hangs on it.
             }
         };
-        String[] address = fleet.rollAddress(0).split(":");
+        String[] address = fleet.discoveryAddress(0).split(":");
         loop.call(() -> {
             try {
                 roll.connect(new InetSocketAddress(address[0], Integer.parseInt(address[1])));
--- a/lab/src/main/java/spartrail/lab/fleet/Fleet.java
+++ b/lab/src/main/java/spartrail/lab/fleet/Fleet.java
@@ -18,22 +18,22 @@
 public final class Fleet implements AutoCloseable {
     private final FleetPlan plan;
     private final SocketLoop loop;
-    private final FleetListener watcher;
+    private final FleetListener listener;
     private final Map<String, IndexServerEmulator> servers = new LinkedHashMap<>();
     private final List<DiscoveryEmulator> rolls = new ArrayList<>();
     private final SplittableRandom chance;
 
     /** Listens from here on; the script begins with {@link #play}. */
-    public Fleet(FleetPlan plan, FleetListener watcher) throws IOException {
+    public Fleet(FleetPlan plan, FleetListener listener) throws IOException {
         this.plan = plan;
-        this.watcher = watcher;
+        this.listener = listener;
         this.loop = new SocketLoop("spartrail-fleet");
         this.chance = new SplittableRandom(plan.seed());
         try {
             int at = 0;
-            for (FleetPlan.ServerLine line : plan.servers()) {
+            for (FleetPlan.ServerSpec line : plan.servers()) {
                 IndexServerEmulator stand =
-                        new IndexServerEmulator(loop, line, chance.split(), watcher, () -> fell(line.id()));
+                        new IndexServerEmulator(loop, line, chance.split(), listener, () -> fell(line.id()));
                 stand.listen(plan.nodes(), plan.firstPort() == 0 ? 0 : plan.firstPort() + plan.nodes() * at++);
                 servers.put(line.id(), stand);
             }
@@ -47,7 +47,7 @@
                         node,
                         new InetSocketAddress("127.0.0.1", plan.rollPort() == 0 ? 0 : plan.rollPort() + node),
                         lines,
-                        watcher));
+                        listener));
             }
         } catch (IOException e) {
             loop.close();
@@ -63,7 +63,7 @@
         return loop;
     }
 
-    public String rollAddress(int node) {
+    public String discoveryAddress(int node) {
         return "127.0.0.1:" + rolls.get(node).port();
     }
 
@@ -72,20 +72,20 @@
     }
 
     /** The whole list as a node has it at its start. */
-    public String list(int node) {
+    public String hostListJson(int node) {
         String[] list = new String[1];
         loop.call(() -> list[0] = rolls.get(node).list());
         return list[0];
     }
 
     /** The script's time begins now. */
-    public void play() {
+    public void startScript() {
         double fromMs = loop.nowMs();
         loop.execute(() -> plan.script().forEach(deed -> loop.schedule(fromMs + deed.atMs(), () -> carryOut(deed))));
     }
 
     /** Does one thing by hand: {@code WHAT SERVER[,SERVER] [BY] [LASTS_MS]}. */
-    public void order(String words) {
+    public void runCommand(String words) {
         String[] word = words.trim().split("\\s+");
         List<String> whom = word.length < 2 || word[1].equals("-") ? List.of() : List.of(word[1].split(","));
         for (String id : whom) {
@@ -133,7 +133,7 @@
     }
 
     private void carryOut(FleetPlan.Deed deed) {
-        watcher.deed(deed.what() + " " + String.join(",", deed.servers()), loop.nowMs());
+        listener.onAction(deed.what() + " " + String.join(",", deed.servers()), loop.nowMs());
         double by = deed.by();
         double lastsMs = deed.lastsMs();
         switch (deed.what()) {
@@ -163,7 +163,7 @@
             }
             case "error" -> {
                 server.errors(by);
-                after(lastsMs, () -> server.errors(server.line.traits().errorShare()));
+                after(lastsMs, () -> server.errors(server.line.profile().errorShare()));
             }
             case "spoil" -> {
                 server.spoils(by);
@@ -179,7 +179,7 @@
             }
             case "handshake" -> {
                 server.handshake(by);
-                after(lastsMs, () -> server.handshake(server.line.traits().handshakeMs()));
+                after(lastsMs, () -> server.handshake(server.line.profile().handshakeMs()));
             }
             case "drain" -> tell(id, "DRAINING", 0, plan.noticeMs());
             case "undrain" -> tell(id, "SERVING", 0, plan.noticeMs());
@@ -209,8 +209,8 @@
     private void fell(String id) {
         IndexServerEmulator server = servers.get(id);
         tell(id, "DELETED", 0, plan.silentNoticeMs());
-        if (Double.isFinite(server.line.traits().downMs())) {
-            after(server.line.traits().downMs(), () -> start(server));
+        if (Double.isFinite(server.line.profile().downMs())) {
+            after(server.line.profile().downMs(), () -> start(server));
         }
     }
 
--- a/lab/src/main/java/spartrail/lab/fleet/FleetListener.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FleetListener.java
@@ -5,20 +5,20 @@
     FleetListener NONE = new FleetListener() {};
 
     /** A part has reached a server. */
-    default void part(int node, String server, String partId, double atMs) {}
+    default void onPartReceived(int node, String server, String partId, double atMs) {}
 
     /** How it ended there; it may have run unless it was turned away. */
-    default void ended(int node, String server, String partId, ServerModel.End end, double atMs) {}
+    default void onPartEnded(int node, String server, String partId, ServerModel.End end, double atMs) {}
 
     /** The roll has written this state to a node; {@code changedMs} is when it came to be. */
-    default void told(int node, String server, String state, double bornMs, double changedMs, double atMs) {}
+    default void onStateWritten(int node, String server, String state, double bornMs, double changedMs, double atMs) {}
 
     /** A state has changed and can be told to a node from now on; not called while the roll is silent or stale. */
-    default void changed(int node, String server, String state, double atMs) {}
+    default void onStateChanged(int node, String server, String state, double atMs) {}
 
     /** A server fell over; how much it was sent, as a part of what makes it fall. */
-    default void fell(String server, double load, double atMs) {}
+    default void onServerCrashed(String server, double load, double atMs) {}
 
     /** Something was done by the script or by hand. */
-    default void deed(String what, double atMs) {}
+    default void onAction(String what, double atMs) {}
 }
--- a/lab/src/main/java/spartrail/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FleetPlan.java
@@ -27,10 +27,10 @@
         int rollPort,
         double noticeMs,
         double silentNoticeMs,
-        List<ServerLine> servers,
+        List<ServerSpec> servers,
         List<Deed> script) {
     /** An index server of the plan. */
-    public record ServerLine(String id, int cell, String zone, ServerProfile traits, double rating) {}
+    public record ServerSpec(String id, int cell, String zone, ServerProfile profile, double rating) {}
 
     /** What is done to some servers, or to the lists of some nodes (of all where none is named), and when. */
     public record Deed(
@@ -45,14 +45,14 @@
         Map<String, ServerProfile> kinds = new LinkedHashMap<>();
         tree.get("kinds")
                 .fields()
-                .forEachRemaining(kind -> kinds.put(kind.getKey(), traits(kind.getKey(), kind.getValue())));
+                .forEachRemaining(kind -> kinds.put(kind.getKey(), profile(kind.getKey(), kind.getValue())));
         JsonNode layout = tree.get("layout");
         int cells = layout.get("cells").asInt();
-        List<ServerLine> servers = new ArrayList<>();
+        List<ServerSpec> servers = new ArrayList<>();
         int at = 0;
         for (JsonNode group : tree.get("servers")) {
-            ServerProfile traits = kinds.get(group.get("kind").asText());
-            if (traits == null) {
+            ServerProfile profile = kinds.get(group.get("kind").asText());
+            if (profile == null) {
                 throw document.invalid(
                         "/servers/" + at + "/kind",
                         "found '" + group.get("kind").asText() + "', one of " + kinds.keySet() + " is expected");
@@ -61,16 +61,16 @@
             group.path("zones").forEach(zone -> zones.add(zone.asText()));
             for (int i = 0; i < group.path("count").asInt(1); i++) {
                 int number = servers.size();
-                servers.add(new ServerLine(
+                servers.add(new ServerSpec(
                         "s-" + number,
                         group.path("cell").asInt(number % cells),
                         zones.isEmpty() ? "a" : zones.get(i % zones.size()),
-                        traits,
+                        profile,
                         group.path("rating").asDouble(1)));
             }
             at++;
         }
-        List<String> ids = servers.stream().map(ServerLine::id).toList();
+        List<String> ids = servers.stream().map(ServerSpec::id).toList();
         List<Deed> script = new ArrayList<>();
         for (JsonNode deed : tree.path("script")) {
             List<String> whom = new ArrayList<>();
@@ -107,7 +107,7 @@
                 script);
     }
 
-    private static ServerProfile traits(String name, JsonNode node) {
+    private static ServerProfile profile(String name, JsonNode node) {
         int cores = node.path("cores").asInt(2);
         double downMs = node.path("downMs").asDouble(0);
         return new ServerProfile(
@@ -133,14 +133,14 @@
     }
 
     /** The same fleet from another seed, for so many nodes, on free ports. */
-    public FleetPlan varied(long newSeed, int forNodes) {
+    public FleetPlan withSeedAndNodes(long newSeed, int forNodes) {
         return new FleetPlan(newSeed, shards, cells, reach, forNodes, 0, 0, noticeMs, silentNoticeMs, servers, script);
     }
 
     /** Milliseconds of work that all servers do in one when warm. */
     public double capacity() {
         return servers.stream()
-                .mapToDouble(line -> line.traits().cores() * line.traits().speed())
+                .mapToDouble(line -> line.profile().cores() * line.profile().speed())
                 .sum();
     }
 }
--- a/lab/src/main/java/spartrail/lab/fleet/IndexServerEmulator.java
+++ b/lab/src/main/java/spartrail/lab/fleet/IndexServerEmulator.java
@@ -68,10 +68,10 @@
         }
     }
 
-    final FleetPlan.ServerLine line;
+    final FleetPlan.ServerSpec line;
     private final SocketLoop loop;
     private final RandomGenerator chance;
-    private final FleetListener watcher;
+    private final FleetListener listener;
     private final Runnable onFall;
     private final List<ServerSocketChannel> listening = new ArrayList<>();
     private final List<Integer> ports = new ArrayList<>();
@@ -88,18 +88,18 @@
 
     IndexServerEmulator(
             SocketLoop loop,
-            FleetPlan.ServerLine line,
+            FleetPlan.ServerSpec line,
             RandomGenerator chance,
-            FleetListener watcher,
+            FleetListener listener,
             Runnable onFall) {
         this.loop = loop;
         this.line = line;
         this.chance = chance;
-        this.watcher = watcher;
+        this.listener = listener;
         this.onFall = onFall;
-        this.handshakeMs = line.traits().handshakeMs();
+        this.handshakeMs = line.profile().handshakeMs();
         // Long up: warm.
-        this.model = new ServerModel(line.traits(), chance, loop.nowMs() - 1e9, loop.nowMs());
+        this.model = new ServerModel(line.profile(), chance, loop.nowMs() - 1e9, loop.nowMs());
     }
 
     /** Opens a port for each node; 0 takes a free one. */
@@ -127,7 +127,7 @@
     }
 
     private void opened(Wire wire) {
-        if (down || wires.size() >= line.traits().connections()) {
+        if (down || wires.size() >= line.profile().connections()) {
             wire.reset();
             return;
         }
@@ -161,9 +161,9 @@
         boolean first = true;
         for (ServerFrameCodec.Sent part : parts) {
             count("parts");
-            watcher.part(wire.node, line.id(), part.id(), nowMs);
+            listener.onPartReceived(wire.node, line.id(), part.id(), nowMs);
             double workMs =
-                    model.draw(told(part.text())) + (first ? line.traits().callMs() : 0);
+                    model.draw(told(part.text())) + (first ? line.profile().callMs() : 0);
             first = false;
             ServerModel.Job job = new ServerModel.Job(part.id(), new Sent(part, wire), workMs, nowMs + part.waitMs());
             model.take(job, nowMs);
@@ -218,7 +218,7 @@
         if (hanging) {
             return;
         }
-        watcher.ended(sent.wire().node, line.id(), job.id, job.end, loop.nowMs());
+        listener.onPartEnded(sent.wire().node, line.id(), job.id, job.end, loop.nowMs());
         count(job.end.name());
         if (silent || !sent.wire().isOpen()) {
             return;
@@ -258,7 +258,7 @@
     }
 
     private String report() {
-        double lateMs = line.traits().reportLateMs();
+        double lateMs = line.profile().reportLateMs();
         String now = model.report();
         if (lateMs <= 0) {
             return now;
@@ -273,7 +273,7 @@
 
     private void checkFall() {
         if (model.fallen() && !down) {
-            watcher.fell(line.id(), model.worstLoad(), loop.nowMs());
+            listener.onServerCrashed(line.id(), model.worstLoad(), loop.nowMs());
             count("falls");
             kill();
             onFall.run();
--- a/lab/src/main/java/spartrail/lab/fleet/ServerModel.java
+++ b/lab/src/main/java/spartrail/lab/fleet/ServerModel.java
@@ -52,7 +52,7 @@
     /** A step below the resolution of a double of milliseconds since 1970 would never advance the time. */
     private static final double LEAST_STEP_MS = 0.001;
 
-    private final ServerProfile traits;
+    private final ServerProfile profile;
     private final RandomGenerator chance;
     private final List<Job> running = new ArrayList<>();
     private final Deque<Job> waiting = new ArrayDeque<>();
@@ -71,18 +71,18 @@
     private double worstLoad;
     private double busyMs;
 
-    public ServerModel(ServerProfile traits, RandomGenerator chance, double bornMs, double nowMs) {
-        this.traits = traits;
+    public ServerModel(ServerProfile profile, RandomGenerator chance, double bornMs, double nowMs) {
+        this.profile = profile;
         this.chance = chance;
         this.bornMs = bornMs;
         this.nowMs = nowMs;
-        this.errorShare = traits.errorShare();
+        this.errorShare = profile.errorShare();
         drawPause();
     }
 
     private void drawPause() {
-        nextPauseMs = traits.pauseMs() > 0 && traits.pauseEveryMs() > 0
-                ? nowMs - Math.log(1 - chance.nextDouble()) * traits.pauseEveryMs()
+        nextPauseMs = profile.pauseMs() > 0 && profile.pauseEveryMs() > 0
+                ? nowMs - Math.log(1 - chance.nextDouble()) * profile.pauseEveryMs()
                 : Double.MAX_VALUE;
     }
 
@@ -126,18 +126,18 @@
     }
 
     public boolean cold() {
-        return nowMs - bornMs < traits.warmMs();
+        return nowMs - bornMs < profile.warmMs();
     }
 
     /** Share of its capacity that it has at its age. */
     public double warmth() {
         double age = nowMs - bornMs;
-        return age >= traits.warmMs() ? 1 : traits.coldFrom() + (1 - traits.coldFrom()) * age / traits.warmMs();
+        return age >= profile.warmMs() ? 1 : profile.coldFrom() + (1 - profile.coldFrom()) * age / profile.warmMs();
     }
 
     /** Milliseconds of work that it does in one when nothing disturbs it. */
     public double capacity() {
-        return traits.cores() * traits.speed() * warmth();
+        return profile.cores() * profile.speed() * warmth();
     }
 
     /** The most it was sent over the tipping span while cold, as a part of what makes it fall. */
@@ -159,22 +159,22 @@
                 Locale.ROOT,
                 "inflight=%d,util=%.2f",
                 inFlight(),
-                Math.min(1, running.size() / (double) traits.cores()));
+                Math.min(1, running.size() / (double) profile.cores()));
     }
 
     // ---- Work ----
 
     /** The work of a part, drawn round what it tells or what is usual. */
     public double draw(double toldMs) {
-        double meanMs = toldMs > 0 ? toldMs : traits.workMs();
-        double sigma2 = Math.log(1 + traits.variation() * traits.variation());
+        double meanMs = toldMs > 0 ? toldMs : profile.workMs();
+        double sigma2 = Math.log(1 + profile.variation() * profile.variation());
         return meanMs * Math.exp(chance.nextGaussian() * Math.sqrt(sigma2) - sigma2 / 2);
     }
 
     /** Work that nobody waits for: a handshake. */
     public void burden(double workMs, double atMs) {
         count(workMs, atMs);
-        if (workMs > 0 && running.size() < traits.slots()) {
+        if (workMs > 0 && running.size() < profile.slots()) {
             running.add(new Job("", null, workMs, Double.MAX_VALUE));
         }
     }
@@ -186,9 +186,9 @@
         if (fallen) {
             return;
         }
-        if (running.size() < traits.slots()) {
+        if (running.size() < profile.slots()) {
             running.add(job);
-        } else if (waiting.size() < traits.queue()) {
+        } else if (waiting.size() < profile.queue()) {
             waiting.add(job);
         } else {
             job.end = End.REJECTED;
@@ -204,10 +204,10 @@
         }
         sent.add(new double[] {atMs, workMs});
         sentSum += workMs;
-        while (!sent.isEmpty() && sent.peek()[0] < atMs - traits.tipMs()) {
+        while (!sent.isEmpty() && sent.peek()[0] < atMs - profile.tipMs()) {
             sentSum -= sent.poll()[1];
         }
-        double load = sentSum / (traits.tipMultiple() * capacity() * traits.tipMs());
+        double load = sentSum / (profile.tipMultiple() * capacity() * profile.tipMs());
         worstLoad = Math.max(worstLoad, load);
         if (load > 1) {
             fallen = true;
@@ -231,8 +231,8 @@
         if (running.isEmpty()) {
             return 0;
         }
-        double cores = traits.cores() * (1 - neighbour);
-        return traits.speed() * warmth() / slowBy * Math.min(1, cores / running.size());
+        double cores = profile.cores() * (1 - neighbour);
+        return profile.speed() * warmth() / slowBy * Math.min(1, cores / running.size());
     }
 
     /** When something ends or changes by itself next. */
@@ -264,7 +264,7 @@
                 continue;
             }
             if (nowMs >= nextPauseMs) {
-                pausedUntilMs = nowMs + traits.pauseMs();
+                pausedUntilMs = nowMs + profile.pauseMs();
                 drawPause();
                 continue;
             }
@@ -286,7 +286,7 @@
                     }
                 }
             }
-            while (running.size() < traits.slots() && !waiting.isEmpty()) {
+            while (running.size() < profile.slots() && !waiting.isEmpty()) {
                 Job job = waiting.poll();
                 if (job.untilMs < nowMs) {
                     job.end = End.REJECTED;
--- a/lab/src/main/java/spartrail/lab/load/LoadGenerator.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadGenerator.java
@@ -45,7 +45,7 @@
     private final Iterator<Arrival> arrivals;
     private final ClientTransport sockets;
     private final Recorder recorder;
-    private final LoadListener watcher;
+    private final LoadListener listener;
     private final TimerQueue timetable = new TimerQueue();
     private final Map<String, Deque<ClientConnection>> idle = new HashMap<>();
     private final Map<String, Deque<ClientAttempt>> waiting = new HashMap<>();
@@ -66,12 +66,12 @@
             Iterator<Arrival> arrivals,
             ClientTransport sockets,
             Recorder recorder,
-            LoadListener watcher) {
+            LoadListener listener) {
         this.plan = plan;
         this.arrivals = arrivals;
         this.sockets = sockets;
         this.recorder = recorder;
-        this.watcher = watcher;
+        this.listener = listener;
     }
 
     /** The plan's time begins now. */
@@ -224,7 +224,7 @@
         ask.target = conn.target;
         ask.sentMs = nowMs;
         // Before the call below, as on sockets its parts can reach servers before that call returns.
-        watcher.sent(ask, nowMs);
+        listener.onSent(ask, nowMs);
         sockets.send(conn, ask, ask.leftMs(nowMs));
     }
 
@@ -285,7 +285,7 @@
     public void extra(ClientConnection conn, double atMs) {
         nowMs = atMs;
         recorder.twice++;
-        watcher.extra(atMs);
+        listener.onUnexpectedBytes(atMs);
         drop(conn);
     }
 
@@ -406,7 +406,7 @@
             }
         }
         recorder.ended(ask, kind, nowMs);
-        watcher.ended(ask, kind, answer, nowMs);
+        listener.onEnded(ask, kind, answer, nowMs);
         if (!ask.lapsed) {
             if (kind.served() || kind == AttemptResult.LEFT) {
                 recorder.story(ask, kind.served(), nowMs);
--- a/lab/src/main/java/spartrail/lab/load/LoadListener.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadListener.java
@@ -4,10 +4,10 @@
 public interface LoadListener {
     LoadListener NONE = new LoadListener() {};
 
-    default void sent(ClientAttempt ask, double nowMs) {}
+    default void onSent(ClientAttempt ask, double nowMs) {}
 
-    default void ended(ClientAttempt ask, AttemptResult kind, HttpResponse answer, double nowMs) {}
+    default void onEnded(ClientAttempt ask, AttemptResult kind, HttpResponse answer, double nowMs) {}
 
     /** Bytes came where no answer was owed. */
-    default void extra(double nowMs) {}
+    default void onUnexpectedBytes(double nowMs) {}
 }
--- a/lab/src/main/java/spartrail/lab/load/LoadSession.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadSession.java
@@ -12,7 +12,7 @@
 /** One run of a plan against front nodes, from its start to its report. */
 public final class LoadSession implements AutoCloseable {
     /** What a run looks like while it goes. */
-    public record Glance(
+    public record Snapshot(
             double ms,
             double lastsMs,
             long tries,
@@ -35,17 +35,18 @@
     private final double startMs;
 
     /** Starts at once; {@code lastsMs} is only for showing how far it is. */
-    public LoadSession(LoadPlan plan, Iterator<Arrival> arrivals, double lastsMs, LoadListener watcher) {
-        this(plan, arrivals, lastsMs, watcher, false);
+    public LoadSession(LoadPlan plan, Iterator<Arrival> arrivals, double lastsMs, LoadListener listener) {
+        this(plan, arrivals, lastsMs, listener, false);
     }
 
     /** One that is awake has a core for itself and never naps before a send. */
-    public LoadSession(LoadPlan plan, Iterator<Arrival> arrivals, double lastsMs, LoadListener watcher, boolean awake) {
+    public LoadSession(
+            LoadPlan plan, Iterator<Arrival> arrivals, double lastsMs, LoadListener listener, boolean awake) {
         this.loop = new SocketLoop("spartrail-load", awake);
         this.sockets = new HttpClientTransport(loop);
         this.plan = plan;
         this.lastsMs = lastsMs;
-        this.generator = new LoadGenerator(plan, arrivals, sockets, recorder, watcher);
+        this.generator = new LoadGenerator(plan, arrivals, sockets, recorder, listener);
         rehearse(plan);
         this.startMs = loop.nowMs();
         sockets.drive(generator, plan);
@@ -99,8 +100,8 @@
         loop.execute(() -> generator.stop(why));
     }
 
-    public Glance glance() {
-        Glance[] glance = new Glance[1];
+    public Snapshot snapshot() {
+        Snapshot[] snapshot = new Snapshot[1];
         loop.call(() -> {
             Histogram all = recorder.total(kind -> true, true);
             Map<AttemptResult, Long> kinds = new EnumMap<>(AttemptResult.class);
@@ -109,7 +110,7 @@
                     kinds.put(kind, recorder.count(kind));
                 }
             }
-            glance[0] = new Glance(
+            snapshot[0] = new Snapshot(
                     loop.nowMs() - startMs,
                     lastsMs,
                     recorder.all(),
@@ -120,7 +121,7 @@
                     recorder.lag.getValueAtPercentile(99) / 1000.0,
                     kinds);
         });
-        return glance[0];
+        return snapshot[0];
     }
 
     public ObjectNode report() {
@@ -130,7 +131,7 @@
     }
 
     /** The longest standstill of a session that is awake, since it was last asked. */
-    public double standstillMs() {
+    public double takeLongestPauseMs() {
         return loop.takeLongestPauseMs();
     }
 
--- a/lab/src/main/java/spartrail/lab/rules/RuleChecker.java
+++ b/lab/src/main/java/spartrail/lab/rules/RuleChecker.java
@@ -157,7 +157,7 @@
     // ---- Clients ----
 
     @Override
-    public synchronized void sent(ClientAttempt ask, double nowMs) {
+    public synchronized void onSent(ClientAttempt ask, double nowMs) {
         var arrival = ask.arrival;
         Asked one = new Asked(arrival.opType(), nowMs);
         for (int i = 0; i < arrival.shards().length; i++) {
@@ -181,7 +181,7 @@
     }
 
     @Override
-    public synchronized void ended(ClientAttempt ask, AttemptResult kind, HttpResponse answer, double nowMs) {
+    public synchronized void onEnded(ClientAttempt ask, AttemptResult kind, HttpResponse answer, double nowMs) {
         Asked one = asked.get(ask.id());
         if (one == null) {
             return;
@@ -239,14 +239,15 @@
     }
 
     @Override
-    public synchronized void extra(double nowMs) {
+    public synchronized void onUnexpectedBytes(double nowMs) {
         hold(Rule.ONE_ANSWER, false, "an answer that nobody was owed, or a second one");
     }
 
     // ---- Servers and roll ----
 
     @Override
-    public synchronized void told(int node, String server, String state, double bornMs, double changedMs, double atMs) {
+    public synchronized void onStateWritten(
+            int node, String server, String state, double bornMs, double changedMs, double atMs) {
         String key = node + "/" + server;
         Standing before = told.get(key);
         if (before == null || !before.state().equals(state)) {
@@ -258,7 +259,7 @@
     }
 
     @Override
-    public synchronized void changed(int node, String server, String state, double atMs) {
+    public synchronized void onStateChanged(int node, String server, String state, double atMs) {
         if (state.equals("SERVING")) {
             deemed.remove(node + "/" + server);
         } else {
@@ -267,7 +268,7 @@
     }
 
     @Override
-    public synchronized void part(int node, String server, String partId, double atMs) {
+    public synchronized void onPartReceived(int node, String server, String partId, double atMs) {
         drained(node, server, partId, atMs);
         int dot = partId.lastIndexOf('.');
         Asked one = dot < 0 ? null : asked.get(partId.substring(0, dot));
@@ -362,7 +363,7 @@
     }
 
     @Override
-    public synchronized void ended(int node, String server, String partId, ServerModel.End end, double atMs) {
+    public synchronized void onPartEnded(int node, String server, String partId, ServerModel.End end, double atMs) {
         int dot = partId.lastIndexOf('.');
         Asked one = dot < 0 ? null : asked.get(partId.substring(0, dot));
         if (one == null) {
@@ -383,7 +384,7 @@
     }
 
     @Override
-    public synchronized void fell(String server, double load, double atMs) {
+    public synchronized void onServerCrashed(String server, double load, double atMs) {
         worstCold = Math.max(worstCold, load);
         hold(Rule.COLD, false, String.format(Locale.ROOT, "%s fell over, sent %.2f times what it bears", server, load));
     }
--- a/lab/src/test/java/spartrail/lab/experiment/ExperimentTest.java
+++ b/lab/src/test/java/spartrail/lab/experiment/ExperimentTest.java
@@ -46,7 +46,7 @@
         assumeTrue(Files.isReadable(Path.of("node/target/spartrail.jar")), "the front node's jar is built before");
         ExperimentPlan plan = plan();
         ObjectNode report =
-                new Runner(plan, glance -> {}, () -> false).play(plan.cells().get(0));
+                new Runner(plan, snapshot -> {}, () -> false).play(plan.cells().get(0));
         assertThat(report.at("/rules/kept").asBoolean())
                 .as(report.get("rules").toString())
                 .isTrue();
--- a/lab/src/test/java/spartrail/lab/fleet/ServerModelTest.java
+++ b/lab/src/test/java/spartrail/lab/fleet/ServerModelTest.java
@@ -10,7 +10,7 @@
 import spartrail.lab.Table;
 
 class ServerModelTest {
-    private static ServerProfile traits(int slots, int queue, double coldFrom, double warmMs) {
+    private static ServerProfile profile(int slots, int queue, double coldFrom, double warmMs) {
         return new ServerProfile("t", 2, 1, slots, queue, 10, 0, 0, coldFrom, warmMs, 2, 1000, 0, 0, 10, 0, 0, 0, 0);
     }
 
@@ -55,35 +55,35 @@
     @Test
     void coresAreSharedQueuesFillAndColdServersFall() throws Exception {
         StringBuilder seen = new StringBuilder();
-        ServerModel warm = new ServerModel(traits(4, 2, 0.5, 1000), new SplittableRandom(1), -1e6, 0);
+        ServerModel warm = new ServerModel(profile(4, 2, 0.5, 1000), new SplittableRandom(1), -1e6, 0);
         seen.append("two cores, four at once, two in the queue:")
                 .append(play(warm, each(7, 0, 10), 200))
                 .append('\n');
-        ServerModel slow = new ServerModel(traits(4, 2, 0.5, 1000), new SplittableRandom(1), -1e6, 0);
+        ServerModel slow = new ServerModel(profile(4, 2, 0.5, 1000), new SplittableRandom(1), -1e6, 0);
         slow.slow(3);
         seen.append("three times as slow:")
                 .append(play(slow, each(1, 0, 10), 200))
                 .append('\n');
-        ServerModel shared = new ServerModel(traits(4, 2, 0.5, 1000), new SplittableRandom(1), -1e6, 0);
+        ServerModel shared = new ServerModel(profile(4, 2, 0.5, 1000), new SplittableRandom(1), -1e6, 0);
         shared.neighbour(0.5);
         seen.append("a neighbour on one core:")
                 .append(play(shared, each(2, 0, 10), 200))
                 .append('\n');
-        ServerModel paused = new ServerModel(traits(4, 2, 0.5, 1000), new SplittableRandom(1), -1e6, 0);
+        ServerModel paused = new ServerModel(profile(4, 2, 0.5, 1000), new SplittableRandom(1), -1e6, 0);
         paused.pause(0, 50);
         seen.append("paused for 50 ms:")
                 .append(play(paused, each(1, 0, 10), 200))
                 .append('\n');
-        ServerModel cold = new ServerModel(traits(4, 2, 0.5, 1000), new SplittableRandom(1), 0, 0);
+        ServerModel cold = new ServerModel(profile(4, 2, 0.5, 1000), new SplittableRandom(1), 0, 0);
         seen.append("cold, half its capacity at first:")
                 .append(play(cold, each(1, 0, 10), 200))
                 .append('\n');
         // Twice its capacity at its age over a second: at the start 2 * 2 * 0.1 * 1000 = 400 ms of work.
-        ServerModel pushed = new ServerModel(traits(4, 100, 0.1, 1e6), new SplittableRandom(1), 0, 0);
+        ServerModel pushed = new ServerModel(profile(4, 100, 0.1, 1e6), new SplittableRandom(1), 0, 0);
         seen.append("cold, 50 ms of work each 10 ms:")
                 .append(play(pushed, each(20, 10, 50), 500))
                 .append('\n');
-        ServerModel eased = new ServerModel(traits(4, 100, 0.1, 1e6), new SplittableRandom(1), 0, 0);
+        ServerModel eased = new ServerModel(profile(4, 100, 0.1, 1e6), new SplittableRandom(1), 0, 0);
         play(eased, each(100, 130, 50), 13_000);
         seen.append(String.format(Locale.ROOT, "cold, 50 ms of work each 130 ms: worst %.2f%n", eased.worstLoad()));
         Table.same("server-model", seen.toString());
@@ -91,7 +91,7 @@
 
     @Test
     void workIsNeitherMadeNorLost() {
-        ServerModel model = new ServerModel(traits(3, 1000, 0.3, 500), new SplittableRandom(5), 0, 0);
+        ServerModel model = new ServerModel(profile(3, 1000, 0.3, 500), new SplittableRandom(5), 0, 0);
         SplittableRandom chance = new SplittableRandom(9);
         double work = 0;
         double[][] parts = new double[300][];
