--- a/lab/src/main/java/spartrail/lab/fleet/DiscoveryEmulator.java
+++ b/lab/src/main/java/spartrail/lab/fleet/DiscoveryEmulator.java
@@ -12,79 +12,84 @@
 import spartrail.lab.net.SocketLoop;
 import spartrail.model.TimerQueue;
 
-/** The roll of servers as one front node sees it: the whole list, and watches that wait for what is newer. */
+/**
+ * The discovery service as one front node sees it, over HTTP. A request without {@code since} gets the whole host list
+ * at once; one with {@code since} is held until the list changes or the request times out.
+ */
 final class DiscoveryEmulator implements AutoCloseable {
-    /** What the roll says of a server. */
-    static final class Line {
+    /** One server in the host list. */
+    static final class HostEntry {
         final FleetPlan.ServerSpec server;
         final String endpoint;
         String state = "SERVING";
-        long bornMs;
+        long startedMs;
         long version;
         double changedMs;
 
-        Line(FleetPlan.ServerSpec server, String endpoint) {
+        HostEntry(FleetPlan.ServerSpec server, String endpoint) {
             this.server = server;
             this.endpoint = endpoint;
         }
     }
 
+    /** A request that is held until the list is newer than {@code since}. */
     private record Watch(HttpStub.Request request, long since, TimerQueue.Timer end) {}
 
     private final SocketLoop loop;
     private final int node;
     private final FleetListener listener;
-    private final Map<String, Line> lines = new LinkedHashMap<>();
+    private final Map<String, HostEntry> entries = new LinkedHashMap<>();
     private final List<Watch> watches = new ArrayList<>();
-    private final HttpStub stand;
+    private final HttpStub http;
     private long version = 1;
-    /** Takes calls and answers none. */
+    /** Requests are accepted but not answered. */
     private boolean silent;
-    /** Answers with what it knew when this began. */
+    /** Changes of the list do not answer held requests, which then end only at their timeout. */
     private boolean stale;
 
-    DiscoveryEmulator(SocketLoop loop, int node, InetSocketAddress address, List<Line> lines, FleetListener listener)
+    DiscoveryEmulator(
+            SocketLoop loop, int node, InetSocketAddress address, List<HostEntry> entries, FleetListener listener)
             throws IOException {
         this.loop = loop;
         this.node = node;
         this.listener = listener;
-        lines.forEach(line -> {
-            line.version = 1;
-            this.lines.put(line.server.id(), line);
+        entries.forEach(entry -> {
+            entry.version = 1;
+            this.entries.put(entry.server.id(), entry);
         });
-        this.stand = new HttpStub(loop, address, this::asked);
+        this.http = new HttpStub(loop, address, this::handleRequest);
     }
 
     int port() {
-        return stand.port();
+        return http.port();
     }
 
-    void silent(boolean isSilent) {
+    void setSilent(boolean isSilent) {
         silent = isSilent;
-        tell();
+        answerWatches();
     }
 
-    void stale(boolean isStale) {
+    void setStale(boolean isStale) {
         stale = isStale;
-        tell();
+        answerWatches();
     }
 
-    /** A server has another state from now on; those who watch are told. */
-    void change(String id, String state, double bornMs, double changedMs) {
-        Line line = lines.get(id);
-        line.state = state;
-        line.bornMs = bornMs > 0 ? (long) bornMs : line.bornMs;
-        line.version = ++version;
-        line.changedMs = changedMs;
+    /** Changes the state of a server and answers the requests that wait for a change. */
+    void changeState(String id, String state, double startedMs, double changedMs) {
+        HostEntry entry = entries.get(id);
+        entry.state = state;
+        entry.startedMs = startedMs > 0 ? (long) startedMs : entry.startedMs;
+        entry.version = ++version;
+        entry.changedMs = changedMs;
         if (!silent && !stale) {
             listener.onStateChanged(node, id, state, loop.nowMs());
         }
-        tell();
+        answerWatches();
     }
 
-    private void asked(HttpStub.Request request) {
+    private void handleRequest(HttpStub.Request request) {
         if (!request.method.equals("GET") || !request.path.startsWith("/discovery/hosts")) {
-            request.answer(404, "", new byte[0]);
+            request.respond(404, "", new byte[0]);
             return;
         }
         Map<String, Long> query = new HashMap<>();
@@ -95,7 +100,7 @@
                 query.put(pair.substring(0, pair.indexOf('=')), Long.parseLong(pair.substring(pair.indexOf('=') + 1)));
             }
         } catch (RuntimeException e) {
-            request.answer(400, "", new byte[0]);
+            request.respond(400, "", new byte[0]);
             return;
         }
         long since = query.getOrDefault("since", -1L);
@@ -107,10 +112,10 @@
             }
         }));
         watches.add(watch[0]);
-        tell();
+        answerWatches();
     }
 
-    private void tell() {
+    private void answerWatches() {
         if (silent) {
             return;
         }
@@ -124,65 +129,65 @@
     }
 
     private void answer(Watch watch) {
-        if (!watch.request().from.isOpen()) {
+        if (!watch.request().connection.isOpen()) {
             return;
         }
         boolean all = watch.since() < 0 || watch.since() > version;
-        List<Line> news = new ArrayList<>();
-        for (Line line : lines.values()) {
-            if (all ? !line.state.equals("DELETED") : line.version > watch.since()) {
-                news.add(line);
+        List<HostEntry> listed = new ArrayList<>();
+        for (HostEntry entry : entries.values()) {
+            if (all ? !entry.state.equals("DELETED") : entry.version > watch.since()) {
+                listed.add(entry);
             }
         }
         StringBuilder body = new StringBuilder("{\"rev\":" + version + ",\"all\":" + all + ",\"targets\":[");
         double nowMs = loop.nowMs();
-        for (int i = 0; i < news.size(); i++) {
-            body.append(i == 0 ? "" : ",").append(json(news.get(i)));
+        for (int i = 0; i < listed.size(); i++) {
+            body.append(i == 0 ? "" : ",").append(toJson(listed.get(i)));
         }
         watch.request()
-                .answer(
+                .respond(
                         200,
                         "Content-Type: application/json\r\n",
                         body.append("]}").toString().getBytes(StandardCharsets.UTF_8));
-        news.forEach(line ->
-                listener.onStateWritten(node, line.server.id(), line.state, line.bornMs, line.changedMs, nowMs));
+        listed.forEach(entry ->
+                listener.onStateWritten(node, entry.server.id(), entry.state, entry.startedMs, entry.changedMs, nowMs));
         if (all) {
-            lines.values().stream()
-                    .filter(line -> line.state.equals("DELETED"))
-                    .forEach(line -> listener.onStateWritten(
-                            node, line.server.id(), line.state, line.bornMs, line.changedMs, nowMs));
+            entries.values().stream()
+                    .filter(entry -> entry.state.equals("DELETED"))
+                    .forEach(entry -> listener.onStateWritten(
+                            node, entry.server.id(), entry.state, entry.startedMs, entry.changedMs, nowMs));
         }
     }
 
-    private static String json(Line line) {
+    private static String toJson(HostEntry entry) {
         return String.format(
                 Locale.ROOT,
                 "{\"uid\":\"%s\",\"endpoint\":\"%s\",\"az\":\"%s\",\"model\":\"%s\","
                         + "\"pod_group\":%d,\"state\":\"%s\",\"capacity_hint\":%s,\"boot_ms\":%d}",
-                line.server.id(),
-                line.endpoint,
-                line.server.zone(),
-                line.server.profile().name(),
-                line.server.cell(),
-                line.state,
-                line.server.rating(),
-                line.bornMs);
+                entry.server.id(),
+                entry.endpoint,
+                entry.server.zone(),
+                entry.server.profile().name(),
+                entry.server.cell(),
+                entry.state,
+                entry.server.rating(),
+                entry.startedMs);
     }
 
-    /** The whole list in the roll's form. */
-    String list() {
+    /** The whole host list as the JSON body of an answer. */
+    String hostListJson() {
         StringBuilder body = new StringBuilder("{\"rev\":" + version + ",\"all\":true,\"targets\":[");
-        List<Line> listed = lines.values().stream()
-                .filter(line -> !line.state.equals("DELETED"))
+        List<HostEntry> listed = entries.values().stream()
+                .filter(entry -> !entry.state.equals("DELETED"))
                 .toList();
         for (int i = 0; i < listed.size(); i++) {
-            body.append(i == 0 ? "" : ",").append(json(listed.get(i)));
+            body.append(i == 0 ? "" : ",").append(toJson(listed.get(i)));
         }
         return body.append("]}").toString();
     }
 
     @Override
     public void close() {
-        stand.close();
+        http.close();
     }
 }
--- a/lab/src/main/java/spartrail/lab/fleet/FaultyFrontNode.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FaultyFrontNode.java
@@ -15,11 +15,11 @@
 import spartrail.lab.net.TcpConnection;
 
 /**
- * A stand-in for a front node that breaks one rule on purpose, so that a checker can be seen to catch it. It sends each
- * part to the first server that holds its shard, whatever the roll says, and puts the answers together.
+ * An emulated front node that breaks one rule on purpose, to show that the rule checker detects the breach. It
+ * sends each part to the first server that holds its shard, whatever state discovery reports, and merges the answers.
  */
 public final class FaultyFrontNode implements AutoCloseable {
-    /** What it does wrong; NOTHING keeps all rules as long as no server drains. */
+    /** The rule that it breaks; NOTHING keeps all rules as long as no server drains. */
     public enum Fault {
         NOTHING,
         ANSWERS_TWICE,
@@ -34,29 +34,30 @@
         CHANGES_VALUES
     }
 
-    /** Further sends of each part, where these are planted. */
+    /** Extra sends of each part under {@link Fault#COPIES}. */
     private static final int COPIES = 5;
 
     private final Fleet fleet;
     private final SocketLoop loop;
-    private final HttpStub stand;
+    private final HttpStub http;
     private final Fault fault;
-    private final Map<String, Server> servers = new HashMap<>();
-    private final Map<String, Open> open = new HashMap<>();
+    private final Map<String, ServerConnection> connections = new HashMap<>();
+    private final Map<String, OpenQuery> open = new HashMap<>();
 
-    private static final class Open {
+    /** A multiget that is not answered yet. */
+    private static final class OpenQuery {
         private HttpStub.Request request;
         private int parts;
-        /** Copies of a part that a server has turned away, by shard. */
-        private final Map<Integer, Integer> turnedAway = new HashMap<>();
+        /** Number of copies of a part that servers have rejected, by shard. */
+        private final Map<Integer, Integer> rejections = new HashMap<>();
 
         private final Map<Integer, String> values = new TreeMap<>();
     }
 
-    private final class Server extends TcpConnection {
+    private final class ServerConnection extends TcpConnection {
         private byte[] bytes = new byte[0];
 
-        Server() {
+        ServerConnection() {
             super(FaultyFrontNode.this.loop);
         }
 
@@ -73,13 +74,13 @@
                 bytes = java.util.Arrays.copyOfRange(bytes, 4 + length, bytes.length);
                 String[] lines = text.split("\n", 2);
                 String[] words = lines[0].split(" ");
-                part(words[0], words[1].equals("OK") ? lines[1] : null);
+                handlePartAnswer(words[0], words[1].equals("OK") ? lines[1] : null);
             }
         }
 
         @Override
         protected void onClosed(String why) {
-            servers.values().remove(this);
+            connections.values().remove(this);
         }
     }
 
@@ -87,9 +88,9 @@
         this.fleet = fleet;
         this.fault = fault;
         this.loop = new SocketLoop("spartrail-crooked");
-        this.stand = new HttpStub(loop, new InetSocketAddress("127.0.0.1", 0), this::asked);
-        // It reads the roll, as all do; what it makes of it is another matter.
-        TcpConnection roll = new TcpConnection(loop) {
+        this.http = new HttpStub(loop, new InetSocketAddress("127.0.0.1", 0), this::handleRequest);
+        // It requests the host list as every front node does, and ignores the answer.
+        TcpConnection discovery = new TcpConnection(loop) {
             @Override
             protected void onBytes(ByteBuffer in) {
                 in.position(in.limit());
@@ -97,14 +98,14 @@
 
             @Override
             protected void onClosed(String why) {
-                // Nothing hangs on it.
+                // The host list is not used, so a lost connection changes nothing.
             }
         };
         String[] address = fleet.discoveryAddress(0).split(":");
         loop.call(() -> {
             try {
-                roll.connect(new InetSocketAddress(address[0], Integer.parseInt(address[1])));
-                roll.write(ByteBuffer.wrap(("GET /discovery/hosts HTTP/1.1\r\nHost: r\r\n\r\n"
+                discovery.connect(new InetSocketAddress(address[0], Integer.parseInt(address[1])));
+                discovery.write(ByteBuffer.wrap(("GET /discovery/hosts HTTP/1.1\r\nHost: r\r\n\r\n"
                                 + "GET /discovery/hosts?since=1&timeout_ms=60000 HTTP/1.1\r\nHost: r\r\n\r\n")
                         .getBytes(StandardCharsets.US_ASCII)));
             } catch (IOException e) {
@@ -114,43 +115,43 @@
     }
 
     public String address() {
-        return "127.0.0.1:" + stand.port();
+        return "127.0.0.1:" + http.port();
     }
 
-    private void asked(HttpStub.Request request) {
+    private void handleRequest(HttpStub.Request request) {
         if (request.path.equals("/up")) {
-            request.answer(200, "", new byte[0]);
+            request.respond(200, "", new byte[0]);
             return;
         }
         try {
             JsonNode tree = Document.JSON.readTree(request.body);
             String id = request.headers.get("req-id");
-            Open asked = new Open();
-            asked.request = request;
+            OpenQuery query = new OpenQuery();
+            query.request = request;
             List<Integer> shards = new ArrayList<>();
             tree.get("segments")
                     .forEach(segment -> shards.add(segment.get("segment").asInt()));
             if (fault == Fault.CALLS_PART_WHOLE || fault == Fault.UNDER_LEAST_SHARE) {
                 shards.subList(1, shards.size()).clear();
             }
-            asked.parts = shards.size();
-            open.put(id, asked);
+            query.parts = shards.size();
+            open.put(id, query);
             byte[] text = tree.get("text").asText().getBytes(StandardCharsets.UTF_8);
             for (int shard : shards) {
-                send(id, shard, text);
+                sendPart(id, shard, text);
                 if (fault == Fault.REPEATS) {
-                    send(id, shard, text);
+                    sendPart(id, shard, text);
                 }
                 for (int i = 0; i < COPIES && fault == Fault.COPIES; i++) {
-                    send(id, shard, text);
+                    sendPart(id, shard, text);
                 }
             }
         } catch (IOException e) {
-            request.answer(400, "", new byte[0]);
+            request.respond(400, "", new byte[0]);
         }
     }
 
-    private void send(String id, int shard, byte[] text) throws IOException {
+    private void sendPart(String id, int shard, byte[] text) throws IOException {
         FleetPlan plan = fleet.plan();
         String server = plan.servers().stream()
                 .filter(line -> {
@@ -160,16 +161,16 @@
                 .findFirst()
                 .orElseThrow()
                 .id();
-        Server link = servers.get(server);
-        if (link == null) {
-            link = new Server();
+        ServerConnection connection = connections.get(server);
+        if (connection == null) {
+            connection = new ServerConnection();
             String[] address = fleet.serverAddress(0, server).split(":");
-            link.connect(new InetSocketAddress(address[0], Integer.parseInt(address[1])));
-            servers.put(server, link);
+            connection.connect(new InetSocketAddress(address[0], Integer.parseInt(address[1])));
+            connections.put(server, connection);
         }
         String line = id + "." + shard + " " + shard + " d=1000 " + text.length + "\n";
         byte[] head = line.getBytes(StandardCharsets.US_ASCII);
-        link.write(ServerFrameCodec.frame(
+        connection.write(ServerFrameCodec.encode(
                 'R',
                 ByteBuffer.allocate(head.length + text.length)
                         .put(head)
@@ -177,28 +178,27 @@
                         .array()));
     }
 
-    private void part(String partId, String value) {
+    private void handlePartAnswer(String partId, String value) {
         int dot = partId.lastIndexOf('.');
         String id = partId.substring(0, dot);
-        Open asked = open.get(id);
-        if (asked == null) {
+        OpenQuery query = open.get(id);
+        if (query == null) {
             return;
         }
         if (value != null) {
-            asked.values.put(Integer.parseInt(partId.substring(dot + 1)), fault == Fault.CHANGES_VALUES ? "0" : value);
+            query.values.put(Integer.parseInt(partId.substring(dot + 1)), fault == Fault.CHANGES_VALUES ? "0" : value);
         } else if (fault == Fault.COPIES) {
-            // A busy server rejects some copies; a front node that then leaves the part out would break more rules than
-            // the
-            // one that is meant.
-            if (asked.turnedAway.merge(Integer.parseInt(partId.substring(dot + 1)), 1, Integer::sum) > COPIES) {
+            // A busy server rejects some copies. Leaving the part out of the answer after one rejection would break
+            // further rules besides the intended one.
+            if (query.rejections.merge(Integer.parseInt(partId.substring(dot + 1)), 1, Integer::sum) > COPIES) {
                 open.remove(id);
-                asked.request.answer(503, "Retry-After: 1\r\n", new byte[0]);
+                query.request.respond(503, "Retry-After: 1\r\n", new byte[0]);
             }
             return;
         } else {
-            asked.parts--;
+            query.parts--;
         }
-        if (asked.values.size() < asked.parts) {
+        if (query.values.size() < query.parts) {
             return;
         }
         open.remove(id);
@@ -206,11 +206,11 @@
             return;
         }
         if (fault == Fault.PUSHES_BACK_WHAT_RAN) {
-            asked.request.answer(503, "Retry-After: 1\r\n", new byte[0]);
+            query.request.respond(503, "Retry-After: 1\r\n", new byte[0]);
             return;
         }
         StringBuilder body = new StringBuilder("{\"all_in\":" + (fault != Fault.UNDER_LEAST_SHARE) + ",\"matches\":[");
-        asked.values.forEach((shard, text) -> body.append(body.charAt(body.length() - 1) == '[' ? "" : ",")
+        query.values.forEach((shard, text) -> body.append(body.charAt(body.length() - 1) == '[' ? "" : ",")
                 .append("{\"segment\":")
                 .append(shard)
                 .append(",\"payload\":\"")
@@ -218,15 +218,15 @@
                 .append("\"}"));
         byte[] bytes = body.append("]}").toString().getBytes(StandardCharsets.UTF_8);
         if (fault == Fault.ANSWERS_TWICE) {
-            asked.request.answerTwice(bytes);
+            query.request.respondTwice(bytes);
         } else {
-            asked.request.answer(200, "", bytes);
+            query.request.respond(200, "", bytes);
         }
     }
 
     @Override
     public void close() {
-        stand.close();
+        http.close();
         loop.close();
     }
 }
--- a/lab/src/main/java/spartrail/lab/fleet/Fleet.java
+++ b/lab/src/main/java/spartrail/lab/fleet/Fleet.java
@@ -14,44 +14,44 @@
 import spartrail.lab.file.InvalidInputException;
 import spartrail.lab.net.SocketLoop;
 
-/** Stand-in servers and the roll that lists them; what its script says is done to them in time. */
+/** Emulated index servers and discovery services; runs the fault script of its plan against them. */
 public final class Fleet implements AutoCloseable {
     private final FleetPlan plan;
     private final SocketLoop loop;
     private final FleetListener listener;
     private final Map<String, IndexServerEmulator> servers = new LinkedHashMap<>();
-    private final List<DiscoveryEmulator> rolls = new ArrayList<>();
-    private final SplittableRandom chance;
+    private final List<DiscoveryEmulator> discoveries = new ArrayList<>();
+    private final SplittableRandom random;
 
-    /** Listens from here on; the script begins with {@link #play}. */
+    /** Opens the ports of all servers and discovery services; the script begins with {@link #startScript}. */
     public Fleet(FleetPlan plan, FleetListener listener) throws IOException {
         this.plan = plan;
         this.listener = listener;
         this.loop = new SocketLoop("spartrail-fleet");
-        this.chance = new SplittableRandom(plan.seed());
+        this.random = new SplittableRandom(plan.seed());
         try {
-            int at = 0;
-            for (FleetPlan.ServerSpec line : plan.servers()) {
-                IndexServerEmulator stand =
-                        new IndexServerEmulator(loop, line, chance.split(), listener, () -> fell(line.id()));
-                stand.listen(plan.nodes(), plan.firstPort() == 0 ? 0 : plan.firstPort() + plan.nodes() * at++);
-                servers.put(line.id(), stand);
+            int index = 0;
+            for (FleetPlan.ServerSpec spec : plan.servers()) {
+                IndexServerEmulator server =
+                        new IndexServerEmulator(loop, spec, random.split(), listener, () -> handleCrash(spec.id()));
+                server.listen(plan.nodes(), plan.firstPort() == 0 ? 0 : plan.firstPort() + plan.nodes() * index++);
+                servers.put(spec.id(), server);
             }
             for (int node = 0; node < plan.nodes(); node++) {
-                List<DiscoveryEmulator.Line> lines = new ArrayList<>();
-                for (IndexServerEmulator stand : servers.values()) {
-                    lines.add(new DiscoveryEmulator.Line(stand.line, "127.0.0.1:" + stand.port(node)));
+                List<DiscoveryEmulator.HostEntry> entries = new ArrayList<>();
+                for (IndexServerEmulator server : servers.values()) {
+                    entries.add(new DiscoveryEmulator.HostEntry(server.spec, "127.0.0.1:" + server.port(node)));
                 }
-                rolls.add(new DiscoveryEmulator(
+                discoveries.add(new DiscoveryEmulator(
                         loop,
                         node,
-                        new InetSocketAddress("127.0.0.1", plan.rollPort() == 0 ? 0 : plan.rollPort() + node),
-                        lines,
+                        new InetSocketAddress("127.0.0.1", plan.discoveryPort() == 0 ? 0 : plan.discoveryPort() + node),
+                        entries,
                         listener));
             }
         } catch (IOException e) {
             loop.close();
-            throw new IOException("the fleet cannot listen: " + e.getMessage(), e);
+            throw new IOException("cannot open the ports of the fleet: " + e.getMessage(), e);
         }
     }
 
@@ -64,48 +64,49 @@
     }
 
     public String discoveryAddress(int node) {
-        return "127.0.0.1:" + rolls.get(node).port();
+        return "127.0.0.1:" + discoveries.get(node).port();
     }
 
     public String serverAddress(int node, String server) {
         return "127.0.0.1:" + servers.get(server).port(node);
     }
 
-    /** The whole list as a node has it at its start. */
+    /** The whole host list that discovery now reports to a node, as JSON. */
     public String hostListJson(int node) {
-        String[] list = new String[1];
-        loop.call(() -> list[0] = rolls.get(node).list());
-        return list[0];
+        String[] json = new String[1];
+        loop.call(() -> json[0] = discoveries.get(node).hostListJson());
+        return json[0];
     }
 
-    /** The script's time begins now. */
+    /** Starts the script: its times count from now. */
     public void startScript() {
-        double fromMs = loop.nowMs();
-        loop.execute(() -> plan.script().forEach(deed -> loop.schedule(fromMs + deed.atMs(), () -> carryOut(deed))));
+        double startMs = loop.nowMs();
+        loop.execute(
+                () -> plan.script().forEach(action -> loop.schedule(startMs + action.atMs(), () -> perform(action))));
     }
 
-    /** Does one thing by hand: {@code WHAT SERVER[,SERVER] [BY] [LASTS_MS]}. */
-    public void runCommand(String words) {
-        String[] word = words.trim().split("\\s+");
-        List<String> whom = word.length < 2 || word[1].equals("-") ? List.of() : List.of(word[1].split(","));
-        for (String id : whom) {
+    /** Runs one action that an operator has typed: {@code ACTION SERVER[,SERVER] [AMOUNT] [LASTS_MS]}. */
+    public void runCommand(String command) {
+        String[] words = command.trim().split("\\s+");
+        List<String> serverIds = words.length < 2 || words[1].equals("-") ? List.of() : List.of(words[1].split(","));
+        for (String id : serverIds) {
             if (!servers.containsKey(id)) {
-                throw new InvalidInputException("no server is named " + id + "; there are " + servers.keySet());
+                throw new InvalidInputException("unknown server '" + id + "'; expected one of " + servers.keySet());
             }
         }
-        if (!DEEDS.contains(word[0])) {
-            throw new InvalidInputException("'" + word[0] + "' is none of " + DEEDS);
+        if (!ACTIONS.contains(words[0])) {
+            throw new InvalidInputException("unknown action '" + words[0] + "'; expected one of " + ACTIONS);
         }
         try {
-            double by = word.length > 2 ? Double.parseDouble(word[2]) : 1;
-            double lastsMs = word.length > 3 ? Double.parseDouble(word[3]) : 0;
-            loop.execute(() -> carryOut(new FleetPlan.Deed(0, word[0], whom, List.of(), by, lastsMs)));
+            double amount = words.length > 2 ? Double.parseDouble(words[2]) : 1;
+            double lastsMs = words.length > 3 ? Double.parseDouble(words[3]) : 0;
+            loop.execute(() -> perform(new FleetPlan.ScriptAction(0, words[0], serverIds, List.of(), amount, lastsMs)));
         } catch (NumberFormatException e) {
-            throw new InvalidInputException("'" + words + "': a number is expected after the servers");
+            throw new InvalidInputException("invalid command '" + command + "': expected numbers after the servers");
         }
     }
 
-    static final List<String> DEEDS = List.of(
+    static final List<String> ACTIONS = List.of(
             "slow",
             "pause",
             "neighbour",
@@ -123,121 +124,127 @@
             "roll-silent",
             "roll-stale");
 
-    private List<DiscoveryEmulator> rollsOf(FleetPlan.Deed deed) {
-        return deed.nodes().isEmpty()
-                ? rolls
-                : deed.nodes().stream()
-                        .filter(node -> node < rolls.size())
-                        .map(rolls::get)
+    private List<DiscoveryEmulator> discoveriesOf(FleetPlan.ScriptAction action) {
+        return action.nodes().isEmpty()
+                ? discoveries
+                : action.nodes().stream()
+                        .filter(node -> node < discoveries.size())
+                        .map(discoveries::get)
                         .toList();
     }
 
-    private void carryOut(FleetPlan.Deed deed) {
-        listener.onAction(deed.what() + " " + String.join(",", deed.servers()), loop.nowMs());
-        double by = deed.by();
-        double lastsMs = deed.lastsMs();
-        switch (deed.what()) {
+    private void perform(FleetPlan.ScriptAction action) {
+        listener.onAction(action.name() + " " + String.join(",", action.servers()), loop.nowMs());
+        double amount = action.amount();
+        double lastsMs = action.lastsMs();
+        switch (action.name()) {
             case "roll-silent" -> {
-                rollsOf(deed).forEach(roll -> roll.silent(true));
-                after(lastsMs, () -> rollsOf(deed).forEach(roll -> roll.silent(false)));
+                discoveriesOf(action).forEach(discovery -> discovery.setSilent(true));
+                scheduleAfter(lastsMs, () -> discoveriesOf(action).forEach(discovery -> discovery.setSilent(false)));
             }
             case "roll-stale" -> {
-                rollsOf(deed).forEach(roll -> roll.stale(true));
-                after(lastsMs, () -> rollsOf(deed).forEach(roll -> roll.stale(false)));
+                discoveriesOf(action).forEach(discovery -> discovery.setStale(true));
+                scheduleAfter(lastsMs, () -> discoveriesOf(action).forEach(discovery -> discovery.setStale(false)));
             }
-            default -> deed.servers().forEach(id -> carryOut(deed.what(), servers.get(id), by, lastsMs));
+            default -> action.servers().forEach(id -> perform(action.name(), servers.get(id), amount, lastsMs));
         }
     }
 
-    private void carryOut(String what, IndexServerEmulator server, double by, double lastsMs) {
-        String id = server.line.id();
-        switch (what) {
+    private void perform(String name, IndexServerEmulator server, double amount, double lastsMs) {
+        String id = server.spec.id();
+        switch (name) {
             case "slow" -> {
-                server.slow(by);
-                after(lastsMs, () -> server.slow(1));
+                server.setSlowdown(amount);
+                scheduleAfter(lastsMs, () -> server.setSlowdown(1));
             }
             case "pause" -> server.pause(lastsMs);
             case "neighbour" -> {
-                server.neighbour(Math.min(0.99, by));
-                after(lastsMs, () -> server.neighbour(0));
+                server.setNeighbourShare(Math.min(0.99, amount));
+                scheduleAfter(lastsMs, () -> server.setNeighbourShare(0));
             }
             case "error" -> {
-                server.errors(by);
-                after(lastsMs, () -> server.errors(server.line.profile().errorShare()));
+                server.setErrorShare(amount);
+                scheduleAfter(
+                        lastsMs,
+                        () -> server.setErrorShare(server.spec.profile().errorShare()));
             }
             case "spoil" -> {
-                server.spoils(by);
-                after(lastsMs, () -> server.spoils(0));
+                server.setCorruptShare(amount);
+                scheduleAfter(lastsMs, () -> server.setCorruptShare(0));
             }
             case "hang" -> {
-                server.hang(true);
-                after(lastsMs, () -> server.hang(false));
+                server.setHanging(true);
+                scheduleAfter(lastsMs, () -> server.setHanging(false));
             }
             case "silent" -> {
-                server.silent(true);
-                after(lastsMs, () -> server.silent(false));
+                server.setSilent(true);
+                scheduleAfter(lastsMs, () -> server.setSilent(false));
             }
             case "handshake" -> {
-                server.handshake(by);
-                after(lastsMs, () -> server.handshake(server.line.profile().handshakeMs()));
+                server.setHandshakeMs(amount);
+                scheduleAfter(
+                        lastsMs,
+                        () -> server.setHandshakeMs(server.spec.profile().handshakeMs()));
             }
-            case "drain" -> tell(id, "DRAINING", 0, plan.noticeMs());
-            case "undrain" -> tell(id, "SERVING", 0, plan.noticeMs());
-            case "remove" -> tell(id, "DELETED", 0, plan.noticeMs());
+            case "drain" -> scheduleStateChange(id, "DRAINING", 0, plan.noticeMs());
+            case "undrain" -> scheduleStateChange(id, "SERVING", 0, plan.noticeMs());
+            case "remove" -> scheduleStateChange(id, "DELETED", 0, plan.noticeMs());
             case "kill" -> {
                 server.kill();
-                tell(id, "DELETED", 0, plan.silentNoticeMs());
+                scheduleStateChange(id, "DELETED", 0, plan.silentNoticeMs());
             }
             case "start" -> start(server);
-                // A planned restart: it drains, is gone for a while and comes back cold under its name.
+                // "restart", a planned one: the server drains, is down for a while and starts cold under the same id.
             default -> {
-                tell(id, "DRAINING", 0, plan.noticeMs());
-                after(Math.max(1, lastsMs / 2), () -> {
+                scheduleStateChange(id, "DRAINING", 0, plan.noticeMs());
+                scheduleAfter(Math.max(1, lastsMs / 2), () -> {
                     server.kill();
-                    tell(id, "DELETED", 0, plan.noticeMs());
+                    scheduleStateChange(id, "DELETED", 0, plan.noticeMs());
                 });
-                after(Math.max(2, lastsMs), () -> start(server));
+                scheduleAfter(Math.max(2, lastsMs), () -> start(server));
             }
         }
     }
 
     private void start(IndexServerEmulator server) {
         server.start();
-        tell(server.line.id(), "SERVING", loop.nowMs(), plan.noticeMs());
+        scheduleStateChange(server.spec.id(), "SERVING", loop.nowMs(), plan.noticeMs());
     }
 
-    private void fell(String id) {
+    private void handleCrash(String id) {
         IndexServerEmulator server = servers.get(id);
-        tell(id, "DELETED", 0, plan.silentNoticeMs());
-        if (Double.isFinite(server.line.profile().downMs())) {
-            after(server.line.profile().downMs(), () -> start(server));
+        scheduleStateChange(id, "DELETED", 0, plan.silentNoticeMs());
+        if (Double.isFinite(server.spec.profile().downMs())) {
+            scheduleAfter(server.spec.profile().downMs(), () -> start(server));
         }
     }
 
-    private void tell(String id, String state, double bornMs, double afterMs) {
+    private void scheduleStateChange(String id, String state, double startedMs, double afterMs) {
         double changedMs = loop.nowMs();
-        loop.schedule(changedMs + afterMs, () -> rolls.forEach(roll -> roll.change(id, state, bornMs, changedMs)));
+        loop.schedule(
+                changedMs + afterMs,
+                () -> discoveries.forEach(discovery -> discovery.changeState(id, state, startedMs, changedMs)));
     }
 
-    private void after(double ms, Runnable what) {
+    private void scheduleAfter(double ms, Runnable task) {
         if (ms > 0) {
-            loop.schedule(loop.nowMs() + ms, what);
+            loop.schedule(loop.nowMs() + ms, task);
         }
     }
 
-    /** What each server took and how it ended. */
+    /** Counts of each server: connections, parts by their end, crashes, work done. */
     public ObjectNode figures() {
         ObjectNode tree = Document.JSON.createObjectNode();
         loop.call(() -> servers.forEach((id, server) -> {
             ObjectNode line = tree.putObject(id);
             new TreeMap<>(server.counts()).forEach(line::put);
-            line.put("workDoneMs", Math.round(server.model.doneMs()));
+            line.put("workDoneMs", Math.round(server.model.workDoneMs()));
             line.put("worstColdLoad", Math.round(1000 * server.model.worstLoad()) / 1000.0);
         }));
         return tree;
     }
 
-    /** One line a server. */
+    /** The same counts as a table with one line per server. */
     public String text() {
         StringBuilder out = new StringBuilder(String.format(
                 Locale.ROOT,
@@ -269,7 +276,7 @@
     @Override
     public void close() {
         loop.call(() -> servers.values().forEach(IndexServerEmulator::close));
-        rolls.forEach(DiscoveryEmulator::close);
+        discoveries.forEach(DiscoveryEmulator::close);
         loop.close();
     }
 }
--- a/lab/src/main/java/spartrail/lab/fleet/FleetListener.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FleetListener.java
@@ -1,24 +1,27 @@
 package spartrail.lab.fleet;
 
-/** Who looks on at what reaches the servers and what the roll tells; called on the fleet's thread. Nodes by number. */
+/**
+ * Observes the parts that reach the servers and the states that discovery reports. All methods are called on the
+ * fleet's thread; {@code node} is the number of a front node.
+ */
 public interface FleetListener {
     FleetListener NONE = new FleetListener() {};
 
-    /** A part has reached a server. */
+    /** A part has arrived at a server. */
     default void onPartReceived(int node, String server, String partId, double atMs) {}
 
-    /** How it ended there; it may have run unless it was turned away. */
+    /** A part has ended at its server; it may have been executed unless the end is REJECTED. */
     default void onPartEnded(int node, String server, String partId, ServerModel.End end, double atMs) {}
 
-    /** The roll has written this state to a node; {@code changedMs} is when it came to be. */
+    /** Discovery has sent a server's state to a node; the state itself changed at {@code changedMs}. */
     default void onStateWritten(int node, String server, String state, double bornMs, double changedMs, double atMs) {}
 
-    /** A state has changed and can be told to a node from now on; not called while the roll is silent or stale. */
+    /** Discovery can report a changed state to a node from now on; not called while it is silent or stale. */
     default void onStateChanged(int node, String server, String state, double atMs) {}
 
-    /** A server fell over; how much it was sent, as a part of what makes it fall. */
+    /** A cold server has crashed; {@code load} is the work it was sent, relative to its crash threshold. */
     default void onServerCrashed(String server, double load, double atMs) {}
 
-    /** Something was done by the script or by hand. */
-    default void onAction(String what, double atMs) {}
+    /** The script or an operator has run an action. */
+    default void onAction(String description, double atMs) {}
 }
--- a/lab/src/main/java/spartrail/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FleetPlan.java
@@ -9,13 +9,14 @@
 import spartrail.lab.file.Document;
 
 /**
- * A fleet as its file tells it.
+ * A fleet plan as its file states it.
  *
- * @param nodes front nodes that will use it; each has its own ports for servers and roll, so that who sends is known
- * @param firstPort servers listen on ports from this one on, node by node; 0 takes free ones
- * @param rollPort the roll's port for the first node, the next for the second; 0 takes free ones
- * @param noticeMs how long the roll takes to tell of a change that it was told itself
- * @param silentNoticeMs how long it takes to find out that a server has gone without a word
+ * @param reach number of cells that hold each shard
+ * @param nodes number of front nodes; servers and discovery have separate ports for each, which identify the sender
+ * @param firstPort first of the consecutive ports of the servers, one per server and node; 0 picks free ports
+ * @param discoveryPort discovery's port for the first node, followed by those for the others; 0 picks free ports
+ * @param noticeMs delay until discovery reports a change that a server announces
+ * @param silentNoticeMs delay until discovery reports that a server has failed without announcing it
  */
 public record FleetPlan(
         long seed,
@@ -24,17 +25,17 @@
         int reach,
         int nodes,
         int firstPort,
-        int rollPort,
+        int discoveryPort,
         double noticeMs,
         double silentNoticeMs,
         List<ServerSpec> servers,
-        List<Deed> script) {
-    /** An index server of the plan. */
+        List<ScriptAction> script) {
+    /** An index server of the plan; {@code rating} is the capacity hint that discovery reports for it. */
     public record ServerSpec(String id, int cell, String zone, ServerProfile profile, double rating) {}
 
-    /** What is done to some servers, or to the lists of some nodes (of all where none is named), and when. */
-    public record Deed(
-            double atMs, String what, List<String> servers, List<Integer> nodes, double by, double lastsMs) {}
+    /** A scripted action on some servers, or on the discovery of some nodes; an empty list of nodes means all nodes. */
+    public record ScriptAction(
+            double atMs, String name, List<String> servers, List<Integer> nodes, double amount, double lastsMs) {}
 
     public static FleetPlan read(Path file) {
         return of(Document.read(file, "fleet"));
@@ -45,16 +46,16 @@
         Map<String, ServerProfile> kinds = new LinkedHashMap<>();
         tree.get("kinds")
                 .fields()
-                .forEachRemaining(kind -> kinds.put(kind.getKey(), profile(kind.getKey(), kind.getValue())));
+                .forEachRemaining(kind -> kinds.put(kind.getKey(), readProfile(kind.getKey(), kind.getValue())));
         JsonNode layout = tree.get("layout");
         int cells = layout.get("cells").asInt();
         List<ServerSpec> servers = new ArrayList<>();
-        int at = 0;
+        int groupIndex = 0;
         for (JsonNode group : tree.get("servers")) {
             ServerProfile profile = kinds.get(group.get("kind").asText());
             if (profile == null) {
                 throw document.invalid(
-                        "/servers/" + at + "/kind",
+                        "/servers/" + groupIndex + "/kind",
                         "found '" + group.get("kind").asText() + "', one of " + kinds.keySet() + " is expected");
             }
             List<String> zones = new ArrayList<>();
@@ -68,29 +69,29 @@
                         profile,
                         group.path("rating").asDouble(1)));
             }
-            at++;
+            groupIndex++;
         }
         List<String> ids = servers.stream().map(ServerSpec::id).toList();
-        List<Deed> script = new ArrayList<>();
-        for (JsonNode deed : tree.path("script")) {
-            List<String> whom = new ArrayList<>();
-            for (JsonNode id : deed.path("servers")) {
+        List<ScriptAction> script = new ArrayList<>();
+        for (JsonNode action : tree.path("script")) {
+            List<String> serverIds = new ArrayList<>();
+            for (JsonNode id : action.path("servers")) {
                 if (!ids.contains(id.asText())) {
                     throw document.invalid(
-                            "/script/" + script.size() + "/servers/" + whom.size(),
+                            "/script/" + script.size() + "/servers/" + serverIds.size(),
                             "found '" + id.asText() + "', one of s-0 to s-" + (ids.size() - 1) + " is expected");
                 }
-                whom.add(id.asText());
+                serverIds.add(id.asText());
             }
             List<Integer> nodes = new ArrayList<>();
-            deed.path("nodes").forEach(node -> nodes.add(node.asInt()));
-            script.add(new Deed(
-                    deed.get("atMs").asDouble(),
-                    deed.get("do").asText(),
-                    whom,
+            action.path("nodes").forEach(node -> nodes.add(node.asInt()));
+            script.add(new ScriptAction(
+                    action.get("atMs").asDouble(),
+                    action.get("do").asText(),
+                    serverIds,
                     nodes,
-                    deed.path("by").asDouble(1),
-                    deed.path("lastsMs").asDouble(0)));
+                    action.path("by").asDouble(1),
+                    action.path("lastsMs").asDouble(0)));
         }
         JsonNode roll = tree.path("roll");
         return new FleetPlan(
@@ -107,7 +108,7 @@
                 script);
     }
 
-    private static ServerProfile profile(String name, JsonNode node) {
+    private static ServerProfile readProfile(String name, JsonNode node) {
         int cores = node.path("cores").asInt(2);
         double downMs = node.path("downMs").asDouble(0);
         return new ServerProfile(
@@ -132,15 +133,16 @@
                 node.path("reportLateMs").asDouble(0));
     }
 
-    /** The same fleet from another seed, for so many nodes, on free ports. */
+    /** The same fleet with another seed and number of nodes, on free ports. */
     public FleetPlan withSeedAndNodes(long newSeed, int forNodes) {
         return new FleetPlan(newSeed, shards, cells, reach, forNodes, 0, 0, noticeMs, silentNoticeMs, servers, script);
     }
 
-    /** Milliseconds of work that all servers do in one when warm. */
+    /** Milliseconds of work that all servers, when warm, do in one millisecond. */
     public double capacity() {
         return servers.stream()
-                .mapToDouble(line -> line.profile().cores() * line.profile().speed())
+                .mapToDouble(
+                        server -> server.profile().cores() * server.profile().speed())
                 .sum();
     }
 }
--- a/lab/src/main/java/spartrail/lab/fleet/FrontLayer.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FrontLayer.java
@@ -11,17 +11,18 @@
 import spartrail.lab.net.TcpConnection;
 
 /**
- * The layer before the front nodes: it spreads clients' connections over those nodes whose {@code /up} says 200, in turn,
- * and passes bytes on. It notices late, as such layers do: a node that has gone gets connections for a while.
+ * A TCP load balancer in front of the front nodes. It assigns clients' connections in turn to the nodes whose
+ * {@code /up} answers 200, and relays their bytes. As real load balancers do, it notices changes late: a node that has
+ * stopped still gets connections for a while.
  */
 public final class FrontLayer implements AutoCloseable {
-    private static final double ASKED_EVERY_MS = 200;
+    private static final double PROBE_INTERVAL_MS = 200;
 
-    /** A node as this layer sees it. */
+    /** A front node and its readiness as last accepted. */
     private static final class Node {
         private final InetSocketAddress address;
         private boolean ready;
-        /** When a look at it last said something else than what is believed; 0 while they agree. */
+        /** Since when probes have disagreed with {@link #ready}; 0 while they agree. */
         private double differsSinceMs;
 
         Node(InetSocketAddress address) {
@@ -29,12 +30,12 @@
         }
     }
 
-    /** One side of a client's way; what it hears goes to the other. */
-    private static final class Side extends TcpConnection {
-        private Side other;
+    /** One of the two connections of a relayed client; bytes read here are written to the opposite one. */
+    private static final class Relay extends TcpConnection {
+        private Relay opposite;
         private long passed;
 
-        Side(SocketLoop loop) {
+        Relay(SocketLoop loop) {
             super(loop);
         }
 
@@ -42,16 +43,16 @@
         protected void onBytes(ByteBuffer in) {
             passed += in.remaining();
             ByteBuffer copy = ByteBuffer.allocate(in.remaining()).put(in).flip();
-            other.write(copy);
+            opposite.write(copy);
         }
 
         @Override
         protected void onClosed(String why) {
-            // A reset is passed on as one: a client has to know that its answer is not whole.
+            // A reset is relayed as a reset: the client has to notice that its answer is truncated.
             if (why.equals("closed")) {
-                loop.schedule(loop.nowMs() + 1, other::close);
+                loop.schedule(loop.nowMs() + 1, opposite::close);
             } else {
-                other.reset();
+                opposite.reset();
             }
         }
     }
@@ -63,28 +64,31 @@
     private long turn;
     private boolean closed;
 
-    /** Listens at a port of the loopback (0: a free one) for these nodes; changes count after {@code noticeMs}. */
+    /**
+     * Listens on a loopback port (0 picks a free one). A change of a node's readiness takes effect once probes have
+     * shown it for {@code noticeMs}.
+     */
     public FrontLayer(SocketLoop loop, int port, List<InetSocketAddress> addresses, double noticeMs)
             throws IOException {
         this.loop = loop;
         this.noticeMs = noticeMs;
         addresses.forEach(address -> nodes.add(new Node(address)));
-        this.listening = loop.listen(new InetSocketAddress("127.0.0.1", port), 4096, this::accepted);
-        loop.execute(() -> nodes.forEach(this::look));
+        this.listening = loop.listen(new InetSocketAddress("127.0.0.1", port), 4096, this::forward);
+        loop.execute(() -> nodes.forEach(this::probe));
     }
 
     public int port() {
         return listening.socket().getLocalPort();
     }
 
-    private void accepted(SocketChannel channel) {
-        Side client = new Side(loop);
-        Side server = new Side(loop);
-        client.other = server;
-        server.other = client;
+    private void forward(SocketChannel channel) {
+        Relay client = new Relay(loop);
+        Relay server = new Relay(loop);
+        client.opposite = server;
+        server.opposite = client;
         try {
             client.adopt(channel);
-            Node node = next();
+            Node node = nextReadyNode();
             if (node == null) {
                 client.reset();
             } else {
@@ -95,57 +99,57 @@
         }
     }
 
-    /** The ready nodes in turn; null where none is. */
-    private Node next() {
+    /** The next ready node in turn, or null if no node is ready. */
+    private Node nextReadyNode() {
         List<Node> ready = nodes.stream().filter(node -> node.ready).toList();
         return ready.isEmpty() ? null : ready.get((int) (turn++ % ready.size()));
     }
 
-    private void look(Node node) {
+    private void probe(Node node) {
         if (closed) {
             return;
         }
-        boolean[] told = new boolean[1];
-        TcpConnection link = new TcpConnection(loop) {
+        boolean[] isReported = new boolean[1];
+        TcpConnection connection = new TcpConnection(loop) {
             @Override
             protected void onBytes(ByteBuffer in) {
                 byte[] bytes = new byte[Math.min(12, in.remaining())];
                 in.get(bytes);
                 in.position(in.limit());
-                tell(new String(bytes, java.nio.charset.StandardCharsets.US_ASCII).equals("HTTP/1.1 200"));
+                report(new String(bytes, java.nio.charset.StandardCharsets.US_ASCII).equals("HTTP/1.1 200"));
                 close();
             }
 
             @Override
             protected void onClosed(String why) {
-                tell(false);
+                report(false);
             }
 
-            private void tell(boolean ready) {
-                if (!told[0]) {
-                    told[0] = true;
-                    believe(node, ready);
+            private void report(boolean ready) {
+                if (!isReported[0]) {
+                    isReported[0] = true;
+                    updateReadiness(node, ready);
                 }
             }
         };
         try {
-            link.connect(node.address);
-            link.write(ByteBuffer.wrap("GET /up HTTP/1.1\r\nHost: up\r\nConnection: close\r\n\r\n"
+            connection.connect(node.address);
+            connection.write(ByteBuffer.wrap("GET /up HTTP/1.1\r\nHost: up\r\nConnection: close\r\n\r\n"
                     .getBytes(java.nio.charset.StandardCharsets.US_ASCII)));
         } catch (IOException e) {
-            believe(node, false);
+            updateReadiness(node, false);
         }
-        loop.schedule(loop.nowMs() + ASKED_EVERY_MS, () -> {
-            if (!told[0]) {
-                told[0] = true;
-                link.close();
-                believe(node, false);
+        loop.schedule(loop.nowMs() + PROBE_INTERVAL_MS, () -> {
+            if (!isReported[0]) {
+                isReported[0] = true;
+                connection.close();
+                updateReadiness(node, false);
             }
-            look(node);
+            probe(node);
         });
     }
 
-    private void believe(Node node, boolean ready) {
+    private void updateReadiness(Node node, boolean ready) {
         double nowMs = loop.nowMs();
         if (ready == node.ready) {
             node.differsSinceMs = 0;
@@ -165,7 +169,7 @@
             try {
                 listening.close();
             } catch (IOException e) {
-                // It is closed all the same.
+                // The channel is closed even if close() fails.
             }
         });
     }
--- a/lab/src/main/java/spartrail/lab/fleet/HttpStub.java
+++ b/lab/src/main/java/spartrail/lab/fleet/HttpStub.java
@@ -15,32 +15,35 @@
 import spartrail.lab.net.SocketLoop;
 import spartrail.lab.net.TcpConnection;
 
-/** A small HTTP/1.1 server whose every byte can be chosen, so that it can misbehave. */
+/** A minimal HTTP/1.1 server that leaves every byte of an answer to its owner; this allows faulty answers. */
 final class HttpStub implements AutoCloseable {
-    /** A request that has come whole; it is answered by its link, now or later. */
+    /** A completely received request; the handler answers it on its connection, at once or later. */
     static final class Request {
-        final Client from;
+        final ClientConnection connection;
         final String method;
         final String path;
         final Map<String, String> headers = new HashMap<>();
         byte[] body = new byte[0];
 
-        Request(Client from, String method, String path) {
-            this.from = from;
+        Request(ClientConnection connection, String method, String path) {
+            this.connection = connection;
             this.method = method;
             this.path = path;
         }
 
-        void answer(int status, String headers, byte[] body) {
-            from.write(bytes(status, headers, body, 1));
+        void respond(int status, String headers, byte[] body) {
+            connection.write(encode(status, headers, body, 1));
         }
 
-        /** In one piece, or the second one could be taken for the answer to the client's next request. */
-        void answerTwice(byte[] body) {
-            from.write(bytes(200, "", body, 2));
+        /**
+         * Answers twice in a single write. With two writes the client could take the second answer for that to its next
+         * request.
+         */
+        void respondTwice(byte[] body) {
+            connection.write(encode(200, "", body, 2));
         }
 
-        private static ByteBuffer bytes(int status, String headers, byte[] body, int times) {
+        private static ByteBuffer encode(int status, String headers, byte[] body, int times) {
             byte[] head = ("HTTP/1.1 " + status + " -\r\n" + headers + "Content-Length: " + body.length + "\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII);
             ByteBuffer bytes = ByteBuffer.allocate(times * (head.length + body.length));
@@ -52,13 +55,13 @@
     }
 
     /** A client's connection. */
-    final class Client extends TcpConnection {
+    final class ClientConnection extends TcpConnection {
         private byte[] bytes = new byte[1024];
         private int size;
-        private Request open;
-        private int needed;
+        private Request partial;
+        private int bodyBytes;
 
-        Client() {
+        ClientConnection() {
             super(HttpStub.this.loop);
         }
 
@@ -71,19 +74,19 @@
             in.get(bytes, size, more);
             size += more;
             try {
-                while (isOpen() && request()) {
-                    Request whole = open;
-                    open = null;
-                    taker.accept(whole);
+                while (isOpen() && readRequest()) {
+                    Request request = partial;
+                    partial = null;
+                    handler.accept(request);
                 }
             } catch (RuntimeException e) {
                 close();
-                clients.remove(this);
+                connections.remove(this);
             }
         }
 
-        private boolean request() {
-            if (open == null) {
+        private boolean readRequest() {
+            if (partial == null) {
                 int end = -1;
                 for (int i = 3; i < size && end < 0; i++) {
                     if (bytes[i] == '\n' && bytes[i - 1] == '\r' && bytes[i - 2] == '\n' && bytes[i - 3] == '\r') {
@@ -95,50 +98,50 @@
                 }
                 String[] lines = new String(bytes, 0, end - 4, StandardCharsets.ISO_8859_1).split("\r\n");
                 String[] words = lines[0].split(" ");
-                open = new Request(this, words[0], words[1]);
+                partial = new Request(this, words[0], words[1]);
                 for (int i = 1; i < lines.length; i++) {
                     int colon = lines[i].indexOf(':');
-                    open.headers.put(
+                    partial.headers.put(
                             lines[i].substring(0, colon).toLowerCase(Locale.ROOT),
                             lines[i].substring(colon + 1).trim());
                 }
-                needed = Integer.parseInt(open.headers.getOrDefault("content-length", "0"));
-                cut(end);
+                bodyBytes = Integer.parseInt(partial.headers.getOrDefault("content-length", "0"));
+                discard(end);
             }
-            if (size < needed) {
+            if (size < bodyBytes) {
                 return false;
             }
-            open.body = Arrays.copyOf(bytes, needed);
-            cut(needed);
+            partial.body = Arrays.copyOf(bytes, bodyBytes);
+            discard(bodyBytes);
             return true;
         }
 
-        private void cut(int count) {
+        private void discard(int count) {
             System.arraycopy(bytes, count, bytes, 0, size - count);
             size -= count;
         }
 
         @Override
         protected void onClosed(String why) {
-            clients.remove(this);
+            connections.remove(this);
         }
     }
 
     private final SocketLoop loop;
-    private final Consumer<Request> taker;
-    private final Set<Client> clients = new HashSet<>();
+    private final Consumer<Request> handler;
+    private final Set<ClientConnection> connections = new HashSet<>();
     private final ServerSocketChannel listening;
 
-    HttpStub(SocketLoop loop, InetSocketAddress address, Consumer<Request> taker) throws IOException {
+    HttpStub(SocketLoop loop, InetSocketAddress address, Consumer<Request> handler) throws IOException {
         this.loop = loop;
-        this.taker = taker;
+        this.handler = handler;
         this.listening = loop.listen(address, 4096, channel -> {
-            Client client = new Client();
+            ClientConnection connection = new ClientConnection();
             try {
-                client.adopt(channel);
-                clients.add(client);
+                connection.adopt(channel);
+                connections.add(connection);
             } catch (IOException e) {
-                client.close();
+                connection.close();
             }
         });
     }
@@ -148,7 +151,7 @@
     }
 
     int connections() {
-        return clients.size();
+        return connections.size();
     }
 
     @Override
@@ -157,10 +160,10 @@
             try {
                 listening.close();
             } catch (IOException e) {
-                // It is closed all the same.
+                // The channel is closed even if close() fails.
             }
-            clients.forEach(TcpConnection::close);
-            clients.clear();
+            connections.forEach(TcpConnection::close);
+            connections.clear();
         });
     }
 }
--- a/lab/src/main/java/spartrail/lab/fleet/IndexServerEmulator.java
+++ b/lab/src/main/java/spartrail/lab/fleet/IndexServerEmulator.java
@@ -18,28 +18,29 @@
 import spartrail.lab.plan.Arrival;
 import spartrail.model.TimerQueue;
 
-/** One stand-in server on sockets: frames in, frames out; what it does with its load is its model's. */
+/** An emulated index server: it implements the frame protocol on sockets; {@link ServerModel} decides on its load. */
 final class IndexServerEmulator {
-    /** Ways in which an answer can be spoilt. */
-    private static final int SPOILS = 6;
+    /** Number of ways in which an answer can be corrupted. */
+    private static final int CORRUPTIONS = 6;
 
-    private record Sent(ServerFrameCodec.Sent part, Wire wire) {}
+    /** A part and the connection that its answer goes to. */
+    private record PendingPart(ServerFrameCodec.ReceivedPart part, FrontNodeConnection connection) {}
 
     /** A connection from a front node. */
-    private final class Wire extends TcpConnection {
+    private final class FrontNodeConnection extends TcpConnection {
         private final int node;
         private final ServerFrameCodec frames = new ServerFrameCodec();
-        /** Its handshake is paid; until then nothing of it is read. */
-        private boolean open;
+        /** Frames are read only after the server has done the work of the handshake. */
+        private boolean isHandshakeDone;
 
-        Wire(int node) {
+        FrontNodeConnection(int node) {
             super(IndexServerEmulator.this.loop);
             this.node = node;
         }
 
         @Override
         protected void onBytes(ByteBuffer in) {
-            frames.take(in);
+            frames.append(in);
             if (!silent) {
                 read();
             }
@@ -47,75 +48,75 @@
 
         private void read() {
             try {
-                while (isOpen() && open && frames.next()) {
-                    switch (frames.letter) {
-                        case 'R' -> call(this, new ArrayList<>(frames.parts));
-                        case 'A' -> model.giveUp(frames.id);
-                        case 'G' -> write(ServerFrameCodec.frame('G', "OK"));
-                        default -> write(ServerFrameCodec.frame('T', model.report()));
+                while (isOpen() && isHandshakeDone && frames.readNext()) {
+                    switch (frames.type) {
+                        case 'R' -> receiveParts(this, new ArrayList<>(frames.parts));
+                        case 'A' -> model.cancel(frames.id);
+                        case 'G' -> write(ServerFrameCodec.encode('G', "OK"));
+                        default -> write(ServerFrameCodec.encode('T', model.loadReport()));
                     }
                 }
-            } catch (ServerFrameCodec.Unusable e) {
-                write(ServerFrameCodec.frame('N', e.getMessage()));
+            } catch (ServerFrameCodec.MalformedFrameException e) {
+                write(ServerFrameCodec.encode('N', e.getMessage()));
                 close();
-                gone(this);
+                removeConnection(this);
             }
         }
 
         @Override
         protected void onClosed(String why) {
-            gone(this);
+            removeConnection(this);
         }
     }
 
-    final FleetPlan.ServerSpec line;
+    final FleetPlan.ServerSpec spec;
     private final SocketLoop loop;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final FleetListener listener;
-    private final Runnable onFall;
+    private final Runnable onCrash;
     private final List<ServerSocketChannel> listening = new ArrayList<>();
     private final List<Integer> ports = new ArrayList<>();
-    private final Set<Wire> wires = new HashSet<>();
+    private final Set<FrontNodeConnection> connections = new HashSet<>();
     private final Deque<Object[]> reports = new ArrayDeque<>();
     private final Map<String, Long> counts = new HashMap<>();
     ServerModel model;
-    private TimerQueue.Timer due;
+    private TimerQueue.Timer timer;
     private boolean down;
     private boolean silent;
     private boolean hanging;
-    private double spoilShare;
+    private double corruptShare;
     private double handshakeMs;
 
     IndexServerEmulator(
             SocketLoop loop,
-            FleetPlan.ServerSpec line,
-            RandomGenerator chance,
+            FleetPlan.ServerSpec spec,
+            RandomGenerator random,
             FleetListener listener,
-            Runnable onFall) {
+            Runnable onCrash) {
         this.loop = loop;
-        this.line = line;
-        this.chance = chance;
+        this.spec = spec;
+        this.random = random;
         this.listener = listener;
-        this.onFall = onFall;
-        this.handshakeMs = line.profile().handshakeMs();
-        // Long up: warm.
-        this.model = new ServerModel(line.profile(), chance, loop.nowMs() - 1e9, loop.nowMs());
+        this.onCrash = onCrash;
+        this.handshakeMs = spec.profile().handshakeMs();
+        // Started long ago, which makes it warm.
+        this.model = new ServerModel(spec.profile(), random, loop.nowMs() - 1e9, loop.nowMs());
     }
 
-    /** Opens a port for each node; 0 takes a free one. */
+    /** Opens one port per node; 0 picks free ports. */
     void listen(int nodes, int firstPort) throws IOException {
         for (int node = 0; node < nodes; node++) {
-            int from = node;
+            int nodeOfPort = node;
             ServerSocketChannel channel = loop.listen(
                     new InetSocketAddress("127.0.0.1", firstPort == 0 ? 0 : firstPort + node), 1024, accepted -> {
-                        Wire wire = new Wire(from);
+                        FrontNodeConnection connection = new FrontNodeConnection(nodeOfPort);
                         try {
-                            wire.adopt(accepted);
+                            connection.adopt(accepted);
                         } catch (IOException e) {
-                            wire.close();
+                            connection.close();
                             return;
                         }
-                        opened(wire);
+                        openConnection(connection);
                     });
             listening.add(channel);
             ports.add(channel.socket().getLocalPort());
@@ -126,60 +127,61 @@
         return ports.get(node);
     }
 
-    private void opened(Wire wire) {
-        if (down || wires.size() >= line.profile().connections()) {
-            wire.reset();
+    private void openConnection(FrontNodeConnection connection) {
+        if (down || connections.size() >= spec.profile().connections()) {
+            connection.reset();
             return;
         }
-        wires.add(wire);
+        connections.add(connection);
         count("connections");
         if (handshakeMs > 0) {
-            // It is not read before the server has worked off what it costs.
+            // The connection is read only after the server has done the work of the handshake.
             model.advance(loop.nowMs(), new ArrayList<>());
-            settle();
-            model.burden(handshakeMs, loop.nowMs());
+            advance();
+            model.addBackgroundWork(handshakeMs, loop.nowMs());
             loop.schedule(loop.nowMs() + handshakeMs / Math.max(0.01, model.warmth()), () -> {
-                wire.open = true;
+                connection.isHandshakeDone = true;
                 if (!silent) {
-                    wire.read();
+                    connection.read();
                 }
             });
-            checkFall();
+            checkCrash();
         } else {
-            wire.open = true;
+            connection.isHandshakeDone = true;
         }
     }
 
-    private void gone(Wire wire) {
-        wires.remove(wire);
-        // What runs for it runs on, as in a server that notices late; its answer has nobody to go to.
+    private void removeConnection(FrontNodeConnection connection) {
+        connections.remove(connection);
+        // Its parts keep running, as in a server that notices the lost connection late; their answers are dropped.
     }
 
-    private void call(Wire wire, List<ServerFrameCodec.Sent> parts) {
+    private void receiveParts(FrontNodeConnection connection, List<ServerFrameCodec.ReceivedPart> parts) {
         double nowMs = loop.nowMs();
-        turn();
+        advanceAndSchedule();
         boolean first = true;
-        for (ServerFrameCodec.Sent part : parts) {
+        for (ServerFrameCodec.ReceivedPart part : parts) {
             count("parts");
-            listener.onPartReceived(wire.node, line.id(), part.id(), nowMs);
-            double workMs =
-                    model.draw(told(part.text())) + (first ? line.profile().callMs() : 0);
+            listener.onPartReceived(connection.node, spec.id(), part.id(), nowMs);
+            double workMs = model.drawWorkMs(statedWorkMs(part.text()))
+                    + (first ? spec.profile().callMs() : 0);
             first = false;
-            ServerModel.Job job = new ServerModel.Job(part.id(), new Sent(part, wire), workMs, nowMs + part.waitMs());
-            model.take(job, nowMs);
-            if (model.fallen()) {
-                checkFall();
+            ServerModel.Job job =
+                    new ServerModel.Job(part.id(), new PendingPart(part, connection), workMs, nowMs + part.waitMs());
+            model.accept(job, nowMs);
+            if (model.hasCrashed()) {
+                checkCrash();
                 return;
             }
             if (job.end != null) {
-                answer(job);
+                answerPart(job);
             }
         }
-        plan();
+        scheduleNext();
     }
 
-    /** What the text says that a part costs: it begins with w and a number of microseconds. */
-    private static double told(byte[] text) {
+    /** The work that a part's text states, in milliseconds: the text begins with w and a number of microseconds. */
+    private static double statedWorkMs(byte[] text) {
         long micros = 0;
         if (text.length < 3 || text[0] != 'w') {
             return 0;
@@ -193,162 +195,165 @@
         return micros / 1000.0;
     }
 
-    private void turn() {
-        settle();
-        plan();
+    private void advanceAndSchedule() {
+        advance();
+        scheduleNext();
     }
 
-    private void settle() {
+    private void advance() {
         List<ServerModel.Job> ended = new ArrayList<>();
         model.advance(loop.nowMs(), ended);
-        ended.forEach(this::answer);
+        ended.forEach(this::answerPart);
     }
 
-    private void plan() {
-        loop.cancel(due);
-        due = null;
-        double nextMs = model.nextMs();
+    private void scheduleNext() {
+        loop.cancel(timer);
+        timer = null;
+        double nextMs = model.nextEventMs();
         if (!down && nextMs < Double.MAX_VALUE) {
-            due = loop.schedule(nextMs, this::turn);
+            timer = loop.schedule(nextMs, this::advanceAndSchedule);
         }
     }
 
-    private void answer(ServerModel.Job job) {
-        Sent sent = (Sent) job.carrier;
+    private void answerPart(ServerModel.Job job) {
+        PendingPart pending = (PendingPart) job.carrier;
         if (hanging) {
             return;
         }
-        listener.onPartEnded(sent.wire().node, line.id(), job.id, job.end, loop.nowMs());
+        listener.onPartEnded(pending.connection().node, spec.id(), job.id, job.end, loop.nowMs());
         count(job.end.name());
-        if (silent || !sent.wire().isOpen()) {
+        if (silent || !pending.connection().isOpen()) {
             return;
         }
-        if (spoilShare > 0 && chance.nextDouble() < spoilShare) {
+        if (corruptShare > 0 && random.nextDouble() < corruptShare) {
             count("spoilt");
-            spoil(sent);
+            sendCorrupted(pending);
             return;
         }
         String value = job.end == ServerModel.End.OK
-                ? Arrival.value(job.id, sent.part().shard(), sent.part().text())
+                ? Arrival.value(job.id, pending.part().shard(), pending.part().text())
                 : "";
-        sent.wire()
-                .write(ServerFrameCodec.frame(
-                        'Y', job.id + " " + job.end + " " + chance.nextInt(1 << 30) + " " + report() + "\n" + value));
+        pending.connection()
+                .write(ServerFrameCodec.encode(
+                        'Y',
+                        job.id + " " + job.end + " " + random.nextInt(1 << 30) + " " + delayedReport() + "\n" + value));
     }
 
-    private void spoil(Sent sent) {
-        Wire wire = sent.wire();
-        switch (chance.nextInt(SPOILS)) {
-            case 0 -> wire.write(ByteBuffer.wrap(noise(40)));
-            case 1 -> wire.write(ByteBuffer.allocate(5)
+    private void sendCorrupted(PendingPart pending) {
+        FrontNodeConnection connection = pending.connection();
+        switch (random.nextInt(CORRUPTIONS)) {
+            case 0 -> connection.write(ByteBuffer.wrap(randomBytes(40)));
+            case 1 -> connection.write(ByteBuffer.allocate(5)
                     .putInt(Integer.MAX_VALUE)
                     .put((byte) 'Y')
                     .flip());
-            case 2 -> wire.write(ServerFrameCodec.frame('Q', "what is this"));
-            case 3 -> wire.write(ServerFrameCodec.frame('Y', "no line"));
-            case 4 -> wire.write(ServerFrameCodec.frame('Y', "0000.77 OK 1 -\n" + "x"));
-            default -> wire.write(ServerFrameCodec.frame('Y', sent.part().id() + " PERHAPS 1 -\n"));
+            case 2 -> connection.write(ServerFrameCodec.encode('Q', "what is this"));
+            case 3 -> connection.write(ServerFrameCodec.encode('Y', "no line"));
+            case 4 -> connection.write(ServerFrameCodec.encode('Y', "0000.77 OK 1 -\n" + "x"));
+            default -> connection.write(
+                    ServerFrameCodec.encode('Y', pending.part().id() + " PERHAPS 1 -\n"));
         }
     }
 
-    private byte[] noise(int size) {
+    private byte[] randomBytes(int size) {
         byte[] bytes = new byte[size];
-        chance.nextBytes(bytes);
+        random.nextBytes(bytes);
         return bytes;
     }
 
-    private String report() {
-        double lateMs = line.profile().reportLateMs();
-        String now = model.report();
-        if (lateMs <= 0) {
-            return now;
+    /** The oldest of the last 1000 load reports that is at most {@code reportLateMs} old. */
+    private String delayedReport() {
+        double delayMs = spec.profile().reportLateMs();
+        String current = model.loadReport();
+        if (delayMs <= 0) {
+            return current;
         }
         double nowMs = loop.nowMs();
-        reports.add(new Object[] {nowMs, now});
-        while (reports.size() > 1 && (double) reports.peek()[0] < nowMs - lateMs || reports.size() > 1000) {
+        reports.add(new Object[] {nowMs, current});
+        while (reports.size() > 1 && (double) reports.peek()[0] < nowMs - delayMs || reports.size() > 1000) {
             reports.poll();
         }
         return (String) reports.peek()[1];
     }
 
-    private void checkFall() {
-        if (model.fallen() && !down) {
-            listener.onServerCrashed(line.id(), model.worstLoad(), loop.nowMs());
+    private void checkCrash() {
+        if (model.hasCrashed() && !down) {
+            listener.onServerCrashed(spec.id(), model.worstLoad(), loop.nowMs());
             count("falls");
             kill();
-            onFall.run();
+            onCrash.run();
         }
     }
 
-    private void count(String what) {
-        counts.merge(what, 1L, Long::sum);
+    private void count(String key) {
+        counts.merge(key, 1L, Long::sum);
     }
 
     Map<String, Long> counts() {
         return counts;
     }
 
-    // ---- What is done to it ----
+    // ---- Faults ----
 
-    /** Its process is no more: connections are reset, new ones too. */
+    /** Ends the emulated process: open connections are reset, and so are new ones. */
     void kill() {
         down = true;
-        wires.forEach(TcpConnection::reset);
-        wires.clear();
-        loop.cancel(due);
-        due = null;
+        connections.forEach(TcpConnection::reset);
+        connections.clear();
+        loop.cancel(timer);
+        timer = null;
     }
 
     void start() {
         down = false;
         model.start(loop.nowMs());
-        plan();
+        scheduleNext();
     }
 
-    boolean down() {
+    boolean isDown() {
         return down;
     }
 
     void pause(double lastsMs) {
-        turn();
+        advanceAndSchedule();
         model.pause(loop.nowMs(), lastsMs);
-        plan();
+        scheduleNext();
     }
 
-    void slow(double by) {
-        turn();
-        model.slow(by);
-        plan();
+    void setSlowdown(double factor) {
+        advanceAndSchedule();
+        model.setSlowdown(factor);
+        scheduleNext();
     }
 
-    void neighbour(double share) {
-        turn();
-        model.neighbour(share);
-        plan();
+    void setNeighbourShare(double share) {
+        advanceAndSchedule();
+        model.setNeighbourShare(share);
+        scheduleNext();
     }
 
-    void errors(double share) {
-        model.errors(share);
+    void setErrorShare(double share) {
+        model.setErrorShare(share);
     }
 
-    void spoils(double share) {
-        spoilShare = share;
+    void setCorruptShare(double share) {
+        corruptShare = share;
     }
 
-    /** Works, but never answers. */
-    void hang(boolean hangs) {
-        hanging = hangs;
+    /** A hanging server does its work but never answers. */
+    void setHanging(boolean isHanging) {
+        hanging = isHanging;
     }
 
-    /** As a machine that has vanished: connections stay, nothing is read or written. */
-    void silent(boolean isSilent) {
+    /** A silent server acts as a machine that has vanished: connections stay open, nothing is read or written. */
+    void setSilent(boolean isSilent) {
         silent = isSilent;
         if (!silent) {
-            List.copyOf(wires).forEach(Wire::read);
+            List.copyOf(connections).forEach(FrontNodeConnection::read);
         }
     }
 
-    void handshake(double workMs) {
+    void setHandshakeMs(double workMs) {
         handshakeMs = workMs;
     }
 
@@ -358,7 +363,7 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                // It is closed all the same.
+                // The channel is closed even if close() fails.
             }
         }
     }
--- a/lab/src/main/java/spartrail/lab/fleet/NullResponder.java
+++ b/lab/src/main/java/spartrail/lab/fleet/NullResponder.java
@@ -10,17 +10,17 @@
 import spartrail.lab.plan.Arrival;
 
 /**
- * A stand-in for a front node that has no servers: it answers each request itself, with the values that servers would
- * make, after a delay that a script names; or in one of the ways in which answers go wrong.
+ * An emulated front node without servers. It computes the values that servers would return and answers each request
+ * after the delay that a function gives, or with a fault.
  */
 public final class NullResponder implements AutoCloseable {
-    /** When the request of this number, taken at this time, is answered. */
+    /** Decides when a request is answered, by its number and the time at which it arrived. */
     public interface Delay {
         double answeredMs(long number, double atMs);
     }
 
-    /** How answers go wrong. */
-    public enum Manner {
+    /** How it answers: correctly, or with one fault. */
+    public enum Behavior {
         RIGHT,
         TWICE,
         CUT,
@@ -33,37 +33,37 @@
     }
 
     private final SocketLoop loop = new SocketLoop("spartrail-responder", true);
-    private final HttpStub stand;
+    private final HttpStub http;
     private final Delay delay;
-    private volatile Manner manner = Manner.RIGHT;
+    private volatile Behavior behavior = Behavior.RIGHT;
     private long count;
 
     public NullResponder(int port, Delay delay) throws IOException {
         this.delay = delay;
-        this.stand = new HttpStub(loop, new InetSocketAddress("127.0.0.1", port), this::asked);
+        this.http = new HttpStub(loop, new InetSocketAddress("127.0.0.1", port), this::handleRequest);
     }
 
     public String address() {
-        return "127.0.0.1:" + stand.port();
+        return "127.0.0.1:" + http.port();
     }
 
     public SocketLoop loop() {
         return loop;
     }
 
-    public void behave(Manner how) {
-        manner = how;
+    public void setBehavior(Behavior newBehavior) {
+        behavior = newBehavior;
     }
 
     public int connections() {
         int[] count = new int[1];
-        loop.call(() -> count[0] = stand.connections());
+        loop.call(() -> count[0] = http.connections());
         return count[0];
     }
 
-    private void asked(HttpStub.Request request) {
+    private void handleRequest(HttpStub.Request request) {
         if (request.path.equals("/up")) {
-            request.answer(200, "", new byte[0]);
+            request.respond(200, "", new byte[0]);
             return;
         }
         double nowMs = loop.nowMs();
@@ -76,34 +76,34 @@
     }
 
     private void answer(HttpStub.Request request) {
-        byte[] body = body(request, manner == Manner.WRONG_VALUE);
-        switch (manner) {
-            case TWICE -> request.answerTwice(body);
+        byte[] body = answerBody(request, behavior == Behavior.WRONG_VALUE);
+        switch (behavior) {
+            case TWICE -> request.respondTwice(body);
             case CUT -> {
-                raw(request, "HTTP/1.1 200 OK\r\nContent-Length: " + (body.length + 10) + "\r\n\r\n", body);
-                request.from.close();
+                writeRaw(request, "HTTP/1.1 200 OK\r\nContent-Length: " + (body.length + 10) + "\r\n\r\n", body);
+                request.connection.close();
             }
             case NO_LENGTH -> {
-                raw(request, "HTTP/1.1 200 OK\r\n\r\n", body);
-                request.from.close();
+                writeRaw(request, "HTTP/1.1 200 OK\r\n\r\n", body);
+                request.connection.close();
             }
-            case HUGE -> raw(request, "HTTP/1.1 200 OK\r\nContent-Length: 4294967296\r\n\r\n", body);
-            case GARBLED -> raw(request, "what is this?\r\n\r\n", body);
-            case CLOSED -> request.from.close();
+            case HUGE -> writeRaw(request, "HTTP/1.1 200 OK\r\nContent-Length: 4294967296\r\n\r\n", body);
+            case GARBLED -> writeRaw(request, "what is this?\r\n\r\n", body);
+            case CLOSED -> request.connection.close();
             case SILENT -> {}
-            default -> request.answer(200, "", body);
+            default -> request.respond(200, "", body);
         }
     }
 
-    private static void raw(HttpStub.Request request, String head, byte[] body) {
+    private static void writeRaw(HttpStub.Request request, String head, byte[] body) {
         byte[] bytes = head.getBytes(StandardCharsets.US_ASCII);
-        request.from.write(ByteBuffer.allocate(bytes.length + body.length)
+        request.connection.write(ByteBuffer.allocate(bytes.length + body.length)
                 .put(bytes)
                 .put(body)
                 .flip());
     }
 
-    private static byte[] body(HttpStub.Request request, boolean wrong) {
+    private static byte[] answerBody(HttpStub.Request request, boolean wrong) {
         String id = request.headers.get("req-id");
         StringBuilder body = new StringBuilder("{\"all_in\":true,\"matches\":[");
         try {
@@ -121,14 +121,14 @@
                 first = false;
             }
         } catch (IOException e) {
-            throw new IllegalArgumentException("no JSON", e);
+            throw new IllegalArgumentException("request body is not JSON", e);
         }
         return body.append("]}").toString().getBytes(StandardCharsets.UTF_8);
     }
 
     @Override
     public void close() {
-        stand.close();
+        http.close();
         loop.close();
     }
 }
--- a/lab/src/main/java/spartrail/lab/fleet/ServerFrameCodec.java
+++ b/lab/src/main/java/spartrail/lab/fleet/ServerFrameCodec.java
@@ -6,31 +6,34 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The frames between front nodes and servers, seen from a server: a length, a letter, the rest. */
+/**
+ * The server's side of the frame protocol between front nodes and index servers. A frame is its length in four bytes, a
+ * letter for its type, and the payload.
+ */
 final class ServerFrameCodec {
-    /** A part as it was sent. */
-    record Sent(String id, int shard, double waitMs, byte[] text) {}
+    /** A part of an R frame; {@code waitMs} is the time for which the front node waits for its answer. */
+    record ReceivedPart(String id, int shard, double waitMs, byte[] text) {}
 
-    /** What came is none. */
-    static final class Unusable extends Exception {
+    /** The bytes read are not a valid frame. */
+    static final class MalformedFrameException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Unusable(String what) {
-            super(what);
+        MalformedFrameException(String message) {
+            super(message);
         }
     }
 
-    private static final int LONGEST = 16 * 1024 * 1024;
+    private static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
     private byte[] bytes = new byte[4096];
     private int from;
     private int to;
-    char letter;
-    /** Of an R frame. */
-    final List<Sent> parts = new ArrayList<>();
-    /** Of an A frame. */
+    char type;
+    /** The parts of the last frame, if it was an R frame. */
+    final List<ReceivedPart> parts = new ArrayList<>();
+    /** The part that the last frame cancels, if it was an A frame. */
     String id;
 
-    void take(ByteBuffer in) {
+    void append(ByteBuffer in) {
         int more = in.remaining();
         if (to + more > bytes.length) {
             System.arraycopy(bytes, from, bytes, 0, to - from);
@@ -44,26 +47,26 @@
         to += more;
     }
 
-    /** Reads the next frame into the fields; false where none is there whole. */
-    boolean next() throws Unusable {
+    /** Reads the next frame into the fields; returns false until all of its bytes have been appended. */
+    boolean readNext() throws MalformedFrameException {
         if (to - from < 5) {
             return false;
         }
         int length = ByteBuffer.wrap(bytes, from, 4).getInt();
-        if (length < 1 || length > LONGEST) {
-            throw new Unusable("a frame of length " + length);
+        if (length < 1 || length > MAX_FRAME_BYTES) {
+            throw new MalformedFrameException("a frame of length " + length);
         }
         if (to - from < 4 + length) {
             return false;
         }
-        letter = (char) bytes[from + 4];
+        type = (char) bytes[from + 4];
         int at = from + 5;
         int end = from + 4 + length;
         from = end;
         parts.clear();
-        if (letter == 'A') {
+        if (type == 'A') {
             id = new String(bytes, at, end - at, StandardCharsets.US_ASCII);
-        } else if (letter == 'R') {
+        } else if (type == 'R') {
             while (at < end) {
                 int lf = at;
                 while (lf < end && bytes[lf] != '\n') {
@@ -76,34 +79,34 @@
                     for (String word : words[2].split(",")) {
                         waitMs = word.startsWith("d=") ? Double.parseDouble(word.substring(2)) : waitMs;
                     }
-                    parts.add(new Sent(
+                    parts.add(new ReceivedPart(
                             words[0],
                             Integer.parseInt(words[1]),
                             waitMs,
                             Arrays.copyOfRange(bytes, lf + 1, lf + 1 + size)));
                     at = lf + 1 + size;
                 } catch (RuntimeException e) {
-                    throw new Unusable("a part without its line");
+                    throw new MalformedFrameException("a part without its line");
                 }
                 if (at > end) {
-                    throw new Unusable("a text that is longer than its frame");
+                    throw new MalformedFrameException("a text that is longer than its frame");
                 }
             }
-        } else if (letter != 'G' && letter != 'T') {
-            throw new Unusable("a frame of letter " + (int) letter);
+        } else if (type != 'G' && type != 'T') {
+            throw new MalformedFrameException("a frame of letter " + (int) type);
         }
         return true;
     }
 
-    static ByteBuffer frame(char letter, byte[] rest) {
-        return ByteBuffer.allocate(5 + rest.length)
-                .putInt(1 + rest.length)
-                .put((byte) letter)
-                .put(rest)
+    static ByteBuffer encode(char type, byte[] payload) {
+        return ByteBuffer.allocate(5 + payload.length)
+                .putInt(1 + payload.length)
+                .put((byte) type)
+                .put(payload)
                 .flip();
     }
 
-    static ByteBuffer frame(char letter, String rest) {
-        return frame(letter, rest.getBytes(StandardCharsets.UTF_8));
+    static ByteBuffer encode(char type, String payload) {
+        return encode(type, payload.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/lab/src/main/java/spartrail/lab/fleet/ServerModel.java
+++ b/lab/src/main/java/spartrail/lab/fleet/ServerModel.java
@@ -9,17 +9,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What a server does with the work it is sent: a model without I/O, clock or threads. Cores are shared evenly by the
- * parts it works on; what does not fit waits in a queue, what does not fit there is turned away. A cold server has a
- * share of its capacity that grows with its age, and falls over when it is sent too much: all work that reaches it
- * counts, that which it turns away too.
+ * How an index server executes parts: a model without I/O, clock or threads. The running parts share the cores evenly;
+ * parts beyond the slots wait in a queue, and parts beyond the queue are rejected. A cold server has a share of its
+ * capacity that grows with its age, and crashes when it is sent too much work; rejected work counts towards that as
+ * well.
  *
  * <pre>
- * state    what happens                                        next
- * up       it is cold and was sent over the tipping multiple   fallen: all it had is lost
- * up       a pause begins                                      paused: nothing moves, everything is kept
- * paused   the pause is over                                   up
- * fallen   it is started                                       up, cold, empty
+ * state    event                                                 next
+ * up       it is cold and was sent over the tipping multiple     crashed: all its parts are lost
+ * up       a pause begins                                        paused: no progress, all parts are kept
+ * paused   the pause is over                                     up
+ * crashed  it is started                                         up, cold, without parts
  * </pre>
  */
 public final class ServerModel {
@@ -33,7 +33,7 @@
     /** A part at the server. */
     public static final class Job {
         public final String id;
-        /** What the host keeps for it. */
+        /** The emulator's own data about this part; null for background work. */
         public final Object carrier;
 
         final double untilMs;
@@ -48,33 +48,34 @@
         }
     }
 
+    /** While cold, the work rate is recomputed at least this often. */
     private static final double WARMTH_STEP_MS = 50;
-    /** A step below the resolution of a double of milliseconds since 1970 would never advance the time. */
-    private static final double LEAST_STEP_MS = 0.001;
+    /** A double of milliseconds since 1970 cannot represent much smaller steps: time would not advance. */
+    private static final double MIN_STEP_MS = 0.001;
 
     private final ServerProfile profile;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final List<Job> running = new ArrayList<>();
     private final Deque<Job> waiting = new ArrayDeque<>();
-    /** Work sent lately while cold: time and amount. */
-    private final Deque<double[]> sent = new ArrayDeque<>();
+    /** Work received within the last {@code tipMs} while cold: pairs of time and milliseconds of work. */
+    private final Deque<double[]> recentWork = new ArrayDeque<>();
 
-    private double sentSum;
+    private double recentWorkMs;
     private double nowMs;
-    private double bornMs;
+    private double startedMs;
     private double pausedUntilMs;
     private double nextPauseMs;
-    private double slowBy = 1;
-    private double neighbour;
+    private double slowdown = 1;
+    private double neighbourShare;
     private double errorShare;
-    private boolean fallen;
+    private boolean crashed;
     private double worstLoad;
-    private double busyMs;
+    private double workDoneMs;
 
-    public ServerModel(ServerProfile profile, RandomGenerator chance, double bornMs, double nowMs) {
+    public ServerModel(ServerProfile profile, RandomGenerator random, double startedMs, double nowMs) {
         this.profile = profile;
-        this.chance = chance;
-        this.bornMs = bornMs;
+        this.random = random;
+        this.startedMs = startedMs;
         this.nowMs = nowMs;
         this.errorShare = profile.errorShare();
         drawPause();
@@ -82,22 +83,22 @@
 
     private void drawPause() {
         nextPauseMs = profile.pauseMs() > 0 && profile.pauseEveryMs() > 0
-                ? nowMs - Math.log(1 - chance.nextDouble()) * profile.pauseEveryMs()
+                ? nowMs - Math.log(1 - random.nextDouble()) * profile.pauseEveryMs()
                 : Double.MAX_VALUE;
     }
 
-    // ---- What is done to it ----
+    // ---- Changes from outside ----
 
-    /** It starts anew, cold and empty. */
+    /** Restarts the server, cold and without parts. */
     public void start(double atMs) {
         advance(atMs, new ArrayList<>());
         running.clear();
         waiting.clear();
-        sent.clear();
-        sentSum = 0;
-        bornMs = atMs;
+        recentWork.clear();
+        recentWorkMs = 0;
+        startedMs = atMs;
         pausedUntilMs = 0;
-        fallen = false;
+        crashed = false;
     }
 
     public void pause(double atMs, double lastsMs) {
@@ -105,42 +106,42 @@
         pausedUntilMs = Math.max(pausedUntilMs, atMs + lastsMs);
     }
 
-    /** Everything takes so many times as long from here on. */
-    public void slow(double by) {
-        slowBy = by;
+    /** All work takes this many times as long from now on. */
+    public void setSlowdown(double factor) {
+        slowdown = factor;
     }
 
-    /** A neighbour takes this share of its cores. */
-    public void neighbour(double share) {
-        neighbour = share;
+    /** Another process takes this share of the cores. */
+    public void setNeighbourShare(double share) {
+        neighbourShare = share;
     }
 
-    public void errors(double share) {
+    public void setErrorShare(double share) {
         errorShare = share;
     }
 
-    // ---- What it says ----
+    // ---- State ----
 
-    public boolean fallen() {
-        return fallen;
+    public boolean hasCrashed() {
+        return crashed;
     }
 
-    public boolean cold() {
-        return nowMs - bornMs < profile.warmMs();
+    public boolean isCold() {
+        return nowMs - startedMs < profile.warmMs();
     }
 
-    /** Share of its capacity that it has at its age. */
+    /** Share of the full capacity that the server has at its current age. */
     public double warmth() {
-        double age = nowMs - bornMs;
+        double age = nowMs - startedMs;
         return age >= profile.warmMs() ? 1 : profile.coldFrom() + (1 - profile.coldFrom()) * age / profile.warmMs();
     }
 
-    /** Milliseconds of work that it does in one when nothing disturbs it. */
+    /** Milliseconds of work done in one millisecond, without slowdown, neighbour or pause. */
     public double capacity() {
         return profile.cores() * profile.speed() * warmth();
     }
 
-    /** The most it was sent over the tipping span while cold, as a part of what makes it fall. */
+    /** The most work received while cold within {@code tipMs}, relative to the crash threshold. */
     public double worstLoad() {
         return worstLoad;
     }
@@ -149,12 +150,13 @@
         return running.size() + waiting.size();
     }
 
-    /** Milliseconds of work done so far. */
-    public double doneMs() {
-        return busyMs;
+    /** Milliseconds of work done since the model was created. */
+    public double workDoneMs() {
+        return workDoneMs;
     }
 
-    public String report() {
+    /** The load report that goes along with each answer. */
+    public String loadReport() {
         return String.format(
                 Locale.ROOT,
                 "inflight=%d,util=%.2f",
@@ -162,28 +164,28 @@
                 Math.min(1, running.size() / (double) profile.cores()));
     }
 
-    // ---- Work ----
+    // ---- Parts ----
 
-    /** The work of a part, drawn round what it tells or what is usual. */
-    public double draw(double toldMs) {
-        double meanMs = toldMs > 0 ? toldMs : profile.workMs();
+    /** Draws the work of a part; the mean is {@code statedMs}, or that of the profile if the part states none. */
+    public double drawWorkMs(double statedMs) {
+        double meanMs = statedMs > 0 ? statedMs : profile.workMs();
         double sigma2 = Math.log(1 + profile.variation() * profile.variation());
-        return meanMs * Math.exp(chance.nextGaussian() * Math.sqrt(sigma2) - sigma2 / 2);
+        return meanMs * Math.exp(random.nextGaussian() * Math.sqrt(sigma2) - sigma2 / 2);
     }
 
-    /** Work that nobody waits for: a handshake. */
-    public void burden(double workMs, double atMs) {
-        count(workMs, atMs);
+    /** Adds work that no answer depends on, such as a handshake. */
+    public void addBackgroundWork(double workMs, double atMs) {
+        recordSentWork(workMs, atMs);
         if (workMs > 0 && running.size() < profile.slots()) {
             running.add(new Job("", null, workMs, Double.MAX_VALUE));
         }
     }
 
-    /** A part has come; it may be turned away at once, which its end says. */
-    public void take(Job job, double atMs) {
+    /** Accepts a part; its end is set to REJECTED at once if slots and queue are full. */
+    public void accept(Job job, double atMs) {
         nowMs = Math.max(nowMs, atMs);
-        count(job.leftMs, atMs);
-        if (fallen) {
+        recordSentWork(job.leftMs, atMs);
+        if (crashed) {
             return;
         }
         if (running.size() < profile.slots()) {
@@ -195,70 +197,72 @@
         }
     }
 
-    private void count(double workMs, double atMs) {
+    /** Counts received work against the crash threshold of a cold server. */
+    private void recordSentWork(double workMs, double atMs) {
         nowMs = Math.max(nowMs, atMs);
-        if (!cold()) {
-            sent.clear();
-            sentSum = 0;
+        if (!isCold()) {
+            recentWork.clear();
+            recentWorkMs = 0;
             return;
         }
-        sent.add(new double[] {atMs, workMs});
-        sentSum += workMs;
-        while (!sent.isEmpty() && sent.peek()[0] < atMs - profile.tipMs()) {
-            sentSum -= sent.poll()[1];
+        recentWork.add(new double[] {atMs, workMs});
+        recentWorkMs += workMs;
+        while (!recentWork.isEmpty() && recentWork.peek()[0] < atMs - profile.tipMs()) {
+            recentWorkMs -= recentWork.poll()[1];
         }
-        double load = sentSum / (profile.tipMultiple() * capacity() * profile.tipMs());
+        double load = recentWorkMs / (profile.tipMultiple() * capacity() * profile.tipMs());
         worstLoad = Math.max(worstLoad, load);
         if (load > 1) {
-            fallen = true;
+            crashed = true;
             running.clear();
             waiting.clear();
         }
     }
 
-    /** A part is given up; whether it was still there. */
-    public boolean giveUp(String id) {
+    /** Drops a part that the front node has cancelled; returns whether it was running or queued. */
+    public boolean cancel(String id) {
         return running.removeIf(job -> job.id.equals(id)) | waiting.removeIf(job -> job.id.equals(id));
     }
 
-    /** The connection of all these has gone. */
+    /** Drops all parts of a lost connection. */
     public void forget(Object carrier) {
         running.removeIf(job -> job.carrier == carrier);
         waiting.removeIf(job -> job.carrier == carrier);
     }
 
-    private double pace() {
+    /** Milliseconds of work that each running part gets in one millisecond. */
+    private double workRate() {
         if (running.isEmpty()) {
             return 0;
         }
-        double cores = profile.cores() * (1 - neighbour);
-        return profile.speed() * warmth() / slowBy * Math.min(1, cores / running.size());
+        double cores = profile.cores() * (1 - neighbourShare);
+        return profile.speed() * warmth() / slowdown * Math.min(1, cores / running.size());
     }
 
-    /** When something ends or changes by itself next. */
-    public double nextMs() {
-        if (fallen) {
+    /** The time of the next end or change of rate, if nothing arrives before. */
+    public double nextEventMs() {
+        if (crashed) {
             return Double.MAX_VALUE;
         }
         if (nowMs < pausedUntilMs) {
             return pausedUntilMs;
         }
         double next = nextPauseMs;
-        double pace = pace();
-        if (pace > 0) {
-            double least = Double.MAX_VALUE;
+        double rate = workRate();
+        if (rate > 0) {
+            double minLeftMs = Double.MAX_VALUE;
             for (Job job : running) {
-                least = Math.min(least, job.leftMs);
+                minLeftMs = Math.min(minLeftMs, job.leftMs);
             }
-            next = Math.min(next, nowMs + Math.max(LEAST_STEP_MS, least / pace));
-            next = cold() ? Math.min(next, nowMs + WARMTH_STEP_MS) : next;
+            next = Math.min(next, nowMs + Math.max(MIN_STEP_MS, minLeftMs / rate));
+            next = isCold() ? Math.min(next, nowMs + WARMTH_STEP_MS) : next;
         }
         return next;
     }
 
-    /** Moves on to this time; what has ended is added in order of its end. */
+    /** Advances the model to this time and adds the parts that have ended, in order of their ends. */
     public void advance(double toMs, List<Job> ended) {
-        while (!fallen && nowMs < toMs) {
+        while (!crashed && nowMs < toMs) {
             if (nowMs < pausedUntilMs) {
                 nowMs = Math.min(toMs, pausedUntilMs);
                 continue;
@@ -268,19 +272,19 @@
                 drawPause();
                 continue;
             }
-            double untilMs = Math.min(toMs, nextMs());
-            double done = (untilMs - nowMs) * pace();
+            double untilMs = Math.min(toMs, nextEventMs());
+            double doneMs = (untilMs - nowMs) * workRate();
             nowMs = untilMs;
             for (Job job : running) {
-                job.leftMs -= done;
-                busyMs += done;
+                job.leftMs -= doneMs;
+                workDoneMs += doneMs;
             }
             Iterator<Job> jobs = running.iterator();
             while (jobs.hasNext()) {
                 Job job = jobs.next();
-                if (job.leftMs <= LEAST_STEP_MS) {
+                if (job.leftMs <= MIN_STEP_MS) {
                     jobs.remove();
-                    job.end = errorShare > 0 && chance.nextDouble() < errorShare ? End.ERROR : End.OK;
+                    job.end = errorShare > 0 && random.nextDouble() < errorShare ? End.ERROR : End.OK;
                     if (job.carrier != null) {
                         ended.add(job);
                     }
--- a/lab/src/main/java/spartrail/lab/fleet/ServerProfile.java
+++ b/lab/src/main/java/spartrail/lab/fleet/ServerProfile.java
@@ -1,23 +1,24 @@
 package spartrail.lab.fleet;
 
 /**
- * What a kind of stand-in server is like.
+ * The properties of one kind of emulated index server.
  *
- * @param speed 1 does a millisecond of work in a millisecond on each core
- * @param slots parts it works on at a time; more wait, up to {@code queue}
- * @param workMs work of a part that does not tell its own
- * @param variation coefficient of variation of a part's work, told or not
- * @param callMs work of each call beside that of its parts
- * @param coldFrom share of its capacity that it has right after its start
- * @param warmMs when it has all of it
- * @param tipMultiple a cold server that was sent more than this multiple of its capacity at its age ...
- * @param tipMs ... over so long falls over
- * @param downMs how long it then stays down; infinite without a restart
+ * @param speed milliseconds of work that each core does in one millisecond
+ * @param slots maximum of parts that run at a time; up to {@code queue} more wait
+ * @param workMs mean work of a part whose text states none
+ * @param variation coefficient of variation of a part's work around its mean
+ * @param callMs work of each frame of parts, in addition to that of the parts
+ * @param coldFrom share of the full capacity right after a start
+ * @param warmMs age at which the full capacity is reached
+ * @param tipMultiple a cold server crashes when it is sent more than this multiple of its current capacity
+ * @param tipMs time span over which the received work is summed for {@code tipMultiple}
+ * @param downMs time from a crash to the restart; infinite for no restart
  * @param handshakeMs work of a new connection
- * @param connections most connections; further ones are reset
+ * @param connections maximum of open connections; further ones are reset
  * @param errorShare share of parts that end in an error
- * @param pauseMs length of the pauses it makes on its own, about every {@code pauseEveryMs}; 0 makes none
- * @param reportLateMs age of the load reports it sends along
+ * @param pauseMs length of the random pauses; 0 for none
+ * @param pauseEveryMs mean time between random pauses
+ * @param reportLateMs age of the load reports in the answers
  */
 public record ServerProfile(
         String name,
--- a/lab/src/main/java/spartrail/lab/fleet/package-info.java
+++ b/lab/src/main/java/spartrail/lab/fleet/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Stand-ins for the parties round a front node, on loopback addresses: index servers, the roll that lists them, and
- * front nodes that answer by a script. What a server does with its load is {@link spartrail.lab.fleet.ServerModel},
- * without I/O; the rest speaks the protocols. One thread runs a whole fleet.
+ * Emulators of the services around a front node, on loopback addresses: index servers, discovery, a load balancer, and
+ * front nodes with scripted answers. {@link spartrail.lab.fleet.ServerModel} is the load model of a server, without
+ * I/O; the other classes implement the protocols. One thread runs a whole fleet.
  */
 package spartrail.lab.fleet;
--- a/lab/src/test/java/spartrail/lab/fleet/FrontLayerTest.java
+++ b/lab/src/test/java/spartrail/lab/fleet/FrontLayerTest.java
@@ -18,7 +18,7 @@
                 "127.0.0.1", Integer.parseInt(responder.address().split(":")[1]));
     }
 
-    private static long[] play(LoadPlan plan, int port) throws InterruptedException {
+    private static long[] runLoad(LoadPlan plan, int port) throws InterruptedException {
         try (LoadSession session = new LoadSession(
                 DrillPlans.at(plan, "127.0.0.1:" + port), plan.arrivals(), plan.durationMs(), LoadListener.NONE)) {
             assertThat(session.await(60_000)).isTrue();
@@ -30,35 +30,37 @@
     }
 
     @Test
-    void clientsAreSpreadOverNodesThatAreUp() throws Exception {
-        long[] taken = new long[2];
+    void clientsAreSpreadOverReadyNodes() throws Exception {
+        long[] answered = new long[2];
         LoadPlan plan = DrillPlans.parse(
                 "{'phases':[{'lastsMs':400,'rate':{'shape':'steady','perS':100}}],'streams':[{'opTypes':"
                         + "[{'name':'orders'}],'shards':{'of':8},'clientMs':20000,'habit':{'ownConnection':true}}]}");
         try (SocketLoop loop = new SocketLoop("test-front-layer");
-                NullResponder one = new NullResponder(0, (number, atMs) -> {
-                    taken[0]++;
+                NullResponder first = new NullResponder(0, (number, atMs) -> {
+                    answered[0]++;
                     return atMs;
                 });
-                NullResponder other = new NullResponder(0, (number, atMs) -> {
-                    taken[1]++;
+                NullResponder second = new NullResponder(0, (number, atMs) -> {
+                    answered[1]++;
                     return atMs;
                 });
-                FrontLayer layer = new FrontLayer(loop, 0, List.of(address(one), address(other)), 0)) {
-            long[] first = {0, 1};
-            for (int i = 0; i < 20 && first[0] < first[1]; i++) {
-                // Until it has seen that both are up, clients are turned away.
-                first = play(plan, layer.port());
+                FrontLayer layer = new FrontLayer(loop, 0, List.of(address(first), address(second)), 0)) {
+            long[] withBoth = {0, 1};
+            for (int i = 0; i < 20 && withBoth[0] < withBoth[1]; i++) {
+                // The layer resets connections until its probes have found a node ready.
+                withBoth = runLoad(plan, layer.port());
             }
-            assertThat(first[0]).isEqualTo(first[1]);
-            assertThat(taken[0]).isPositive();
-            assertThat(taken[1]).isPositive();
-            other.close();
-            long[] last = {0, 1};
-            for (int i = 0; i < 20 && last[0] < last[1]; i++) {
-                last = play(plan, layer.port());
+            assertThat(withBoth[0]).isEqualTo(withBoth[1]);
+            assertThat(answered[0]).isPositive();
+            assertThat(answered[1]).isPositive();
+            second.close();
+            long[] withFirst = {0, 1};
+            for (int i = 0; i < 20 && withFirst[0] < withFirst[1]; i++) {
+                withFirst = runLoad(plan, layer.port());
             }
-            assertThat(last[0]).as("all are served by the one that is left").isEqualTo(last[1]);
+            assertThat(withFirst[0])
+                    .as("all clients are served by the remaining node")
+                    .isEqualTo(withFirst[1]);
         }
     }
 }
--- a/lab/src/test/java/spartrail/lab/fleet/ServerModelTest.java
+++ b/lab/src/test/java/spartrail/lab/fleet/ServerModelTest.java
@@ -10,17 +10,17 @@
 import spartrail.lab.Table;
 
 class ServerModelTest {
-    private static ServerProfile profile(int slots, int queue, double coldFrom, double warmMs) {
+    private static ServerProfile serverProfile(int slots, int queue, double coldFrom, double warmMs) {
         return new ServerProfile("t", 2, 1, slots, queue, 10, 0, 0, coldFrom, warmMs, 2, 1000, 0, 0, 10, 0, 0, 0, 0);
     }
 
-    /** Takes parts of so much work at these times and prints when which ended how. */
-    private static String play(ServerModel model, double[][] parts, double untilMs) {
+    /** Plays parts, given as pairs of time and work, and returns the end of each with its time. */
+    private static String playParts(ServerModel model, double[][] parts, double untilMs) {
         StringBuilder seen = new StringBuilder();
         int at = 0;
         double nowMs = 0;
         while (nowMs < untilMs) {
-            double next = Math.min(untilMs, model.nextMs());
+            double next = Math.min(untilMs, model.nextEventMs());
             next = at < parts.length ? Math.min(next, parts[at][0]) : next;
             List<ServerModel.Job> ended = new ArrayList<>();
             model.advance(next, ended);
@@ -30,12 +30,12 @@
             }
             while (at < parts.length && parts[at][0] <= nowMs) {
                 ServerModel.Job job = new ServerModel.Job("p" + at, "wire", parts[at][1], 1e9);
-                model.take(job, nowMs);
+                model.accept(job, nowMs);
                 at++;
                 if (job.end != null) {
                     seen.append(String.format(Locale.ROOT, " %s %s at %.1f,", job.id, job.end, nowMs));
                 }
-                if (model.fallen()) {
+                if (model.hasCrashed()) {
                     return seen
                             + String.format(Locale.ROOT, " fell at %.1f, sent %.2f of it", nowMs, model.worstLoad());
                 }
@@ -44,7 +44,7 @@
         return seen.toString();
     }
 
-    private static double[][] each(int count, double everyMs, double workMs) {
+    private static double[][] evenParts(int count, double everyMs, double workMs) {
         double[][] parts = new double[count][];
         for (int i = 0; i < count; i++) {
             parts[i] = new double[] {i * everyMs, workMs};
@@ -53,54 +53,54 @@
     }
 
     @Test
-    void coresAreSharedQueuesFillAndColdServersFall() throws Exception {
+    void sharesCoresFillsTheQueueAndCrashesWhenColdAndOverloaded() throws Exception {
         StringBuilder seen = new StringBuilder();
-        ServerModel warm = new ServerModel(profile(4, 2, 0.5, 1000), new SplittableRandom(1), -1e6, 0);
+        ServerModel warm = new ServerModel(serverProfile(4, 2, 0.5, 1000), new SplittableRandom(1), -1e6, 0);
         seen.append("two cores, four at once, two in the queue:")
-                .append(play(warm, each(7, 0, 10), 200))
+                .append(playParts(warm, evenParts(7, 0, 10), 200))
                 .append('\n');
-        ServerModel slow = new ServerModel(profile(4, 2, 0.5, 1000), new SplittableRandom(1), -1e6, 0);
-        slow.slow(3);
+        ServerModel slow = new ServerModel(serverProfile(4, 2, 0.5, 1000), new SplittableRandom(1), -1e6, 0);
+        slow.setSlowdown(3);
         seen.append("three times as slow:")
-                .append(play(slow, each(1, 0, 10), 200))
+                .append(playParts(slow, evenParts(1, 0, 10), 200))
                 .append('\n');
-        ServerModel shared = new ServerModel(profile(4, 2, 0.5, 1000), new SplittableRandom(1), -1e6, 0);
-        shared.neighbour(0.5);
+        ServerModel shared = new ServerModel(serverProfile(4, 2, 0.5, 1000), new SplittableRandom(1), -1e6, 0);
+        shared.setNeighbourShare(0.5);
         seen.append("a neighbour on one core:")
-                .append(play(shared, each(2, 0, 10), 200))
+                .append(playParts(shared, evenParts(2, 0, 10), 200))
                 .append('\n');
-        ServerModel paused = new ServerModel(profile(4, 2, 0.5, 1000), new SplittableRandom(1), -1e6, 0);
+        ServerModel paused = new ServerModel(serverProfile(4, 2, 0.5, 1000), new SplittableRandom(1), -1e6, 0);
         paused.pause(0, 50);
         seen.append("paused for 50 ms:")
-                .append(play(paused, each(1, 0, 10), 200))
+                .append(playParts(paused, evenParts(1, 0, 10), 200))
                 .append('\n');
-        ServerModel cold = new ServerModel(profile(4, 2, 0.5, 1000), new SplittableRandom(1), 0, 0);
+        ServerModel cold = new ServerModel(serverProfile(4, 2, 0.5, 1000), new SplittableRandom(1), 0, 0);
         seen.append("cold, half its capacity at first:")
-                .append(play(cold, each(1, 0, 10), 200))
+                .append(playParts(cold, evenParts(1, 0, 10), 200))
                 .append('\n');
-        // Twice its capacity at its age over a second: at the start 2 * 2 * 0.1 * 1000 = 400 ms of work.
-        ServerModel pushed = new ServerModel(profile(4, 100, 0.1, 1e6), new SplittableRandom(1), 0, 0);
+        // It crashes at twice its current capacity over a second: at the start 2 * 2 * 0.1 * 1000 = 400 ms of work.
+        ServerModel pushed = new ServerModel(serverProfile(4, 100, 0.1, 1e6), new SplittableRandom(1), 0, 0);
         seen.append("cold, 50 ms of work each 10 ms:")
-                .append(play(pushed, each(20, 10, 50), 500))
+                .append(playParts(pushed, evenParts(20, 10, 50), 500))
                 .append('\n');
-        ServerModel eased = new ServerModel(profile(4, 100, 0.1, 1e6), new SplittableRandom(1), 0, 0);
-        play(eased, each(100, 130, 50), 13_000);
+        ServerModel eased = new ServerModel(serverProfile(4, 100, 0.1, 1e6), new SplittableRandom(1), 0, 0);
+        playParts(eased, evenParts(100, 130, 50), 13_000);
         seen.append(String.format(Locale.ROOT, "cold, 50 ms of work each 130 ms: worst %.2f%n", eased.worstLoad()));
         Table.same("server-model", seen.toString());
     }
 
     @Test
-    void workIsNeitherMadeNorLost() {
-        ServerModel model = new ServerModel(profile(3, 1000, 0.3, 500), new SplittableRandom(5), 0, 0);
-        SplittableRandom chance = new SplittableRandom(9);
+    void workDoneEqualsWorkReceived() {
+        ServerModel model = new ServerModel(serverProfile(3, 1000, 0.3, 500), new SplittableRandom(5), 0, 0);
+        SplittableRandom random = new SplittableRandom(9);
         double work = 0;
         double[][] parts = new double[300][];
         for (int i = 0; i < parts.length; i++) {
-            parts[i] = new double[] {i * 3.0, chance.nextDouble(0.5, 2)};
+            parts[i] = new double[] {i * 3.0, random.nextDouble(0.5, 2)};
             work += parts[i][1];
         }
-        play(model, parts, 1e5);
+        playParts(model, parts, 1e5);
         assertThat(model.inFlight()).isZero();
-        assertThat(model.doneMs()).isBetween(work * 0.999, work * 1.001);
+        assertThat(model.workDoneMs()).isBetween(work * 0.999, work * 1.001);
     }
 }
--- a/lab/src/test/java/spartrail/lab/load/LoadGeneratorTest.java
+++ b/lab/src/test/java/spartrail/lab/load/LoadGeneratorTest.java
@@ -89,17 +89,17 @@
     @Test
     void oddAnswersAreCountedOnceUnderTheirOwnNames() throws Exception {
         StringBuilder seen = new StringBuilder();
-        for (NullResponder.Manner manner : NullResponder.Manner.values()) {
+        for (NullResponder.Behavior behavior : NullResponder.Behavior.values()) {
             LoadPlan plan = DrillPlans.parse(
                     "{'gaps':{'kind':'even'},'lingerMs':100,'lagBoundMs':10000,'phases':[{'lastsMs':200,"
                             + "'rate':{'shape':'steady','perS':25}}],'streams':[{'opTypes':[{'name':'orders'}],'shards':{'of':8},"
-                            + "'clientMs':" + (manner == NullResponder.Manner.SILENT ? 100 : 30_000) + "}]}");
+                            + "'clientMs':" + (behavior == NullResponder.Behavior.SILENT ? 100 : 30_000) + "}]}");
             try (NullResponder responder = new NullResponder(0, (number, atMs) -> atMs)) {
-                responder.behave(manner);
+                responder.setBehavior(behavior);
                 try (LoadSession session = new LoadSession(
                         DrillPlans.at(plan, responder.address()), plan.arrivals(), 200, LoadListener.NONE)) {
                     assertThat(session.await(60_000)).isTrue();
-                    seen.append(manner)
+                    seen.append(behavior)
                             .append(':')
                             .append(kinds(session.recorder()).replaceAll(", clients.*", ""))
                             .append('\n');
