--- a/lab/src/main/java/spartrail/lab/load/AttemptResult.java
+++ b/lab/src/main/java/spartrail/lab/load/AttemptResult.java
@@ -36,7 +36,7 @@
     }
 
     /** A front node owes a final answer, and this is none. */
-    public boolean unanswered() {
+    public boolean isUnanswered() {
         return this == CUT || this == CLOSED || this == NONE || this == LATE || this == GARBLED || this == TOO_LONG;
     }
 }
