--- a/lab/src/main/java/spartrail/lab/load/AttemptResult.java
+++ b/lab/src/main/java/spartrail/lab/load/AttemptResult.java
@@ -1,41 +1,43 @@
 package spartrail.lab.load;
 
-/** What became of one try; each has exactly one. */
+/** The result of one attempt; each attempt has exactly one. */
 public enum AttemptResult {
-    /** All parts are in and said to be. */
+    /** The answer contains all parts and says so. */
     WHOLE,
-    /** Some parts are in, and the answer says so. */
+    /** The answer contains some parts and says that others are missing. */
     PARTIAL,
+    /** Status 429 or 503. */
     PUSHED_BACK,
+    /** Any other status than 200. */
     FAILED,
-    /** An answer of 200 that cannot be read or holds what no server made. */
+    /** An answer with status 200 that cannot be parsed or contains a value that no server returned. */
     WRONG,
-    /** The connection ended within the answer. */
+    /** The connection ended in the middle of the answer. */
     CUT,
-    /** The answer told no length and ended with its connection. */
+    /** The answer stated no length and ended with its connection. */
     NO_LENGTH,
-    /** It announced more than any answer may hold. */
+    /** The answer was longer than allowed, or announced to be. */
     TOO_LONG,
-    /** What came is no HTTP. */
+    /** The bytes received were not valid HTTP. */
     GARBLED,
-    /** The connection ended between the request and its answer. */
+    /** The connection ended after the request, before the first byte of an answer. */
     CLOSED,
-    /** No connection came up. */
+    /** No connection was established. */
     NO_CONNECTION,
-    /** Nothing came in the client's time, nor for a while after it. */
+    /** No answer arrived before the client's timeout, nor within {@code lingerMs} after it. */
     NONE,
-    /** It came when the client's time was over. */
+    /** The answer arrived after the client's timeout. */
     LATE,
-    /** The client left midway, as is its habit. */
+    /** The client abandoned the attempt, as its behavior states. */
     LEFT,
-    /** The client's time ended while it waited for a connection of ours, as the cap binds. */
+    /** The client's timeout passed while the attempt waited for one of the plan's limited number of connections. */
     NOT_SENT;
 
-    public boolean served() {
+    public boolean isServed() {
         return this == WHOLE || this == PARTIAL;
     }
 
-    /** A front node owes a final answer, and this is none. */
+    /** Whether there was no complete, valid answer in time, which a front node owes to each request. */
     public boolean isUnanswered() {
         return this == CUT || this == CLOSED || this == NONE || this == LATE || this == GARBLED || this == TOO_LONG;
     }
--- a/lab/src/main/java/spartrail/lab/load/ClientAttempt.java
+++ b/lab/src/main/java/spartrail/lab/load/ClientAttempt.java
@@ -5,45 +5,46 @@
 import spartrail.lab.plan.LoadPlan;
 import spartrail.model.TimerQueue;
 
-/** One try of one client. Times are the host's clock. */
+/** One attempt of one client. Times are those of the transport's clock. */
 public final class ClientAttempt {
     public final Arrival arrival;
-    final ClientSession story;
-    final int tryNumber;
-    /** When it was meant to be sent, and when the first try of its client was. */
+    final ClientSession session;
+    final int attemptNumber;
+    /** When the plan intends it to be sent. */
     final double intendedMs;
+    /** When the plan intends the first attempt of its session to be sent. */
+    final double sessionStartMs;
 
-    final double storyMs;
     final String id;
-    /** The generator's own part of the delay so far. */
+    /** How late the generator itself began the attempt. */
     double lagMs;
 
     double sentMs = Double.NaN;
     double writtenMs = Double.NaN;
-    /** It was sent once more, as the connection closed under it. */
+    /** Whether it was sent once more after its reused connection had closed. */
     boolean resent;
-    /** Its client does not wait any more, but an answer is still looked for. */
-    boolean lapsed;
+    /** Whether its client has stopped waiting; a late answer is still awaited. */
+    boolean timedOut;
 
-    boolean over;
-    ClientConnection conn;
-    /** The node that it was sent to last. */
+    boolean ended;
+    ClientConnection connection;
+    /** The front node that it was last sent to. */
     LoadPlan.Target target;
 
     private String text;
-    TimerQueue.Timer end;
-    TimerQueue.Timer leave;
+    TimerQueue.Timer timeoutTimer;
+    TimerQueue.Timer abandonTimer;
 
-    ClientAttempt(Arrival arrival, ClientSession story, int tryNumber, double intendedMs, double storyMs) {
+    ClientAttempt(Arrival arrival, ClientSession session, int attemptNumber, double intendedMs, double sessionStartMs) {
         this.arrival = arrival;
-        this.story = story;
-        this.tryNumber = tryNumber;
+        this.session = session;
+        this.attemptNumber = attemptNumber;
         this.intendedMs = intendedMs;
-        this.storyMs = storyMs;
-        this.id = arrival.id(tryNumber);
+        this.sessionStartMs = sessionStartMs;
+        this.id = arrival.id(attemptNumber);
     }
 
-    /** Its text, made once. */
+    /** The text of its query, generated at the first call. */
     String text() {
         if (text == null) {
             text = arrival.text();
@@ -51,7 +52,7 @@
         return text;
     }
 
-    /** The node that it was sent to last, as HOST:PORT; empty before. */
+    /** The front node that it was last sent to, as HOST:PORT; empty before the first send. */
     public String target() {
         return target == null ? "" : target.toString();
     }
@@ -60,11 +61,11 @@
         return id;
     }
 
-    public int tryNumber() {
-        return tryNumber;
+    public int attemptNumber() {
+        return attemptNumber;
     }
 
-    /** How long its client still waits. */
+    /** Time that remains until its client's timeout. */
     public double leftMs(double nowMs) {
         return intendedMs + arrival.timeoutMs() - nowMs;
     }
--- a/lab/src/main/java/spartrail/lab/load/ClientConnection.java
+++ b/lab/src/main/java/spartrail/lab/load/ClientConnection.java
@@ -5,17 +5,20 @@
 /** A client's connection to a front node. */
 public final class ClientConnection {
     public final LoadPlan.Target target;
-    final boolean own;
-    /** What the host that carries it keeps for it. */
-    public Object carrier;
+    /** Whether it carries a single attempt and is then closed. */
+    final boolean isOwn;
+    /** The transport's own data about this connection. */
+    public Object transportState;
 
-    ClientAttempt ask;
-    boolean up;
-    boolean used;
-    boolean gone;
+    ClientAttempt attempt;
+    boolean isEstablished;
+    /** Whether an answer has been received on it. */
+    boolean isUsed;
 
-    ClientConnection(LoadPlan.Target target, boolean own) {
+    boolean isDropped;
+
+    ClientConnection(LoadPlan.Target target, boolean isOwn) {
         this.target = target;
-        this.own = own;
+        this.isOwn = isOwn;
     }
 }
--- a/lab/src/main/java/spartrail/lab/load/ClientTransport.java
+++ b/lab/src/main/java/spartrail/lab/load/ClientTransport.java
@@ -1,12 +1,15 @@
 package spartrail.lab.load;
 
-/** What the generator needs of the world; what comes of it is told to the generator, never from within these calls. */
+/**
+ * The connections of a generator. Their events are passed to its {@code on...} methods, never from within the calls
+ * below, except {@code onWritten}.
+ */
 public interface ClientTransport {
-    /** Begins to connect; an IllegalStateException where no socket is to be had. */
-    void open(ClientConnection conn);
+    /** Begins to connect; throws an IllegalStateException if no socket can be opened. */
+    void open(ClientConnection connection);
 
-    /** Writes the request of this try. */
-    void send(ClientConnection conn, ClientAttempt ask, double leftMs);
+    /** Writes the request of this attempt; {@code leftMs} is the time until its client's timeout. */
+    void send(ClientConnection connection, ClientAttempt attempt, double leftMs);
 
-    void close(ClientConnection conn);
+    void close(ClientConnection connection);
 }
--- a/lab/src/main/java/spartrail/lab/load/HttpClientTransport.java
+++ b/lab/src/main/java/spartrail/lab/load/HttpClientTransport.java
@@ -9,57 +9,59 @@
 import spartrail.lab.plan.LoadPlan;
 import spartrail.model.TimerQueue;
 
-/** The generator on real sockets: its loop's thread runs it when it is due and tells it what came. */
+/**
+ * Runs a generator on real sockets: the loop's thread calls it when it is due, and passes on what the sockets receive.
+ */
 public final class HttpClientTransport implements ClientTransport {
-    private static final double LOOKED_MS = 500;
+    private static final double READINESS_INTERVAL_MS = 500;
 
     private final SocketLoop loop;
     private LoadGenerator generator;
-    private TimerQueue.Timer due;
+    private TimerQueue.Timer timer;
     private boolean closed;
 
     public HttpClientTransport(SocketLoop loop) {
         this.loop = loop;
     }
 
-    /** Starts the plan's time; from here on the loop's thread owns the generator. */
-    public void drive(LoadGenerator driven, LoadPlan plan) {
+    /** Starts the plan; from now on only the loop's thread uses the generator. */
+    public void drive(LoadGenerator newGenerator, LoadPlan plan) {
         loop.execute(() -> {
-            generator = driven;
+            generator = newGenerator;
             generator.start(loop.nowMs());
-            plan.targets().forEach(this::look);
-            turn();
+            plan.targets().forEach(this::probe);
+            runGenerator();
         });
     }
 
-    private void turn() {
+    private void runGenerator() {
         generator.run(loop.nowMs());
-        plan();
+        scheduleRun();
     }
 
-    /** Moves the one timer of the generator; a timer for each call would fill the queue. */
-    private void plan() {
+    /** Moves the generator's only timer; a new timer for each event would fill the queue. */
+    private void scheduleRun() {
         double nextMs = generator.nextMs();
-        if (due != null && due.dueMs() <= nextMs && due.dueMs() > loop.nowMs()) {
+        if (timer != null && timer.dueMs() <= nextMs && timer.dueMs() > loop.nowMs()) {
             return;
         }
-        loop.cancel(due);
-        due = nextMs == Double.MAX_VALUE || closed ? null : loop.schedule(nextMs, this::turn);
+        loop.cancel(timer);
+        timer = nextMs == Double.MAX_VALUE || closed ? null : loop.schedule(nextMs, this::runGenerator);
     }
 
-    /** Asks a front node again and again whether it is ready. */
-    private void look(LoadPlan.Target target) {
-        if (closed || generator.over()) {
+    /** Asks a front node periodically whether it is ready. */
+    private void probe(LoadPlan.Target target) {
+        if (closed || generator.isOver()) {
             return;
         }
         HttpResponseReader reader = new HttpResponseReader();
-        TcpConnection link = new TcpConnection(loop) {
-            private boolean told;
+        TcpConnection probeConnection = new TcpConnection(loop) {
+            private boolean isReported;
 
-            private void tell(boolean up) {
-                if (!told) {
-                    told = true;
-                    generator.up(target, up);
+            private void report(boolean up) {
+                if (!isReported) {
+                    isReported = true;
+                    generator.setReady(target, up);
                     close();
                 }
             }
@@ -67,34 +69,35 @@
             @Override
             protected void onBytes(ByteBuffer in) {
                 try {
-                    reader.take(in);
-                    HttpResponse answer = reader.next();
+                    reader.append(in);
+                    HttpResponse answer = reader.readNext();
                     if (answer != null) {
-                        tell(answer.status() == 200);
+                        report(answer.status() == 200);
                     }
-                } catch (HttpResponseReader.Unusable e) {
-                    tell(false);
+                } catch (HttpResponseReader.InvalidResponseException e) {
+                    report(false);
                 }
             }
 
             @Override
             protected void onClosed(String why) {
-                tell(false);
+                report(false);
             }
         };
         try {
-            link.connect(new InetSocketAddress(target.host(), target.port()));
-            link.write(ByteBuffer.wrap(("GET /up HTTP/1.1\r\nHost: " + target + "\r\nConnection: close\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII)));
-            loop.schedule(loop.nowMs() + LOOKED_MS, () -> {
-                if (link.isOpen()) {
-                    link.close();
+            probeConnection.connect(new InetSocketAddress(target.host(), target.port()));
+            probeConnection.write(
+                    ByteBuffer.wrap(("GET /up HTTP/1.1\r\nHost: " + target + "\r\nConnection: close\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII)));
+            loop.schedule(loop.nowMs() + READINESS_INTERVAL_MS, () -> {
+                if (probeConnection.isOpen()) {
+                    probeConnection.close();
                 }
             });
         } catch (IOException e) {
-            // No socket: the generator finds out by itself.
+            // No socket could be opened: the generator notices when it opens a connection itself.
         }
-        loop.schedule(loop.nowMs() + LOOKED_MS, () -> look(target));
+        loop.schedule(loop.nowMs() + READINESS_INTERVAL_MS, () -> probe(target));
     }
 
     public void close() {
@@ -102,38 +105,39 @@
     }
 
     @Override
-    public void open(ClientConnection conn) {
-        Client client = new Client(conn);
-        conn.carrier = client;
+    public void open(ClientConnection connection) {
+        ClientSocket socket = new ClientSocket(connection);
+        connection.transportState = socket;
         try {
-            client.connect(new InetSocketAddress(conn.target.host(), conn.target.port()));
+            socket.connect(new InetSocketAddress(connection.target.host(), connection.target.port()));
         } catch (IOException e) {
             throw new IllegalStateException(e.getMessage(), e);
         }
     }
 
     @Override
-    public void send(ClientConnection conn, ClientAttempt ask, double leftMs) {
-        ((Client) conn.carrier).write(request(conn, ask, leftMs));
+    public void send(ClientConnection connection, ClientAttempt attempt, double leftMs) {
+        ((ClientSocket) connection.transportState).write(encodeRequest(connection, attempt, leftMs));
     }
 
     @Override
-    public void close(ClientConnection conn) {
-        if (conn.carrier != null) {
-            ((Client) conn.carrier).close();
+    public void close(ClientConnection connection) {
+        if (connection.transportState != null) {
+            ((ClientSocket) connection.transportState).close();
         }
     }
 
-    static ByteBuffer request(ClientConnection conn, ClientAttempt ask, double leftMs) {
-        var arrival = ask.arrival;
+    static ByteBuffer encodeRequest(ClientConnection connection, ClientAttempt attempt, double leftMs) {
+        var arrival = attempt.arrival;
         StringBuilder body = new StringBuilder(64 + 48 * arrival.shards().length + arrival.textBytes());
         body.append("{\"segments\":[");
-        double rest = 1;
+        double remainingWeight = 1;
         for (int i = 0; i < arrival.shards().length; i++) {
-            // Rounded weights still sum up to one: the last takes the rest.
-            double weight =
-                    i == arrival.shards().length - 1 ? Math.max(0, rest) : Math.round(arrival.weights()[i] * 1e6) / 1e6;
-            rest -= weight;
+            // The last weight is the remainder, so that the rounded weights still sum up to one.
+            double weight = i == arrival.shards().length - 1
+                    ? Math.max(0, remainingWeight)
+                    : Math.round(arrival.weights()[i] * 1e6) / 1e6;
+            remainingWeight -= weight;
             body.append(i == 0 ? "" : ",")
                     .append("{\"segment\":")
                     .append(arrival.shards()[i])
@@ -144,12 +148,13 @@
             }
             body.append('}');
         }
-        body.append("],\"text\":\"").append(ask.text()).append("\"}");
+        body.append("],\"text\":\"").append(attempt.text()).append("\"}");
         byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
-        String head = "POST /" + arrival.opType() + "/" + arrival.key() + " HTTP/1.1\r\nHost: " + conn.target
-                + "\r\nReq-Id: " + ask.id() + "\r\nReq-Kind: " + arrival.opType() + "\r\nReq-Deadline: "
-                + seconds(leftMs)
-                + (ask.tryNumber() > 1 ? "\r\nReq-Retry: 1" : "") + (conn.own ? "\r\nConnection: close" : "")
+        String head = "POST /" + arrival.opType() + "/" + arrival.key() + " HTTP/1.1\r\nHost: " + connection.target
+                + "\r\nReq-Id: " + attempt.id() + "\r\nReq-Kind: " + arrival.opType() + "\r\nReq-Deadline: "
+                + toSeconds(leftMs)
+                + (attempt.attemptNumber() > 1 ? "\r\nReq-Retry: 1" : "")
+                + (connection.isOwn ? "\r\nConnection: close" : "")
                 + "\r\nContent-Length: " + bytes.length + "\r\n\r\n";
         byte[] headBytes = head.getBytes(StandardCharsets.US_ASCII);
         return ByteBuffer.allocate(headBytes.length + bytes.length)
@@ -158,59 +163,59 @@
                 .flip();
     }
 
-    /** Seconds to three digits; a formatter took a tenth of the generator's time. */
-    private static String seconds(double ms) {
-        long whole = Math.max(1, Math.round(ms));
-        String rest = Long.toString(whole % 1000);
-        return whole / 1000 + "." + "000".substring(rest.length()) + rest;
+    /** Formats seconds with three digits; String.format took a tenth of the generator's time. */
+    private static String toSeconds(double ms) {
+        long wholeMs = Math.max(1, Math.round(ms));
+        String millis = Long.toString(wholeMs % 1000);
+        return wholeMs / 1000 + "." + "000".substring(millis.length()) + millis;
     }
 
-    /** One client's connection. */
-    private final class Client extends TcpConnection {
-        private final ClientConnection conn;
+    /** The socket of one client connection. */
+    private final class ClientSocket extends TcpConnection {
+        private final ClientConnection connection;
         private final HttpResponseReader reader = new HttpResponseReader();
 
-        Client(ClientConnection conn) {
+        ClientSocket(ClientConnection connection) {
             super(HttpClientTransport.this.loop);
-            this.conn = conn;
+            this.connection = connection;
         }
 
         @Override
         protected void onConnected() {
-            generator.connected(conn, loop.nowMs());
-            plan();
+            generator.onConnected(connection, loop.nowMs());
+            scheduleRun();
         }
 
         @Override
         protected void onFlushed() {
-            generator.written(conn, loop.nowMs());
+            generator.onWritten(connection, loop.nowMs());
         }
 
         @Override
         protected void onBytes(ByteBuffer in) {
             try {
-                reader.take(in);
-                for (HttpResponse answer = reader.next(); answer != null && isOpen(); answer = reader.next()) {
-                    generator.answered(conn, answer, loop.nowMs());
+                reader.append(in);
+                for (HttpResponse answer = reader.readNext(); answer != null && isOpen(); answer = reader.readNext()) {
+                    generator.onResponse(connection, answer, loop.nowMs());
                 }
-                if (isOpen() && conn.ask == null && reader.begun()) {
-                    generator.extra(conn, loop.nowMs());
+                if (isOpen() && connection.attempt == null && reader.hasBegun()) {
+                    generator.onUnexpectedBytes(connection, loop.nowMs());
                 }
-            } catch (HttpResponseReader.Unusable e) {
-                generator.spoilt(conn, e.kind, loop.nowMs());
+            } catch (HttpResponseReader.InvalidResponseException e) {
+                generator.onInvalidResponse(connection, e.kind, loop.nowMs());
             }
-            plan();
+            scheduleRun();
         }
 
         @Override
         protected void onClosed(String why) {
-            HttpResponse answer = reader.atEnd();
+            HttpResponse answer = reader.readAtClose();
             if (answer != null) {
-                generator.answered(conn, answer, loop.nowMs());
+                generator.onResponse(connection, answer, loop.nowMs());
             } else {
-                generator.broken(conn, reader.begun(), loop.nowMs());
+                generator.onConnectionLost(connection, reader.hasBegun(), loop.nowMs());
             }
-            plan();
+            scheduleRun();
         }
     }
 }
--- a/lab/src/main/java/spartrail/lab/load/HttpResponseReader.java
+++ b/lab/src/main/java/spartrail/lab/load/HttpResponseReader.java
@@ -5,45 +5,46 @@
 import java.util.Arrays;
 
 /**
- * Reads HTTP/1.1 answers as bytes come (RFC 9112, sections 4, 6 and 7.1). It is our own, as a library would hide what a
- * load generator is to see: answers without length, cut ones, a second one, lengths that nobody should believe.
+ * Parses HTTP/1.1 answers incrementally (RFC 9112, sections 4, 6 and 7.1). A library would hide what a load generator
+ * has to detect: answers without length, truncated ones, a second answer to a request, implausible lengths.
  */
 public final class HttpResponseReader {
-    /** What came cannot be used. */
-    public static final class Unusable extends Exception {
+    /** The bytes received are not an acceptable answer. */
+    public static final class InvalidResponseException extends Exception {
         private static final long serialVersionUID = 1;
         public final AttemptResult kind;
 
-        Unusable(AttemptResult kind, String what) {
-            super(what);
+        InvalidResponseException(AttemptResult kind, String message) {
+            super(message);
             this.kind = kind;
         }
     }
 
-    static final int LONGEST_HEAD = 16 * 1024;
-    static final int LONGEST_BODY = 64 * 1024;
+    static final int MAX_HEAD_BYTES = 16 * 1024;
+    static final int MAX_BODY_BYTES = 64 * 1024;
 
     private byte[] bytes = new byte[1024];
     private int size;
-    /** Where the body begins; 0 while the head is not there. */
+    /** Offset of the body; 0 until the head is complete. */
     private int bodyAt;
 
     private int status;
     private long length;
     private boolean chunked;
-    private boolean lasts;
-    private double comebackMs;
+    private boolean keepsAlive;
+    private double retryAfterMs;
 
-    /** Something of an answer has come. */
-    public boolean begun() {
+    /** Whether bytes of a further answer have been received. */
+    public boolean hasBegun() {
         return size > 0;
     }
 
-    /** Takes all bytes. */
-    public void take(ByteBuffer in) throws Unusable {
+    /** Appends all bytes of the buffer. */
+    public void append(ByteBuffer in) throws InvalidResponseException {
         int more = in.remaining();
-        if (size + more > 2 * (LONGEST_HEAD + LONGEST_BODY)) {
-            throw new Unusable(AttemptResult.TOO_LONG, "an answer of more than " + LONGEST_BODY + " bytes");
+        if (size + more > 2 * (MAX_HEAD_BYTES + MAX_BODY_BYTES)) {
+            throw new InvalidResponseException(
+                    AttemptResult.TOO_LONG, "an answer of more than " + MAX_BODY_BYTES + " bytes");
         }
         if (size + more > bytes.length) {
             bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, size + more));
@@ -52,37 +53,37 @@
         size += more;
     }
 
-    /** The next whole answer, or null. */
-    public HttpResponse next() throws Unusable {
-        if (bodyAt == 0 && !head()) {
+    /** Parses the next answer; returns null until it is complete. */
+    public HttpResponse readNext() throws InvalidResponseException {
+        if (bodyAt == 0 && !readHead()) {
             return null;
         }
         if (chunked) {
-            return chunks();
+            return readChunks();
         }
         if (length < 0 || size - bodyAt < length) {
             return null;
         }
         HttpResponse answer = new HttpResponse(
-                status, Arrays.copyOfRange(bytes, bodyAt, bodyAt + (int) length), comebackMs, lasts, false);
-        done(bodyAt + (int) length);
+                status, Arrays.copyOfRange(bytes, bodyAt, bodyAt + (int) length), retryAfterMs, keepsAlive, false);
+        discard(bodyAt + (int) length);
         return answer;
     }
 
-    /** The answer that the end of the connection completes, or null where it is cut. */
-    public HttpResponse atEnd() {
+    /** The answer that the end of the connection completes, or null if it is truncated. */
+    public HttpResponse readAtClose() {
         return bodyAt > 0 && !chunked && length < 0
-                ? new HttpResponse(status, Arrays.copyOfRange(bytes, bodyAt, size), comebackMs, false, true)
+                ? new HttpResponse(status, Arrays.copyOfRange(bytes, bodyAt, size), retryAfterMs, false, true)
                 : null;
     }
 
-    private void done(int end) {
+    private void discard(int end) {
         System.arraycopy(bytes, end, bytes, 0, size - end);
         size -= end;
         bodyAt = 0;
     }
 
-    private boolean head() throws Unusable {
+    private boolean readHead() throws InvalidResponseException {
         int end = -1;
         for (int i = 3; i < size; i++) {
             if (bytes[i] == '\n' && bytes[i - 1] == '\r' && bytes[i - 2] == '\n' && bytes[i - 3] == '\r') {
@@ -91,11 +92,12 @@
             }
         }
         if (size >= 5 && !new String(bytes, 0, 5, StandardCharsets.ISO_8859_1).equals("HTTP/")) {
-            throw new Unusable(AttemptResult.GARBLED, "no HTTP");
+            throw new InvalidResponseException(AttemptResult.GARBLED, "no HTTP");
         }
         if (end < 0) {
-            if (size > LONGEST_HEAD) {
-                throw new Unusable(AttemptResult.GARBLED, "a head of more than " + LONGEST_HEAD + " bytes");
+            if (size > MAX_HEAD_BYTES) {
+                throw new InvalidResponseException(
+                        AttemptResult.GARBLED, "a head of more than " + MAX_HEAD_BYTES + " bytes");
             }
             return false;
         }
@@ -104,8 +106,8 @@
             status = Integer.parseInt(lines[0].substring(9, 12));
             length = -1;
             chunked = false;
-            lasts = true;
-            comebackMs = 0;
+            keepsAlive = true;
+            retryAfterMs = 0;
             for (int i = 1; i < lines.length; i++) {
                 int colon = lines[i].indexOf(':');
                 String name = lines[i].substring(0, colon).trim().toLowerCase(java.util.Locale.ROOT);
@@ -113,24 +115,24 @@
                 switch (name) {
                     case "content-length" -> length = Long.parseLong(value);
                     case "transfer-encoding" -> chunked = value.equalsIgnoreCase("chunked");
-                    case "connection" -> lasts = !value.equalsIgnoreCase("close");
-                    case "retry-after" -> comebackMs = 1000 * Double.parseDouble(value);
+                    case "connection" -> keepsAlive = !value.equalsIgnoreCase("close");
+                    case "retry-after" -> retryAfterMs = 1000 * Double.parseDouble(value);
                     default -> {}
                 }
             }
         } catch (RuntimeException e) {
-            throw new Unusable(AttemptResult.GARBLED, "an unreadable head");
+            throw new InvalidResponseException(AttemptResult.GARBLED, "an unreadable head");
         }
-        if (length > LONGEST_BODY) {
-            throw new Unusable(AttemptResult.TOO_LONG, "a body of " + length + " bytes");
+        if (length > MAX_BODY_BYTES) {
+            throw new InvalidResponseException(AttemptResult.TOO_LONG, "a body of " + length + " bytes");
         }
         if (length < -1) {
-            throw new Unusable(AttemptResult.GARBLED, "a negative length");
+            throw new InvalidResponseException(AttemptResult.GARBLED, "a negative length");
         }
         bodyAt = end;
         if (status >= 100 && status < 200) {
-            done(end);
-            return head();
+            discard(end);
+            return readHead();
         }
         if (status == 204 || status == 304) {
             length = 0;
@@ -138,7 +140,7 @@
         return true;
     }
 
-    private HttpResponse chunks() throws Unusable {
+    private HttpResponse readChunks() throws InvalidResponseException {
         java.io.ByteArrayOutputStream body = new java.io.ByteArrayOutputStream();
         int at = bodyAt;
         while (true) {
@@ -154,10 +156,11 @@
                 count = Integer.parseInt(
                         new String(bytes, at, lf - at, StandardCharsets.ISO_8859_1).split(";")[0].trim(), 16);
             } catch (NumberFormatException e) {
-                throw new Unusable(AttemptResult.GARBLED, "a chunk without its length");
+                throw new InvalidResponseException(AttemptResult.GARBLED, "a chunk without its length");
             }
-            if (count < 0 || body.size() + (long) count > LONGEST_BODY) {
-                throw new Unusable(AttemptResult.TOO_LONG, "chunks of more than " + LONGEST_BODY + " bytes");
+            if (count < 0 || body.size() + (long) count > MAX_BODY_BYTES) {
+                throw new InvalidResponseException(
+                        AttemptResult.TOO_LONG, "chunks of more than " + MAX_BODY_BYTES + " bytes");
             }
             if (lf + 1 + count + 2 > size) {
                 return null;
@@ -165,8 +168,8 @@
             body.write(bytes, lf + 1, count);
             at = lf + 1 + count + 2;
             if (count == 0) {
-                HttpResponse answer = new HttpResponse(status, body.toByteArray(), comebackMs, lasts, false);
-                done(at);
+                HttpResponse answer = new HttpResponse(status, body.toByteArray(), retryAfterMs, keepsAlive, false);
+                discard(at);
                 return answer;
             }
         }
--- a/lab/src/main/java/spartrail/lab/load/LoadGenerator.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadGenerator.java
@@ -16,420 +16,438 @@
 import spartrail.model.TimerQueue;
 
 /**
- * Load, open loop: arrivals leave when the plan says, whatever became of the ones before. No I/O: the host hands in the
- * time and what its sockets saw, and carries out what is asked of {@link ClientTransport}.
+ * An open-loop load generator: arrivals are sent when the plan says, whatever became of earlier ones. It does no I/O: a
+ * {@link ClientTransport} passes in the time and the events of its sockets, and carries out the generator's calls.
  *
- * <p>A try goes through these states; each ends in exactly one {@link AttemptResult}.
+ * <p>An attempt goes through these states; each ends in exactly one {@link AttemptResult}.
  *
  * <pre>
- * state    what happens                                 next
- * due      an idle connection, or room for a new one    sent, or connecting
- * due      the cap binds                                waiting, all of it charged
- * waiting  a connection becomes free                    sent
- * waiting  the client's time is over                    ended (NOT_SENT)
- * sent     an answer                                    ended, its connection idle
- * sent     the connection closes without a byte, used before, at once    sent once more on a new one
- * sent     the client's time is over                    lapsed: its client goes on, the answer is still looked for
- * sent     the client leaves                            ended (LEFT), its connection closed
- * lapsed   an answer                                    ended (LATE)
- * lapsed   nothing for a while                          ended (NONE), its connection closed
+ * state     event                                               next
+ * due       a connection is idle, or a new one is allowed       sent, or connecting and then sent
+ * due       the maximum of connections is in use                waiting; the wait counts as latency
+ * waiting   a connection becomes free                           sent
+ * waiting   the client's timeout                                ended (NOT_SENT)
+ * sent      an answer                                           ended, its connection idle
+ * sent      a reused connection closes early, without a byte    sent once more on a new connection
+ * sent      the client's timeout                                timed out: the client may retry, an answer is awaited
+ * sent      the client abandons the attempt                     ended (LEFT), its connection closed
+ * timed out an answer                                           ended (LATE)
+ * timed out no answer within lingerMs                           ended (NONE), its connection closed
  * </pre>
  *
- * Latency is counted from the time at which the try was meant to leave, service time from its last byte written.
+ * Latency is measured from the intended time of the attempt, service time from its last byte written.
  */
 public final class LoadGenerator {
-    /** A connection that closes this soon after a request was written on it may not have been read. */
-    private static final double CROSSED_MS = 50;
+    /** If a reused connection closes this soon after a request, the front node may not have read the request. */
+    private static final double CLOSE_RACE_MS = 50;
 
     private final LoadPlan plan;
     private final Iterator<Arrival> arrivals;
-    private final ClientTransport sockets;
+    private final ClientTransport transport;
     private final Recorder recorder;
     private final LoadListener listener;
-    private final TimerQueue timetable = new TimerQueue();
+    private final TimerQueue timers = new TimerQueue();
+    /** Idle connections by zone. */
     private final Map<String, Deque<ClientConnection>> idle = new HashMap<>();
+    /** Attempts that wait for a connection, by zone. */
     private final Map<String, Deque<ClientAttempt>> waiting = new HashMap<>();
-    private final Set<ClientConnection> conns = new HashSet<>();
-    private final Set<LoadPlan.Target> down = new HashSet<>();
-    private final Set<ClientAttempt> open = new HashSet<>();
-    private final ResponseCheck check = new ResponseCheck();
-    private Arrival next;
+
+    private final Set<ClientConnection> connections = new HashSet<>();
+    private final Set<LoadPlan.Target> notReady = new HashSet<>();
+    private final Set<ClientAttempt> openAttempts = new HashSet<>();
+    private final ResponseCheck responseCheck = new ResponseCheck();
+    private Arrival nextArrival;
     private double startMs;
     private double nowMs;
-    private long turn;
-    private int storiesWaiting;
+    private long targetTurn;
+    private int pendingRetries;
     private boolean stopping;
-    private String fault;
+    private String stopReason;
 
     public LoadGenerator(
             LoadPlan plan,
             Iterator<Arrival> arrivals,
-            ClientTransport sockets,
+            ClientTransport transport,
             Recorder recorder,
             LoadListener listener) {
         this.plan = plan;
         this.arrivals = arrivals;
-        this.sockets = sockets;
+        this.transport = transport;
         this.recorder = recorder;
         this.listener = listener;
     }
 
-    /** The plan's time begins now. */
+    /** Starts the plan: its times count from {@code atMs}. */
     public void start(double atMs) {
         startMs = atMs;
         nowMs = atMs;
         recorder.start(atMs);
-        advance();
+        drawNextArrival();
     }
 
-    private void advance() {
-        next = !stopping && arrivals.hasNext() ? arrivals.next() : null;
+    private void drawNextArrival() {
+        nextArrival = !stopping && arrivals.hasNext() ? arrivals.next() : null;
     }
 
-    /** When the host is to call {@link #run} at the latest. */
+    /** The latest time of the next call of {@link #run}. */
     public double nextMs() {
-        return Math.min(timetable.nextDueMs(), next == null ? Double.MAX_VALUE : startMs + next.atMs());
+        return Math.min(timers.nextDueMs(), nextArrival == null ? Double.MAX_VALUE : startMs + nextArrival.atMs());
     }
 
-    /** Nothing is to come and nothing is out. */
-    public boolean over() {
-        return next == null && open.isEmpty() && storiesWaiting == 0;
+    /** Whether no arrival, open attempt or retry is left. */
+    public boolean isOver() {
+        return nextArrival == null && openAttempts.isEmpty() && pendingRetries == 0;
     }
 
     public int inFlight() {
-        return open.size();
+        return openAttempts.size();
     }
 
     public int connections() {
-        return conns.size();
+        return connections.size();
     }
 
-    /** Why the run was ended before its plan was through, or null. */
-    public String fault() {
-        return fault;
+    /** Why the run was stopped before the end of its plan, or null. */
+    public String stopReason() {
+        return stopReason;
     }
 
-    /** No further arrival and no further try; what is out is still waited for. */
-    public void stop(String why) {
+    /** Stops new arrivals and retries; open attempts still run to their end. */
+    public void stop(String reason) {
         if (!stopping) {
             stopping = true;
-            fault = why;
-            next = null;
+            stopReason = reason;
+            nextArrival = null;
         }
     }
 
+    /** Begins the attempts that are due and runs the timers. */
     public void run(double atMs) {
         nowMs = atMs;
-        while (next != null && startMs + next.atMs() <= nowMs) {
-            Arrival arrival = next;
-            advance();
+        while (nextArrival != null && startMs + nextArrival.atMs() <= nowMs) {
+            Arrival arrival = nextArrival;
+            drawNextArrival();
             double intendedMs = startMs + arrival.atMs();
-            ClientSession story =
+            ClientSession session =
                     new ClientSession(arrival.stream().behavior, TrafficStream.random(arrival.seed() + 1));
-            begin(new ClientAttempt(arrival, story, 1, intendedMs, intendedMs));
+            beginAttempt(new ClientAttempt(arrival, session, 1, intendedMs, intendedMs));
         }
-        timetable.runDue(nowMs);
+        timers.runDue(nowMs);
     }
 
-    /** A front node says that it is ready, or is not. */
-    public void up(LoadPlan.Target target, boolean isUp) {
-        if (isUp) {
-            down.remove(target);
+    /** Sets whether a front node reports that it is ready. */
+    public void setReady(LoadPlan.Target target, boolean isReady) {
+        if (isReady) {
+            notReady.remove(target);
         } else {
-            down.add(target);
+            notReady.add(target);
         }
     }
 
-    private void begin(ClientAttempt ask) {
-        open.add(ask);
-        ask.lagMs = nowMs - ask.intendedMs;
-        recorder.intended(ask);
-        double leavesMs = ask.story.beginAttempt(ask.arrival.timeoutMs());
-        if (Double.isFinite(leavesMs)) {
-            ask.leave = timetable.schedule(ask.intendedMs + leavesMs, () -> end(ask, AttemptResult.LEFT, null, true));
+    private void beginAttempt(ClientAttempt attempt) {
+        openAttempts.add(attempt);
+        attempt.lagMs = nowMs - attempt.intendedMs;
+        recorder.recordIntended(attempt);
+        double abandonAfterMs = attempt.session.beginAttempt(attempt.arrival.timeoutMs());
+        if (Double.isFinite(abandonAfterMs)) {
+            attempt.abandonTimer = timers.schedule(
+                    attempt.intendedMs + abandonAfterMs, () -> endAttempt(attempt, AttemptResult.LEFT, null, true));
         }
-        ask.end = timetable.schedule(ask.intendedMs + ask.arrival.timeoutMs(), () -> lapse(ask));
-        place(ask, ask.arrival.newConnection() || ask.arrival.stream().behavior.ownConnection());
+        attempt.timeoutTimer =
+                timers.schedule(attempt.intendedMs + attempt.arrival.timeoutMs(), () -> handleTimeout(attempt));
+        assignConnection(
+                attempt,
+                attempt.arrival.newConnection()
+                        || attempt.arrival.stream().behavior.ownConnection());
     }
 
-    private void place(ClientAttempt ask, boolean own) {
-        String zone = ask.arrival.stream().zone;
-        Deque<ClientConnection> free = idle.computeIfAbsent(zone, name -> new ArrayDeque<>());
-        if (!own && !free.isEmpty()) {
-            send(free.pollLast(), ask);
+    private void assignConnection(ClientAttempt attempt, boolean isOwn) {
+        String zone = attempt.arrival.stream().zone;
+        Deque<ClientConnection> idleInZone = idle.computeIfAbsent(zone, name -> new ArrayDeque<>());
+        if (!isOwn && !idleInZone.isEmpty()) {
+            sendOn(idleInZone.pollLast(), attempt);
             return;
         }
-        if (conns.size() >= plan.connections()) {
-            // One that is idle for another zone makes room.
-            Deque<ClientConnection> other = idle.values().stream()
+        if (connections.size() >= plan.connections()) {
+            // A connection that is idle in another zone is closed to make room.
+            Deque<ClientConnection> idleElsewhere = idle.values().stream()
                     .filter(queue -> !queue.isEmpty())
                     .findFirst()
                     .orElse(null);
-            if (other == null) {
-                recorder.capBound++;
-                waiting.computeIfAbsent(zone, name -> new ArrayDeque<>()).add(ask);
+            if (idleElsewhere == null) {
+                recorder.waitsForConnection++;
+                waiting.computeIfAbsent(zone, name -> new ArrayDeque<>()).add(attempt);
                 return;
             }
-            drop(other.pollFirst());
+            dropConnection(idleElsewhere.pollFirst());
         }
-        open(ask, own);
+        openConnection(attempt, isOwn);
     }
 
-    private void open(ClientAttempt ask, boolean own) {
-        ClientConnection conn = new ClientConnection(target(ask.arrival.stream().zone), own);
-        conn.ask = ask;
-        ask.conn = conn;
-        ask.target = conn.target;
-        conns.add(conn);
-        recorder.opened++;
+    private void openConnection(ClientAttempt attempt, boolean isOwn) {
+        ClientConnection connection = new ClientConnection(pickTarget(attempt.arrival.stream().zone), isOwn);
+        connection.attempt = attempt;
+        attempt.connection = connection;
+        attempt.target = connection.target;
+        connections.add(connection);
+        recorder.connectionsOpened++;
         try {
-            sockets.open(conn);
-            timetable.schedule(nowMs + plan.connectMs(), () -> {
-                if (!conn.up && !conn.gone) {
-                    drop(conn);
-                    if (conn.ask != null) {
-                        end(conn.ask, AttemptResult.NO_CONNECTION, null, false);
+            transport.open(connection);
+            timers.schedule(nowMs + plan.connectMs(), () -> {
+                if (!connection.isEstablished && !connection.isDropped) {
+                    dropConnection(connection);
+                    if (connection.attempt != null) {
+                        endAttempt(connection.attempt, AttemptResult.NO_CONNECTION, null, false);
                     }
                 }
             });
         } catch (IllegalStateException e) {
-            conns.remove(conn);
-            conn.gone = true;
-            recorder.noSocket++;
-            stop("no socket is to be had with " + conns.size() + " open: " + e.getMessage());
-            end(ask, AttemptResult.NO_CONNECTION, null, false);
+            connections.remove(connection);
+            connection.isDropped = true;
+            recorder.socketFailures++;
+            stop("cannot open another socket with " + connections.size() + " connections open: " + e.getMessage());
+            endAttempt(attempt, AttemptResult.NO_CONNECTION, null, false);
         }
     }
 
-    /** Front nodes in turn, none where the plan names none: ready ones of the client's zone first, then ready ones, then any. */
-    private LoadPlan.Target target(String zone) {
-        List<LoadPlan.Target> fit = new ArrayList<>();
+    /**
+     * The next front node in turn among the ready ones of the client's zone, else among all ready ones, else among all;
+     * null if the plan names none.
+     */
+    private LoadPlan.Target pickTarget(String zone) {
+        List<LoadPlan.Target> candidates = new ArrayList<>();
         for (LoadPlan.Target target : plan.targets()) {
-            if (!down.contains(target) && (zone.isEmpty() || target.zone().equals(zone))) {
-                fit.add(target);
+            if (!notReady.contains(target) && (zone.isEmpty() || target.zone().equals(zone))) {
+                candidates.add(target);
             }
         }
-        if (fit.isEmpty()) {
-            plan.targets().stream().filter(target -> !down.contains(target)).forEach(fit::add);
+        if (candidates.isEmpty()) {
+            plan.targets().stream().filter(target -> !notReady.contains(target)).forEach(candidates::add);
         }
-        if (fit.isEmpty()) {
-            fit = plan.targets();
+        if (candidates.isEmpty()) {
+            candidates = plan.targets();
         }
-        return fit.isEmpty() ? null : fit.get((int) (turn++ % fit.size()));
+        return candidates.isEmpty() ? null : candidates.get((int) (targetTurn++ % candidates.size()));
     }
 
-    private void send(ClientConnection conn, ClientAttempt ask) {
-        conn.ask = ask;
-        ask.conn = conn;
-        ask.target = conn.target;
-        ask.sentMs = nowMs;
-        // Before the call below, as on sockets its parts can reach servers before that call returns.
-        listener.onSent(ask, nowMs);
-        sockets.send(conn, ask, ask.leftMs(nowMs));
+    private void sendOn(ClientConnection connection, ClientAttempt attempt) {
+        connection.attempt = attempt;
+        attempt.connection = connection;
+        attempt.target = connection.target;
+        attempt.sentMs = nowMs;
+        // Before the call below: on sockets, parts can reach servers before that call returns.
+        listener.onSent(attempt, nowMs);
+        transport.send(connection, attempt, attempt.leftMs(nowMs));
     }
 
-    // ---- What the host's sockets saw ----
+    // ---- Events of the transport ----
 
-    public void connected(ClientConnection conn, double atMs) {
+    public void onConnected(ClientConnection connection, double atMs) {
         nowMs = atMs;
-        conn.up = true;
-        if (conn.gone) {
+        connection.isEstablished = true;
+        if (connection.isDropped) {
             return;
         }
-        if (conn.ask == null) {
-            free(conn);
+        if (connection.attempt == null) {
+            reuseConnection(connection);
         } else {
-            send(conn, conn.ask);
+            sendOn(connection, connection.attempt);
         }
     }
 
-    /** The last byte of its request has been handed to the system. */
-    public void written(ClientConnection conn, double atMs) {
-        ClientAttempt ask = conn.ask;
-        if (ask != null && Double.isNaN(ask.writtenMs)) {
-            ask.writtenMs = atMs;
-            recorder.lag(ask.lagMs + atMs - ask.sentMs);
+    /** The last byte of the request has been written to the socket. */
+    public void onWritten(ClientConnection connection, double atMs) {
+        ClientAttempt attempt = connection.attempt;
+        if (attempt != null && Double.isNaN(attempt.writtenMs)) {
+            attempt.writtenMs = atMs;
+            recorder.recordLag(attempt.lagMs + atMs - attempt.sentMs);
         }
     }
 
-    public void answered(ClientConnection conn, HttpResponse answer, double atMs) {
+    public void onResponse(ClientConnection connection, HttpResponse answer, double atMs) {
         nowMs = atMs;
-        ClientAttempt ask = conn.ask;
-        if (ask == null) {
-            extra(conn, atMs);
+        ClientAttempt attempt = connection.attempt;
+        if (attempt == null) {
+            onUnexpectedBytes(connection, atMs);
             return;
         }
-        conn.used = true;
-        AttemptResult kind = answer.lengthless() ? AttemptResult.NO_LENGTH : check.kind(ask, answer);
-        boolean lasts = answer.lasts() && !answer.lengthless() && !conn.own;
-        if (!lasts) {
-            drop(conn);
+        connection.isUsed = true;
+        AttemptResult kind = answer.endedByClose() ? AttemptResult.NO_LENGTH : responseCheck.classify(attempt, answer);
+        boolean keepsAlive = answer.keepsAlive() && !answer.endedByClose() && !connection.isOwn;
+        if (!keepsAlive) {
+            dropConnection(connection);
         }
-        end(ask, ask.lapsed ? AttemptResult.LATE : kind, answer, false);
-        if (lasts && !conn.gone) {
-            conn.ask = null;
-            free(conn);
+        endAttempt(attempt, attempt.timedOut ? AttemptResult.LATE : kind, answer, false);
+        if (keepsAlive && !connection.isDropped) {
+            connection.attempt = null;
+            reuseConnection(connection);
         }
     }
 
-    /** What came is not an answer, or no whole one. */
-    public void spoilt(ClientConnection conn, AttemptResult kind, double atMs) {
+    /** The bytes received are not an acceptable answer. */
+    public void onInvalidResponse(ClientConnection connection, AttemptResult kind, double atMs) {
         nowMs = atMs;
-        drop(conn);
-        if (conn.ask != null) {
-            end(conn.ask, conn.ask.lapsed ? AttemptResult.NONE : kind, null, false);
+        dropConnection(connection);
+        if (connection.attempt != null) {
+            endAttempt(connection.attempt, connection.attempt.timedOut ? AttemptResult.NONE : kind, null, false);
         }
     }
 
-    /** Bytes where no answer was owed: an answer was given twice, say. */
-    public void extra(ClientConnection conn, double atMs) {
+    /** Bytes arrived while no request was open, for instance a second answer to the last one. */
+    public void onUnexpectedBytes(ClientConnection connection, double atMs) {
         nowMs = atMs;
-        recorder.twice++;
+        recorder.unexpectedResponses++;
         listener.onUnexpectedBytes(atMs);
-        drop(conn);
+        dropConnection(connection);
     }
 
-    /** The other side ended it, or it never came up. */
-    public void broken(ClientConnection conn, boolean answerBegun, double atMs) {
+    /** The front node closed the connection, or it was never established. */
+    public void onConnectionLost(ClientConnection connection, boolean answerBegun, double atMs) {
         nowMs = atMs;
-        ClientAttempt ask = conn.ask;
-        drop(conn);
-        if (ask == null) {
-            recorder.closedIdle++;
-        } else if (!conn.up) {
-            end(ask, AttemptResult.NO_CONNECTION, null, false);
+        ClientAttempt attempt = connection.attempt;
+        dropConnection(connection);
+        if (attempt == null) {
+            recorder.connectionsClosedIdle++;
+        } else if (!connection.isEstablished) {
+            endAttempt(attempt, AttemptResult.NO_CONNECTION, null, false);
         } else if (answerBegun) {
-            end(ask, ask.lapsed ? AttemptResult.NONE : AttemptResult.CUT, null, false);
-        } else if (conn.used && !ask.resent && !ask.lapsed && atMs - ask.sentMs < CROSSED_MS && !stopping) {
-            // It crossed a close: the front node may end an unused connection at any time.
-            ask.resent = true;
+            endAttempt(attempt, attempt.timedOut ? AttemptResult.NONE : AttemptResult.CUT, null, false);
+        } else if (connection.isUsed
+                && !attempt.resent
+                && !attempt.timedOut
+                && atMs - attempt.sentMs < CLOSE_RACE_MS
+                && !stopping) {
+            // The request and the close crossed: the front node may close an idle connection at any time.
+            attempt.resent = true;
             recorder.resent++;
-            ask.conn = null;
-            open(ask, conn.own);
+            attempt.connection = null;
+            openConnection(attempt, connection.isOwn);
         } else {
-            end(ask, ask.lapsed ? AttemptResult.NONE : AttemptResult.CLOSED, null, false);
+            endAttempt(attempt, attempt.timedOut ? AttemptResult.NONE : AttemptResult.CLOSED, null, false);
         }
     }
 
-    // ---- Ends ----
+    // ---- Connections and ends of attempts ----
 
-    private void drop(ClientConnection conn) {
-        if (!conn.gone) {
-            conn.gone = true;
-            conns.remove(conn);
-            idle.values().forEach(queue -> queue.remove(conn));
-            sockets.close(conn);
-            admit();
+    private void dropConnection(ClientConnection connection) {
+        if (!connection.isDropped) {
+            connection.isDropped = true;
+            connections.remove(connection);
+            idle.values().forEach(queue -> queue.remove(connection));
+            transport.close(connection);
+            openForWaitingAttempt();
         }
     }
 
-    private void free(ClientConnection conn) {
+    private void reuseConnection(ClientConnection connection) {
         for (Map.Entry<String, Deque<ClientAttempt>> entry : waiting.entrySet()) {
-            if (fits(entry.getKey(), conn)) {
-                ClientAttempt ask = entry.getValue().poll();
-                if (ask != null) {
-                    send(conn, ask);
+            if (servesZone(entry.getKey(), connection)) {
+                ClientAttempt attempt = entry.getValue().poll();
+                if (attempt != null) {
+                    sendOn(connection, attempt);
                     return;
                 }
             }
         }
-        idle.computeIfAbsent(zoneOf(conn), name -> new ArrayDeque<>()).add(conn);
+        idle.computeIfAbsent(zoneOf(connection), name -> new ArrayDeque<>()).add(connection);
     }
 
-    private boolean fits(String zone, ClientConnection conn) {
-        return zone.isEmpty() || conn.target != null && zone.equals(conn.target.zone());
+    private boolean servesZone(String zone, ClientConnection connection) {
+        return zone.isEmpty() || connection.target != null && zone.equals(connection.target.zone());
     }
 
-    private String zoneOf(ClientConnection conn) {
-        boolean zoned = conn.target != null
-                && plan.streams().stream().anyMatch(stream -> stream.zone.equals(conn.target.zone()));
-        return zoned ? conn.target.zone() : "";
+    private String zoneOf(ClientConnection connection) {
+        boolean hasStreams = connection.target != null
+                && plan.streams().stream().anyMatch(stream -> stream.zone.equals(connection.target.zone()));
+        return hasStreams ? connection.target.zone() : "";
     }
 
-    /** A connection less: whoever waits for the cap may open one. */
-    private void admit() {
-        if (conns.size() < plan.connections() && !stopping) {
+    /** After a connection has closed: opens one for an attempt that waits. */
+    private void openForWaitingAttempt() {
+        if (connections.size() < plan.connections() && !stopping) {
             for (Deque<ClientAttempt> queue : waiting.values()) {
-                ClientAttempt ask = queue.poll();
-                if (ask != null) {
-                    open(
-                            ask,
-                            ask.arrival.newConnection()
-                                    || ask.arrival.stream().behavior.ownConnection());
+                ClientAttempt attempt = queue.poll();
+                if (attempt != null) {
+                    openConnection(
+                            attempt,
+                            attempt.arrival.newConnection()
+                                    || attempt.arrival.stream().behavior.ownConnection());
                     return;
                 }
             }
         }
     }
 
-    /** The client's time is over: it goes on, but what still comes is looked at. */
-    private void lapse(ClientAttempt ask) {
-        ask.end = null;
-        if (ask.leave != null) {
-            timetable.cancel(ask.leave);
+    /** At the client's timeout: the client may retry, and a late answer is still awaited for {@code lingerMs}. */
+    private void handleTimeout(ClientAttempt attempt) {
+        attempt.timeoutTimer = null;
+        if (attempt.abandonTimer != null) {
+            timers.cancel(attempt.abandonTimer);
         }
-        if (Double.isNaN(ask.sentMs)) {
-            ClientConnection conn = ask.conn;
-            if (conn == null) {
-                waiting.values().forEach(queue -> queue.remove(ask));
-                end(ask, AttemptResult.NOT_SENT, null, false);
+        if (Double.isNaN(attempt.sentMs)) {
+            ClientConnection connection = attempt.connection;
+            if (connection == null) {
+                waiting.values().forEach(queue -> queue.remove(attempt));
+                endAttempt(attempt, AttemptResult.NOT_SENT, null, false);
             } else {
-                drop(conn);
-                end(ask, AttemptResult.NO_CONNECTION, null, false);
+                dropConnection(connection);
+                endAttempt(attempt, AttemptResult.NO_CONNECTION, null, false);
             }
             return;
         }
-        ask.lapsed = true;
-        again(ask, 0);
-        ask.end = timetable.schedule(nowMs + plan.lingerMs(), () -> end(ask, AttemptResult.NONE, null, true));
+        attempt.timedOut = true;
+        scheduleRetry(attempt, 0);
+        attempt.timeoutTimer =
+                timers.schedule(nowMs + plan.lingerMs(), () -> endAttempt(attempt, AttemptResult.NONE, null, true));
     }
 
-    private void end(ClientAttempt ask, AttemptResult kind, HttpResponse answer, boolean leaves) {
-        if (ask.over) {
+    private void endAttempt(ClientAttempt attempt, AttemptResult kind, HttpResponse answer, boolean closesConnection) {
+        if (attempt.ended) {
             return;
         }
-        ask.over = true;
-        open.remove(ask);
-        if (ask.end != null) {
-            timetable.cancel(ask.end);
+        attempt.ended = true;
+        openAttempts.remove(attempt);
+        if (attempt.timeoutTimer != null) {
+            timers.cancel(attempt.timeoutTimer);
         }
-        if (ask.leave != null) {
-            timetable.cancel(ask.leave);
+        if (attempt.abandonTimer != null) {
+            timers.cancel(attempt.abandonTimer);
         }
-        ClientConnection conn = ask.conn;
-        if (conn == null) {
-            waiting.values().forEach(queue -> queue.remove(ask));
-        } else if (conn.ask == ask) {
-            conn.ask = null;
-            if (leaves) {
-                drop(conn);
+        ClientConnection connection = attempt.connection;
+        if (connection == null) {
+            waiting.values().forEach(queue -> queue.remove(attempt));
+        } else if (connection.attempt == attempt) {
+            connection.attempt = null;
+            if (closesConnection) {
+                dropConnection(connection);
             }
         }
-        recorder.ended(ask, kind, nowMs);
-        listener.onEnded(ask, kind, answer, nowMs);
-        if (!ask.lapsed) {
-            if (kind.served() || kind == AttemptResult.LEFT) {
-                recorder.story(ask, kind.served(), nowMs);
+        recorder.recordEnd(attempt, kind, nowMs);
+        listener.onEnded(attempt, kind, answer, nowMs);
+        if (!attempt.timedOut) {
+            if (kind.isServed() || kind == AttemptResult.LEFT) {
+                recorder.recordSession(attempt, kind.isServed(), nowMs);
             } else {
-                again(ask, answer == null ? 0 : answer.comebackMs());
+                scheduleRetry(attempt, answer == null ? 0 : answer.retryAfterMs());
             }
         }
     }
 
-    private void again(ClientAttempt ask, double comebackMs) {
-        double waitMs = stopping ? -1 : ask.story.pauseAfterFailureMs(comebackMs);
+    private void scheduleRetry(ClientAttempt attempt, double retryAfterMs) {
+        double waitMs = stopping ? -1 : attempt.session.pauseAfterFailureMs(retryAfterMs);
         if (waitMs < 0) {
-            recorder.story(ask, false, nowMs);
+            recorder.recordSession(attempt, false, nowMs);
             return;
         }
-        storiesWaiting++;
+        pendingRetries++;
         double dueMs = nowMs + waitMs;
-        timetable.schedule(dueMs, () -> {
-            storiesWaiting--;
+        timers.schedule(dueMs, () -> {
+            pendingRetries--;
             if (stopping) {
-                recorder.story(ask, false, nowMs);
+                recorder.recordSession(attempt, false, nowMs);
             } else {
-                begin(new ClientAttempt(ask.arrival, ask.story, ask.tryNumber + 1, dueMs, ask.storyMs));
+                beginAttempt(new ClientAttempt(
+                        attempt.arrival, attempt.session, attempt.attemptNumber + 1, dueMs, attempt.sessionStartMs));
             }
         });
     }
--- a/lab/src/main/java/spartrail/lab/load/LoadListener.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadListener.java
@@ -1,13 +1,13 @@
 package spartrail.lab.load;
 
-/** Who looks on while a generator runs: rules, a live view. */
+/** Observes the attempts of a running generator, for instance to check rules. */
 public interface LoadListener {
     LoadListener NONE = new LoadListener() {};
 
-    default void onSent(ClientAttempt ask, double nowMs) {}
+    default void onSent(ClientAttempt attempt, double nowMs) {}
 
-    default void onEnded(ClientAttempt ask, AttemptResult kind, HttpResponse answer, double nowMs) {}
+    default void onEnded(ClientAttempt attempt, AttemptResult kind, HttpResponse answer, double nowMs) {}
 
-    /** Bytes came where no answer was owed. */
+    /** Bytes arrived on a connection without an open request. */
     default void onUnexpectedBytes(double nowMs) {}
 }
--- a/lab/src/main/java/spartrail/lab/load/LoadReport.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadReport.java
@@ -7,22 +7,22 @@
 import spartrail.lab.file.Document;
 import spartrail.lab.plan.LoadPlan;
 
-/** A run in words and figures: one tree, from which the JSON and the tables are both made. Times are milliseconds. */
+/** The report of a run as a JSON tree, and as tables made from that tree. Times are in milliseconds. */
 public final class LoadReport {
     public static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
 
     private LoadReport() {}
 
-    public static ObjectNode tree(LoadPlan plan, Recorder recorder, String fault, double lastedMs) {
+    public static ObjectNode tree(LoadPlan plan, Recorder recorder, String stopReason, double lastedMs) {
         ObjectNode tree = Document.JSON.createObjectNode();
         double lagP99 = recorder.lag.getValueAtPercentile(99) / 1000.0;
-        boolean fit = lagP99 <= plan.lagBoundMs() && fault == null;
+        boolean fit = lagP99 <= plan.lagBoundMs() && stopReason == null;
         tree.put("fit", fit);
         if (!fit) {
             tree.put(
                     "unfitWhy",
-                    fault != null
-                            ? fault
+                    stopReason != null
+                            ? stopReason
                             : String.format(
                                     Locale.ROOT,
                                     "the generator itself was %.3f ms late at the 99th percentile, its bound is %.3f ms",
@@ -30,33 +30,33 @@
                                     plan.lagBoundMs()));
         }
         tree.put("seed", plan.seed());
-        tree.put("lastedMs", round(lastedMs));
+        tree.put("lastedMs", roundTo3Digits(lastedMs));
         tree.put("tries", recorder.all());
-        tree.put("perS", round(recorder.all() * 1000 / Math.max(1, lastedMs)));
+        tree.put("perS", roundTo3Digits(recorder.all() * 1000 / Math.max(1, lastedMs)));
         tree.set("lagMs", percentiles(recorder.lag));
         ObjectNode all = tree.putObject("allTries");
         all.set("latencyMs", percentiles(recorder.total(kind -> true, true)));
         all.set("serviceMs", percentiles(recorder.total(kind -> true, false)));
         ObjectNode served = tree.putObject("served");
         served.put("count", recorder.count(AttemptResult.WHOLE) + recorder.count(AttemptResult.PARTIAL));
-        served.set("latencyMs", percentiles(recorder.total(AttemptResult::served, true)));
-        served.set("serviceMs", percentiles(recorder.total(AttemptResult::served, false)));
+        served.set("latencyMs", percentiles(recorder.total(AttemptResult::isServed, true)));
+        served.set("serviceMs", percentiles(recorder.total(AttemptResult::isServed, false)));
         ObjectNode clients = tree.putObject("clients");
         clients.put("served", recorder.served.getTotalCount());
         clients.put("unserved", recorder.unserved);
         clients.set("untilServedMs", percentiles(recorder.served));
-        clients.put("triesMean", round(recorder.tries.getTotalCount() == 0 ? 0 : recorder.tries.getMean()));
+        clients.put("triesMean", roundTo3Digits(recorder.tries.getTotalCount() == 0 ? 0 : recorder.tries.getMean()));
         clients.put("triesMost", recorder.tries.getMaxValue());
         ObjectNode kinds = tree.putObject("kinds");
         for (AttemptResult kind : AttemptResult.values()) {
             kinds.put(kind.name(), recorder.count(kind));
         }
         ObjectNode connections = tree.putObject("connections");
-        connections.put("opened", recorder.opened);
-        connections.put("closedUnused", recorder.closedIdle);
+        connections.put("opened", recorder.connectionsOpened);
+        connections.put("closedUnused", recorder.connectionsClosedIdle);
         connections.put("sentOnceMore", recorder.resent);
-        connections.put("bytesNobodyAskedFor", recorder.twice);
-        connections.put("waitedForTheCap", recorder.capBound);
+        connections.put("bytesNobodyAskedFor", recorder.unexpectedResponses);
+        connections.put("waitedForTheCap", recorder.waitsForConnection);
         ArrayNode groups = tree.putArray("groups");
         recorder.groups.forEach((group, times) -> {
             ObjectNode line = groups.addObject();
@@ -71,7 +71,7 @@
         double atMs = 0;
         for (Recorder.Slice slice : recorder.slices()) {
             ObjectNode line = slices.addObject();
-            line.put("atMs", round(atMs));
+            line.put("atMs", roundTo3Digits(atMs));
             line.put("intended", slice.intended);
             line.put(
                     "served",
@@ -89,13 +89,13 @@
         ObjectNode node = Document.JSON.createObjectNode();
         for (double percentile : PERCENTILES) {
             node.put(
-                    name(percentile),
+                    percentileName(percentile),
                     histogram.getTotalCount() == 0 ? 0 : histogram.getValueAtPercentile(percentile) / 1000.0);
         }
         return node;
     }
 
-    public static String name(double percentile) {
+    public static String percentileName(double percentile) {
         return percentile == 100
                 ? "max"
                 : "p"
@@ -104,11 +104,11 @@
                                 : Double.toString(percentile));
     }
 
-    private static double round(double value) {
+    private static double roundTo3Digits(double value) {
         return Math.round(value * 1000) / 1000.0;
     }
 
-    /** Plain tables for a person. */
+    /** The report as plain-text tables. */
     public static String text(ObjectNode tree) {
         StringBuilder out = new StringBuilder();
         if (!tree.get("fit").asBoolean()) {
@@ -125,35 +125,37 @@
                 tree.at("/clients/unserved").asLong()));
         out.append(String.format(Locale.ROOT, "%-28s %9s", "milliseconds", "count"));
         for (double percentile : PERCENTILES) {
-            out.append(String.format(Locale.ROOT, " %10s", name(percentile)));
+            out.append(String.format(Locale.ROOT, " %10s", percentileName(percentile)));
         }
         out.append('\n');
-        line(out, "own lag", tree.get("tries").asLong(), tree.get("lagMs"));
-        line(out, "all, from intended", tree.get("tries").asLong(), tree.at("/allTries/latencyMs"));
-        line(out, "all, from last byte", tree.get("tries").asLong(), tree.at("/allTries/serviceMs"));
-        line(out, "served, from intended", tree.at("/served/count").asLong(), tree.at("/served/latencyMs"));
+        appendLine(out, "own lag", tree.get("tries").asLong(), tree.get("lagMs"));
+        appendLine(out, "all, from intended", tree.get("tries").asLong(), tree.at("/allTries/latencyMs"));
+        appendLine(out, "all, from last byte", tree.get("tries").asLong(), tree.at("/allTries/serviceMs"));
+        appendLine(out, "served, from intended", tree.at("/served/count").asLong(), tree.at("/served/latencyMs"));
         for (var group : tree.get("groups")) {
-            line(
+            appendLine(
                     out,
                     group.get("phase").asText() + " " + group.get("opType").asText() + " "
                             + group.get("kind").asText(),
                     group.get("count").asLong(),
                     group.get("latencyMs"));
         }
-        StringBuilder others = new StringBuilder();
-        tree.get("connections").fields().forEachRemaining(field -> others.append(others.length() == 0 ? "" : ", ")
+        StringBuilder counts = new StringBuilder();
+        tree.get("connections").fields().forEachRemaining(field -> counts.append(counts.length() == 0 ? "" : ", ")
                 .append(field.getKey())
                 .append(' ')
                 .append(field.getValue().asLong()));
-        return out.append("connections: ").append(others).append('\n').toString();
+        return out.append("connections: ").append(counts).append('\n').toString();
     }
 
-    private static void line(
+    private static void appendLine(
             StringBuilder out, String name, long count, com.fasterxml.jackson.databind.JsonNode times) {
         out.append(String.format(Locale.ROOT, "%-28s %9d", name, count));
         for (double percentile : PERCENTILES) {
             out.append(String.format(
-                    Locale.ROOT, " %10.3f", times.get(name(percentile)).asDouble()));
+                    Locale.ROOT,
+                    " %10.3f",
+                    times.get(percentileName(percentile)).asDouble()));
         }
         out.append('\n');
     }
--- a/lab/src/main/java/spartrail/lab/load/LoadSession.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadSession.java
@@ -11,7 +11,7 @@
 
 /** One run of a plan against front nodes, from its start to its report. */
 public final class LoadSession implements AutoCloseable {
-    /** What a run looks like while it goes. */
+    /** The state of a run while it is in progress. */
     public record Snapshot(
             double ms,
             double lastsMs,
@@ -23,69 +23,69 @@
             double lagP99Ms,
             Map<AttemptResult, Long> kinds) {}
 
-    private static final long REHEARSED_NS = 400_000_000;
-    private static final int REHEARSED = 2000;
+    private static final long WARM_UP_NS = 400_000_000;
+    private static final int WARM_UP_ARRIVALS = 2000;
 
     private final LoadPlan plan;
     private final SocketLoop loop;
-    private final HttpClientTransport sockets;
+    private final HttpClientTransport transport;
     private final Recorder recorder = new Recorder();
     private final LoadGenerator generator;
     private final double lastsMs;
     private final double startMs;
 
-    /** Starts at once; {@code lastsMs} is only for showing how far it is. */
+    /** Starts the run at once; {@code lastsMs} is used only to display progress. */
     public LoadSession(LoadPlan plan, Iterator<Arrival> arrivals, double lastsMs, LoadListener listener) {
         this(plan, arrivals, lastsMs, listener, false);
     }
 
-    /** One that is awake has a core for itself and never naps before a send. */
+    /** Starts the run at once; a busy-waiting loop needs a core of its own and never sleeps before a send. */
     public LoadSession(
-            LoadPlan plan, Iterator<Arrival> arrivals, double lastsMs, LoadListener listener, boolean awake) {
-        this.loop = new SocketLoop("spartrail-load", awake);
-        this.sockets = new HttpClientTransport(loop);
+            LoadPlan plan, Iterator<Arrival> arrivals, double lastsMs, LoadListener listener, boolean isBusyWaiting) {
+        this.loop = new SocketLoop("spartrail-load", isBusyWaiting);
+        this.transport = new HttpClientTransport(loop);
         this.plan = plan;
         this.lastsMs = lastsMs;
-        this.generator = new LoadGenerator(plan, arrivals, sockets, recorder, listener);
-        rehearse(plan);
+        this.generator = new LoadGenerator(plan, arrivals, transport, recorder, listener);
+        warmUp(plan);
         this.startMs = loop.nowMs();
-        sockets.drive(generator, plan);
+        transport.drive(generator, plan);
     }
 
     /**
-     * Warms up the JVM by playing the start of the plan on a virtual clock: without it the generator would be tens of milliseconds late
-     * in its first second, which would make a short run unfit.
+     * Warms up the JVM by playing the start of the plan on a virtual clock. Without it the generator would be tens of
+     * milliseconds late in its first second, which would make a short run unfit.
      */
-    private static void rehearse(LoadPlan plan) {
-        long untilNs = System.nanoTime() + REHEARSED_NS;
+    private static void warmUp(LoadPlan plan) {
+        long untilNs = System.nanoTime() + WARM_UP_NS;
         while (System.nanoTime() < untilNs) {
-            Iterator<Arrival> all = plan.arrivals();
-            Iterator<Arrival> some = new Iterator<>() {
-                private int left = REHEARSED;
+            Iterator<Arrival> allArrivals = plan.arrivals();
+            Iterator<Arrival> firstArrivals = new Iterator<>() {
+                private int left = WARM_UP_ARRIVALS;
 
                 @Override
                 public boolean hasNext() {
-                    return left > 0 && all.hasNext();
+                    return left > 0 && allArrivals.hasNext();
                 }
 
                 @Override
                 public Arrival next() {
                     left--;
-                    return all.next();
+                    return allArrivals.next();
                 }
             };
             VirtualClientTransport virtual = new VirtualClientTransport((number, atMs) -> atMs + 1);
-            virtual.play(new LoadGenerator(plan, some, virtual, new Recorder(), LoadListener.NONE));
+            virtual.play(new LoadGenerator(plan, firstArrivals, virtual, new Recorder(), LoadListener.NONE));
         }
     }
 
-    /** Waits until all is over, at most so long; whether it is. */
+    /** Waits at most this long for the end of the run; returns whether it has ended. */
     public boolean await(double ms) throws InterruptedException {
         double untilMs = loop.nowMs() + ms;
         while (true) {
-            boolean[] over = new boolean[1];
-            loop.call(() -> over[0] = generator.over());
-            if (over[0]) {
+            boolean[] isOver = new boolean[1];
+            loop.call(() -> isOver[0] = generator.isOver());
+            if (isOver[0]) {
                 return true;
             }
             if (loop.nowMs() >= untilMs) {
@@ -95,15 +95,15 @@
         }
     }
 
-    /** Nothing further is sent; the report will say why. */
-    public void stop(String why) {
-        loop.execute(() -> generator.stop(why));
+    /** Stops new arrivals and retries; the report states the reason. */
+    public void stop(String reason) {
+        loop.execute(() -> generator.stop(reason));
     }
 
     public Snapshot snapshot() {
         Snapshot[] snapshot = new Snapshot[1];
         loop.call(() -> {
-            Histogram all = recorder.total(kind -> true, true);
+            Histogram latencies = recorder.total(kind -> true, true);
             Map<AttemptResult, Long> kinds = new EnumMap<>(AttemptResult.class);
             for (AttemptResult kind : AttemptResult.values()) {
                 if (recorder.count(kind) > 0) {
@@ -116,8 +116,8 @@
                     recorder.all(),
                     generator.inFlight(),
                     generator.connections(),
-                    all.getValueAtPercentile(50) / 1000.0,
-                    all.getValueAtPercentile(99) / 1000.0,
+                    latencies.getValueAtPercentile(50) / 1000.0,
+                    latencies.getValueAtPercentile(99) / 1000.0,
                     recorder.lag.getValueAtPercentile(99) / 1000.0,
                     kinds);
         });
@@ -126,11 +126,11 @@
 
     public ObjectNode report() {
         ObjectNode[] tree = new ObjectNode[1];
-        loop.call(() -> tree[0] = LoadReport.tree(plan, recorder, generator.fault(), loop.nowMs() - startMs));
+        loop.call(() -> tree[0] = LoadReport.tree(plan, recorder, generator.stopReason(), loop.nowMs() - startMs));
         return tree[0];
     }
 
-    /** The longest standstill of a session that is awake, since it was last asked. */
+    /** The longest time since the last call for which a busy-waiting session did not poll its sockets. */
     public double takeLongestPauseMs() {
         return loop.takeLongestPauseMs();
     }
@@ -141,7 +141,7 @@
 
     @Override
     public void close() {
-        sockets.close();
+        transport.close();
         loop.close();
     }
 }
--- a/lab/src/main/java/spartrail/lab/load/Recorder.java
+++ b/lab/src/main/java/spartrail/lab/load/Recorder.java
@@ -6,11 +6,12 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a run was like. Latencies are in microseconds, to three digits, by phase, op type and kind; nothing here grows
- * with the number of tries but the seconds of the run, and these become wider when there are too many.
+ * The measurements of a run. Latencies are in microseconds, to three digits, by phase, op type and result. Memory does
+ * not grow with the number of attempts, only with the seconds of the run; beyond {@link #MAX_SLICES} the slices become
+ * wider.
  */
 public final class Recorder {
-    /** A group of tries that ended alike. */
+    /** Attempts of one phase and op type that ended with the same result. */
     public record Group(int phase, String opType, AttemptResult kind) implements Comparable<Group> {
         @Override
         public int compareTo(Group other) {
@@ -20,13 +21,13 @@
         }
     }
 
-    /** From the time a try was meant to leave, and from its last byte. */
+    /** Latency from the intended time of an attempt, and service time from its last byte written. */
     public static final class Times {
         public final Histogram latency = new Histogram(3);
         public final Histogram service = new Histogram(3);
     }
 
-    /** A second of the run, by the time at which its tries were meant to leave. */
+    /** A second of the run, or a multiple of it; attempts belong to it by their intended time. */
     public static final class Slice {
         public long intended;
         public final Map<AttemptResult, Long> kinds = new EnumMap<>(AttemptResult.class);
@@ -39,68 +40,70 @@
         }
     }
 
-    private static final int MOST_SLICES = 1200;
+    private static final int MAX_SLICES = 1200;
 
     public final Map<Group, Times> groups = new TreeMap<>();
     public final Histogram lag = new Histogram(3);
-    /** A client's whole course, until it was served, and how many tries it took; of those that were not, the number. */
+    /** Durations of the client sessions that were served, from the first intended time. */
     public final Histogram served = new Histogram(3);
-
+    /** Attempts per client session. */
     public final Histogram tries = new Histogram(2);
+    /** Client sessions that were not served. */
     public long unserved;
-    public long opened;
-    public long closedIdle;
+
+    public long connectionsOpened;
+    public long connectionsClosedIdle;
     public long resent;
-    public long twice;
-    public long noSocket;
-    public long capBound;
+    public long unexpectedResponses;
+    public long socketFailures;
+    public long waitsForConnection;
     private Slice[] slices = new Slice[64];
     private double sliceMs = 1000;
-    private int last = -1;
+    private int lastSlice = -1;
     private double startMs;
 
     public void start(double atMs) {
         startMs = atMs;
     }
 
-    void intended(ClientAttempt ask) {
-        slice(ask.intendedMs).intended++;
+    void recordIntended(ClientAttempt attempt) {
+        sliceAt(attempt.intendedMs).intended++;
     }
 
-    void lag(double ms) {
-        lag.recordValue(micros(ms));
+    void recordLag(double ms) {
+        lag.recordValue(toMicros(ms));
     }
 
-    void ended(ClientAttempt ask, AttemptResult kind, double nowMs) {
+    void recordEnd(ClientAttempt attempt, AttemptResult kind, double nowMs) {
         Times times = groups.computeIfAbsent(
-                new Group(ask.arrival.phase(), ask.arrival.opType(), kind), group -> new Times());
-        times.latency.recordValue(micros(nowMs - ask.intendedMs));
-        if (!Double.isNaN(ask.writtenMs)) {
-            times.service.recordValue(micros(nowMs - ask.writtenMs));
+                new Group(attempt.arrival.phase(), attempt.arrival.opType(), kind), group -> new Times());
+        times.latency.recordValue(toMicros(nowMs - attempt.intendedMs));
+        if (!Double.isNaN(attempt.writtenMs)) {
+            times.service.recordValue(toMicros(nowMs - attempt.writtenMs));
         }
-        Slice slice = slice(ask.intendedMs);
+        Slice slice = sliceAt(attempt.intendedMs);
         slice.kinds.merge(kind, 1L, Long::sum);
-        slice.latency.recordValue(micros(nowMs - ask.intendedMs));
+        slice.latency.recordValue(toMicros(nowMs - attempt.intendedMs));
     }
 
-    void story(ClientAttempt ask, boolean wasServed, double nowMs) {
+    void recordSession(ClientAttempt attempt, boolean wasServed, double nowMs) {
         if (wasServed) {
-            served.recordValue(micros(nowMs - ask.storyMs));
+            served.recordValue(toMicros(nowMs - attempt.sessionStartMs));
         } else {
             unserved++;
         }
-        tries.recordValue(ask.tryNumber);
+        tries.recordValue(attempt.attemptNumber);
     }
 
-    private static long micros(double ms) {
+    private static long toMicros(double ms) {
         return Math.max(0, Math.round(1000 * ms));
     }
 
-    private Slice slice(double ms) {
-        int at = (int) Math.max(0, (ms - startMs) / sliceMs);
-        while (at >= MOST_SLICES) {
+    private Slice sliceAt(double ms) {
+        int index = (int) Math.max(0, (ms - startMs) / sliceMs);
+        while (index >= MAX_SLICES) {
             Slice[] wider = new Slice[slices.length];
-            for (int i = 0; i <= last; i++) {
+            for (int i = 0; i <= lastSlice; i++) {
                 if (slices[i] != null) {
                     if (wider[i / 2] == null) {
                         wider[i / 2] = new Slice();
@@ -109,28 +112,28 @@
                 }
             }
             slices = wider;
-            last /= 2;
+            lastSlice /= 2;
             sliceMs *= 2;
-            at = (int) ((ms - startMs) / sliceMs);
+            index = (int) ((ms - startMs) / sliceMs);
         }
-        if (at >= slices.length) {
-            slices = java.util.Arrays.copyOf(slices, Math.max(2 * slices.length, at + 1));
+        if (index >= slices.length) {
+            slices = java.util.Arrays.copyOf(slices, Math.max(2 * slices.length, index + 1));
         }
-        if (slices[at] == null) {
-            slices[at] = new Slice();
+        if (slices[index] == null) {
+            slices[index] = new Slice();
         }
-        last = Math.max(last, at);
-        return slices[at];
+        lastSlice = Math.max(lastSlice, index);
+        return slices[index];
     }
 
     public double sliceMs() {
         return sliceMs;
     }
 
-    /** Slices from the start on; those without a try are empty. */
+    /** All slices from the start of the run; a slice without attempts is empty. */
     public java.util.List<Slice> slices() {
         java.util.List<Slice> list = new java.util.ArrayList<>();
-        for (int i = 0; i <= last; i++) {
+        for (int i = 0; i <= lastSlice; i++) {
             list.add(slices[i] == null ? new Slice() : slices[i]);
         }
         return list;
@@ -149,7 +152,7 @@
                 .sum();
     }
 
-    /** Latencies, or service times, of all tries of these kinds. */
+    /** Latencies, or service times, of all attempts with these results. */
     public Histogram total(java.util.function.Predicate<AttemptResult> kinds, boolean latency) {
         Histogram sum = new Histogram(3);
         groups.forEach((group, times) -> {
--- a/lab/src/main/java/spartrail/lab/load/ResponseCheck.java
+++ b/lab/src/main/java/spartrail/lab/load/ResponseCheck.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 import spartrail.lab.plan.Arrival;
 
-/** Reads an answer as a client does and holds its values against what our stand-in servers make for this very request. */
+/** Parses answers as a client does and compares their values with those that emulated servers return. */
 public final class ResponseCheck {
-    /** A readable answer of 200: whether it says that it is whole, and the values by shard. */
+    /** The body of an answer with status 200: whether it says that it is complete, and the values by shard. */
     public record Body(boolean whole, Map<Integer, String> values) {}
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** What an answer counts as. */
-    AttemptResult kind(ClientAttempt ask, HttpResponse answer) {
+    /** The result that an answer gives its attempt. */
+    AttemptResult classify(ClientAttempt attempt, HttpResponse answer) {
         if (answer.status() == 429 || answer.status() == 503) {
             return AttemptResult.PUSHED_BACK;
         }
@@ -28,24 +28,24 @@
         if (body == null || body.values().isEmpty()) {
             return AttemptResult.WRONG;
         }
-        byte[] text = ask.text().getBytes(StandardCharsets.UTF_8);
-        int known = 0;
-        for (int shard : ask.arrival.shards()) {
+        byte[] text = attempt.text().getBytes(StandardCharsets.UTF_8);
+        int expectedValues = 0;
+        for (int shard : attempt.arrival.shards()) {
             String value = body.values().get(shard);
             if (value != null) {
-                known++;
-                if (!value.equals(Arrival.value(ask.id + '.' + shard, shard, text))) {
+                expectedValues++;
+                if (!value.equals(Arrival.value(attempt.id + '.' + shard, shard, text))) {
                     return AttemptResult.WRONG;
                 }
             }
         }
-        if (known != body.values().size()) {
+        if (expectedValues != body.values().size()) {
             return AttemptResult.WRONG;
         }
         return body.whole() ? AttemptResult.WHOLE : AttemptResult.PARTIAL;
     }
 
-    /** The body's form, or null where it is none. */
+    /** Parses a body; returns null if it is malformed. */
     public static Body read(byte[] bytes) {
         try (JsonParser parser = JSON.createParser(bytes)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
--- a/lab/src/main/java/spartrail/lab/load/VirtualClientTransport.java
+++ b/lab/src/main/java/spartrail/lab/load/VirtualClientTransport.java
@@ -6,33 +6,33 @@
 import spartrail.model.TimerQueue;
 
 /**
- * The generator on a virtual clock, against a responder whose delays are a script: what a report must say then follows
- * from arithmetic. Connections come up at once.
+ * Runs a generator on a virtual clock against a responder with given delays, so that the expected figures of a report
+ * can be calculated. Connections are established at once.
  */
 public class VirtualClientTransport implements ClientTransport {
-    /** When a request that came at a time is answered. */
+    /** Decides when a request is answered, by its number and the time at which it arrived. */
     public interface Responder {
         double answeredMs(long number, double atMs);
     }
 
     private final Responder responder;
-    private final TimerQueue timetable = new TimerQueue();
+    private final TimerQueue timers = new TimerQueue();
     private LoadGenerator generator;
     private double nowMs;
-    private long count;
-    private long encoded;
+    private long requestCount;
+    private long encodedBytes;
 
     public VirtualClientTransport(Responder responder) {
         this.responder = responder;
     }
 
-    /** Plays the whole plan; the time at its end. */
-    public final double play(LoadGenerator played) {
-        generator = played;
+    /** Plays the whole plan; returns the virtual time at its end. */
+    public final double play(LoadGenerator newGenerator) {
+        generator = newGenerator;
         generator.start(0);
-        while (!generator.over()) {
-            nowMs = Math.min(generator.nextMs(), timetable.nextDueMs());
-            timetable.runDue(nowMs);
+        while (!generator.isOver()) {
+            nowMs = Math.min(generator.nextMs(), timers.nextDueMs());
+            timers.runDue(nowMs);
             if (generator.nextMs() <= nowMs) {
                 generator.run(nowMs);
             }
@@ -41,62 +41,63 @@
     }
 
     @Override
-    public void open(ClientConnection conn) {
-        timetable.schedule(nowMs, () -> generator.connected(conn, nowMs));
+    public void open(ClientConnection connection) {
+        timers.schedule(nowMs, () -> generator.onConnected(connection, nowMs));
     }
 
     @Override
-    public void send(ClientConnection conn, ClientAttempt ask, double leftMs) {
-        encoded += HttpClientTransport.request(conn, ask, leftMs).remaining();
-        generator.written(conn, nowMs);
-        double answeredMs = responder.answeredMs(count++, nowMs);
+    public void send(ClientConnection connection, ClientAttempt attempt, double leftMs) {
+        encodedBytes +=
+                HttpClientTransport.encodeRequest(connection, attempt, leftMs).remaining();
+        generator.onWritten(connection, nowMs);
+        double answeredMs = responder.answeredMs(requestCount++, nowMs);
         if (!Double.isFinite(answeredMs)) {
             return;
         }
-        timetable.schedule(answeredMs, () -> {
-            if (!conn.gone) {
-                generator.answered(conn, decoded(body(ask)), nowMs);
+        timers.schedule(answeredMs, () -> {
+            if (!connection.isDropped) {
+                generator.onResponse(connection, decode(answerBody(attempt)), nowMs);
             }
         });
     }
 
     @Override
-    public void close(ClientConnection conn) {
-        // Nothing is held for it.
+    public void close(ClientConnection connection) {
+        // There are no resources to release.
     }
 
-    /** By way of its bytes, so that a virtual run goes through all that a real one does but sockets. */
-    private static HttpResponse decoded(byte[] body) {
+    /** Encodes and parses an answer, so that a virtual run executes the same code as a real one, except for sockets. */
+    private static HttpResponse decode(byte[] body) {
         byte[] head =
                 ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
         HttpResponseReader reader = new HttpResponseReader();
         try {
-            reader.take(ByteBuffer.allocate(head.length + body.length)
+            reader.append(ByteBuffer.allocate(head.length + body.length)
                     .put(head)
                     .put(body)
                     .flip());
-            return reader.next();
-        } catch (HttpResponseReader.Unusable e) {
+            return reader.readNext();
+        } catch (HttpResponseReader.InvalidResponseException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** Bytes of requests so far. */
+    /** Number of bytes of all requests so far. */
     public long encoded() {
-        return encoded;
+        return encodedBytes;
     }
 
-    /** What front nodes and servers would make of this request. */
-    static byte[] body(ClientAttempt ask) {
-        byte[] text = ask.arrival.text().getBytes(StandardCharsets.UTF_8);
+    /** The body that a front node with emulated servers answers to this request. */
+    static byte[] answerBody(ClientAttempt attempt) {
+        byte[] text = attempt.arrival.text().getBytes(StandardCharsets.UTF_8);
         StringBuilder body = new StringBuilder("{\"all_in\":true,\"matches\":[");
-        for (int i = 0; i < ask.arrival.shards().length; i++) {
-            int shard = ask.arrival.shards()[i];
+        for (int i = 0; i < attempt.arrival.shards().length; i++) {
+            int shard = attempt.arrival.shards()[i];
             body.append(i == 0 ? "" : ",")
                     .append("{\"segment\":")
                     .append(shard)
                     .append(",\"payload\":\"")
-                    .append(Arrival.value(ask.id() + '.' + shard, shard, text))
+                    .append(Arrival.value(attempt.id() + '.' + shard, shard, text))
                     .append("\"}");
         }
         return body.append("]}").toString().getBytes(StandardCharsets.UTF_8);
--- a/lab/src/main/java/spartrail/lab/rules/RuleChecker.java
+++ b/lab/src/main/java/spartrail/lab/rules/RuleChecker.java
@@ -189,7 +189,8 @@
         one.endedMs = nowMs;
         String who = ask.id() + " (" + one.opType + ") ";
         if (kind != AttemptResult.LEFT) {
-            boolean inTime = !kind.isUnanswered() || kind == AttemptResult.LATE && -ask.leftMs(nowMs) <= terms.slackMs();
+            boolean inTime =
+                    !kind.isUnanswered() || kind == AttemptResult.LATE && -ask.leftMs(nowMs) <= terms.slackMs();
             boolean isExcused =
                     !inTime && excused.stream().anyMatch(excuse -> excuse.covers(ask.target(), one.atMs, nowMs));
             if (!inTime && !isExcused && missed.size() < MOST_MISSED) {
--- a/lab/src/test/java/spartrail/lab/load/HttpResponseReaderTest.java
+++ b/lab/src/test/java/spartrail/lab/load/HttpResponseReaderTest.java
@@ -12,45 +12,45 @@
     private static final String CHUNKS =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n";
 
-    private static String read(String text, int cut) {
+    private static String readAll(String text, int cut) {
         HttpResponseReader reader = new HttpResponseReader();
         StringBuilder seen = new StringBuilder();
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         try {
             for (int[] part : new int[][] {{0, cut}, {cut, bytes.length}}) {
-                reader.take(ByteBuffer.wrap(bytes, part[0], part[1] - part[0]));
-                for (HttpResponse answer = reader.next(); answer != null; answer = reader.next()) {
+                reader.append(ByteBuffer.wrap(bytes, part[0], part[1] - part[0]));
+                for (HttpResponse answer = reader.readNext(); answer != null; answer = reader.readNext()) {
                     seen.append(answer.status())
                             .append(' ')
                             .append(new String(answer.body(), StandardCharsets.ISO_8859_1))
                             .append(' ')
-                            .append(answer.comebackMs())
-                            .append(answer.lasts() ? " lasts; " : " last; ");
+                            .append(answer.retryAfterMs())
+                            .append(answer.keepsAlive() ? " lasts; " : " last; ");
                 }
             }
-            HttpResponse end = reader.atEnd();
+            HttpResponse atClose = reader.readAtClose();
             return seen
-                    + (end != null
-                            ? "at its end: " + new String(end.body(), StandardCharsets.ISO_8859_1)
-                            : reader.begun() ? "and more" : "");
-        } catch (HttpResponseReader.Unusable e) {
+                    + (atClose != null
+                            ? "at its end: " + new String(atClose.body(), StandardCharsets.ISO_8859_1)
+                            : reader.hasBegun() ? "and more" : "");
+        } catch (HttpResponseReader.InvalidResponseException e) {
             return seen + e.kind.name() + ": " + e.getMessage();
         }
     }
 
     @Test
-    void answersAreTheSameWhereverTheyAreCut() {
+    void readsTheSameAnswersWhereverTheBytesAreSplit() {
         for (String text : new String[] {LENGTH, CHUNKS, LENGTH + CHUNKS, "HTTP/1.1 100 Continue\r\n\r\n" + LENGTH}) {
-            String whole = read(text, text.length());
+            String whole = readAll(text, text.length());
             assertThat(whole).contains("200 hello");
             for (int cut = 0; cut < text.length(); cut++) {
-                assertThat(read(text, cut)).as("cut at " + cut).isEqualTo(whole);
+                assertThat(readAll(text, cut)).as("cut at " + cut).isEqualTo(whole);
             }
         }
     }
 
     @Test
-    void whatIsOddHasItsName() throws Exception {
+    void classifiesInvalidAnswers() throws Exception {
         StringBuilder seen = new StringBuilder();
         for (String text : new String[] {
             LENGTH,
@@ -70,7 +70,7 @@
         }) {
             seen.append(text.replace("\r\n", "|"))
                     .append(" -> ")
-                    .append(read(text, text.length()))
+                    .append(readAll(text, text.length()))
                     .append('\n');
         }
         Table.same("answers", seen.toString());
--- a/lab/src/test/java/spartrail/lab/load/LoadGeneratorTest.java
+++ b/lab/src/test/java/spartrail/lab/load/LoadGeneratorTest.java
@@ -10,32 +10,32 @@
 import spartrail.lab.plan.LoadPlan;
 
 class LoadGeneratorTest {
-    private static Recorder virtual(LoadPlan plan, VirtualClientTransport.Responder responder) {
+    private static Recorder runVirtually(LoadPlan plan, VirtualClientTransport.Responder responder) {
         Recorder recorder = new Recorder();
-        VirtualClientTransport sockets = new VirtualClientTransport(responder);
-        sockets.play(new LoadGenerator(plan, plan.arrivals(), sockets, recorder, LoadListener.NONE));
+        VirtualClientTransport transport = new VirtualClientTransport(responder);
+        transport.play(new LoadGenerator(plan, plan.arrivals(), transport, recorder, LoadListener.NONE));
         return recorder;
     }
 
-    private static String kinds(Recorder recorder) {
+    private static String describe(Recorder recorder) {
         StringBuilder text = new StringBuilder();
         for (AttemptResult kind : AttemptResult.values()) {
             if (recorder.count(kind) > 0) {
                 text.append(' ').append(kind).append(' ').append(recorder.count(kind));
             }
         }
-        return text + ", twice " + recorder.twice + ", sent once more " + recorder.resent + ", clients "
+        return text + ", twice " + recorder.unexpectedResponses + ", sent once more " + recorder.resent + ", clients "
                 + recorder.served.getTotalCount() + " served " + recorder.unserved + " not";
     }
 
-    /** With one connection and answers of 100 ms, the n-th of arrivals 50 ms apart waits n times 50 ms for it. */
+    /** One connection, answers after 100 ms, arrivals every 50 ms: the n-th arrival waits n times 50 ms. */
     @Test
-    void waitingForAConnectionIsCharged() {
-        Recorder recorder = virtual(DrillPlans.even(20, 1000, 60_000, 1, 1), (number, atMs) -> atMs + 100);
-        assertThat(kinds(recorder)).startsWith(" WHOLE 20,");
+    void latencyIncludesTheWaitForAConnection() {
+        Recorder recorder = runVirtually(DrillPlans.even(20, 1000, 60_000, 1, 1), (number, atMs) -> atMs + 100);
+        assertThat(describe(recorder)).startsWith(" WHOLE 20,");
         assertThat(recorder.total(kind -> true, true).getMaxValue() / 1000).isEqualTo(100 + 19 * 50);
         assertThat(recorder.total(kind -> true, false).getMaxValue() / 1000).isEqualTo(100);
-        assertThat(recorder.opened).isEqualTo(1);
+        assertThat(recorder.connectionsOpened).isEqualTo(1);
         assertThat(recorder.lag.getMaxValue()).isZero();
     }
 
@@ -44,14 +44,14 @@
      * connection in its last 5 ms is answered late, the one after it never gets it.
      */
     @Test
-    void aWaitThatIsLongerThanTheClientsTimeIsNotSent() {
-        assertThat(kinds(virtual(DrillPlans.even(20, 1000, 255, 1, 1), (number, atMs) -> atMs + 100)))
+    void anAttemptWithoutConnectionUntilItsTimeoutIsNotSent() {
+        assertThat(describe(runVirtually(DrillPlans.even(20, 1000, 255, 1, 1), (number, atMs) -> atMs + 100)))
                 .isEqualTo(" WHOLE 4 LATE 9 NOT_SENT 7, twice 0, sent once more 0, clients 4 served 16 not");
     }
 
     @Test
-    void answersAfterTheClientsTimeAndNoneAtAllAreToldApart() {
-        assertThat(kinds(virtual(
+    void lateAndMissingAnswersAreCountedSeparately() {
+        assertThat(describe(runVirtually(
                         DrillPlans.even(10, 1000, 200, 100, 1),
                         (number, atMs) -> number % 3 == 0
                                 ? atMs + 100
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void habitsPlayOut() throws Exception {
+    void clientsBehaveAsTheirStreamStates() throws Exception {
         StringBuilder seen = new StringBuilder();
         for (String behavior : new String[] {
             "{}",
@@ -72,22 +72,22 @@
             LoadPlan plan = DrillPlans.parse("{'gaps':{'kind':'even'},'lingerMs':100,'phases':[{'lastsMs':1000,'rate':"
                     + "{'shape':'steady','perS':10}}],'streams':[{'opTypes':[{'name':'orders'}],'shards':{'of':8},"
                     + "'clientMs':200,'habit':" + behavior + "}]}");
-            // Each request that is a multiple of three is answered at once, others never.
-            Recorder recorder = virtual(plan, (number, atMs) -> number % 3 == 0 ? atMs + 60 : Double.POSITIVE_INFINITY);
+            // Requests whose number is a multiple of three are answered after 60 ms, the others never.
+            Recorder recorder =
+                    runVirtually(plan, (number, atMs) -> number % 3 == 0 ? atMs + 60 : Double.POSITIVE_INFINITY);
             seen.append(String.format(
                     Locale.ROOT,
                     "%s:%s, opened %d, most tries %d%n",
                     behavior,
-                    kinds(recorder),
-                    recorder.opened,
+                    describe(recorder),
+                    recorder.connectionsOpened,
                     recorder.tries.getMaxValue()));
         }
         Table.same("habits-played", seen.toString());
     }
 
-    /** Each way in which an answer goes wrong is counted once, under its own name. */
     @Test
-    void oddAnswersAreCountedOnceUnderTheirOwnNames() throws Exception {
+    void eachFaultyAnswerIsCountedOnceUnderItsKind() throws Exception {
         StringBuilder seen = new StringBuilder();
         for (NullResponder.Behavior behavior : NullResponder.Behavior.values()) {
             LoadPlan plan = DrillPlans.parse(
@@ -101,7 +101,7 @@
                     assertThat(session.await(60_000)).isTrue();
                     seen.append(behavior)
                             .append(':')
-                            .append(kinds(session.recorder()).replaceAll(", clients.*", ""))
+                            .append(describe(session.recorder()).replaceAll(", clients.*", ""))
                             .append('\n');
                 }
             }
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void aFrontNodeThatIsNotThereIsNoConnection() throws Exception {
+    void aStoppedFrontNodeGivesNoConnection() throws Exception {
         LoadPlan plan = DrillPlans.even(50, 100, 5000, 10, 1);
         int port;
         try (NullResponder responder = new NullResponder(0, (number, atMs) -> atMs)) {
@@ -119,51 +119,53 @@
         try (LoadSession session =
                 new LoadSession(DrillPlans.at(plan, "127.0.0.1:" + port), plan.arrivals(), 100, LoadListener.NONE)) {
             assertThat(session.await(60_000)).isTrue();
-            assertThat(kinds(session.recorder())).startsWith(" NO_CONNECTION 5,");
+            assertThat(describe(session.recorder())).startsWith(" NO_CONNECTION 5,");
         }
     }
 
-    /** A run whose own lag passes its bound says so in its report. */
+    /** The report of a run whose own lag exceeds its bound says so. */
     @Test
-    void lagMakesARunUnfit() {
+    void lagAboveItsBoundMakesARunUnfit() {
         LoadPlan plan = DrillPlans.even(100, 100, 1000, 10, 1);
         Recorder recorder = new Recorder();
         for (int i = 0; i < 100; i++) {
-            recorder.lag(i < 98 ? 0.1 : 60);
+            recorder.recordLag(i < 98 ? 0.1 : 60);
         }
         var tree = LoadReport.tree(plan, recorder, null, 1000);
         assertThat(tree.get("fit").asBoolean()).isFalse();
         assertThat(LoadReport.text(tree)).startsWith("UNFIT: the generator itself was 60.");
     }
 
-    /** A generator that stands still for 300 ms itself is late by that, and its target is not charged with it. */
+    /** A generator that pauses for 300 ms is late by 300 ms; the service time of its target does not include that. */
     @Test
-    void theGeneratorsOwnDelayIsLagNotServiceTime() {
+    void theGeneratorsOwnDelayCountsAsLagNotAsServiceTime() {
         LoadPlan plan = DrillPlans.even(100, 1000, 5000, 100, 1);
         Recorder recorder = new Recorder();
         double[] nowMs = new double[1];
         LoadGenerator[] generator = new LoadGenerator[1];
-        ClientTransport sockets = new ClientTransport() {
+        ClientTransport transport = new ClientTransport() {
             @Override
-            public void open(ClientConnection conn) {
-                generator[0].connected(conn, nowMs[0]);
+            public void open(ClientConnection connection) {
+                generator[0].onConnected(connection, nowMs[0]);
             }
 
             @Override
-            public void send(ClientConnection conn, ClientAttempt ask, double leftMs) {
-                generator[0].written(conn, nowMs[0]);
-                generator[0].answered(
-                        conn, new HttpResponse(200, VirtualClientTransport.body(ask), 0, true, false), nowMs[0]);
+            public void send(ClientConnection connection, ClientAttempt attempt, double leftMs) {
+                generator[0].onWritten(connection, nowMs[0]);
+                generator[0].onResponse(
+                        connection,
+                        new HttpResponse(200, VirtualClientTransport.answerBody(attempt), 0, true, false),
+                        nowMs[0]);
             }
 
             @Override
-            public void close(ClientConnection conn) {
-                // Nothing is held for it.
+            public void close(ClientConnection connection) {
+                // There are no resources to release.
             }
         };
-        generator[0] = new LoadGenerator(plan, plan.arrivals(), sockets, recorder, LoadListener.NONE);
+        generator[0] = new LoadGenerator(plan, plan.arrivals(), transport, recorder, LoadListener.NONE);
         generator[0].start(0);
-        while (!generator[0].over()) {
+        while (!generator[0].isOver()) {
             double dueMs = generator[0].nextMs();
             nowMs[0] = dueMs >= 500 && dueMs < 800 ? 800 : dueMs;
             generator[0].run(nowMs[0]);
@@ -174,33 +176,34 @@
                 .isFalse();
     }
 
-    /** Descriptors run out: what is out is still waited for, nothing further is sent, the report says why. */
+    /** When file descriptors run out, open attempts still end, nothing more is sent, and the report says why. */
     @Test
-    void withoutSocketsTheRunEndsInOrder() {
+    void aFailureToOpenSocketsEndsTheRunInOrder() {
         LoadPlan plan = DrillPlans.even(100, 1000, 5000, 1000, 1);
         Recorder recorder = new Recorder();
         VirtualClientTransport virtual = new VirtualClientTransport((number, atMs) -> atMs + 500) {
             private int open;
 
             @Override
-            public void open(ClientConnection conn) {
+            public void open(ClientConnection connection) {
                 if (++open > 7) {
                     throw new IllegalStateException("Too many open files");
                 }
-                super.open(conn);
+                super.open(connection);
             }
         };
         LoadGenerator generator = new LoadGenerator(plan, plan.arrivals(), virtual, recorder, LoadListener.NONE);
         virtual.play(generator);
-        assertThat(generator.fault()).isEqualTo("no socket is to be had with 7 open: Too many open files");
-        assertThat(kinds(recorder)).startsWith(" WHOLE 7 NO_CONNECTION 1,");
-        assertThat(LoadReport.text(LoadReport.tree(plan, recorder, generator.fault(), 1000)))
-                .startsWith("UNFIT: no socket");
+        assertThat(generator.stopReason())
+                .isEqualTo("cannot open another socket with 7 connections open: Too many open files");
+        assertThat(describe(recorder)).startsWith(" WHOLE 7 NO_CONNECTION 1,");
+        assertThat(LoadReport.text(LoadReport.tree(plan, recorder, generator.stopReason(), 1000)))
+                .startsWith("UNFIT: cannot open another socket");
     }
 
     @Test
-    void manySecondsBecomeWiderSlices() {
-        Recorder recorder = virtual(DrillPlans.even(1, 4_000_000, 1000, 10, 1), (number, atMs) -> atMs + 1);
+    void longRunsGetWiderSlices() {
+        Recorder recorder = runVirtually(DrillPlans.even(1, 4_000_000, 1000, 10, 1), (number, atMs) -> atMs + 1);
         assertThat(recorder.slices().size()).isLessThanOrEqualTo(1200);
         assertThat(recorder.slices().stream().mapToLong(slice -> slice.intended).sum())
                 .isEqualTo(4000);
--- a/lab/src/test/java/spartrail/lab/load/ReportFormTest.java
+++ b/lab/src/test/java/spartrail/lab/load/ReportFormTest.java
@@ -8,34 +8,34 @@
 import spartrail.lab.file.Document;
 import spartrail.lab.plan.LoadPlan;
 
-/** The JSON of {@code load run --report} keeps the bytes that version d4872eb wrote. */
+/** Checks that the JSON of {@code load run --report} is byte for byte what version d4872eb wrote. */
 class ReportFormTest {
-    private static String report(LoadPlan plan, VirtualClientTransport.Responder responder, String fault)
+    private static String reportJson(LoadPlan plan, VirtualClientTransport.Responder responder, String stopReason)
             throws Exception {
         Recorder recorder = new Recorder();
-        VirtualClientTransport sockets = new VirtualClientTransport(responder);
-        sockets.play(new LoadGenerator(plan, plan.arrivals(), sockets, recorder, LoadListener.NONE));
+        VirtualClientTransport transport = new VirtualClientTransport(responder);
+        transport.play(new LoadGenerator(plan, plan.arrivals(), transport, recorder, LoadListener.NONE));
         return Document.JSON
                         .writerWithDefaultPrettyPrinter()
-                        .writeValueAsString(LoadReport.tree(plan, recorder, fault, 1234.5678))
+                        .writeValueAsString(LoadReport.tree(plan, recorder, stopReason, 1234.5678))
                 + "\n";
     }
 
     @Test
-    void aRunWithAnswersInTimeLateAndMissingKeepsItsBytes() throws Exception {
+    void reportOfInTimeLateAndMissingAnswersKeepsItsBytes() throws Exception {
         LoadPlan plan = DrillPlans.even(10, 1000, 200, 100, 1);
         VirtualClientTransport.Responder responder = (number, atMs) -> switch ((int) (number % 3)) {
             case 0 -> atMs + 100;
             case 1 -> atMs + 300;
             default -> Double.POSITIVE_INFINITY;
         };
-        assertThat(report(plan, responder, null)).isEqualTo(Forms.text("report.json"));
+        assertThat(reportJson(plan, responder, null)).isEqualTo(Forms.text("report.json"));
     }
 
     @Test
-    void aRunThatIsUnfitKeepsItsBytes() throws Exception {
+    void reportOfAnUnfitRunKeepsItsBytes() throws Exception {
         LoadPlan plan = DrillPlans.even(2, 1000, 200, 100, 1);
-        assertThat(report(plan, (number, atMs) -> atMs + 100, "ended by SIGINT before the plan was through"))
+        assertThat(reportJson(plan, (number, atMs) -> atMs + 100, "ended by SIGINT before the plan was through"))
                 .isEqualTo(Forms.text("report-unfit.json"));
     }
 }
