--- a/lab/src/main/java/spartrail/lab/plan/Arrival.java
+++ b/lab/src/main/java/spartrail/lab/plan/Arrival.java
@@ -4,14 +4,15 @@
 import java.util.SplittableRandom;
 
 /**
- * One multiget that a client will send, with the time at which it does. Its text is made from {@code seed} when it is sent.
+ * One multiget that a client will send, and when. Its text is generated from {@code seed} when it is sent.
  *
+ * @param number position in the plan, from 0
  * @param atMs time since the start of the plan
- * @param workMs mean work of a part at a server
+ * @param workMs mean work of a part at a server, in milliseconds
  * @param costHintMs the cost that the client states; 0 for none
  * @param timeoutMs how long the client waits for an answer
- * @param newConnection whether it opens a connection of its own
- * @param seed of everything that is drawn for it later
+ * @param newConnection whether the client opens a new connection for it
+ * @param seed seed of everything that is drawn for this arrival later
  */
 public record Arrival(
         long number,
@@ -30,13 +31,13 @@
         long seed) {
     private static final char[] HEX = "0123456789abcdef".toCharArray();
 
-    /** An id for each attempt; plans with different seeds share none. */
+    /** The id of an attempt; plans with different seeds have no id in common. */
     public String id(int attempt) {
-        long prefix = mix(seed ^ number);
-        return hex(prefix) + Integer.toHexString(attempt);
+        long prefix = mixBits(seed ^ number);
+        return toHex(prefix) + Integer.toHexString(attempt);
     }
 
-    /** The query's text; emulated servers read the work of a part in microseconds from its head. */
+    /** The text of the query; it begins with the work of a part in microseconds, which emulated servers read. */
     public String text() {
         StringBuilder text = new StringBuilder(textBytes + 16);
         text.append('w').append(Math.round(1000 * workMs)).append('.');
@@ -47,7 +48,7 @@
         return text.toString();
     }
 
-    /** The value that emulated servers answer for a part: it depends on everything they are sent, so that a mix-up is seen. */
+    /** The value that emulated servers answer for a part. It is a hash of the whole request, which reveals mix-ups. */
     public static String value(String partId, int shard, byte[] text) {
         long hash = 0xCBF29CE484222325L;
         for (byte b : partId.getBytes(StandardCharsets.US_ASCII)) {
@@ -56,16 +57,16 @@
         for (byte b : text) {
             hash = (hash ^ b) * 0x100000001B3L;
         }
-        return hex(mix(hash ^ shard));
+        return toHex(mixBits(hash ^ shard));
     }
 
-    static long mix(long bits) {
+    static long mixBits(long bits) {
         bits = (bits ^ bits >>> 30) * 0xBF58476D1CE4E5B9L;
         bits = (bits ^ bits >>> 27) * 0x94D049BB133111EBL;
         return bits ^ bits >>> 31;
     }
 
-    private static String hex(long value) {
+    private static String toHex(long value) {
         char[] digits = new char[16];
         for (int i = 15; i >= 0; i--) {
             digits[i] = HEX[(int) (value & 15)];
--- a/lab/src/main/java/spartrail/lab/plan/ClientBehavior.java
+++ b/lab/src/main/java/spartrail/lab/plan/ClientBehavior.java
@@ -1,17 +1,17 @@
 package spartrail.lab.plan;
 
 /**
- * What a client does when it is not served, and when it abandons an attempt. Shares are of 1.
+ * How a client retries after a failed attempt, and when it abandons an attempt. Shares are between 0 and 1.
  *
- * @param maxAttempts attempts in all
+ * @param maxAttempts maximum of attempts per multiget
  * @param backoff how the pause before the next attempt grows
  * @param initialBackoffMs the first pause
- * @param backoffFactor factor from one pause to the next where it is exponential
- * @param maxBackoffMs no pause is longer
- * @param jitter each pause is drawn between (1 - jitter) and (1 + jitter) of itself
+ * @param backoffFactor factor from one pause to the next for exponential backoff
+ * @param maxBackoffMs upper limit of a pause before jitter
+ * @param jitter each pause is multiplied by a random factor between (1 - jitter) and (1 + jitter)
  * @param honorsRetryAfterShare share of the rejections whose Retry-After is honored
- * @param abandonShare share of the attempts that are abandoned
- * @param abandonAfterShare share of the timeout after which they are
+ * @param abandonShare share of the attempts that the client abandons
+ * @param abandonAfterShare share of the timeout after which it abandons them
  * @param ownConnection each attempt opens a connection of its own and closes it
  */
 public record ClientBehavior(
@@ -25,13 +25,13 @@
         double abandonShare,
         double abandonAfterShare,
         boolean ownConnection) {
-    /** How the pause between attempts grows; named by the load plan's file. */
+    /** How the pause between attempts grows; load plan files use these names in lower case. */
     public enum Backoff {
         NONE,
         FIXED,
         EXPONENTIAL
     }
 
-    /** A client that asks once and waits. */
+    /** A client that makes one attempt and waits until its timeout. */
     public static final ClientBehavior ONCE = new ClientBehavior(1, Backoff.NONE, 0, 1, 0, 0, 0, 0, 1, false);
 }
--- a/lab/src/main/java/spartrail/lab/plan/ClientSession.java
+++ b/lab/src/main/java/spartrail/lab/plan/ClientSession.java
@@ -29,14 +29,14 @@
         return attempts;
     }
 
-    /** Begins an attempt; returns after how many of the {@code timeoutMs} the client abandons it, infinity if it waits. */
+    /** Begins an attempt; returns the time after which the client abandons it, infinity if it waits for the timeout. */
     public double beginAttempt(double timeoutMs) {
         attempts++;
         boolean abandons = behavior.abandonShare() > 0 && random.nextDouble() < behavior.abandonShare();
         return abandons ? behavior.abandonAfterShare() * timeoutMs : Double.POSITIVE_INFINITY;
     }
 
-    /** After an attempt that was not served: the pause before the next one, negative if there is none. */
+    /** The pause after an attempt that was not served, before the next one; negative if no attempt is left. */
     public double pauseAfterFailureMs(double retryAfterMs) {
         if (attempts >= behavior.maxAttempts()) {
             return -1;
--- a/lab/src/main/java/spartrail/lab/plan/GapDistribution.java
+++ b/lab/src/main/java/spartrail/lab/plan/GapDistribution.java
@@ -7,16 +7,20 @@
 import org.apache.commons.rng.sampling.distribution.SharedStateContinuousSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
-/** Distribution of the gaps between arrivals, as multiples of the mean gap; the constants are named by the load plan's file. */
+/**
+ * The distribution of the gaps between arrivals, as multiples of the mean gap. Load plan files use these names in lower
+ * case.
+ */
 public enum GapDistribution {
     /** All gaps are equal. */
     EVEN,
-    /** Exponential, as of independent clients. */
+    /** Exponentially distributed gaps, as independent clients cause them. */
     POISSON,
-    /** Gamma with a coefficient of variation: arrivals in bursts. */
+    /** Gamma-distributed gaps with a given coefficient of variation; above 1, arrivals come in bursts. */
     GAMMA;
 
-    DoubleSupplier sampler(RandomGenerator random, double variation) {
+    /** A function that draws gaps; {@code variation} is used by GAMMA only. */
+    DoubleSupplier createSampler(RandomGenerator random, double variation) {
         UniformRandomProvider source = random::nextLong;
         return switch (this) {
             case EVEN -> () -> 1;
--- a/lab/src/main/java/spartrail/lab/plan/LoadPlan.java
+++ b/lab/src/main/java/spartrail/lab/plan/LoadPlan.java
@@ -9,13 +9,14 @@
 import spartrail.lab.file.InvalidInputException;
 
 /**
- * A load plan as its file states it; its arrivals are a pure function of it.
+ * A load plan as its file states it. The arrivals are a pure function of the plan.
  *
- * @param variation coefficient of variation of gamma gaps
+ * @param variation coefficient of variation of gaps of the kind GAMMA
  * @param targets front nodes as host:port, loopback only
  * @param connections maximum of open connections
- * @param lagBoundMs a run is unfit if the generator's own lag at the 99th percentile is longer
- * @param lingerMs how long late answers are still awaited after the client's timeout
+ * @param connectMs time limit for establishing a connection
+ * @param lagBoundMs a run is unfit if the 99th percentile of the generator's own lag exceeds this
+ * @param lingerMs time after the client's timeout for which a late answer is still awaited
  */
 public record LoadPlan(
         long seed,
@@ -29,10 +30,10 @@
         double connectMs,
         double lagBoundMs,
         double lingerMs) {
-    /** A part of the plan with a rate of its own. */
+    /** A section of the plan with its own rate. */
     public record Phase(String name, double lastsMs, Rate rate) {}
 
-    /** Clients that all arrive within a time, each on a connection of its own. */
+    /** Clients that arrive within a short time, each on a new connection. */
     public record Crowd(double atMs, double withinMs, int clients, int stream) {}
 
     /** A front node under load. */
@@ -56,30 +57,31 @@
             phases.add(new Phase(
                     phase.path("name").asText("phase " + phases.size()),
                     phase.get("lastsMs").asDouble(),
-                    rate(document, phase.get("rate"), "/phases/" + phases.size() + "/rate")));
+                    readRate(document, phase.get("rate"), "/phases/" + phases.size() + "/rate")));
         }
         List<TrafficStream> streams = new ArrayList<>();
         for (JsonNode stream : tree.get("streams")) {
-            streams.add(stream(document, stream, "/streams/" + streams.size(), phases));
+            streams.add(readStream(document, stream, "/streams/" + streams.size(), phases));
         }
         for (int i = 0; i < phases.size(); i++) {
             String name = phases.get(i).name();
             if (streams.stream().noneMatch(stream -> stream.isActiveIn(name))) {
-                throw document.invalid("/phases/" + i, "no stream plays in phase '" + name + "'");
+                throw document.invalid("/phases/" + i, "no stream is active in phase '" + name + "'");
             }
         }
         List<Crowd> crowds = new ArrayList<>();
         for (JsonNode crowd : tree.path("crowds")) {
             String name = crowd.path("stream").asText(streams.get(0).name);
-            int at = streams.stream().map(stream -> stream.name).toList().indexOf(name);
-            if (at < 0) {
+            int streamIndex =
+                    streams.stream().map(stream -> stream.name).toList().indexOf(name);
+            if (streamIndex < 0) {
                 throw document.invalid("/crowds/" + crowds.size() + "/stream", "no stream is named '" + name + "'");
             }
             crowds.add(new Crowd(
                     crowd.get("atMs").asDouble(),
                     crowd.get("withinMs").asDouble(),
                     crowd.get("clients").asInt(),
-                    at));
+                    streamIndex));
         }
         List<Target> targets = new ArrayList<>();
         for (JsonNode target : tree.path("targets")) {
@@ -100,7 +102,7 @@
                 tree.path("lingerMs").asDouble(1000));
     }
 
-    /** A front node to send load to; on loopback only, so that nobody else can be flooded. */
+    /** Reads a front node's address; only loopback is allowed, so that load never reaches other machines. */
     public static Target target(Document document, JsonNode node, String place) {
         String text = node.isTextual() ? node.asText() : node.path("address").asText();
         int colon = text.lastIndexOf(':');
@@ -118,11 +120,11 @@
         return new Target(host, port, node.path("zone").asText(""));
     }
 
-    private static Rate rate(Document document, JsonNode node, String place) {
+    private static Rate readRate(Document document, JsonNode node, String place) {
         if (node.has("sum")) {
             List<Rate> parts = new ArrayList<>();
             for (JsonNode part : node.get("sum")) {
-                parts.add(rate(document, part, place + "/sum/" + parts.size()));
+                parts.add(readRate(document, part, place + "/sum/" + parts.size()));
             }
             return new Rate.Sum(parts);
         }
@@ -162,7 +164,7 @@
         }
     }
 
-    private static TrafficStream stream(Document document, JsonNode node, String place, List<Phase> phasesOfPlan) {
+    private static TrafficStream readStream(Document document, JsonNode node, String place, List<Phase> phasesOfPlan) {
         List<String> phases = new ArrayList<>();
         for (JsonNode name : node.path("phases")) {
             if (phasesOfPlan.stream().noneMatch(phase -> phase.name().equals(name.asText()))) {
@@ -175,13 +177,13 @@
                 .forEach(entry -> opTypes.add(new TrafficStream.Share<>(
                         entry.get("name").asText(), entry.path("share").asDouble(1))));
         JsonNode shards = node.get("shards");
-        int of = shards.get("of").asInt();
+        int shardCount = shards.get("of").asInt();
         int min = shards.path("least").asInt(1);
         int max = shards.path("most").asInt(min);
-        if (min > max || max > of) {
+        if (min > max || max > shardCount) {
             throw document.invalid(
                     place + "/shards",
-                    "least " + min + ", most " + max + ", of " + of + "; least <= most <= of is expected");
+                    "least " + min + ", most " + max + ", of " + shardCount + "; least <= most <= of is expected");
         }
         JsonNode work = node.path("work");
         JsonNode keys = node.path("keys");
@@ -198,7 +200,7 @@
                 phases,
                 opTypes,
                 new TrafficStream.ShardSelection(
-                        of,
+                        shardCount,
                         min,
                         max,
                         shards.path("exponent").asDouble(1.5),
@@ -216,10 +218,10 @@
                 textSizes,
                 node.path("zone").asText(""),
                 node.get("clientMs").asDouble(),
-                behavior(node.path("habit")));
+                readBehavior(node.path("habit")));
     }
 
-    private static ClientBehavior behavior(JsonNode node) {
+    private static ClientBehavior readBehavior(JsonNode node) {
         JsonNode leaves = node.path("leaves");
         return new ClientBehavior(
                 node.path("tries").asInt(1),
@@ -234,12 +236,12 @@
                 node.path("ownConnection").asBoolean(false));
     }
 
-    /** Sum of the phases. */
+    /** Total duration of the phases. */
     public double durationMs() {
         return phases.stream().mapToDouble(Phase::lastsMs).sum();
     }
 
-    /** Index of the phase at this time. */
+    /** Index of the phase at this time; the last one after the end of the plan. */
     public int phaseAt(double ms) {
         double fromMs = 0;
         for (int i = 0; i < phases.size(); i++) {
@@ -256,7 +258,7 @@
         return new Arrivals(this);
     }
 
-    /** The same plan for these front nodes. */
+    /** The same plan with these front nodes as targets. */
     public LoadPlan withTargets(List<Target> nodes) {
         if (nodes.isEmpty()) {
             throw new InvalidInputException("no front node to send to: give 'targets' in the plan");
--- a/lab/src/main/java/spartrail/lab/plan/Rate.java
+++ b/lab/src/main/java/spartrail/lab/plan/Rate.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * The intended rate of arrivals over the time of a phase. Each shape has its integral in closed form: arrivals are placed by inverting
- * it, so that no shape is approximated by steps.
+ * The intended rate of arrivals over the time of a phase. The integral of each shape is computed in closed form, since
+ * arrivals are placed by inverting it; no shape is approximated by steps.
  */
 public interface Rate {
     /** Arrivals a second, {@code ms} after the start of the phase. */
     double perS(double ms, double lastsMs);
 
-    /** Expected number of arrivals from the start of the phase until then. */
+    /** Expected number of arrivals in the first {@code ms} of the phase. */
     double expectedUntil(double ms, double lastsMs);
 
     /** A constant rate. */
@@ -48,10 +48,10 @@
 
         @Override
         public double expectedUntil(double ms, double lastsMs) {
-            double eachMs = lastsMs / levelsPerS.size();
+            double levelMs = lastsMs / levelsPerS.size();
             double sum = 0;
-            for (int i = 0; i < levelsPerS.size() && ms > i * eachMs; i++) {
-                sum += levelsPerS.get(i) * Math.min(eachMs, ms - i * eachMs) / 1000;
+            for (int i = 0; i < levelsPerS.size() && ms > i * levelMs; i++) {
+                sum += levelsPerS.get(i) * Math.min(levelMs, ms - i * levelMs) / 1000;
             }
             return sum;
         }
@@ -66,11 +66,11 @@
 
         @Override
         public double expectedUntil(double ms, double lastsMs) {
-            double rounds = Math.floor(ms / (onMs + offMs));
-            double rest = ms - rounds * (onMs + offMs);
-            return (rounds * (onPerS * onMs + offPerS * offMs)
-                            + onPerS * Math.min(rest, onMs)
-                            + offPerS * Math.max(0, rest - onMs))
+            double periods = Math.floor(ms / (onMs + offMs));
+            double restMs = ms - periods * (onMs + offMs);
+            return (periods * (onPerS * onMs + offPerS * offMs)
+                            + onPerS * Math.min(restMs, onMs)
+                            + offPerS * Math.max(0, restMs - onMs))
                     / 1000;
         }
     }
@@ -105,16 +105,16 @@
     }
 
     /** The sum of several rates. */
-    record Sum(List<Rate> of) implements Rate {
+    record Sum(List<Rate> rates) implements Rate {
         @Override
         public double perS(double ms, double lastsMs) {
-            return of.stream().mapToDouble(rate -> rate.perS(ms, lastsMs)).sum();
+            return rates.stream().mapToDouble(rate -> rate.perS(ms, lastsMs)).sum();
         }
 
         @Override
         public double expectedUntil(double ms, double lastsMs) {
             double sum = 0;
-            for (Rate rate : of) {
+            for (Rate rate : rates) {
                 sum += rate.expectedUntil(ms, lastsMs);
             }
             return sum;
--- a/lab/src/main/java/spartrail/lab/plan/TrafficStream.java
+++ b/lab/src/main/java/spartrail/lab/plan/TrafficStream.java
@@ -8,18 +8,21 @@
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
 import org.apache.commons.rng.sampling.distribution.SharedStateDiscreteSampler;
 
-/** One kind of traffic within a plan: what its clients ask and how they behave. Random draws are made in a fixed order. */
+/**
+ * One kind of traffic within a plan: the requests of its clients and their behavior. Random draws are made in a fixed
+ * order.
+ */
 public final class TrafficStream {
     /** A value and how often it is drawn, relative to the sum of all shares. */
     public record Share<T>(T value, double share) {}
 
-    /** How many of the shards a multiget spans: from min to max, with a Pareto tail where they differ; contiguous or scattered. */
+    /** The shards of a multiget: min to max of them, Pareto-distributed if these differ; contiguous or scattered. */
     public record ShardSelection(int shards, int min, int max, double exponent, boolean contiguous) {}
 
     /** Zipf-distributed keys; the hot set is replaced each {@code hotMovesEveryMs} (0: never). */
     public record Keys(int count, double exponent, double hotMovesEveryMs) {}
 
-    /** Work of a part: lognormal by mean and coefficient of variation; stated as a hint by a share of the multigets. */
+    /** Work of a part, lognormally distributed; a share of the multigets states it as a hint, with lognormal noise. */
     public record Work(double meanMs, double variation, double hintShare, double hintNoise) {}
 
     private static final int HOT_SET_STEP = 7_919;
@@ -65,17 +68,17 @@
         this.behavior = behavior;
     }
 
-    /** Whether this stream plays in the phase of that name. */
+    /** Whether this stream has arrivals in the phase of that name. */
     boolean isActiveIn(String phase) {
         return phases.isEmpty() || phases.contains(phase);
     }
 
-    /** A generator of this stream's arrivals, from its start. */
-    ArrivalGenerator generator(RandomGenerator random) {
+    /** Creates a generator of this stream's arrivals. */
+    ArrivalGenerator createGenerator(RandomGenerator random) {
         return new ArrivalGenerator(random);
     }
 
-    /** Generates one arrival after the other. */
+    /** Generates the arrivals of the stream one by one. */
     final class ArrivalGenerator {
         private final RandomGenerator random;
         private final SharedStateDiscreteSampler zipf;
@@ -86,17 +89,17 @@
             this.zipf = RejectionInversionZipfSampler.of(source, keys.count(), keys.exponent());
         }
 
-        Arrival next(long number, double atMs, int phase, boolean newConnection) {
+        Arrival generate(long number, double atMs, int phase, boolean newConnection) {
             String opType = pick(opTypes, random);
             int rank = zipf.sample() - 1;
-            // Moved by one, the hot set would be nearly the same; the step is prime to most counts.
+            // A step of 1 would keep nearly the same hot set; this step is a prime, hence coprime to most counts.
             long moves = keys.hotMovesEveryMs() > 0 ? (long) (atMs / keys.hotMovesEveryMs()) : 0;
             long key = Math.floorMod(rank + moves * HOT_SET_STEP, (long) keys.count());
             int[] shards = drawShards();
             double[] weights = drawWeights(shards.length);
-            double workMs = work.meanMs() * lognormal(work.variation());
+            double workMs = work.meanMs() * drawLognormal(work.variation());
             boolean hinted = work.hintShare() > 0 && random.nextDouble() < work.hintShare();
-            double costHintMs = hinted ? workMs * lognormal(work.hintNoise()) : 0;
+            double costHintMs = hinted ? workMs * drawLognormal(work.hintNoise()) : 0;
             int textBytes = pick(textSizes, random);
             return new Arrival(
                     number,
@@ -115,7 +118,7 @@
                     random.nextLong());
         }
 
-        private double lognormal(double variation) {
+        private double drawLognormal(double variation) {
             double sigma2 = Math.log(1 + variation * variation);
             return Math.exp(random.nextGaussian() * Math.sqrt(sigma2) - sigma2 / 2);
         }
@@ -123,7 +126,7 @@
         private int[] drawShards() {
             int count = shardSelection.min();
             if (shardSelection.max() > shardSelection.min()) {
-                // Pareto from min on, cut at max.
+                // Pareto distribution with minimum min, truncated at max.
                 double drawn = shardSelection.min() / Math.pow(1 - random.nextDouble(), 1 / shardSelection.exponent());
                 count = (int) Math.min(shardSelection.max(), Math.floor(drawn));
             }
@@ -137,8 +140,8 @@
                 // Floyd's algorithm draws distinct numbers.
                 List<Integer> drawn = new ArrayList<>();
                 for (int top = shardSelection.shards() - count; top < shardSelection.shards(); top++) {
-                    int at = random.nextInt(top + 1);
-                    drawn.add(drawn.contains(at) ? top : at);
+                    int draw = random.nextInt(top + 1);
+                    drawn.add(drawn.contains(draw) ? top : draw);
                 }
                 for (int i = 0; i < count; i++) {
                     shards[i] = drawn.get(i);
@@ -166,17 +169,17 @@
         for (Share<T> share : shares) {
             sum += share.share();
         }
-        double at = random.nextDouble() * sum;
+        double draw = random.nextDouble() * sum;
         for (Share<T> share : shares) {
-            at -= share.share();
-            if (at < 0) {
+            draw -= share.share();
+            if (draw < 0) {
                 return share.value();
             }
         }
         return shares.get(shares.size() - 1).value();
     }
 
-    /** The random generator of one client. */
+    /** Creates the random generator of one client. */
     public static RandomGenerator random(long seed) {
         return new SplittableRandom(seed);
     }
--- a/lab/src/test/java/spartrail/lab/plan/ClientSessionTest.java
+++ b/lab/src/test/java/spartrail/lab/plan/ClientSessionTest.java
@@ -5,9 +5,9 @@
 import spartrail.lab.Table;
 
 class ClientSessionTest {
-    /** Each behavior's pauses after rejections without Retry-After, then with one of 700 ms. */
+    /** Lists the pauses of each behavior after rejections, first without Retry-After, then with one of 700 ms. */
     @Test
-    void pausesAndAbandonsAsItsBehaviorStates() throws Exception {
+    void pausesAndAbandonsAttemptsAsItsBehaviorStates() throws Exception {
         ClientBehavior[] behaviors = {
             ClientBehavior.ONCE,
             new ClientBehavior(4, ClientBehavior.Backoff.NONE, 0, 1, 1000, 0, 0, 0, 1, false),
@@ -21,15 +21,15 @@
             for (double retryAfterMs : new double[] {0, 700}) {
                 ClientSession session = new ClientSession(behavior, TrafficStream.random(1));
                 StringBuilder line = new StringBuilder();
-                double waitMs = 0;
-                while (waitMs >= 0) {
-                    double leavesMs = session.beginAttempt(1000);
-                    waitMs = session.pauseAfterFailureMs(retryAfterMs);
+                double pauseMs = 0;
+                while (pauseMs >= 0) {
+                    double abandonAfterMs = session.beginAttempt(1000);
+                    pauseMs = session.pauseAfterFailureMs(retryAfterMs);
                     line.append(
-                                    Double.isFinite(leavesMs)
-                                            ? String.format(Locale.ROOT, " leaves after %.0f,", leavesMs)
+                                    Double.isFinite(abandonAfterMs)
+                                            ? String.format(Locale.ROOT, " leaves after %.0f,", abandonAfterMs)
                                             : "")
-                            .append(waitMs < 0 ? " over" : String.format(Locale.ROOT, " waits %.0f,", waitMs));
+                            .append(pauseMs < 0 ? " over" : String.format(Locale.ROOT, " waits %.0f,", pauseMs));
                 }
                 seen.append(behavior.backoff())
                         .append(" told ")
--- a/lab/src/test/java/spartrail/lab/plan/LoadPlanTest.java
+++ b/lab/src/test/java/spartrail/lab/plan/LoadPlanTest.java
@@ -23,7 +23,7 @@
                 + "','variation':2},'phases':[{'lastsMs':4000,'rate':" + rate + "}]," + STREAM + "}");
     }
 
-    private static List<Double> times(LoadPlan plan) {
+    private static List<Double> arrivalTimes(LoadPlan plan) {
         List<Double> times = new ArrayList<>();
         plan.arrivals().forEachRemaining(arrival -> times.add(arrival.atMs()));
         return times;
@@ -43,16 +43,16 @@
         StringBuilder seen = new StringBuilder();
         for (String rate : rates) {
             seen.append(rate).append('\n');
-            times(plan("even", rate, 1)).forEach(ms -> seen.append(String.format(Locale.ROOT, " %.1f", ms)));
+            arrivalTimes(plan("even", rate, 1)).forEach(ms -> seen.append(String.format(Locale.ROOT, " %.1f", ms)));
             seen.append('\n');
         }
         Table.same("shapes", seen.toString());
     }
 
     @Test
-    void gapsHaveTheirMeanAndVariation() {
+    void gapsHaveTheStatedMeanAndVariation() {
         for (String[] line : new String[][] {{"even", "0.0"}, {"poisson", "1.0"}, {"gamma", "2.0"}}) {
-            List<Double> times = times(plan(line[0], "{'shape':'steady','perS':5000}", 7));
+            List<Double> times = arrivalTimes(plan(line[0], "{'shape':'steady','perS':5000}", 7));
             double sum = 0;
             double squares = 0;
             for (int i = 1; i < times.size(); i++) {
@@ -69,28 +69,28 @@
         }
     }
 
-    /** An arrival as text, since arrays within the record compare by identity. */
-    private static String all(LoadPlan plan) {
+    /** All arrivals as text, since arrays within the records compare by identity. */
+    private static String arrivalsAsText(LoadPlan plan) {
         StringBuilder text = new StringBuilder();
         Iterator<Arrival> arrivals = plan.arrivals();
         while (arrivals.hasNext()) {
-            Arrival one = arrivals.next();
-            text.append(one.number())
+            Arrival arrival = arrivals.next();
+            text.append(arrival.number())
                     .append(' ')
-                    .append(one.atMs())
+                    .append(arrival.atMs())
                     .append(' ')
-                    .append(one.opType())
+                    .append(arrival.opType())
                     .append(' ')
-                    .append(one.key())
+                    .append(arrival.key())
                     .append(' ')
-                    .append(java.util.Arrays.toString(one.shards()))
+                    .append(java.util.Arrays.toString(arrival.shards()))
                     .append(' ')
-                    .append(java.util.Arrays.toString(one.weights()))
+                    .append(java.util.Arrays.toString(arrival.weights()))
                     .append(' ')
-                    .append(one.workMs())
+                    .append(arrival.workMs())
                     .append(' ')
-                    .append(one.text())
-                    .append(one.id(1))
+                    .append(arrival.text())
+                    .append(arrival.id(1))
                     .append('\n');
         }
         return text.toString();
@@ -99,9 +99,9 @@
     @Test
     void arrivalsAreAPureFunctionOfFileAndSeed() {
         String rate = "{'shape':'wave','meanPerS':50,'swingPerS':40,'periodMs':700}";
-        assertThat(all(plan("poisson", rate, 3)))
-                .isEqualTo(all(plan("poisson", rate, 3)))
-                .isNotEqualTo(all(plan("poisson", rate, 4)));
+        assertThat(arrivalsAsText(plan("poisson", rate, 3)))
+                .isEqualTo(arrivalsAsText(plan("poisson", rate, 3)))
+                .isNotEqualTo(arrivalsAsText(plan("poisson", rate, 4)));
     }
 
     @Test
@@ -115,24 +115,30 @@
         int[] count = new int[6];
         java.util.Map<String, Integer> hotA = new java.util.HashMap<>();
         java.util.Map<String, Integer> hotB = new java.util.HashMap<>();
-        plan.arrivals().forEachRemaining(one -> {
-            boolean run = one.stream().name.equals("run");
-            count[0] += one.newConnection() ? 1 : 0;
+        plan.arrivals().forEachRemaining(arrival -> {
+            boolean run = arrival.stream().name.equals("run");
+            count[0] += arrival.newConnection() ? 1 : 0;
             count[1] += run ? 0 : 1;
-            count[2] += !run && one.phase() == 0 ? 1 : 0;
-            count[3] += one.opType().equals("y") ? 1 : 0;
+            count[2] += !run && arrival.phase() == 0 ? 1 : 0;
+            count[3] += arrival.opType().equals("y") ? 1 : 0;
             if (run) {
-                (one.phase() == 0 ? hotA : hotB).merge(one.key(), 1, Integer::sum);
-                assertThat(one.shards())
-                        .containsExactly(one.shards()[0], (one.shards()[0] + 1) % 10, (one.shards()[0] + 2) % 10);
+                (arrival.phase() == 0 ? hotA : hotB).merge(arrival.key(), 1, Integer::sum);
+                assertThat(arrival.shards())
+                        .containsExactly(
+                                arrival.shards()[0], (arrival.shards()[0] + 1) % 10, (arrival.shards()[0] + 2) % 10);
             }
-            assertThat(java.util.Arrays.stream(one.shards()).distinct().count()).isEqualTo(one.shards().length);
-            assertThat(java.util.Arrays.stream(one.weights()).sum()).isBetween(0.999, 1.001);
+            assertThat(java.util.Arrays.stream(arrival.shards()).distinct().count())
+                    .isEqualTo(arrival.shards().length);
+            assertThat(java.util.Arrays.stream(arrival.weights()).sum()).isBetween(0.999, 1.001);
         });
-        assertThat(count[0]).as("of the crowd").isEqualTo(50);
-        assertThat(count[1]).as("a quarter of the second phase").isBetween(400, 600);
-        assertThat(count[2]).as("out of its phase").isZero();
-        assertThat(count[3]).as("three quarters of x and y").isBetween(2400, 2800);
+        assertThat(count[0]).as("arrivals of the crowd").isEqualTo(50);
+        assertThat(count[1])
+                .as("arrivals of stream far: a quarter of the second phase")
+                .isBetween(400, 600);
+        assertThat(count[2]).as("arrivals of stream far outside its phase").isZero();
+        assertThat(count[3])
+                .as("arrivals with op type y: three quarters of those of x and y")
+                .isBetween(2400, 2800);
         String hottest = java.util.Collections.max(hotA.entrySet(), java.util.Map.Entry.comparingByValue())
                 .getKey();
         assertThat(hotA.get(hottest))
@@ -141,7 +147,7 @@
     }
 
     @Test
-    void aMistakeGivesOneLineWithItsPlace() throws Exception {
+    void anInvalidPlanIsReportedInOneLineWithItsPlace() throws Exception {
         String good = "{'phases':[{'lastsMs':1000,'rate':{'shape':'steady','perS':2}}]," + STREAM + "}";
         StringBuilder seen = new StringBuilder();
         for (String[] change : new String[][] {
