--- a/lab/src/main/java/spartrail/lab/dns/DnsResponder.java
+++ b/lab/src/main/java/spartrail/lab/dns/DnsResponder.java
@@ -17,7 +17,7 @@
 import org.xbill.DNS.Type;
 import spartrail.lab.dns.DnsServerEmulator.Behavior;
 
-/** The records of an emulated name server, and its responses by its behavior. */
+/** Holds the records of an emulated name server and builds its responses, correct or faulty by its behavior. */
 final class DnsResponder {
     private static final int MAX_UDP_BYTES = 512;
     private static final int MAX_NOISE_BYTES = 300;
@@ -37,34 +37,34 @@
         records.put(type + " " + name, List.copyOf(lines));
     }
 
-    /** The bytes of the response, or null for none. */
+    /** Builds the response to a query; null if the query is not answered. */
     byte[] respond(byte[] bytes, Behavior behavior, boolean isTcp) throws IOException {
         if (behavior == Behavior.SILENT) {
             return null;
         }
         if (behavior == Behavior.NOISE) {
-            return noise();
+            return randomBytes();
         }
         Message query = new Message(bytes);
-        Message response = emptyResponse(query, behavior);
+        Message response = createResponse(query, behavior);
         if (behavior == Behavior.SERVFAIL) {
             response.getHeader().setRcode(Rcode.SERVFAIL);
             return response.toWire();
         }
-        List<String> lines = lines(query, behavior);
+        List<String> lines = findRecords(query, behavior);
         addAnswer(response, query, lines, behavior);
         byte[] wire = response.toWire();
         boolean isTooLong = behavior.isTruncating() || wire.length > MAX_UDP_BYTES;
-        return isTooLong && !isTcp ? truncated(query, lines).toWire() : wire;
+        return isTooLong && !isTcp ? createTruncatedResponse(query, lines).toWire() : wire;
     }
 
-    private byte[] noise() {
+    private byte[] randomBytes() {
         byte[] noise = new byte[1 + random.nextInt(MAX_NOISE_BYTES)];
         random.nextBytes(noise);
         return noise;
     }
 
-    private static Message emptyResponse(Message query, Behavior behavior) throws IOException {
+    private static Message createResponse(Message query, Behavior behavior) throws IOException {
         int id = query.getHeader().getID();
         Message response = new Message(behavior == Behavior.WRONG_ID ? id ^ ID_MASK : id);
         response.getHeader().setFlag(Flags.QR);
@@ -76,8 +76,8 @@
         return response;
     }
 
-    private List<String> lines(Message query, Behavior behavior) {
-        if (hasNothing(behavior)) {
+    private List<String> findRecords(Message query, Behavior behavior) {
+        if (hasNoRecords(behavior)) {
             return List.of();
         }
         Record question = query.getQuestion();
@@ -85,7 +85,7 @@
         return new ArrayList<>(records.getOrDefault(key, List.of()));
     }
 
-    private static boolean hasNothing(Behavior behavior) {
+    private static boolean hasNoRecords(Behavior behavior) {
         return behavior == Behavior.EMPTY || behavior == Behavior.NXDOMAIN;
     }
 
@@ -94,31 +94,31 @@
         if (!lines.isEmpty()) {
             Collections.shuffle(lines, random);
             for (String line : lines) {
-                response.addRecord(record(name, line), Section.ANSWER);
+                response.addRecord(parseRecord(name, line), Section.ANSWER);
             }
             return;
         }
-        List<String> aliases = hasNothing(behavior) ? List.of() : records.getOrDefault("CNAME " + name, List.of());
+        List<String> aliases = hasNoRecords(behavior) ? List.of() : records.getOrDefault("CNAME " + name, List.of());
         if (aliases.isEmpty()) {
             response.getHeader().setRcode(behavior == Behavior.NXDOMAIN ? Rcode.NXDOMAIN : Rcode.NOERROR);
-            response.addRecord(record(Name.fromString("example.org."), SOA), Section.AUTHORITY);
+            response.addRecord(parseRecord(Name.fromString("example.org."), SOA), Section.AUTHORITY);
         } else {
-            response.addRecord(record(name, aliases.get(0)), Section.ANSWER);
+            response.addRecord(parseRecord(name, aliases.get(0)), Section.ANSWER);
         }
     }
 
-    private static Message truncated(Message query, List<String> lines) throws IOException {
-        Message cut = new Message(query.getHeader().getID());
-        cut.getHeader().setFlag(Flags.QR);
-        cut.getHeader().setFlag(Flags.TC);
-        cut.addRecord(query.getQuestion(), Section.QUESTION);
+    private static Message createTruncatedResponse(Message query, List<String> lines) throws IOException {
+        Message response = new Message(query.getHeader().getID());
+        response.getHeader().setFlag(Flags.QR);
+        response.getHeader().setFlag(Flags.TC);
+        response.addRecord(query.getQuestion(), Section.QUESTION);
         if (!lines.isEmpty()) {
-            cut.addRecord(record(query.getQuestion().getName(), lines.get(0)), Section.ANSWER);
+            response.addRecord(parseRecord(query.getQuestion().getName(), lines.get(0)), Section.ANSWER);
         }
-        return cut;
+        return response;
     }
 
-    private static Record record(Name name, String line) throws IOException {
+    private static Record parseRecord(Name name, String line) throws IOException {
         String[] fields = line.split(" ", 3);
         return Record.fromString(
                 name, Type.value(fields[1]), DClass.IN, Long.parseLong(fields[0]), fields[2], Name.root);
--- a/lab/src/main/java/spartrail/lab/dns/DnsServerEmulator.java
+++ b/lab/src/main/java/spartrail/lab/dns/DnsServerEmulator.java
@@ -15,11 +15,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * One name server over UDP and TCP, on threads of its own. Its records and its behavior may be changed while it runs; names are
- * looked up as they stand, in lower case, with their dot.
+ * An emulated name server over UDP and TCP, on its own threads. Its records and its behavior may be changed while it
+ * runs. Names are compared as they are, so records and queries have to use lower case and the final dot.
  */
 public final class DnsServerEmulator implements AutoCloseable {
-    /** How it responds. */
+    /** How the server responds: correctly, or with one fault. */
     public enum Behavior {
         ANSWER,
         TRUNCATE,
@@ -44,7 +44,7 @@
                     || this == TCP_ONE_OCTET_AT_A_TIME;
         }
 
-        /** Whether the true response follows a false one. */
+        /** Whether the correct response follows the faulty one. */
         boolean isFollowedByTrueResponse() {
             return this == SPOOF || this == WRONG_ID || this == WRONG_QUESTION;
         }
@@ -64,12 +64,12 @@
     private volatile Behavior behavior = Behavior.ANSWER;
     private volatile boolean isClosed;
 
-    /** Starts it on a free port. */
+    /** Starts the server on a free port. */
     public DnsServerEmulator(long seed) throws IOException {
         responder = new DnsResponder(seed);
         ServerSocket listening = null;
         DatagramSocket datagrams = null;
-        // Both have the same port: another process may hold one of a pair.
+        // UDP and TCP use the same port number; another process may hold it for one of them.
         for (int i = 0; i < PORT_ATTEMPTS && datagrams == null; i++) {
             listening = new ServerSocket(0, BACKLOG, InetAddress.getByName(LOOPBACK));
             try {
@@ -93,7 +93,7 @@
         thread.start();
     }
 
-    /** The address of both UDP and TCP. */
+    /** The address, the same for UDP and TCP. */
     public InetSocketAddress address() {
         return new InetSocketAddress(LOOPBACK, udp.getLocalPort());
     }
@@ -103,12 +103,12 @@
         return queries.get();
     }
 
-    /** Responds like this from now on. */
+    /** Sets how the server responds from now on. */
     public void setBehavior(Behavior newBehavior) {
         behavior = newBehavior;
     }
 
-    /** Replaces the records of a name and type, each {@code TTL TYPE data}. */
+    /** Replaces the records of a name and type; each line is {@code TTL TYPE data}. */
     public void setRecords(String type, String name, List<String> lines) {
         responder.setRecords(type, name, lines);
     }
@@ -124,27 +124,27 @@
                 queries.incrementAndGet();
                 respondOverUdp(packet);
             } catch (IOException e) {
-                // Closed, or a query that was none.
+                // The socket was closed, or the datagram was not a DNS query.
             }
         }
     }
 
     private void respondOverUdp(DatagramPacket packet) throws IOException {
         byte[] query = Arrays.copyOf(packet.getData(), packet.getLength());
-        Behavior now = behavior;
-        byte[] response = responder.respond(query, now, false);
+        Behavior current = behavior;
+        byte[] response = responder.respond(query, current, false);
         if (response == null) {
             return;
         }
         DatagramPacket reply = new DatagramPacket(response, response.length, packet.getSocketAddress());
-        if (now == Behavior.LATE) {
+        if (current == Behavior.LATE) {
             startThread("late", () -> sendLate(reply));
-        } else if (now == Behavior.SPOOF) {
+        } else if (current == Behavior.SPOOF) {
             sendFromOtherPort(reply);
         } else {
             send(reply);
         }
-        if (now.isFollowedByTrueResponse()) {
+        if (current.isFollowedByTrueResponse()) {
             byte[] trueResponse = responder.respond(query, Behavior.ANSWER, false);
             send(new DatagramPacket(trueResponse, trueResponse.length, packet.getSocketAddress()));
         }
@@ -169,7 +169,7 @@
         try {
             udp.send(packet);
         } catch (IOException e) {
-            // The client has gone.
+            // The client has closed its socket.
         }
     }
 
@@ -186,7 +186,7 @@
                     startThread("connection", () -> serveTcp(socket));
                 }
             } catch (IOException e) {
-                // Closed.
+                // The socket was closed.
             }
         }
     }
@@ -204,11 +204,11 @@
                 isOpen = response == null || writeOverTcp(out, response);
             }
         } catch (IOException e) {
-            // The client has gone.
+            // The client has closed its socket.
         }
     }
 
-    /** Writes a response after its length; false where it is cut and the connection ends. */
+    /** Writes a response with its length prefix; returns false if it was truncated and the connection has to end. */
     private boolean writeOverTcp(OutputStream out, byte[] response) throws IOException {
         byte[] framed = new byte[LENGTH_BYTES + response.length];
         framed[0] = (byte) (response.length >> Byte.SIZE);
--- a/lab/src/main/java/spartrail/lab/dns/package-info.java
+++ b/lab/src/main/java/spartrail/lab/dns/package-info.java
@@ -1,2 +1,2 @@
-/** An emulated name server with faults, for drills and measurements; it listens on loopback, on threads of its own. */
+/** An emulated name server with faults, for drills and measurements. It listens on loopback, on its own threads. */
 package spartrail.lab.dns;
--- a/lab/src/main/java/spartrail/lab/fleet/FaultyFrontNode.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FaultyFrontNode.java
@@ -79,7 +79,7 @@
         }
 
         @Override
-        protected void onClosed(String why) {
+        protected void onClosed(String reason) {
             connections.values().remove(this);
         }
     }
@@ -97,7 +97,7 @@
             }
 
             @Override
-            protected void onClosed(String why) {
+            protected void onClosed(String reason) {
                 // The host list is not used, so a lost connection changes nothing.
             }
         };
--- a/lab/src/main/java/spartrail/lab/fleet/FrontLayer.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FrontLayer.java
@@ -47,9 +47,9 @@
         }
 
         @Override
-        protected void onClosed(String why) {
+        protected void onClosed(String reason) {
             // A reset is relayed as a reset: the client has to notice that its answer is truncated.
-            if (why.equals("closed")) {
+            if (reason.equals("closed")) {
                 loop.schedule(loop.nowMs() + 1, opposite::close);
             } else {
                 opposite.reset();
@@ -121,7 +121,7 @@
             }
 
             @Override
-            protected void onClosed(String why) {
+            protected void onClosed(String reason) {
                 report(false);
             }
 
--- a/lab/src/main/java/spartrail/lab/fleet/HttpStub.java
+++ b/lab/src/main/java/spartrail/lab/fleet/HttpStub.java
@@ -122,7 +122,7 @@
         }
 
         @Override
-        protected void onClosed(String why) {
+        protected void onClosed(String reason) {
             connections.remove(this);
         }
     }
--- a/lab/src/main/java/spartrail/lab/fleet/IndexServerEmulator.java
+++ b/lab/src/main/java/spartrail/lab/fleet/IndexServerEmulator.java
@@ -64,7 +64,7 @@
         }
 
         @Override
-        protected void onClosed(String why) {
+        protected void onClosed(String reason) {
             removeConnection(this);
         }
     }
--- a/lab/src/main/java/spartrail/lab/load/HttpClientTransport.java
+++ b/lab/src/main/java/spartrail/lab/load/HttpClientTransport.java
@@ -80,7 +80,7 @@
             }
 
             @Override
-            protected void onClosed(String why) {
+            protected void onClosed(String reason) {
                 report(false);
             }
         };
@@ -208,7 +208,7 @@
         }
 
         @Override
-        protected void onClosed(String why) {
+        protected void onClosed(String reason) {
             HttpResponse answer = reader.readAtClose();
             if (answer != null) {
                 generator.onResponse(connection, answer, loop.nowMs());
--- a/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
+++ b/lab/src/main/java/spartrail/lab/net/AdminFrameCodec.java
@@ -6,9 +6,9 @@
 import spartrail.policy.replication.PolicyMessageCodec;
 
 /**
- * Encodes administrators' requests about policy as frames of the gossip protocol.
+ * Encodes an administrator's policy requests as frames of the gossip protocol.
  *
- * @param fleet name of the fleet that the frames are for
+ * @param fleet name of the fleet that the frames belong to
  */
 public record AdminFrameCodec(String fleet) implements AdminClient.FrameCodec {
     private static final int MAX_DATAGRAM_BYTES = 65_536;
--- a/lab/src/main/java/spartrail/lab/net/SocketLoop.java
+++ b/lab/src/main/java/spartrail/lab/net/SocketLoop.java
@@ -19,12 +19,12 @@
 import spartrail.model.TimerQueue;
 
 /**
- * An event loop for sockets, timers and tasks on a thread of its own. Only {@link #execute}, {@link #call} and {@link #close} may be
- * called by other threads.
+ * An event loop for sockets, timers and tasks on its own thread. Other threads may call only {@link #execute},
+ * {@link #call} and {@link #close}.
  */
 public final class SocketLoop implements Runnable, AutoCloseable {
     private static final System.Logger LOG = System.getLogger("spartrail.lab.net");
-    /** Below this the selector's whole milliseconds are too coarse, and the thread parks in between. */
+    /** The selector waits in whole milliseconds; for shorter waits the thread parks instead. */
     private static final double SELECTOR_RESOLUTION_MS = 1.5;
 
     private static final int MAX_ACCEPTS_PER_EVENT = 256;
@@ -32,7 +32,7 @@
     private static final long CLOSE_TIMEOUT_MS = 5000;
     private static final long ACCEPT_FAILURE_PAUSE_NS = 1_000_000;
     private static final long PARK_NS = 40_000;
-    /** A busy-selecting loop blocks only if no timer is due within this time. */
+    /** A busy-isSelecting loop blocks only if no timer is due within this time. */
     private static final double MAX_BUSY_WAIT_MS = 1000;
 
     /** Handles the events of one channel. */
@@ -46,25 +46,25 @@
     private final TimerQueue timers = new TimerQueue();
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final Thread thread;
-    private volatile boolean ended;
-    /** Whether the selector may be blocked, so that a task has to wake it. */
-    private volatile boolean selecting;
-    /** Whether it spins instead of parking before a timer: a short park can last some milliseconds. Costs a core. */
+    private volatile boolean isClosed;
+    /** Whether the selector may be blocked, in which case a new task has to wake it. */
+    private volatile boolean isSelecting;
+    /** Whether the loop spins before a timer: even a short park can last some milliseconds. This occupies a core. */
     private final boolean busyWaiting;
     /** When a busy-waiting loop last polled its sockets; NaN after it has blocked. */
     private double lastPollMs = Double.NaN;
 
     /** The longest time between two polls of a busy-waiting loop. */
     private double longestPauseMs;
-    /** Allocated once: garbage made in each iteration would cause collector pauses. */
+    /** Allocated once: garbage from each iteration would cause collector pauses. */
     private final Runnable runTimers = () -> timers.runDue(nowMs());
 
-    /** Starts a loop that parks between events; {@code name} is its thread's. */
+    /** Starts a loop that parks between events; {@code name} is the name of its thread. */
     public SocketLoop(String name) {
         this(name, false);
     }
 
-    /** Starts a loop; a busy-waiting one runs timers on time to a tenth of a millisecond where a core is free for it. */
+    /** Starts a loop. A busy-waiting one with a core for itself runs timers on time to a tenth of a millisecond. */
     public SocketLoop(String name, boolean busyWaiting) {
         this.busyWaiting = busyWaiting;
         try {
@@ -83,8 +83,8 @@
     }
 
     /**
-     * The longest time for which a busy-waiting loop did not poll since the last call, because of the collector, the scheduler or
-     * its own work. Times measured on this loop are no more accurate than that.
+     * The longest time since the last call for which a busy-waiting loop did not poll, because of the collector, the
+     * scheduler or its own work. Times measured on this loop are no more accurate than that.
      */
     public double takeLongestPauseMs() {
         double[] longest = new double[1];
@@ -98,7 +98,7 @@
     /** Runs a task on the loop's thread. */
     public void execute(Runnable task) {
         tasks.add(task);
-        if (selecting) {
+        if (isSelecting) {
             selector.wakeup();
         }
     }
@@ -134,7 +134,7 @@
         }
     }
 
-    /** Runs a task at a time of {@link #nowMs}. */
+    /** Runs a task at the given time of the clock of {@link #nowMs}. */
     public TimerQueue.Timer schedule(double atMs, Runnable task) {
         return timers.schedule(atMs, task);
     }
@@ -146,7 +146,7 @@
         }
     }
 
-    /** Accepts connections until the channel is closed; each is handed over on the loop's thread. */
+    /** Listens until the returned channel is closed; accepted connections are passed on by the loop's thread. */
     public ServerSocketChannel listen(InetSocketAddress address, int backlog, Consumer<SocketChannel> accepted)
             throws IOException {
         ServerSocketChannel listening = ServerSocketChannel.open();
@@ -184,7 +184,7 @@
 
     @Override
     public void run() {
-        while (!ended) {
+        while (!isClosed) {
             try {
                 for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
                     runGuarded(task);
@@ -198,11 +198,11 @@
                 while (keys.hasNext()) {
                     SelectionKey key = keys.next();
                     keys.remove();
-                    serve(key);
+                    handleEvent(key);
                 }
             } catch (IOException e) {
-                LOG.log(System.Logger.Level.ERROR, "selecting failed: " + e.getMessage());
-                ended = true;
+                LOG.log(System.Logger.Level.ERROR, "selector failed: " + e.getMessage() + "; the socket loop ends");
+                isClosed = true;
             }
         }
         try {
@@ -211,13 +211,13 @@
             }
             selector.close();
         } catch (IOException e) {
-            LOG.log(System.Logger.Level.DEBUG, "closing", e);
+            LOG.log(System.Logger.Level.DEBUG, "exception while the socket loop was closed", e);
         }
     }
 
     private void select() throws IOException {
         double waitMs = timers.nextDueMs() - nowMs();
-        selecting = true;
+        isSelecting = true;
         try {
             if (waitMs <= 0 || !tasks.isEmpty()) {
                 selector.selectNow();
@@ -235,24 +235,27 @@
                 selector.select(Math.max(1, (long) Math.min(MAX_SELECT_MS, waitMs - 1)));
             }
         } finally {
-            selecting = false;
+            isSelecting = false;
         }
     }
 
-    private void serve(SelectionKey key) {
+    private void handleEvent(SelectionKey key) {
         try {
             if (key.isValid()) {
                 ((ChannelHandler) key.attachment()).handle(key);
             }
         } catch (CancelledKeyException e) {
-            // Closed while another channel was served.
+            // The key was cancelled while another channel was handled.
         } catch (IOException e) {
-            // Accepting failed, for want of descriptors for instance: without a pause the selector would report it in a
-            // busy loop.
-            LOG.log(System.Logger.Level.WARNING, "cannot accept a connection: " + e.getMessage());
+            // Accepting failed, for instance because no descriptor is free. Without a pause the loop would spin, since
+            // the
+            // selector reports the connection again at once.
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "cannot accept a connection: " + e.getMessage() + "; trying again in 1 ms");
             LockSupport.parkNanos(ACCEPT_FAILURE_PAUSE_NS);
         } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "exception while a socket was served", e);
+            LOG.log(System.Logger.Level.ERROR, "exception while a socket event was handled", e);
         }
     }
 
@@ -260,14 +263,14 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "exception in a task", e);
+            LOG.log(System.Logger.Level.ERROR, "exception in a task of the socket loop", e);
         }
     }
 
     /** Ends the thread and closes its channels. */
     @Override
     public void close() {
-        ended = true;
+        isClosed = true;
         selector.wakeup();
         try {
             if (Thread.currentThread() != thread) {
--- a/lab/src/main/java/spartrail/lab/net/TcpConnection.java
+++ b/lab/src/main/java/spartrail/lab/net/TcpConnection.java
@@ -10,7 +10,8 @@
 import java.util.Deque;
 
 /**
- * A TCP connection on a {@link SocketLoop}. Subclasses override the {@code on...} callbacks, all of which run on the loop's thread.
+ * A TCP connection on a {@link SocketLoop}. Subclasses override the {@code on...} callbacks, all of which run on the
+ * loop's thread.
  *
  * <pre>
  * state        connect, adopt       readable        write              peer closes, error   close, reset
@@ -21,13 +22,13 @@
  * </pre>
  */
 public abstract class TcpConnection {
-    /** A connection whose peer does not read is closed when more than this is queued. */
+    /** When more than this is queued, the peer does not read, and the connection is closed. */
     private static final long MAX_UNWRITTEN_BYTES = 8L * 1024 * 1024;
 
-    /** So that one busy connection does not hold up the others. */
+    /** Limits the time for which one busy connection delays the others. */
     private static final int MAX_READS_PER_EVENT = 8;
 
-    /** Owns this connection; its thread calls all callbacks. */
+    /** The loop of this connection; its thread runs all callbacks. */
     protected final SocketLoop loop;
 
     private final Deque<ByteBuffer> out = new ArrayDeque<>();
@@ -38,7 +39,7 @@
     private boolean reading = true;
     private boolean closed;
 
-    /** A connection that is not open yet. */
+    /** Creates a connection that is not open yet. */
     protected TcpConnection(SocketLoop loop) {
         this.loop = loop;
     }
@@ -49,31 +50,32 @@
     /** Bytes were read; the callee consumes all of them. */
     protected abstract void onBytes(ByteBuffer in);
 
-    /** The peer closed it, or it was never established; not called after {@link #close} or {@link #reset}. */
-    protected abstract void onClosed(String why);
+    /** The peer closed the connection, or connecting failed; not called after {@link #close} or {@link #reset}. */
+    protected abstract void onClosed(String reason);
 
     /** Everything that was queued has been written to the socket. */
     protected void onFlushed() {}
 
-    /** Begins to connect; throws an IOException where no socket can be opened at all. */
+    /** Begins to connect; throws an IOException if no socket can be opened. */
     public final void connect(InetSocketAddress address) throws IOException {
         channel = SocketChannel.open();
         try {
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            boolean immediate;
+            boolean isImmediate;
             try {
-                immediate = channel.connect(address);
+                isImmediate = channel.connect(address);
             } catch (IOException e) {
-                // Refused at once: reported like a connection that is refused later.
-                immediate = false;
+                // Refused at once: reported in the same way as a later refusal.
+                isImmediate = false;
                 closed = true;
                 channel.close();
                 loop.execute(() -> onClosed("connect: " + e.getMessage()));
                 return;
             }
-            key = loop.register(channel, immediate ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this::ready);
-            if (immediate) {
+            key = loop.register(
+                    channel, isImmediate ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this::handleEvent);
+            if (isImmediate) {
                 connected = true;
                 loop.execute(this::onConnected);
             }
@@ -87,15 +89,15 @@
     public final void adopt(SocketChannel accepted) throws IOException {
         channel = accepted;
         connected = true;
-        key = loop.register(channel, SelectionKey.OP_READ, this::ready);
+        key = loop.register(channel, SelectionKey.OP_READ, this::handleEvent);
     }
 
-    /** Whether neither side has closed it. */
+    /** Whether neither side has closed the connection. */
     public final boolean isOpen() {
         return !closed;
     }
 
-    /** The address of the other side, or null where the system does not know it any more. */
+    /** The address of the peer, or null if the operating system no longer provides it. */
     public final InetSocketAddress peer() {
         try {
             return (InetSocketAddress) channel.getRemoteAddress();
@@ -104,9 +106,9 @@
         }
     }
 
-    private void ready(SelectionKey ready) {
+    private void handleEvent(SelectionKey event) {
         try {
-            if (ready.isConnectable()) {
+            if (event.isConnectable()) {
                 channel.finishConnect();
                 connected = true;
                 updateInterest();
@@ -114,10 +116,10 @@
                 flush();
                 return;
             }
-            if (ready.isWritable()) {
+            if (event.isWritable()) {
                 flush();
             }
-            if (!closed && ready.isReadable()) {
+            if (!closed && event.isReadable()) {
                 read();
             }
         } catch (IOException e) {
@@ -145,7 +147,7 @@
         }
     }
 
-    /** Queues these bytes and writes what the socket takes now. */
+    /** Queues these bytes and writes as many as the socket accepts now. */
     public final void write(ByteBuffer bytes) {
         if (closed) {
             return;
@@ -160,15 +162,15 @@
             try {
                 flush();
             } catch (IOException e) {
-                // Later, as the callback would otherwise run inside the caller's own call of this method.
-                String why = e.getMessage();
-                loop.execute(() -> closeAndNotify(why == null ? "broken" : why));
+                // Deferred: otherwise the callback would run within the caller's call of this method.
+                String reason = e.getMessage();
+                loop.execute(() -> closeAndNotify(reason == null ? "broken" : reason));
             }
         }
     }
 
     private void flush() throws IOException {
-        boolean any = !out.isEmpty();
+        boolean hadOutput = !out.isEmpty();
         while (!out.isEmpty()) {
             ByteBuffer first = out.peek();
             unwrittenBytes -= channel.write(first);
@@ -179,7 +181,7 @@
             out.poll();
         }
         updateInterest();
-        if (any) {
+        if (hadOutput) {
             onFlushed();
         }
     }
@@ -198,14 +200,14 @@
         }
     }
 
-    private void closeAndNotify(String why) {
+    private void closeAndNotify(String reason) {
         if (!closed) {
             close();
-            onClosed(why);
+            onClosed(reason);
         }
     }
 
-    /** Closes it without a callback. */
+    /** Closes the connection without a callback. */
     public final void close() {
         closed = true;
         out.clear();
@@ -214,18 +216,18 @@
                 channel.close();
             }
         } catch (IOException e) {
-            // It is closed all the same.
+            // The channel is closed even if close() fails.
         }
     }
 
-    /** Closes it so that the peer sees a reset. */
+    /** Closes the connection with a TCP reset. */
     public final void reset() {
         try {
             if (!closed && channel != null) {
                 channel.setOption(StandardSocketOptions.SO_LINGER, 0);
             }
         } catch (IOException e) {
-            // Closed without a reset.
+            // The connection is closed without a reset.
         }
         close();
     }
--- a/lab/src/main/java/spartrail/lab/net/package-info.java
+++ b/lab/src/main/java/spartrail/lab/net/package-info.java
@@ -1,6 +1,7 @@
 /**
- * One event loop with one selector for all sockets of a lab component, and timers that run on time to a fraction of a millisecond.
- * Socket events come in as callbacks on the loop's thread, bytes go out; nothing here decides or blocks. XNIO waits in whole
- * milliseconds, which is too coarse where the load generator's own lag is measured in microseconds.
+ * An event loop with one selector for all sockets of a lab component. Its timers run on time to a fraction of a
+ * millisecond; XNIO waits in whole milliseconds, which is too coarse since the load generator's own lag is measured in
+ * microseconds. Socket events are callbacks on the loop's thread. The package contains no application logic and does
+ * not block.
  */
 package spartrail.lab.net;
--- a/lab/src/main/java/spartrail/lab/package-info.java
+++ b/lab/src/main/java/spartrail/lab/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The lab's program. The lab exercises front nodes from outside or runs their decisions in simulation: emulators, load generator,
- * experiments, drills, simulation, capacity tests. Nothing here is on a serving node's class path.
+ * The lab's program. The lab tests front nodes from outside, or runs their decision code in simulation. It contains
+ * emulators, a load generator, experiments, drills, simulations and capacity tests. None of it is on the class path of
+ * a serving node.
  */
 package spartrail.lab;
--- a/lab/src/test/java/spartrail/lab/Forms.java
+++ b/lab/src/test/java/spartrail/lab/Forms.java
@@ -4,18 +4,18 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Files that version d4872eb wrote; {@code forms/README.md} says how each was made. */
+/** Reads files that version d4872eb wrote; {@code forms/README.md} says how each was made. */
 public final class Forms {
     private Forms() {}
 
-    /** The bytes of the file of this name. */
+    /** The content of the file with this name, as bytes. */
     public static byte[] bytes(String name) throws IOException {
-        try (InputStream kept = Forms.class.getResourceAsStream("/forms/" + name)) {
-            return kept.readAllBytes();
+        try (InputStream resource = Forms.class.getResourceAsStream("/forms/" + name)) {
+            return resource.readAllBytes();
         }
     }
 
-    /** The text of the file of this name. */
+    /** The content of the file with this name, as text. */
     public static String text(String name) throws IOException {
         return new String(bytes(name), StandardCharsets.UTF_8);
     }
