--- a/lab/src/main/java/spartrail/lab/fleet/DiscoveryEmulator.java
+++ b/lab/src/main/java/spartrail/lab/fleet/DiscoveryEmulator.java
@@ -132,14 +132,14 @@
         if (!watch.request().connection.isOpen()) {
             return;
         }
-        boolean all = watch.since() < 0 || watch.since() > version;
+        boolean isWholeList = watch.since() < 0 || watch.since() > version;
         List<HostEntry> listed = new ArrayList<>();
         for (HostEntry entry : entries.values()) {
-            if (all ? !entry.state.equals("DELETED") : entry.version > watch.since()) {
+            if (isWholeList ? !entry.state.equals("DELETED") : entry.version > watch.since()) {
                 listed.add(entry);
             }
         }
-        StringBuilder body = new StringBuilder("{\"rev\":" + version + ",\"all\":" + all + ",\"targets\":[");
+        StringBuilder body = new StringBuilder("{\"rev\":" + version + ",\"all\":" + isWholeList + ",\"targets\":[");
         double nowMs = loop.nowMs();
         for (int i = 0; i < listed.size(); i++) {
             body.append(i == 0 ? "" : ",").append(toJson(listed.get(i)));
@@ -151,7 +151,7 @@
                         body.append("]}").toString().getBytes(StandardCharsets.UTF_8));
         listed.forEach(entry ->
                 listener.onStateWritten(node, entry.server.id(), entry.state, entry.startedMs, entry.changedMs, nowMs));
-        if (all) {
+        if (isWholeList) {
             entries.values().stream()
                     .filter(entry -> entry.state.equals("DELETED"))
                     .forEach(entry -> listener.onStateWritten(
--- a/lab/src/main/java/spartrail/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/spartrail/lab/fleet/FleetPlan.java
@@ -93,7 +93,7 @@
                     action.path("by").asDouble(1),
                     action.path("lastsMs").asDouble(0)));
         }
-        JsonNode roll = tree.path("roll");
+        JsonNode discovery = tree.path("roll");
         return new FleetPlan(
                 tree.path("seed").asLong(1),
                 layout.get("shards").asInt(),
@@ -101,9 +101,9 @@
                 layout.path("reach").asInt(1),
                 tree.path("nodes").asInt(1),
                 tree.path("firstPort").asInt(0),
-                roll.path("port").asInt(0),
-                roll.path("noticeMs").asDouble(0),
-                roll.path("silentNoticeMs").asDouble(2000),
+                discovery.path("port").asInt(0),
+                discovery.path("noticeMs").asDouble(0),
+                discovery.path("silentNoticeMs").asDouble(2000),
                 servers,
                 script);
     }
--- a/lab/src/main/java/spartrail/lab/fleet/HttpStub.java
+++ b/lab/src/main/java/spartrail/lab/fleet/HttpStub.java
@@ -15,7 +15,7 @@
 import spartrail.lab.net.SocketLoop;
 import spartrail.lab.net.TcpConnection;
 
-/** A minimal HTTP/1.1 server that leaves every byte of an answer to its owner; this allows faulty answers. */
+/** A minimal HTTP/1.1 server for emulators: they can write any bytes as an answer, including faulty ones. */
 final class HttpStub implements AutoCloseable {
     /** A completely received request; the handler answers it on its connection, at once or later. */
     static final class Request {
@@ -58,7 +58,9 @@
     final class ClientConnection extends TcpConnection {
         private byte[] bytes = new byte[1024];
         private int size;
+        /** The request whose head has been read and whose body is incomplete, or null. */
         private Request partial;
+        /** Length of the body of {@link #partial}. */
         private int bodyBytes;
 
         ClientConnection() {
--- a/lab/src/main/java/spartrail/lab/fleet/IndexServerEmulator.java
+++ b/lab/src/main/java/spartrail/lab/fleet/IndexServerEmulator.java
@@ -77,7 +77,9 @@
     private final List<ServerSocketChannel> listening = new ArrayList<>();
     private final List<Integer> ports = new ArrayList<>();
     private final Set<FrontNodeConnection> connections = new HashSet<>();
+    /** Pairs of time and load report, for delayed reports. */
     private final Deque<Object[]> reports = new ArrayDeque<>();
+
     private final Map<String, Long> counts = new HashMap<>();
     ServerModel model;
     private TimerQueue.Timer timer;
--- a/lab/src/main/java/spartrail/lab/fleet/ServerFrameCodec.java
+++ b/lab/src/main/java/spartrail/lab/fleet/ServerFrameCodec.java
@@ -24,7 +24,9 @@
     }
 
     private static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
+    /** Bytes received but not yet decoded are those from {@code from} to before {@code to}. */
     private byte[] bytes = new byte[4096];
+
     private int from;
     private int to;
     char type;
--- a/lab/src/main/java/spartrail/lab/load/LoadSession.java
+++ b/lab/src/main/java/spartrail/lab/load/LoadSession.java
@@ -9,7 +9,7 @@
 import spartrail.lab.plan.Arrival;
 import spartrail.lab.plan.LoadPlan;
 
-/** One run of a plan against front nodes, from its start to its report. */
+/** One run of a load plan against front nodes, from its start to its report. */
 public final class LoadSession implements AutoCloseable {
     /** The state of a run while it is in progress. */
     public record Snapshot(
