--- a/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
@@ -114,7 +114,7 @@
         this.progress = progress;
         this.checker = new RuleChecker(plan.settings().terms());
         this.fleet = new Fleet(
-                plan.fleet().varied(plan.seed(), plan.nodes()),
+                plan.fleet().withSeedAndNodes(plan.seed(), plan.nodes()),
                 Runner.watching(checker, (event, atMs) -> progress.accept("servers: " + event)));
         DatagramLinks newLinks = null;
         try {
@@ -252,7 +252,7 @@
         LoadPlan load = plan.load() == null ? null : plan.load().withTargets(targets);
         history.recordHarnessEvent("begins", Document.JSON.createObjectNode());
         startMs = currentTimeMs();
-        fleet.play();
+        fleet.startScript();
         try (LoadSession session =
                 load == null ? null : new LoadSession(load, load.arrivals(), load.durationMs(), checker)) {
             double reportedMs = 0;
--- a/lab/src/main/java/spartrail/lab/drill/LoadDelayDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/LoadDelayDrill.java
@@ -68,10 +68,10 @@
                         true)) {
                     session.await(WARM_UP_MS);
                     responder.loop().takeLongestPauseMs();
-                    session.standstillMs();
+                    session.takeLongestPauseMs();
                     session.await(60_000);
-                    longestPauseMs =
-                            Math.max(session.standstillMs(), responder.loop().takeLongestPauseMs());
+                    longestPauseMs = Math.max(
+                            session.takeLongestPauseMs(), responder.loop().takeLongestPauseMs());
                     measured = session.recorder();
                     measured.groups.keySet().removeIf(group -> group.phase() == 0);
                 }
--- a/lab/src/main/java/spartrail/lab/drill/RuleMutationDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/RuleMutationDrill.java
@@ -100,7 +100,7 @@
         try (Fleet fleet = new Fleet(plan, checker);
                 FaultyFrontNode front = new FaultyFrontNode(fleet, fault)) {
             if (isCold) {
-                fleet.order("restart s-0 1 2");
+                fleet.runCommand("restart s-0 1 2");
                 Thread.sleep(50);
             }
             try (LoadSession session = new LoadSession(
@@ -109,7 +109,7 @@
                     load.durationMs(),
                     LoadListener.class.cast(checker))) {
                 if (hasDrain) {
-                    fleet.order("drain s-0");
+                    fleet.runCommand("drain s-0");
                 }
                 isCompleted.set(session.await(30_000));
             }
