--- a/lab/src/main/java/spartrail/lab/cli/NodesExplore.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesExplore.java
@@ -53,7 +53,7 @@
         result.found().keySet().stream()
                 .findFirst()
                 .ifPresent(seed -> out.print("the shortest script found for the first: "
-                        + PolicyScenario.drawn(seed, most).shrunk().script()));
+                        + PolicyScenario.generate(seed, most).shrink().script()));
         return result.found().isEmpty() ? 0 : 1;
     }
 
@@ -64,7 +64,7 @@
         }
         long startNs = System.nanoTime();
         long[] toldNs = {startNs};
-        Exploration.Result result = Exploration.of(from, seeds, least, most, done -> {
+        Exploration.Result result = Exploration.explore(from, seeds, least, most, done -> {
             synchronized (toldNs) {
                 if (System.nanoTime() - toldNs[0] > 10_000_000_000L) {
                     toldNs[0] = System.nanoTime();
@@ -88,7 +88,7 @@
                 .forEach(found ->
                         out.println("  seed " + found.seed() + ", " + found.size() + " nodes, " + found.first()));
         result.found().keySet().stream().findFirst().ifPresent(seed -> {
-            PeersScenario shortest = Exploration.shrunk(seed, least, most);
+            PeersScenario shortest = Exploration.shrink(seed, least, most);
             out.print("the shortest script found for the first: " + shortest.script());
             out.println("all that happened: spartrail nodes replay " + seed + " --least " + least + " --most " + most);
         });
--- a/lab/src/main/java/spartrail/lab/cli/NodesFigures.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesFigures.java
@@ -28,7 +28,7 @@
         out.println("|---|---|---|---|---|---|---|---|---|---|---|");
         for (int size : sizes.isEmpty() ? List.of(10, 100, 400) : sizes) {
             for (String fault : PeersFigures.FAULTS) {
-                PeersFigures.Row row = PeersFigures.of(size, fault, runs, GossipTimings.DEFAULT);
+                PeersFigures.Row row = PeersFigures.measure(size, fault, runs, GossipTimings.DEFAULT);
                 out.printf(
                         Locale.ROOT,
                         "| %d | %s | %s | %s | %s | %.0f | %.2f | %.2f | %.0f | %.0f | %.0f |%n",
--- a/lab/src/main/java/spartrail/lab/cli/NodesPlanted.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesPlanted.java
@@ -32,12 +32,15 @@
                 "rule that found it",
                 "-".repeat(52) + "|" + "-".repeat(7) + "|" + "-".repeat(7) + "|" + "-".repeat(26));
         boolean all = true;
-        for (Mutations.Caught caught : Mutations.play(
-                Path.of(root == null ? "." : root), policy ? Mutations.POLICY : Mutations.ALL, 1, seeds, most)) {
-            all &= caught.caught();
+        for (Mutations.Outcome outcome : Mutations.run(
+                Path.of(root == null ? "." : root), policy ? Mutations.POLICY : Mutations.PEERS, 1, seeds, most)) {
+            all &= outcome.isCaught();
             out.printf(
                     "| %-50s | %5s | %5s | %-24s |%n",
-                    caught.plant().name(), caught.seed(), caught.size(), caught.caught() ? caught.rule() : "NOT FOUND");
+                    outcome.mutation().name(),
+                    outcome.seed(),
+                    outcome.size(),
+                    outcome.isCaught() ? outcome.rule() : "NOT FOUND");
         }
         return all ? 0 : 1;
     }
--- a/lab/src/main/java/spartrail/lab/cli/NodesReplay.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesReplay.java
@@ -34,15 +34,15 @@
     int run(PrintStream out, PrintStream err) {
         if (policy) {
             PolicyScenario trial = whole
-                    ? PolicyScenario.drawn(seed, most)
-                    : PolicyScenario.drawn(seed, most).shrunk();
+                    ? PolicyScenario.generate(seed, most)
+                    : PolicyScenario.generate(seed, most).shrink();
             out.print(trial.script());
             PolicyScenario.Outcome outcome = trial.play(true);
             outcome.log().forEach(out::println);
             out.printf("hash %016x, %d messages%n", outcome.hash(), outcome.messages());
             return outcome.breaches().isEmpty() ? 0 : 1;
         }
-        PeersScenario trial = whole ? PeersScenario.drawn(seed, least, most) : Exploration.shrunk(seed, least, most);
+        PeersScenario trial = whole ? PeersScenario.generate(seed, least, most) : Exploration.shrink(seed, least, most);
         out.print(trial.script());
         PeersScenario.Outcome outcome = trial.play(GossipTimings.DEFAULT, true);
         outcome.scene().log().forEach(out::println);
--- a/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
@@ -43,7 +43,7 @@
             List<ObjectNode> nodes,
             List<String> notTaken,
             List<Step> done,
-            List<PolicyRules.Taken> taken,
+            List<PolicyRules.MultigetDecision> taken,
             double lastedMs) {}
 
     private static final double LOOK_MS = 5;
@@ -273,7 +273,8 @@
                     .put("sentMessages", links.messages(node)));
         }
         ObjectNode servers = fleet.figures();
-        servers.forEach(server -> checker.cold(server.path("worstColdLoad").asDouble()));
+        servers.forEach(
+                server -> checker.recordColdLoad(server.path("worstColdLoad").asDouble()));
         return new Outcome(
                 history,
                 checker,
@@ -287,8 +288,8 @@
     }
 
     /** By what every life of every node decided its multigets. */
-    private List<PolicyRules.Taken> records() {
-        List<PolicyRules.Taken> all = new ArrayList<>();
+    private List<PolicyRules.MultigetDecision> records() {
+        List<PolicyRules.MultigetDecision> all = new ArrayList<>();
         for (int node = 0; node < nodes.size(); node++) {
             for (int life = 0; Files.exists(folder.resolve("n" + node + ".record." + life)); life++) {
                 try {
@@ -296,7 +297,7 @@
                         // A line torn by a kill is none.
                         if (line.endsWith("}") && line.contains("\"policy\"")) {
                             JsonNode tree = Document.JSON.readTree(line);
-                            all.add(new PolicyRules.Taken(
+                            all.add(new PolicyRules.MultigetDecision(
                                     tree.get("ns").asLong(),
                                     node,
                                     life,
--- a/lab/src/main/java/spartrail/lab/cluster/PolicyHistoryChecker.java
+++ b/lab/src/main/java/spartrail/lab/cluster/PolicyHistoryChecker.java
@@ -40,7 +40,7 @@
         java.util.Arrays.fill(outSince, -1);
     }
 
-    public PolicyRules read(List<Line> lines, List<PolicyRules.Taken> taken) {
+    public PolicyRules read(List<Line> lines, List<PolicyRules.MultigetDecision> taken) {
         Map<String, long[]> ended = new HashMap<>();
         long lastNs = 0;
         for (Line line : lines) {
@@ -53,7 +53,7 @@
         }
         for (int node = 0; node < size; node++) {
             if (outSince[node] >= 0) {
-                rules.out(node, outSince[node], Long.MAX_VALUE);
+                rules.onUnreachable(node, outSince[node], Long.MAX_VALUE);
             }
         }
         if (noMajoritySince >= 0) {
@@ -63,7 +63,7 @@
         proposed.forEach((step, fromNs) -> {
             long toNs = ended.containsKey(step) ? ended.get(step)[0] : endNs;
             if (withoutMajority.stream().noneMatch(span -> span[0] < toNs && fromNs < span[1])) {
-                rules.proposal(step, fromNs, toNs);
+                rules.onProposalEnd(step, fromNs, toNs);
             }
         });
         rules.judge(taken);
@@ -73,15 +73,15 @@
     private void node(Line line) {
         if (line.what().equals("log")) {
             JsonNode tree = line.tree();
-            rules.holds(tree.get("holds").asLong());
+            rules.onVersionHeld(tree.get("holds").asLong());
             String[] last = tree.get("last").asText().split(" ", 3);
             if (last.length > 1 && (last[1].equals("REFUSED") || last[1].equals("ABORTED"))) {
-                rules.over(Long.parseLong(last[0]), last[1]);
+                rules.onProposalRejected(Long.parseLong(last[0]), last[1]);
             }
         } else if (line.what().equals("policy")) {
-            rules.ruled(line.node(), line.tree().get("by").asText());
+            rules.onPolicyChange(line.node(), line.tree().get("by").asText());
         } else if (line.what().equals("told")) {
-            rules.holds(line.tree().get("holds").asLong());
+            rules.onVersionHeld(line.tree().get("holds").asLong());
         }
     }
 
@@ -91,7 +91,7 @@
         switch (line.what()) {
             case "started" -> nodes.forEach(node -> {
                 runs[node] = true;
-                rules.started(node);
+                rules.onStart(node);
             });
             case "killed" -> nodes.forEach(node -> runs[node] = false);
             case "stopped" -> nodes.forEach(node -> stands[node] = true);
@@ -103,8 +103,9 @@
             }
             case "proposed" -> proposed.put(line.tree().get("step").asText(), line.ns());
             case "ended" -> ended.put(line.tree().get("step").asText(), new long[] {line.ns()});
-            case "abandoned" -> rules.over(line.tree().path("number").asLong(), "abandoned");
-            case "pushed" -> rules.holds(line.tree().path("number").asLong());
+            case "abandoned" -> rules.onProposalRejected(
+                    line.tree().path("number").asLong(), "abandoned");
+            case "pushed" -> rules.onVersionHeld(line.tree().path("number").asLong());
             default -> {
                 if (LINKS.containsKey(line.what())) {
                     cut(nodes, others, LINKS.get(line.what()), line.what().startsWith("cut"));
@@ -159,7 +160,7 @@
             if (out && outSince[node] < 0) {
                 outSince[node] = ns;
             } else if (!out && outSince[node] >= 0) {
-                rules.out(node, outSince[node], ns);
+                rules.onUnreachable(node, outSince[node], ns);
                 outSince[node] = -1;
             }
         }
--- a/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
@@ -534,12 +534,12 @@
                         && !line.tree().get("stage").asText().equals("UNKNOWN"))
                 .count();
         findings.least("changes that ended", least, ended);
-        findings.least("versions that took hold", least / 3, rules.held() - 1);
+        findings.least("versions that took hold", least / 3, rules.versionsHeld() - 1);
         findings.least("multigets that were judged", 1000, rules.judged());
         findings.equal("rules of policy broken", "{}", rules.counts().toString());
         rules.breaches().forEach(breach -> findings.note("example", breach.toString()));
-        findings.most("longest time guarded between two versions, ms", bounds.overlapMs(), rules.widestMs());
-        findings.most("longest from proposal to end with a majority, ms", bounds.endsMs(), rules.slowestMs());
+        findings.most("longest time guarded between two versions, ms", bounds.overlapMs(), rules.longestOverlapMs());
+        findings.most("longest from proposal to end with a majority, ms", bounds.endsMs(), rules.longestProposalMs());
         findings.note("from proposal to hold where no leader was lost, median in ms", String.valueOf(median(lines)));
         wants.judge(findings, lines, rules);
         outcome.rules()
--- a/lab/src/main/java/spartrail/lab/experiment/Runner.java
+++ b/lab/src/main/java/spartrail/lab/experiment/Runner.java
@@ -69,8 +69,8 @@
                 }
                 ObjectNode report = session.report();
                 ObjectNode servers = fleet.figures();
-                servers.forEach(
-                        server -> checker.cold(server.path("worstColdLoad").asDouble()));
+                servers.forEach(server ->
+                        checker.recordColdLoad(server.path("worstColdLoad").asDouble()));
                 report.set("servers", servers);
                 ArrayNode processes = report.putArray("nodes");
                 for (int i = 0; i < nodes.size(); i++) {
@@ -99,7 +99,7 @@
     /** How the rules fared, as a report tells it. */
     public static ObjectNode rules(RuleChecker checker) {
         ObjectNode tree = Document.JSON.createObjectNode();
-        tree.put("kept", checker.kept());
+        tree.put("kept", checker.isKept());
         ArrayNode verdicts = tree.putArray("verdicts");
         checker.verdicts().forEach(verdict -> {
             ObjectNode line = verdicts.addObject()
--- a/lab/src/main/java/spartrail/lab/rules/PolicyRules.java
+++ b/lab/src/main/java/spartrail/lab/rules/PolicyRules.java
@@ -21,23 +21,23 @@
      * @param life of the node's process, from 0
      * @param by {@code 3}; guarded {@code 3|4}; out of touch {@code 3?} or {@code 3|4?}
      */
-    public record Taken(long ns, int node, int life, String by) {
+    public record MultigetDecision(long ns, int node, int life, String label) {
         /** It holds a lease, or says so. */
         boolean leased() {
-            return !by.endsWith("?");
+            return !label.endsWith("?");
         }
 
         boolean guarded() {
-            return !leased() || by.contains("|");
+            return !leased() || label.contains("|");
         }
 
         long base() {
-            return Long.parseLong(by.replaceAll("[|?].*", ""));
+            return Long.parseLong(label.replaceAll("[|?].*", ""));
         }
 
         /** The version that may come next, or -1. */
         long next() {
-            return by.contains("|") ? Long.parseLong(by.replaceAll(".*\\||\\?", "")) : -1;
+            return label.contains("|") ? Long.parseLong(label.replaceAll(".*\\||\\?", "")) : -1;
         }
     }
 
@@ -68,10 +68,10 @@
     private final Map<String, Proposal> proposals = new TreeMap<>();
     private final List<Breach> breaches = new ArrayList<>();
     private final Map<String, Integer> counts = new TreeMap<>();
-    private double widestMs;
-    private double slowestMs;
-    private final Map<Integer, Taken> ruled = new HashMap<>();
-    private final List<List<Taken>> transitions = new ArrayList<>();
+    private double longestOverlapMs;
+    private double longestProposalMs;
+    private final Map<Integer, MultigetDecision> ruled = new HashMap<>();
+    private final List<List<MultigetDecision>> transitions = new ArrayList<>();
     private long judged;
 
     public PolicyRules(Bounds bounds) {
@@ -79,7 +79,7 @@
     }
 
     /** The log says that this version took hold; told in any order and more than once. */
-    public void holds(long number) {
+    public void onVersionHeld(long number) {
         if (!held.contains(number)) {
             held.add(number);
             held.sort(Comparator.naturalOrder());
@@ -87,50 +87,50 @@
     }
 
     /** The log says that this proposal was refused or aborted. */
-    public void over(long number, String stage) {
+    public void onProposalRejected(long number, String stage) {
         ended.put(number, stage);
     }
 
     /** From then to then a node could not hear from anybody who can say what holds. */
-    public void out(int node, long fromNs, long toNs) {
+    public void onUnreachable(int node, long fromNs, long toNs) {
         outs.add(new Out(node, fromNs, toNs));
     }
 
     /** A process of this node has just started: what it went by before is over. */
-    public void started(int node) {
+    public void onStart(int node) {
         ruled.remove(node);
     }
 
     /** A node says that it goes by this from now on, whether it has anything to decide or not. */
-    public void ruled(int node, String by) {
-        Taken now = new Taken(0, node, 0, by);
+    public void onPolicyChange(int node, String by) {
+        MultigetDecision now = new MultigetDecision(0, node, 0, by);
         if (by.isEmpty() || !now.leased()) {
             ruled.remove(node);
             return;
         }
-        Taken before = ruled.put(node, now);
+        MultigetDecision before = ruled.put(node, now);
         if (before != null) {
             transitions.add(List.of(before, now));
         }
     }
 
     /** A proposal was taken then, and its end known then, while a majority was reachable throughout. */
-    public void proposal(String name, long fromNs, long toNs) {
+    public void onProposalEnd(String name, long fromNs, long toNs) {
         proposals.put(name, new Proposal(fromNs, toNs));
     }
 
     /** Judges all multigets. */
-    public void judge(List<Taken> multigets) {
-        List<Taken> sorted = new ArrayList<>(multigets);
-        sorted.sort(Comparator.comparingLong(Taken::ns));
+    public void judge(List<MultigetDecision> multigets) {
+        List<MultigetDecision> sorted = new ArrayList<>(multigets);
+        sorted.sort(Comparator.comparingLong(MultigetDecision::ns));
         judged = sorted.size();
         order(sorted);
-        for (List<Taken> each : transitions) {
+        for (List<MultigetDecision> each : transitions) {
             if (held.indexOf(each.get(1).base()) > held.indexOf(each.get(0).base()) + 1) {
                 breach(
                         "(a) one order",
-                        "n" + each.get(0).node() + " went from " + each.get(0).by() + " to "
-                                + each.get(1).by() + " and skipped some");
+                        "n" + each.get(0).node() + " went from " + each.get(0).label() + " to "
+                                + each.get(1).label() + " and skipped some");
             }
         }
         refused(sorted);
@@ -138,7 +138,7 @@
         outOfTouch(sorted);
         for (Map.Entry<String, Proposal> each : proposals.entrySet()) {
             double tookMs = (each.getValue().toNs - each.getValue().fromNs) / 1e6;
-            slowestMs = Math.max(slowestMs, tookMs);
+            longestProposalMs = Math.max(longestProposalMs, tookMs);
             if (tookMs > bounds.endsMs()) {
                 breach(
                         "(f) every proposal ends",
@@ -148,38 +148,38 @@
         }
     }
 
-    private void order(List<Taken> sorted) {
-        Map<Integer, Taken> last = new HashMap<>();
-        for (Taken each : sorted) {
+    private void order(List<MultigetDecision> sorted) {
+        Map<Integer, MultigetDecision> last = new HashMap<>();
+        for (MultigetDecision each : sorted) {
             if (!each.leased()) {
                 // Out of touch it may miss versions; it may not go back, which the next leased one shows.
                 continue;
             }
-            Taken before = last.put(each.node(), each);
+            MultigetDecision before = last.put(each.node(), each);
             if (!held.contains(each.base())) {
-                breach("(a) one order", "n" + each.node() + " decided by " + each.by() + ", which never held");
+                breach("(a) one order", "n" + each.node() + " decided by " + each.label() + ", which never held");
             } else if (before != null && each.base() < before.base()) {
-                breach("(a) one order", "n" + each.node() + " decided by " + each.by() + " after " + before.by());
+                breach("(a) one order", "n" + each.node() + " decided by " + each.label() + " after " + before.label());
             }
         }
     }
 
-    private void refused(List<Taken> sorted) {
-        for (Taken each : sorted) {
+    private void refused(List<MultigetDecision> sorted) {
+        for (MultigetDecision each : sorted) {
             if (ended.containsKey(each.base()) || each.leased() && ended.containsKey(each.next()) && each.next() >= 0) {
                 breach(
                         "(b) refused is never",
-                        "n" + each.node() + " decided by " + each.by() + ", of which one was " + ended);
+                        "n" + each.node() + " decided by " + each.label() + ", of which one was " + ended);
             }
         }
     }
 
     /** At every instant there is one version that allows what every node that holds a lease decides. */
-    private void instants(List<Taken> sorted) {
+    private void instants(List<MultigetDecision> sorted) {
         Map<Long, long[]> alone = new TreeMap<>();
         Map<Long, long[]> between = new TreeMap<>();
-        Map<Long, Taken> latest = new HashMap<>();
-        for (Taken each : sorted) {
+        Map<Long, MultigetDecision> latest = new HashMap<>();
+        for (MultigetDecision each : sorted) {
             if (!each.leased()) {
                 continue;
             }
@@ -209,7 +209,7 @@
         for (Map.Entry<Long, long[]> each : between.entrySet()) {
             long next = each.getKey();
             long[] span = each.getValue();
-            widestMs = Math.max(widestMs, (span[1] - span[0]) / 1e6);
+            longestOverlapMs = Math.max(longestOverlapMs, (span[1] - span[0]) / 1e6);
             for (Map.Entry<Long, long[]> other : alone.entrySet()) {
                 boolean allowed = other.getKey() == next || held.indexOf(other.getKey()) == held.indexOf(next) - 1;
                 if (!allowed && other.getValue()[0] < span[1] && span[0] < other.getValue()[1]) {
@@ -219,19 +219,19 @@
                 }
             }
         }
-        if (widestMs > bounds.overlapMs()) {
+        if (longestOverlapMs > bounds.overlapMs()) {
             breach(
                     "(c) one version at an instant",
                     String.format(
                             Locale.ROOT,
                             "guarded between two versions for %.0f ms, at most %.0f",
-                            widestMs,
+                            longestOverlapMs,
                             bounds.overlapMs()));
         }
     }
 
-    private void outOfTouch(List<Taken> sorted) {
-        for (Taken each : sorted) {
+    private void outOfTouch(List<MultigetDecision> sorted) {
+        for (MultigetDecision each : sorted) {
             for (Out out : outs) {
                 if (each.leased()
                         && out.node == each.node()
@@ -243,7 +243,7 @@
                                     Locale.ROOT,
                                     "n%d decided by %s %.0f ms after it could last hear",
                                     each.node(),
-                                    each.by(),
+                                    each.label(),
                                     (each.ns() - out.fromNs) / 1e6));
                 }
             }
@@ -267,13 +267,13 @@
     }
 
     /** The longest time in which somebody decided between two versions. */
-    public double widestMs() {
-        return widestMs;
+    public double longestOverlapMs() {
+        return longestOverlapMs;
     }
 
     /** The longest from a proposal to its end. */
-    public double slowestMs() {
-        return slowestMs;
+    public double longestProposalMs() {
+        return longestProposalMs;
     }
 
     public long judged() {
@@ -281,7 +281,7 @@
     }
 
     /** Versions that took hold, the nodes' own settings among them. */
-    public int held() {
+    public int versionsHeld() {
         return held.size();
     }
 }
--- a/lab/src/main/java/spartrail/lab/rules/RuleChecker.java
+++ b/lab/src/main/java/spartrail/lab/rules/RuleChecker.java
@@ -389,7 +389,7 @@
     }
 
     /** How near cold servers came to falling, as the fleet's figures tell; asked once at the end. */
-    public synchronized void cold(double worst) {
+    public synchronized void recordColdLoad(double worst) {
         worstCold = Math.max(worstCold, worst);
         hold(Rule.COLD, true, "");
     }
@@ -403,7 +403,7 @@
         return verdicts;
     }
 
-    public synchronized boolean kept() {
+    public synchronized boolean isKept() {
         return tallies.values().stream().allMatch(tally -> tally.broken == 0);
     }
 
--- a/lab/src/main/java/spartrail/lab/scale/ScaleTests.java
+++ b/lab/src/main/java/spartrail/lab/scale/ScaleTests.java
@@ -207,7 +207,7 @@
         static PeersRun of(int nodes, String fault) {
             var system = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
             long fromNs = system.getProcessCpuTime();
-            PeersFigures.Row row = PeersFigures.of(nodes, fault, PEER_RUNS, GossipTimings.DEFAULT);
+            PeersFigures.Row row = PeersFigures.measure(nodes, fault, PEER_RUNS, GossipTimings.DEFAULT);
             double usedS = (system.getProcessCpuTime() - fromNs) / 1e9;
             return new PeersRun(row, 100 * usedS / (PEER_RUNS * nodes * PeersFigures.RUN_S));
         }
--- a/lab/src/main/java/spartrail/lab/simulation/Exploration.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Exploration.java
@@ -26,7 +26,7 @@
      * Plays so many seeds with so many nodes each, at the least and at the most. The hash is that of all runs, in the
      * order of their seeds.
      */
-    public static Result of(long from, long count, int least, int most, LongConsumer done) {
+    public static Result explore(long from, long count, int least, int most, LongConsumer done) {
         Map<Long, Found> found = Collections.synchronizedMap(new TreeMap<>());
         AtomicLong messages = new AtomicLong();
         AtomicLong changes = new AtomicLong();
@@ -34,7 +34,7 @@
         long hash = LongStream.range(from, from + count)
                 .parallel()
                 .map(seed -> {
-                    PeersScenario trial = PeersScenario.drawn(seed, least, most);
+                    PeersScenario trial = PeersScenario.generate(seed, least, most);
                     PeersScenario.Outcome outcome = trial.play(GossipTimings.DEFAULT, false);
                     messages.addAndGet(outcome.messages());
                     changes.addAndGet(outcome.scene().rules().judgedChanges());
@@ -53,7 +53,7 @@
     /** The first seed of these that breaks anything, as one line; empty where none does. For plants in another loader. */
     public static String firstBreach(long from, long count, int most) {
         for (long seed = from; seed < from + count; seed++) {
-            PeersScenario trial = PeersScenario.drawn(seed, most);
+            PeersScenario trial = PeersScenario.generate(seed, most);
             List<PeersRules.Breach> breaches =
                     trial.play(GossipTimings.DEFAULT, false).breaches();
             if (!breaches.isEmpty()) {
@@ -64,12 +64,12 @@
     }
 
     /** A seed's shortest script that still breaks the rule which it broke first; the trial itself where it breaks none. */
-    public static PeersScenario shrunk(long seed, int least, int most) {
-        PeersScenario trial = PeersScenario.drawn(seed, least, most);
+    public static PeersScenario shrink(long seed, int least, int most) {
+        PeersScenario trial = PeersScenario.generate(seed, least, most);
         List<PeersRules.Breach> breaches =
                 new ArrayList<>(trial.play(GossipTimings.DEFAULT, false).breaches());
         return breaches.isEmpty()
                 ? trial
-                : trial.shrunk(GossipTimings.DEFAULT, breaches.get(0).rule(), UnaryOperator.identity());
+                : trial.shrink(GossipTimings.DEFAULT, breaches.get(0).rule(), UnaryOperator.identity());
     }
 }
--- a/lab/src/main/java/spartrail/lab/simulation/Mutations.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Mutations.java
@@ -24,100 +24,100 @@
  */
 public final class Mutations {
     /** A fault, and the one place in the source that it changes; how lines are broken there does not matter. */
-    public record Plant(String file, String name, String text, String instead) {}
+    public record Mutation(String file, String name, String text, String replacement) {}
 
     /** Whether it was found, by which seed and rule. */
-    public record Caught(Plant plant, String seed, String rule, String size) {
-        public boolean caught() {
+    public record Outcome(Mutation mutation, String seed, String rule, String size) {
+        public boolean isCaught() {
             return !seed.isEmpty();
         }
     }
 
     /** Faults of peers. */
-    public static final List<Plant> ALL = List.of(
-            new Plant(
+    public static final List<Mutation> PEERS = List.of(
+            new Mutation(
                     "peers/StateTransitions",
                     "older news replaces newer",
                     "peer.descriptor, peer.state) <= 0) {",
                     "peer.descriptor, peer.state) == 0) {"),
-            new Plant(
+            new Mutation(
                     "peers/Suspicions",
                     "a node in doubt ends suspicions",
                     "if (!health.maySuspect()) {",
                     "if (false) {"),
-            new Plant(
+            new Mutation(
                     "peers/FailureDetector",
                     "a node in doubt suspects",
                     "peer.hasIncarnation(probe.incarnation) && health.maySuspect()) {",
                     "peer.hasIncarnation(probe.incarnation)) {"),
-            new Plant(
+            new Mutation(
                     "peers/PauseDetector",
                     "a standstill is not noticed",
                     "return latenessMs > timings.pauseThresholdMs();",
                     "return latenessMs > 1e12;"),
-            new Plant(
+            new Mutation(
                     "peers/UpdateHandler",
                     "nothing is refuted",
                     "local.refute(update.descriptor().refutations());",
                     ""),
-            new Plant(
+            new Mutation(
                     "peers/LocalPeer",
                     "refuted with the same turn",
                     "withIncarnation(incarnation(), refutations + 1)",
                     "withIncarnation(incarnation(), refutations)"),
-            new Plant("peers/SwimMembership", "nobody looks for the lost", "failureDetector.probeDeparted();", ""),
-            new Plant(
+            new Mutation("peers/SwimMembership", "nobody looks for the lost", "failureDetector.probeDeparted();", ""),
+            new Mutation(
                     "peers/SwimMembership",
                     "what a new answer says of this node is not heard",
                     "if (isTrusted || isFreshAck && isAboutLocal) {",
                     "if (isTrusted || false && isAboutLocal) {"),
-            new Plant(
+            new Mutation(
                     "peers/FailureDetector",
                     "helpers are not asked",
                     "if (probe != currentProbe || probe.acknowledged) {",
                     "if (true) {"),
-            new Plant(
+            new Mutation(
                     "peers/FailureDetector",
                     "a helper's find does not count",
                     "if (found.compareTo(currentProbe.incarnation) >= 0) {",
                     "if (false) {"),
-            new Plant(
+            new Mutation(
                     "peers/StateTransitions",
                     "the digest leaves out who is new",
                     "table.updateDigest(peer);",
                     "if (previousState != null) { table.updateDigest(peer); }"),
-            new Plant("peers/Dissemination", "news is passed on for ever", "peer.transmissions++;", ""),
-            new Plant(
+            new Mutation("peers/Dissemination", "news is passed on for ever", "peer.transmissions++;", ""),
+            new Mutation(
                     "peers/LocalPeer",
                     "who leaves does not say so",
                     "state = PeerState.LEFT;",
                     "state = PeerState.ALIVE;"),
-            new Plant(
+            new Mutation(
                     "peers/NameConflict",
                     "a former life's later start is not outbid",
                     "startIncarnationAfter(other.incarnation());",
                     ""),
-            new Plant(
+            new Mutation(
                     "peers/Suspicions",
                     "a suspicion never ends",
                     "deadlineMs), () -> onTimeout(peer));",
                     "deadlineMs), () -> { });"),
-            new Plant(
+            new Mutation(
                     "peers/LocalHealth",
                     "a node that is cut off does not notice",
                     "unansweredRounds >= MAX_UNANSWERED_ROUNDS",
                     "unansweredRounds >= 1000"),
-            new Plant(
+            new Mutation(
                     "peers/LocalHealth",
                     "suspicions go on where doubt ends",
                     "return hadNoConfidence && !isAwaitingAcksAfterPause();",
                     "return false;"),
-            new Plant(
+            new Mutation(
                     "peers/SwimMembership",
                     "suspects are not asked again",
                     "if (!local.hasLeft() && !nameConflict.isNameLost()) {\n            failureDetector.probeSuspects();",
                     "if (false) {\n            failureDetector.probeSuspects();"),
-            new Plant(
+            new Mutation(
                     "peers/SwimMembership",
                     "strangers are not met",
                     "if (contacts.add(address) && rateLimiter",
@@ -128,80 +128,80 @@
     private static final String LOG = "policy/PolicyLog";
 
     /** Faults of versions of policy. */
-    public static final List<Plant> POLICY = List.of(
-            new Plant(
+    public static final List<Mutation> POLICY = List.of(
+            new Mutation(
                     LEADER,
                     "a version holds as soon as it is decided",
                     "if (nowMs - knownSinceMs < times.leaseExpiryBoundMs()) {",
                     "if (false) {"),
-            new Plant(
+            new Mutation(
                     "policy/PolicyTimings",
                     "the leader waits for half a lease",
                     "return leaseMs * (1 + maxClockDrift) / (1 - maxClockDrift);",
                     "return leaseMs / 2;"),
-            new Plant(
+            new Mutation(
                     "policy/PolicyTimings",
                     "the leader's wait leaves drift out",
                     "return leaseMs * (1 + maxClockDrift) / (1 - maxClockDrift);",
                     "return leaseMs;"),
-            new Plant(
+            new Mutation(
                     FOLLOWER,
                     "a lease counts from the answer",
                     "polledAtMs + times.leaseMs()",
                     "nowMs + times.leaseMs()"),
-            new Plant(
+            new Mutation(
                     FOLLOWER,
                     "a lease does not end",
                     "Math.max(leaseEndMs, polledAtMs + times.leaseMs())",
                     "Double.POSITIVE_INFINITY"),
-            new Plant(
+            new Mutation(
                     FOLLOWER,
                     "what was overtaken is taken up",
                     "lastResponse != null && response.appliedIndex() < lastResponse.appliedIndex()",
                     "false"),
-            new Plant(
+            new Mutation(
                     FOLLOWER,
                     "nobody is guarded after the decision",
                     "pending != null && pending.stage() == PolicyVersion.Stage.DECIDED;",
                     "false;"),
-            new Plant(
+            new Mutation(
                     FOLLOWER,
                     "out of touch the proposal is forgotten",
                     "new PolicyLease(jointLabel + \"?\", jointSettings, true",
                     "new PolicyLease(jointLabel + \"?\", activeSettings, true"),
-            new Plant(
+            new Mutation(
                     FOLLOWER,
                     "a node that starts is ready at once",
                     "nowMs - startedAtMs >= times.startupTimeoutMs()",
                     "nowMs >= startedAtMs"),
-            new Plant(
+            new Mutation(
                     FOLLOWER,
                     "a node that heard nothing is not guarded",
                     "new PolicyLease(LOCAL_LABEL, localSettings, true,",
                     "new PolicyLease(\"0\", localSettings, false,"),
-            new Plant(FOLLOWER, "nobody says that it can", "        votedNumber = number;\n", ""),
-            new Plant(LEADER, "a no is not heard", "if (!vote.objection().isEmpty()) {", "if (false) {"),
-            new Plant(
+            new Mutation(FOLLOWER, "nobody says that it can", "        votedNumber = number;\n", ""),
+            new Mutation(LEADER, "a no is not heard", "if (!vote.objection().isEmpty()) {", "if (false) {"),
+            new Mutation(
                     LEADER,
                     "nobody is waited for",
                     "if (missing.isEmpty() && hasLedLongEnough) {",
                     "if (hasLedLongEnough) {"),
-            new Plant(
+            new Mutation(
                     LEADER,
                     "a proposal that not all answer stays open",
                     "if (nowMs - knownSinceMs < times.voteTimeoutMs()) {",
                     "if (true) {"),
-            new Plant(
+            new Mutation(
                     LOG,
                     "any stage leads to any other",
                     "if (isDecided != (operation.kind() == Kind.HOLD)) {",
                     "if (false) {"),
-            new Plant(
+            new Mutation(
                     LOG,
                     "the same proposal sent twice is two",
                     "            if (version.token().equals(operation.token())) {",
                     "            if (false) {"),
-            new Plant(
+            new Mutation(
                     "policy/SettingRule",
                     "guarded is the looser of two times",
                     "case SMALLER -> Math.min(",
@@ -213,29 +213,30 @@
     private Mutations() {}
 
     /** Plays the seeds with each fault planted. */
-    public static List<Caught> play(Path root, List<Plant> plants, long from, long count, int most) throws Exception {
-        List<Callable<Caught>> plays = new ArrayList<>();
-        for (Plant plant : plants) {
-            Path source = root.resolve("core/src/main/java/spartrail/" + plant.file() + ".java");
+    public static List<Outcome> run(Path root, List<Mutation> mutations, long from, long count, int most)
+            throws Exception {
+        List<Callable<Outcome>> plays = new ArrayList<>();
+        for (Mutation mutation : mutations) {
+            Path source = root.resolve("core/src/main/java/spartrail/" + mutation.file() + ".java");
             if (!Files.isReadable(source)) {
                 throw new InvalidInputException(
                         source + ": is not there; faults are planted in the repository's source");
             }
             String text = Files.readString(source);
-            Matcher place = place(plant.text()).matcher(text);
+            Matcher place = place(mutation.text()).matcher(text);
             long places = place.results().count();
             if (places != 1) {
-                throw new InvalidInputException("the fault '" + plant.name()
+                throw new InvalidInputException("the fault '" + mutation.name()
                         + "' does not fit the source any more: its text is there " + (places == 0 ? "never" : "twice"));
             }
-            String changed = place.reset().replaceFirst(Matcher.quoteReplacement(plant.instead()));
-            plays.add(() -> played(plant, changed, from, count, most));
+            String changed = place.reset().replaceFirst(Matcher.quoteReplacement(mutation.replacement()));
+            plays.add(() -> played(mutation, changed, from, count, most));
         }
         ExecutorService players =
                 Executors.newFixedThreadPool(Runtime.getRuntime().availableProcessors());
         try {
-            List<Caught> caught = new ArrayList<>();
-            for (Future<Caught> played : players.invokeAll(plays)) {
+            List<Outcome> caught = new ArrayList<>();
+            for (Future<Outcome> played : players.invokeAll(plays)) {
                 caught.add(played.get());
             }
             return caught;
@@ -256,18 +257,18 @@
         return Pattern.compile(pattern.toString());
     }
 
-    private static Caught played(Plant plant, String text, long from, long count, int most) throws Exception {
+    private static Outcome played(Mutation mutation, String text, long from, long count, int most) throws Exception {
         Path folder = Files.createTempDirectory("spartrail-plant");
         try {
             Path file = Files.createDirectories(folder.resolve("source"))
-                    .resolve(plant.file().replaceAll(".*/", "") + ".java");
+                    .resolve(mutation.file().replaceAll(".*/", "") + ".java");
             Files.writeString(file, text);
             Path classes = Files.createDirectories(folder.resolve("classes"));
             String path = System.getProperty("java.class.path");
             JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
             if (compiler == null
                     || compiler.run(null, null, null, "-cp", path, "-d", classes.toString(), file.toString()) != 0) {
-                throw new IOException("the source with '" + plant.name() + "' does not compile");
+                throw new IOException("the source with '" + mutation.name() + "' does not compile");
             }
             List<URL> urls = new ArrayList<>();
             urls.add(classes.toUri().toURL());
@@ -277,11 +278,14 @@
             try (URLClassLoader loader =
                     new URLClassLoader(urls.toArray(new URL[0]), ClassLoader.getPlatformClassLoader())) {
                 String line = (String) loader.loadClass(
-                                (plant.file().startsWith("peers") ? Exploration.class : PolicyScenario.class).getName())
+                                (mutation.file().startsWith("peers") ? Exploration.class : PolicyScenario.class)
+                                        .getName())
                         .getMethod("firstBreach", long.class, long.class, int.class)
                         .invoke(null, from, count, most);
                 String[] parts = line.split("\t");
-                return line.isEmpty() ? new Caught(plant, "", "", "") : new Caught(plant, parts[0], parts[1], parts[2]);
+                return line.isEmpty()
+                        ? new Outcome(mutation, "", "", "")
+                        : new Outcome(mutation, parts[0], parts[1], parts[2]);
             }
         } finally {
             try (Stream<Path> files = Files.walk(folder)) {
--- a/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
@@ -81,7 +81,7 @@
     private record Run(List<Double> detectionTimesMs, long suspicions, long ends, double bytes, double mostBytes) {}
 
     /** So many runs, each from a seed of its own. */
-    public static Row of(int size, String fault, int runs, GossipTimings times) {
+    public static Row measure(int size, String fault, int runs, GossipTimings times) {
         List<Run> all = LongStream.rangeClosed(1, runs)
                 .parallel()
                 .mapToObj(seed -> run(size, fault, seed, times))
--- a/lab/src/main/java/spartrail/lab/simulation/PeersScenario.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersScenario.java
@@ -24,12 +24,12 @@
             List<PeersRules.Breach> breaches, long hash, long messages, PeersSimulation scene, double lastedMs) {}
 
     /** What a seed stands for: 3 to {@code most} nodes, none to six faults of any kind. */
-    public static PeersScenario drawn(long seed, int most) {
-        return drawn(seed, 3, most);
+    public static PeersScenario generate(long seed, int most) {
+        return generate(seed, 3, most);
     }
 
     /** The same with so many nodes at the least. */
-    public static PeersScenario drawn(long seed, int least, int most) {
+    public static PeersScenario generate(long seed, int least, int most) {
         RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed ^ 0x5DEECE66DL);
         // Small fleets are drawn more often: they fail in more ways, and a seed of them takes less time.
         int size = (int) Math.round(least * Math.pow(most / (double) least, chance.nextDouble()));
@@ -210,7 +210,7 @@
     }
 
     /** The shortest script found that still breaks the same rule: faults left out, then shortened, then fewer nodes. */
-    public PeersScenario shrunk(GossipTimings times, String rule, UnaryOperator<PeerMessage> planted) {
+    public PeersScenario shrink(GossipTimings times, String rule, UnaryOperator<PeerMessage> planted) {
         PeersScenario least = this;
         boolean smaller = true;
         while (smaller) {
--- a/lab/src/main/java/spartrail/lab/simulation/PolicyScenario.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PolicyScenario.java
@@ -30,7 +30,7 @@
     public record Result(long messages, long changes, long versions, long hash, Map<Long, Breach> found) {}
 
     /** What a seed stands for. */
-    public static PolicyScenario drawn(long seed, int most) {
+    public static PolicyScenario generate(long seed, int most) {
         RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed ^ 0x2545F491L);
         int size = (int) Math.round(3 * Math.pow(most / 3.0, chance.nextDouble()));
         int deciders = size < 5 ? 3 : 3 + 2 * (size % 2);
@@ -155,7 +155,7 @@
         long hash = LongStream.range(from, from + count)
                 .parallel()
                 .map(seed -> {
-                    Outcome outcome = drawn(seed, most).play(false);
+                    Outcome outcome = generate(seed, most).play(false);
                     messages.addAndGet(outcome.messages());
                     changes.addAndGet(outcome.changes());
                     versions.addAndGet(outcome.versions());
@@ -172,7 +172,7 @@
     /** The first seed of these that breaks anything, as one line; empty where none does. For plants in another loader. */
     public static String firstBreach(long from, long count, int most) {
         for (long seed = from; seed < from + count; seed++) {
-            PolicyScenario trial = drawn(seed, most);
+            PolicyScenario trial = generate(seed, most);
             List<Breach> breaches = trial.play(false).breaches();
             if (!breaches.isEmpty()) {
                 return seed + "\t" + breaches.get(0).rule() + "\t" + trial.size();
@@ -182,7 +182,7 @@
     }
 
     /** The shortest script found that still breaks the rule which the whole one broke first; the trial itself where it breaks none. */
-    public PolicyScenario shrunk() {
+    public PolicyScenario shrink() {
         List<Breach> breaches = play(false).breaches();
         PolicyScenario least = this;
         for (int i = 0; !breaches.isEmpty() && i < least.faults.size(); ) {
--- a/lab/src/test/java/spartrail/lab/cluster/HistoryFormTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/HistoryFormTest.java
@@ -86,7 +86,7 @@
                         NODES, List.of(0, 1, 2), new PolicyRules.Bounds(2000, 60_000, 90_000))
                 .read(
                         lines,
-                        List.of(new PolicyRules.Taken(
+                        List.of(new PolicyRules.MultigetDecision(
                                 lines.get(lines.size() - 1).ns(), 0, 1, "5")));
         assertThat(peers.judgedChanges() + " asked\n" + peers.breaches() + "\n" + peers.detectionTimesMs() + "\n"
                         + policy.judged() + " judged\n" + policy.breaches() + "\n")
--- a/lab/src/test/java/spartrail/lab/cluster/SeveralProcessesTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/SeveralProcessesTest.java
@@ -86,7 +86,9 @@
             assertThat(outcome.notTaken()).isEmpty();
             assertThat(rules.breaches()).isEmpty();
             assertThat(rules.judged()).isPositive();
-            assertThat(outcome.taken()).extracting(PolicyRules.Taken::by).contains("0", "0|1");
+            assertThat(outcome.taken())
+                    .extracting(PolicyRules.MultigetDecision::label)
+                    .contains("0", "0|1");
         }
     }
 
--- a/lab/src/test/java/spartrail/lab/rules/PolicyRulesTest.java
+++ b/lab/src/test/java/spartrail/lab/rules/PolicyRulesTest.java
@@ -6,19 +6,19 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import spartrail.lab.rules.PolicyRules.Taken;
+import spartrail.lab.rules.PolicyRules.MultigetDecision;
 
 /** The judge is trusted once it has caught planted breaches, and none in what is clean. */
 class PolicyRulesTest {
     private static final PolicyRules.Bounds BOUNDS = new PolicyRules.Bounds(3000, 4000, 10_000);
 
-    private static Taken taken(double atMs, int node, String by) {
-        return new Taken((long) (atMs * 1e6), node, 0, by);
+    private static MultigetDecision taken(double atMs, int node, String by) {
+        return new MultigetDecision((long) (atMs * 1e6), node, 0, by);
     }
 
     /** Two nodes, versions 0, 1 and 3; 2 was refused. Node 1 was out of touch from 30 s to 40 s. */
-    private static List<Taken> clean() {
-        List<Taken> all = new ArrayList<>();
+    private static List<MultigetDecision> clean() {
+        List<MultigetDecision> all = new ArrayList<>();
         for (double ms = 0; ms < 60_000; ms += 100) {
             String by = ms < 10_000 ? "0" : ms < 13_000 ? "0|1" : ms < 50_000 ? "1" : ms < 53_000 ? "1|3" : "3";
             all.add(taken(ms, 0, by));
@@ -27,22 +27,22 @@
         return all;
     }
 
-    private static String judged(List<Taken> taken, Consumer<PolicyRules> more) {
+    private static String judged(List<MultigetDecision> taken, Consumer<PolicyRules> more) {
         PolicyRules rules = new PolicyRules(BOUNDS);
-        rules.holds(1);
-        rules.holds(3);
-        rules.over(2, "REFUSED");
-        rules.out(1, 30_000_000_000L, 40_000_000_000L);
-        rules.proposal("p1", 0, 8_000_000_000L);
-        rules.ruled(0, "0");
-        rules.ruled(0, "1");
+        rules.onVersionHeld(1);
+        rules.onVersionHeld(3);
+        rules.onProposalRejected(2, "REFUSED");
+        rules.onUnreachable(1, 30_000_000_000L, 40_000_000_000L);
+        rules.onProposalEnd("p1", 0, 8_000_000_000L);
+        rules.onPolicyChange(0, "0");
+        rules.onPolicyChange(0, "1");
         more.accept(rules);
         rules.judge(taken);
         return rules.counts().keySet().toString();
     }
 
-    private static String planted(Taken one) {
-        List<Taken> all = clean();
+    private static String planted(MultigetDecision one) {
+        List<MultigetDecision> all = clean();
         all.add(one);
         return judged(all, rules -> {});
     }
@@ -59,19 +59,19 @@
         assertThat(planted(taken(20_000.5, 0, "1|2"))).contains("(b) refused is never");
         assertThat(planted(taken(20_000.5, 0, "1|3"))).contains("(c) one version at an instant");
         assertThat(planted(taken(33_006, 1, "1"))).isEqualTo("[(e) out of touch it stops]");
-        assertThat(judged(clean(), rules -> rules.ruled(0, "3"))).isEqualTo("[]");
+        assertThat(judged(clean(), rules -> rules.onPolicyChange(0, "3"))).isEqualTo("[]");
         assertThat(judged(clean(), rules -> {
-                    rules.ruled(1, "0");
-                    rules.ruled(1, "3");
+                    rules.onPolicyChange(1, "0");
+                    rules.onPolicyChange(1, "3");
                 }))
                 .isEqualTo("[(a) one order]");
         assertThat(judged(clean(), rules -> {
-                    rules.ruled(1, "0");
-                    rules.ruled(1, "0?");
-                    rules.ruled(1, "3");
+                    rules.onPolicyChange(1, "0");
+                    rules.onPolicyChange(1, "0?");
+                    rules.onPolicyChange(1, "3");
                 }))
                 .isEqualTo("[]");
-        assertThat(judged(clean(), rules -> rules.proposal("p2", 0, 11_000_000_000L)))
+        assertThat(judged(clean(), rules -> rules.onProposalEnd("p2", 0, 11_000_000_000L)))
                 .isEqualTo("[(f) every proposal ends]");
     }
 }
--- a/lab/src/test/java/spartrail/lab/simulation/ExplorationTest.java
+++ b/lab/src/test/java/spartrail/lab/simulation/ExplorationTest.java
@@ -10,17 +10,17 @@
 class ExplorationTest {
     @Test
     void noSeedBreaksARuleAndEachIsTheSameRunTwice() {
-        Exploration.Result first = Exploration.of(1, 150, 3, 30, done -> {});
+        Exploration.Result first = Exploration.explore(1, 150, 3, 30, done -> {});
         assertThat(first.found()).isEmpty();
         assertThat(first.changes()).isGreaterThan(10_000);
-        assertThat(Exploration.of(1, 150, 3, 30, done -> {}).hash()).isEqualTo(first.hash());
+        assertThat(Exploration.explore(1, 150, 3, 30, done -> {}).hash()).isEqualTo(first.hash());
     }
 
     @Test
     void eachPlantedFaultIsFound() throws Exception {
-        assertThat(Mutations.play(Path.of("."), Mutations.ALL, 1, 120, 60))
-                .allMatch(Mutations.Caught::caught)
-                .hasSize(Mutations.ALL.size());
+        assertThat(Mutations.run(Path.of("."), Mutations.PEERS, 1, 120, 60))
+                .allMatch(Mutations.Outcome::isCaught)
+                .hasSize(Mutations.PEERS.size());
     }
 
     /** Scripts that broke a rule in the peers' first version, as they were shrunk then: seeds draw other scripts since. */
--- a/lab/src/test/java/spartrail/lab/simulation/PolicyScenarioTest.java
+++ b/lab/src/test/java/spartrail/lab/simulation/PolicyScenarioTest.java
@@ -16,8 +16,8 @@
 
     @Test
     void eachPlantedFaultIsFound() throws Exception {
-        assertThat(Mutations.play(Path.of("."), Mutations.POLICY, 1, 120, 20))
-                .allMatch(Mutations.Caught::caught)
+        assertThat(Mutations.run(Path.of("."), Mutations.POLICY, 1, 120, 20))
+                .allMatch(Mutations.Outcome::isCaught)
                 .hasSize(Mutations.POLICY.size());
     }
 }
