--- a/lab/src/main/java/spartrail/lab/cli/NodesReplay.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesReplay.java
@@ -45,7 +45,7 @@
         PeersScenario trial = whole ? PeersScenario.generate(seed, least, most) : Exploration.shrink(seed, least, most);
         out.print(trial.script());
         PeersScenario.Outcome outcome = trial.play(GossipTimings.DEFAULT, true);
-        outcome.scene().log().forEach(out::println);
+        outcome.simulation().log().forEach(out::println);
         out.printf("hash %016x, %d messages%n", outcome.hash(), outcome.messages());
         outcome.breaches().forEach(breach -> out.println("BROKEN " + breach));
         return outcome.breaches().isEmpty() ? 0 : 1;
--- a/lab/src/main/java/spartrail/lab/simulation/Exploration.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Exploration.java
@@ -15,10 +15,10 @@
 /** Many seeds, side by side. */
 public final class Exploration {
     /** A seed that broke something, and what it broke first. */
-    public record Found(long seed, int size, PeersRules.Breach first) {}
+    public record FailingSeed(long seed, int size, PeersRules.Breach first) {}
 
     /** What came of the seeds. */
-    public record Result(long played, long messages, long hash, long changes, Map<Long, Found> found) {}
+    public record Result(long seeds, long messages, long hash, long changes, Map<Long, FailingSeed> found) {}
 
     private Exploration() {}
 
@@ -26,24 +26,27 @@
      * Plays so many seeds with so many nodes each, at the least and at the most. The hash is that of all runs, in the
      * order of their seeds.
      */
-    public static Result explore(long from, long count, int least, int most, LongConsumer done) {
-        Map<Long, Found> found = Collections.synchronizedMap(new TreeMap<>());
+    public static Result explore(long from, long count, int least, int most, LongConsumer progress) {
+        Map<Long, FailingSeed> found = Collections.synchronizedMap(new TreeMap<>());
         AtomicLong messages = new AtomicLong();
         AtomicLong changes = new AtomicLong();
-        AtomicLong played = new AtomicLong();
+        AtomicLong finished = new AtomicLong();
         long hash = LongStream.range(from, from + count)
                 .parallel()
                 .map(seed -> {
-                    PeersScenario trial = PeersScenario.generate(seed, least, most);
-                    PeersScenario.Outcome outcome = trial.play(GossipTimings.DEFAULT, false);
+                    PeersScenario scenario = PeersScenario.generate(seed, least, most);
+                    PeersScenario.Outcome outcome = scenario.play(GossipTimings.DEFAULT, false);
                     messages.addAndGet(outcome.messages());
-                    changes.addAndGet(outcome.scene().rules().judgedChanges());
+                    changes.addAndGet(outcome.simulation().rules().judgedChanges());
                     if (!outcome.breaches().isEmpty()) {
                         found.put(
                                 seed,
-                                new Found(seed, trial.size(), outcome.breaches().get(0)));
+                                new FailingSeed(
+                                        seed,
+                                        scenario.size(),
+                                        outcome.breaches().get(0)));
                     }
-                    done.accept(played.incrementAndGet());
+                    progress.accept(finished.incrementAndGet());
                     return outcome.hash() * (2 * seed + 1);
                 })
                 .sum();
@@ -53,23 +56,23 @@
     /** The first seed of these that breaks anything, as one line; empty where none does. For plants in another loader. */
     public static String firstBreach(long from, long count, int most) {
         for (long seed = from; seed < from + count; seed++) {
-            PeersScenario trial = PeersScenario.generate(seed, most);
+            PeersScenario scenario = PeersScenario.generate(seed, most);
             List<PeersRules.Breach> breaches =
-                    trial.play(GossipTimings.DEFAULT, false).breaches();
+                    scenario.play(GossipTimings.DEFAULT, false).breaches();
             if (!breaches.isEmpty()) {
-                return seed + "\t" + breaches.get(0).rule() + "\t" + trial.size();
+                return seed + "\t" + breaches.get(0).rule() + "\t" + scenario.size();
             }
         }
         return "";
     }
 
-    /** A seed's shortest script that still breaks the rule which it broke first; the trial itself where it breaks none. */
+    /** A seed's shortest script that still breaks the rule which it broke first; the scenario itself where it breaks none. */
     public static PeersScenario shrink(long seed, int least, int most) {
-        PeersScenario trial = PeersScenario.generate(seed, least, most);
+        PeersScenario scenario = PeersScenario.generate(seed, least, most);
         List<PeersRules.Breach> breaches =
-                new ArrayList<>(trial.play(GossipTimings.DEFAULT, false).breaches());
+                new ArrayList<>(scenario.play(GossipTimings.DEFAULT, false).breaches());
         return breaches.isEmpty()
-                ? trial
-                : trial.shrink(GossipTimings.DEFAULT, breaches.get(0).rule(), UnaryOperator.identity());
+                ? scenario
+                : scenario.shrink(GossipTimings.DEFAULT, breaches.get(0).rule(), UnaryOperator.identity());
     }
 }
--- a/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
@@ -20,7 +20,7 @@
             int size,
             String fault,
             int runs,
-            long known,
+            long detectionTimesMs,
             double p50Ms,
             double p99Ms,
             double mostMs,
@@ -31,37 +31,37 @@
             double mostBytesPerS,
             double boundBytesPerS) {}
 
-    private static final double BEGINS_MS = 20_000;
-    private static final double LASTS_MS = 60_000;
+    private static final double FAULT_START_MS = 20_000;
+    private static final double FAULT_DURATION_MS = 60_000;
     /** Seconds that pass for each node in a run. */
-    public static final double RUN_S = (BEGINS_MS + LASTS_MS) / 1000;
+    public static final double RUN_S = (FAULT_START_MS + FAULT_DURATION_MS) / 1000;
     /** IPv4 and UDP heads. */
-    private static final int HEADS = 28;
+    private static final int HEADER_BYTES = 28;
 
     private PeersFigures() {}
 
     /** What a fault does to a tenth of the nodes, one at least. */
-    private static List<Fault> faults(String name, int size, RandomGenerator chance) {
+    private static List<Fault> faults(String name, int size, RandomGenerator random) {
         List<Integer> tenth = new ArrayList<>();
-        int first = 3 + chance.nextInt(size - 3);
+        int first = 3 + random.nextInt(size - 3);
         for (int i = 0; i < Math.max(1, size / 10); i++) {
             tenth.add((first + i) % size);
         }
         return switch (name) {
             case "none" -> List.of();
             case "crash of one" -> List.of(
-                    new Fault(BEGINS_MS, Fault.Kind.CRASH, tenth.subList(0, 1), List.of(), 0, 0));
-            case "crash of a tenth" -> List.of(new Fault(BEGINS_MS, Fault.Kind.CRASH, tenth, List.of(), 0, 0));
+                    new Fault(FAULT_START_MS, Fault.Kind.CRASH, tenth.subList(0, 1), List.of(), 0, 0));
+            case "crash of a tenth" -> List.of(new Fault(FAULT_START_MS, Fault.Kind.CRASH, tenth, List.of(), 0, 0));
             case "a tenth loses 0.3 of what it sends" -> List.of(
-                    new Fault(BEGINS_MS, Fault.Kind.LOSS, tenth, List.of(), LASTS_MS, 0.3));
+                    new Fault(FAULT_START_MS, Fault.Kind.LOSS, tenth, List.of(), FAULT_DURATION_MS, 0.3));
             case "a tenth sends up to 300 ms late" -> List.of(
-                    new Fault(BEGINS_MS, Fault.Kind.DELAY, tenth, List.of(), LASTS_MS, 300));
+                    new Fault(FAULT_START_MS, Fault.Kind.DELAY, tenth, List.of(), FAULT_DURATION_MS, 300));
             case "a tenth takes 25 ms a step" -> List.of(
-                    new Fault(BEGINS_MS, Fault.Kind.SLOW, tenth, List.of(), LASTS_MS, 25));
+                    new Fault(FAULT_START_MS, Fault.Kind.SLOW, tenth, List.of(), FAULT_DURATION_MS, 25));
             case "a tenth stands still for 1 s in 5" -> {
                 List<Fault> stalls = new ArrayList<>();
-                for (int i = 0; i < LASTS_MS / 5000; i++) {
-                    stalls.add(new Fault(BEGINS_MS + 5000 * i, Fault.Kind.STALL, tenth, List.of(), 1000, 0));
+                for (int i = 0; i < FAULT_DURATION_MS / 5000; i++) {
+                    stalls.add(new Fault(FAULT_START_MS + 5000 * i, Fault.Kind.STALL, tenth, List.of(), 1000, 0));
                 }
                 yield stalls;
             }
@@ -81,73 +81,73 @@
     private record Run(List<Double> detectionTimesMs, long suspicions, long ends, double bytes, double mostBytes) {}
 
     /** So many runs, each from a seed of its own. */
-    public static Row measure(int size, String fault, int runs, GossipTimings times) {
+    public static Row measure(int size, String fault, int runs, GossipTimings timings) {
         List<Run> all = LongStream.rangeClosed(1, runs)
                 .parallel()
-                .mapToObj(seed -> run(size, fault, seed, times))
+                .mapToObj(seed -> run(size, fault, seed, timings))
                 .toList();
-        List<Double> known = new ArrayList<>();
-        all.forEach(run -> known.addAll(run.detectionTimesMs()));
-        Collections.sort(known);
-        double hours = runs * LASTS_MS / 3_600_000 * size;
+        List<Double> detectionTimesMs = new ArrayList<>();
+        all.forEach(run -> detectionTimesMs.addAll(run.detectionTimesMs()));
+        Collections.sort(detectionTimesMs);
+        double hours = runs * FAULT_DURATION_MS / 3_600_000 * size;
         return new Row(
                 size,
                 fault,
                 runs,
-                known.size(),
-                at(known, 0.5),
-                at(known, 0.99),
-                at(known, 1),
-                times.detectionBoundMs(size),
+                detectionTimesMs.size(),
+                quantile(detectionTimesMs, 0.5),
+                quantile(detectionTimesMs, 0.99),
+                quantile(detectionTimesMs, 1),
+                timings.detectionBoundMs(size),
                 all.stream().mapToLong(Run::suspicions).sum() / hours,
                 all.stream().mapToLong(Run::ends).sum() / hours,
                 all.stream().mapToDouble(Run::bytes).average().orElse(0),
                 all.stream().mapToDouble(Run::mostBytes).max().orElse(0),
-                SwimMembership.maxMessagesPerSecond(times) * (DatagramFrame.MAX_BYTES + HEADS));
+                SwimMembership.maxMessagesPerSecond(timings) * (DatagramFrame.MAX_BYTES + HEADER_BYTES));
     }
 
-    private static double at(List<Double> sorted, double part) {
+    private static double quantile(List<Double> sorted, double share) {
         return sorted.isEmpty()
                 ? Double.NaN
-                : sorted.get((int) Math.min(sorted.size() - 1, Math.floor(part * sorted.size())));
+                : sorted.get((int) Math.min(sorted.size() - 1, Math.floor(share * sorted.size())));
     }
 
-    private static Run run(int size, String fault, long seed, GossipTimings times) {
+    private static Run run(int size, String fault, long seed, GossipTimings timings) {
         long[] bytes = new long[1];
-        long[] ofNode = new long[size];
-        boolean[] counts = new boolean[1];
-        PeersSimulation scene = new PeersSimulation(size, times, UnaryOperator.identity()) {
+        long[] bytesByNode = new long[size];
+        boolean[] isCounting = new boolean[1];
+        PeersSimulation simulation = new PeersSimulation(size, timings, UnaryOperator.identity()) {
             @Override
-            public void sent(int node, PeerMessage message, double worldMs) {
-                super.sent(node, message, worldMs);
-                if (counts[0]) {
-                    int length = PeerMessageCodec.encode("fleet-1", message).length + HEADS;
+            public void onSend(int node, PeerMessage message, double networkMs) {
+                super.onSend(node, message, networkMs);
+                if (isCounting[0]) {
+                    int length = PeerMessageCodec.encode("fleet-1", message).length + HEADER_BYTES;
                     bytes[0] += length;
-                    ofNode[node] += length;
+                    bytesByNode[node] += length;
                 }
             }
         };
-        SimulatedNetwork<PeerMessage> world = new SimulatedNetwork<>(size, seed, 4, scene);
-        scene.in(world);
-        RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
+        SimulatedNetwork<PeerMessage> network = new SimulatedNetwork<>(size, seed, 4, simulation);
+        simulation.attachTo(network);
+        RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         for (int node = 0; node < size; node++) {
-            world.start(node, chance.nextDouble() * 1000);
+            network.startAt(node, random.nextDouble() * 1000);
         }
-        world.script(faults(fault, size, chance));
-        world.run(BEGINS_MS);
-        counts[0] = true;
-        world.run(BEGINS_MS + LASTS_MS);
+        network.scheduleFaults(faults(fault, size, random));
+        network.runUntil(FAULT_START_MS);
+        isCounting[0] = true;
+        network.runUntil(FAULT_START_MS + FAULT_DURATION_MS);
         long most = 0;
-        for (long each : ofNode) {
+        for (long each : bytesByNode) {
             most = Math.max(most, each);
         }
         return new Run(
-                scene.rules().detectionTimesMs(),
-                scene.rules().falseSuspicions(),
-                scene.rules().falseRemovals().values().stream()
+                simulation.rules().detectionTimesMs(),
+                simulation.rules().falseSuspicions(),
+                simulation.rules().falseRemovals().values().stream()
                         .mapToInt(each -> each)
                         .sum(),
-                bytes[0] * 1000.0 / LASTS_MS / size,
-                most * 1000.0 / LASTS_MS);
+                bytes[0] * 1000.0 / FAULT_DURATION_MS / size,
+                most * 1000.0 / FAULT_DURATION_MS);
     }
 }
--- a/lab/src/main/java/spartrail/lab/simulation/PeersSimulation.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersSimulation.java
@@ -19,25 +19,25 @@
 import spartrail.peers.SwimMembership;
 
 /** Front nodes that know who of them is there, and what must hold of that; the numbers are those of {@link SwimMembership}. */
-public class PeersSimulation implements SimulatedNetwork.Scene<PeerMessage> {
+public class PeersSimulation implements SimulatedNetwork.Simulation<PeerMessage> {
     /** A node's guest. */
-    static final class PeersGuest implements SimulatedNode<PeerMessage> {
+    static final class PeersProcess implements SimulatedNode<PeerMessage> {
         final SwimMembership peers;
-        private final UnaryOperator<PeerMessage> planted;
-        private final Runnable heard;
+        private final UnaryOperator<PeerMessage> mutation;
+        private final Runnable onReceived;
 
-        PeersGuest(SwimMembership peers, UnaryOperator<PeerMessage> planted, Runnable heard) {
+        PeersProcess(SwimMembership peers, UnaryOperator<PeerMessage> mutation, Runnable onReceived) {
             this.peers = peers;
-            this.planted = planted;
-            this.heard = heard;
+            this.mutation = mutation;
+            this.onReceived = onReceived;
         }
 
         @Override
-        public void heard(PeerMessage message, double nowMs) {
-            PeerMessage taken = planted.apply(message);
-            if (taken != null) {
-                peers.onMessage(taken, nowMs);
-                heard.run();
+        public void onMessage(PeerMessage message, double nowMs) {
+            PeerMessage mutated = mutation.apply(message);
+            if (mutated != null) {
+                peers.onMessage(mutated, nowMs);
+                onReceived.run();
             }
         }
 
@@ -47,17 +47,17 @@
         }
 
         @Override
-        public double nextMs() {
+        public double nextAdvanceMs() {
             return peers.nextMs();
         }
 
         @Override
-        public List<Parcel<PeerMessage>> sent() {
-            List<Parcel<PeerMessage>> parcels = new ArrayList<>();
+        public List<Envelope<PeerMessage>> drainMessages() {
+            List<Envelope<PeerMessage>> envelopes = new ArrayList<>();
             for (OutgoingMessage outgoing : peers.drainMessages()) {
-                parcels.add(new Parcel<>(outgoing.address(), outgoing.message()));
+                envelopes.add(new Envelope<>(outgoing.address(), outgoing.message()));
             }
-            return parcels;
+            return envelopes;
         }
 
         @Override
@@ -67,84 +67,84 @@
     }
 
     /** A node asks so many suspects a round; and each of few at least once in so many rounds. */
-    private static final int FEW_SUSPECTS = 4;
+    private static final int MAX_SUSPECTS_PROBED_IN_TIME = 4;
 
-    private static final double SUSPECT_ROUNDS = 3;
+    private static final double MAX_ROUNDS_BETWEEN_PROBES = 3;
 
     private final int size;
-    private final GossipTimings times;
-    private final UnaryOperator<PeerMessage> planted;
+    private final GossipTimings timings;
+    private final UnaryOperator<PeerMessage> mutation;
     private final PeersRules rules;
     private final int[] sentThisSecond;
-    private final long[] second;
+    private final long[] currentSecond;
     private final List<String> log = new ArrayList<>();
-    private SimulatedNetwork<PeerMessage> world;
-    private boolean logs;
-    private int seeds = 3;
-    private long words;
+    private SimulatedNetwork<PeerMessage> network;
+    private boolean isLogged;
+    private int seedsPerNode = 3;
+    private long updates;
     private long calmMessages;
-    private long calmWords;
+    private long calmUpdates;
     /** Whom each node suspects by its own verdict, since when; and whom it asked when. */
     private final List<Map<String, Double>> suspectedMs = new ArrayList<>();
 
-    private final List<Map<String, Double>> askedMs = new ArrayList<>();
+    private final List<Map<String, Double>> probedMs = new ArrayList<>();
 
     /** What is planted may change each message that a node takes in, or drop it (null), to see whether a fault is caught. */
-    public PeersSimulation(int size, GossipTimings times, UnaryOperator<PeerMessage> planted) {
+    public PeersSimulation(int size, GossipTimings timings, UnaryOperator<PeerMessage> mutation) {
         this.size = size;
-        this.times = times;
-        this.planted = planted;
+        this.timings = timings;
+        this.mutation = mutation;
         this.rules = new PeersRules(size);
         this.sentThisSecond = new int[size];
-        this.second = new long[size];
+        this.currentSecond = new long[size];
         for (int i = 0; i < size; i++) {
             suspectedMs.add(new HashMap<>());
-            askedMs.add(new HashMap<>());
+            probedMs.add(new HashMap<>());
         }
     }
 
-    public void seedsEach(int count) {
-        seeds = count;
+    public void setSeedsPerNode(int count) {
+        seedsPerNode = count;
     }
 
     /** A line for each change of a view, for a replay. */
-    public void keepLog() {
-        logs = true;
+    public void enableLog() {
+        isLogged = true;
     }
 
     public List<String> log() {
         return log;
     }
 
-    public void in(SimulatedNetwork<PeerMessage> playing) {
-        world = playing;
+    public void attachTo(SimulatedNetwork<PeerMessage> attached) {
+        network = attached;
     }
 
     @Override
-    public SimulatedNode<PeerMessage> start(
-            int node, int startNumber, String address, double nodeMs, RandomGenerator chance) {
-        Incarnation life = new Incarnation(Math.round(nodeMs), chance.nextInt());
+    public SimulatedNode<PeerMessage> startProcess(
+            int node, int startNumber, String address, double nodeMs, RandomGenerator random) {
+        Incarnation incarnation = new Incarnation(Math.round(nodeMs), random.nextInt());
         rules.onStart(node);
         suspectedMs.get(node).clear();
-        askedMs.get(node).clear();
-        rules.onIncarnation(node, life);
+        probedMs.get(node).clear();
+        rules.onIncarnation(node, incarnation);
         List<String> addresses = new ArrayList<>();
-        for (int i = 0; i < Math.min(seeds, size); i++) {
+        for (int i = 0; i < Math.min(seedsPerNode, size); i++) {
             addresses.add(SimulatedNetwork.address(i));
         }
-        return new PeersGuest(
+        return new PeersProcess(
                 new SwimMembership(
-                        new PeerDescriptor("n" + node, address, "z" + node % 2, 1, "1", "", life, 0),
+                        new PeerDescriptor("n" + node, address, "z" + node % 2, 1, "1", "", incarnation, 0),
                         addresses,
-                        times,
-                        chance,
+                        timings,
+                        random,
                         nodeMs),
-                planted,
+                mutation,
                 () -> rules.onMessage(node));
     }
 
     @Override
-    public long mark(PeerMessage message) {
+    public long fingerprint(PeerMessage message) {
         return message.nonce()
                 ^ message.digest() * 31
                         + message.kind().ordinal() * 7L
@@ -152,57 +152,58 @@
     }
 
     @Override
-    public void sent(int node, PeerMessage message, double worldMs) {
-        words += message.updates().size();
+    public void onSend(int node, PeerMessage message, double networkMs) {
+        updates += message.updates().size();
         if (message.kind() == PeerMessage.Kind.PING && !message.recipient().isEmpty()) {
-            askedMs.get(node).put(message.recipient(), worldMs);
+            probedMs.get(node).put(message.recipient(), networkMs);
         }
-        long now = (long) (worldMs / 1000);
-        if (second[node] != now) {
-            second[node] = now;
+        long now = (long) (networkMs / 1000);
+        if (currentSecond[node] != now) {
+            currentSecond[node] = now;
             sentThisSecond[node] = 0;
         }
-        if (++sentThisSecond[node] == Math.ceil(2 * SwimMembership.maxMessagesPerSecond(times)) + 1) {
-            rules.breach(worldMs, "5 messages bounded", "n" + node + " sent " + sentThisSecond[node] + " in a second");
+        if (++sentThisSecond[node] == Math.ceil(2 * SwimMembership.maxMessagesPerSecond(timings)) + 1) {
+            rules.breach(
+                    networkMs, "5 messages bounded", "n" + node + " sent " + sentThisSecond[node] + " in a second");
         }
     }
 
     @Override
-    public void faulted(Fault fault, boolean ends, double worldMs) {
-        rules.onFault(worldMs);
-        log(fault + (ends ? " ends" : ""));
+    public void onFault(Fault fault, boolean ends, double networkMs) {
+        rules.onFault(networkMs);
+        appendLog(fault + (ends ? " ends" : ""));
         if (ends
                 && fault.kind() == Fault.Kind.STALL
-                && fault.lastsMs() > 2 * times.pauseThresholdMs() + times.probeIntervalMs()) {
+                && fault.lastsMs() > 2 * timings.pauseThresholdMs() + timings.probeIntervalMs()) {
             fault.nodes().forEach(rules::onWake);
         }
         if (!ends
                 && (fault.kind() == Fault.Kind.CRASH
                         || fault.kind() == Fault.Kind.LEAVE
                         || fault.kind() == Fault.Kind.SET_BACK)) {
-            fault.nodes().forEach(node -> rules.onEnd(node, fault.kind() == Fault.Kind.LEAVE, worldMs));
+            fault.nodes().forEach(node -> rules.onEnd(node, fault.kind() == Fault.Kind.LEAVE, networkMs));
         }
     }
 
-    private void log(String line) {
-        if (logs) {
-            log.add(String.format(Locale.ROOT, "%8.0f ms  %s", world.nowMs(), line));
+    private void appendLog(String line) {
+        if (isLogged) {
+            log.add(String.format(Locale.ROOT, "%8.0f ms  %s", network.nowMs(), line));
         }
     }
 
     @Override
-    public void stepped(int node, SimulatedNode<PeerMessage> guest, double worldMs, double nodeMs) {
-        SwimMembership peers = ((PeersGuest) guest).peers;
+    public void onStep(int node, SimulatedNode<PeerMessage> process, double networkMs, double nodeMs) {
+        SwimMembership peers = ((PeersProcess) process).peers;
         rules.onIncarnation(node, peers.self().incarnation());
         for (PeerEvent event : peers.drainEvents()) {
-            if (logs) {
-                log("n" + node + " holds " + event.descriptor().name() + " " + event.newState() + " (was "
+            if (isLogged) {
+                appendLog("n" + node + " holds " + event.descriptor().name() + " " + event.newState() + " (was "
                         + event.previousState() + ", turn " + event.descriptor().refutations() + "), by "
                         + event.reporter() + ": " + event.reason());
             }
             int other = Integer.parseInt(event.descriptor().name().substring(1));
             if (event.newState() == PeerState.SUSPECT && event.reporter().equals("n" + node)) {
-                suspectedMs.get(node).put(event.descriptor().name(), worldMs);
+                suspectedMs.get(node).put(event.descriptor().name(), networkMs);
             } else {
                 suspectedMs.get(node).remove(event.descriptor().name());
             }
@@ -210,7 +211,7 @@
                 rules.onForgotten(node, other);
             } else if (other != node) {
                 rules.onChange(new PeersRules.Change(
-                        worldMs,
+                        networkMs,
                         node,
                         other,
                         new PeersRules.KnownPeer(
@@ -227,67 +228,68 @@
                     && view.peers().stream()
                                     .filter(seen -> seen.state() == PeerState.SUSPECT)
                                     .count()
-                            <= FEW_SUSPECTS) {
-                suspectsAsked(node, worldMs);
+                            <= MAX_SUSPECTS_PROBED_IN_TIME) {
+                checkSuspectsProbed(node, networkMs);
             }
         }
     }
 
     /** A suspect that nobody probes would hear of the suspicion too late to refute it. */
-    private void suspectsAsked(int node, double worldMs) {
+    private void checkSuspectsProbed(int node, double networkMs) {
         suspectedMs.get(node).forEach((other, sinceMs) -> {
-            double silentMs = worldMs - Math.max(sinceMs, askedMs.get(node).getOrDefault(other, 0.0));
-            if (silentMs > SUSPECT_ROUNDS * times.probeIntervalMs()) {
+            double sinceProbeMs =
+                    networkMs - Math.max(sinceMs, probedMs.get(node).getOrDefault(other, 0.0));
+            if (sinceProbeMs > MAX_ROUNDS_BETWEEN_PROBES * timings.probeIntervalMs()) {
                 rules.breach(
-                        worldMs,
+                        networkMs,
                         "suspects are asked",
-                        "n" + node + " suspects " + other + " and has not asked it for " + Math.round(silentMs)
+                        "n" + node + " suspects " + other + " and has not asked it for " + Math.round(sinceProbeMs)
                                 + " ms");
             }
         });
     }
 
     /** From now on nothing is wrong and all is known. */
-    public void calm() {
-        calmMessages = world.messages();
-        calmWords = words;
+    public void startCalm() {
+        calmMessages = network.messages();
+        calmUpdates = updates;
     }
 
     /** Nodes that know each other have nothing to say but that they are there. */
-    public void calmEnded(double lastedMs) {
+    public void checkCalm(double durationMs) {
         double running = 0;
         for (int node = 0; node < size; node++) {
             running += rules.isRunning(node) ? 1 : 0;
         }
         // A round is a question and its answer; every other one asks one of the lost, too, and tells it how it is held.
-        double most = running * lastedMs / 1000 * 4 * 1000 / times.probeIntervalMs() + 10;
+        double maxMessages = running * durationMs / 1000 * 4 * 1000 / timings.probeIntervalMs() + 10;
         if (running > 1
                 && rules.breaches().isEmpty()
-                && (world.messages() - calmMessages > most || words - calmWords > 0.25 * most)) {
+                && (network.messages() - calmMessages > maxMessages || updates - calmUpdates > 0.25 * maxMessages)) {
             rules.breach(
-                    world.nowMs(),
+                    network.nowMs(),
                     "calm is cheap",
-                    (world.messages() - calmMessages) + " messages and " + (words - calmWords)
-                            + " words while nothing happened, at most " + Math.round(most));
+                    (network.messages() - calmMessages) + " messages and " + (updates - calmUpdates)
+                            + " words while nothing happened, at most " + Math.round(maxMessages));
         }
     }
 
     /** All that run hold the same, and what is true; called when no fault has been for as long as that may take. */
-    public void settled() {
-        rules.checkAgreement(world.nowMs());
+    public void checkSettled() {
+        rules.checkAgreement(network.nowMs());
         int running = 0;
         for (int node = 0; node < size; node++) {
             running += rules.isRunning(node) ? 1 : 0;
         }
         for (int node = 0; node < size && running > 1; node++) {
-            String doubt = rules.isRunning(node)
-                    ? ((PeersGuest) world.guest(node))
+            String healthProblem = rules.isRunning(node)
+                    ? ((PeersProcess) network.process(node))
                             .peers
-                            .buildView(world.clock(node))
+                            .buildView(network.clockMs(node))
                             .healthProblem()
                     : "";
-            if (!doubt.isEmpty()) {
-                rules.breach(world.nowMs(), "doubt ends", "n" + node + " is still in doubt: " + doubt);
+            if (!healthProblem.isEmpty()) {
+                rules.breach(network.nowMs(), "doubt ends", "n" + node + " is still in doubt: " + healthProblem);
             }
         }
     }
@@ -296,7 +298,7 @@
         return rules;
     }
 
-    public long words() {
-        return words;
+    public long updates() {
+        return updates;
     }
 }
--- a/lab/src/main/java/spartrail/lab/simulation/PolicySimulation.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PolicySimulation.java
@@ -27,67 +27,67 @@
  * before was lost, reads and entries that take time and succeed only where the leader still leads and reaches a majority; an entry
  * that does not may come to be all the same. All else is the program's own.
  */
-public final class PolicySimulation implements SimulatedNetwork.Scene<PolicySimulation.Message> {
+public final class PolicySimulation implements SimulatedNetwork.Simulation<PolicySimulation.Message> {
     /** What nodes send each other about policy; kinds as in the program's wire form. */
-    public record Message(String kind, String from, PolicyRequest ask, PolicyResponse told, String hint) {}
+    public record Message(String kind, String from, PolicyRequest poll, PolicyResponse response, String hint) {}
 
     /** Short times, so that much happens in a short run. */
-    static final PolicyTimings TIMES = new PolicyTimings(3000, 500, 8000, 5000, 0.02);
+    static final PolicyTimings TIMINGS = new PolicyTimings(3000, 500, 8000, 5000, 0.02);
 
-    private static final double LOOK_MS = 100;
+    private static final double MONITOR_INTERVAL_MS = 100;
     private static final double LEADER_LOST_MS = 3000;
-    private static final double GONE_MS = 5000;
-    private static final int MOST_BREACHES = 20;
+    private static final double DEPARTED_MS = 5000;
+    private static final int MAX_BREACHES = 20;
     private static final String BUDGET = "/opTypes/orders/budgetMs";
-    private static final PolicySettings OWN =
+    private static final PolicySettings LOCAL_SETTINGS =
             PolicySettings.parse("{\"opTypes\":{\"orders\":{\"budgetMs\":2000,\"timeoutMs\":8000}},"
                     + "\"furtherSends\":{\"spanMs\":0,\"free\":0,\"share\":0}}");
 
-    /** A node's guest. */
-    private final class PolicyGuest implements SimulatedNode<Message> {
+    /** A node's process. */
+    private final class PolicyProcess implements SimulatedNode<Message> {
         final int node;
         final int start;
         final PolicyFollower follower;
-        final PolicyLeader leader = new PolicyLeader(TIMES);
-        final RandomGenerator chance;
+        final PolicyLeader leader = new PolicyLeader(TIMINGS);
+        final RandomGenerator random;
         final Deque<Runnable> tasks = new ArrayDeque<>();
-        final List<Parcel<Message>> out = new ArrayList<>();
-        final List<PolicyRequest> waiting = new ArrayList<>();
-        final double bornMs;
-        boolean leads;
-        boolean reading;
-        long checking;
-        double checkedMs = Double.POSITIVE_INFINITY;
-        double nextLookMs;
+        final List<Envelope<Message>> outbox = new ArrayList<>();
+        final List<PolicyRequest> waitingPolls = new ArrayList<>();
+        final double startedAtMs;
+        boolean isLeader;
+        boolean isReading;
+        long checkedNumber;
+        double checkDoneAtMs = Double.POSITIVE_INFINITY;
+        double nextLeaderStepMs;
         double nowMs;
 
-        PolicyGuest(int node, int start, PolicySettings own, RandomGenerator chance, double nowMs) {
+        PolicyProcess(int node, int start, PolicySettings localSettings, RandomGenerator random, double nowMs) {
             this.node = node;
             this.start = start;
-            this.chance = chance;
-            this.bornMs = nowMs;
+            this.random = random;
+            this.startedAtMs = nowMs;
             this.nowMs = nowMs;
-            this.follower = new PolicyFollower("n" + node, names(deciders), own, TIMES, chance, nowMs);
+            this.follower = new PolicyFollower("n" + node, names(voters), localSettings, TIMINGS, random, nowMs);
         }
 
         void send(int to, Message message) {
-            out.add(new Parcel<>(SimulatedNetwork.address(to), message));
+            outbox.add(new Envelope<>(SimulatedNetwork.address(to), message));
         }
 
         @Override
-        public void heard(Message message, double atMs) {
+        public void onMessage(Message message, double atMs) {
             nowMs = atMs;
             switch (message.kind()) {
-                case "ASK" -> asked(message);
-                case "TOLD" -> follower.onResponse(message.told(), atMs);
+                case "ASK" -> onPoll(message);
+                case "TOLD" -> follower.onResponse(message.response(), atMs);
                 case "ELSEWHERE" -> follower.onRedirect(message.hint(), atMs);
                 default -> follower.pollNoLaterThan(atMs);
             }
             advance(atMs);
         }
 
-        private void asked(Message message) {
-            if (!leads) {
+        private void onPoll(Message message) {
+            if (!isLeader) {
                 send(
                         Integer.parseInt(message.from().substring(1)),
                         new Message(
@@ -95,38 +95,38 @@
                                 "n" + node,
                                 null,
                                 null,
-                                leading >= 0 && world.linked(node, leading) ? "n" + leading : ""));
+                                leaderNode >= 0 && network.isConnected(node, leaderNode) ? "n" + leaderNode : ""));
                 return;
             }
             leader.setLeading(true);
-            leader.onRequest(message.ask(), nowMs);
-            waiting.add(message.ask());
-            read();
+            leader.onRequest(message.poll(), nowMs);
+            waitingPolls.add(message.poll());
+            readNextBatch();
         }
 
-        private void read() {
-            if (reading || waiting.isEmpty()) {
+        private void readNextBatch() {
+            if (isReading || waitingPolls.isEmpty()) {
                 return;
             }
-            reading = true;
-            List<PolicyRequest> batch = List.copyOf(waiting);
-            waiting.clear();
-            confirmed(this, told -> {
-                reading = false;
-                for (PolicyRequest ask : batch) {
-                    if (told != null) {
-                        PolicyResponse answer =
-                                new PolicyResponse(ask.nonce(), told.appliedIndex(), told.active(), told.pending());
-                        if (ask.node().equals("n" + node)) {
-                            follower.onResponse(answer, nowMs);
+            isReading = true;
+            List<PolicyRequest> batch = List.copyOf(waitingPolls);
+            waitingPolls.clear();
+            confirmRead(this, confirmed -> {
+                isReading = false;
+                for (PolicyRequest poll : batch) {
+                    if (confirmed != null) {
+                        PolicyResponse response = new PolicyResponse(
+                                poll.nonce(), confirmed.appliedIndex(), confirmed.active(), confirmed.pending());
+                        if (poll.node().equals("n" + node)) {
+                            follower.onResponse(response, nowMs);
                         } else {
                             send(
-                                    Integer.parseInt(ask.node().substring(1)),
-                                    new Message("TOLD", "n" + node, null, answer, ""));
+                                    Integer.parseInt(poll.node().substring(1)),
+                                    new Message("TOLD", "n" + node, null, response, ""));
                         }
                     }
                 }
-                read();
+                readNextBatch();
             });
         }
 
@@ -136,62 +136,62 @@
             while (!tasks.isEmpty()) {
                 tasks.poll().run();
             }
-            if (atMs >= nextLookMs) {
-                nextLookMs = atMs + 50;
-                leader.setLeading(leads);
-                LogOperation op = leads ? leader.nextOperation(log, there(node), atMs) : null;
+            if (atMs >= nextLeaderStepMs) {
+                nextLeaderStepMs = atMs + 50;
+                leader.setLeading(isLeader);
+                LogOperation op = isLeader ? leader.nextOperation(log, presentNodes(node), atMs) : null;
                 if (op != null) {
                     append(this, op);
                 }
             }
-            PolicyRequest ask = follower.pollIfDue(atMs);
-            if (ask != null) {
-                ask(ask);
+            PolicyRequest poll = follower.pollIfDue(atMs);
+            if (poll != null) {
+                sendPoll(poll);
             }
             PolicyVersion open = follower.proposalToCheck();
-            if (open != null && checking != open.number()) {
-                checking = open.number();
-                checkedMs = atMs + 20 + 200 * chance.nextDouble();
+            if (open != null && checkedNumber != open.number()) {
+                checkedNumber = open.number();
+                checkDoneAtMs = atMs + 20 + 200 * random.nextDouble();
             }
-            if (atMs >= checkedMs) {
-                checkedMs = Double.POSITIVE_INFINITY;
+            if (atMs >= checkDoneAtMs) {
+                checkDoneAtMs = Double.POSITIVE_INFINITY;
                 if (open != null) {
-                    String no = "";
+                    String objection = "";
                     try {
                         follower.settingsWith(open);
                     } catch (IllegalArgumentException e) {
-                        no = e.getMessage();
+                        objection = e.getMessage();
                     }
-                    follower.recordVote(open.number(), no, atMs);
+                    follower.recordVote(open.number(), objection, atMs);
                 }
             }
         }
 
-        private void ask(PolicyRequest ask) {
-            if (leads) {
+        private void sendPoll(PolicyRequest poll) {
+            if (isLeader) {
                 leader.setLeading(true);
-                leader.onRequest(ask, nowMs);
-                waiting.add(ask);
-                read();
+                leader.onRequest(poll, nowMs);
+                waitingPolls.add(poll);
+                readNextBatch();
                 return;
             }
-            send(Integer.parseInt(follower.pollTarget().substring(1)), new Message("ASK", "n" + node, ask, null, ""));
+            send(Integer.parseInt(follower.pollTarget().substring(1)), new Message("ASK", "n" + node, poll, null, ""));
         }
 
         @Override
-        public double nextMs() {
+        public double nextAdvanceMs() {
             return tasks.isEmpty()
                     ? Math.min(
-                            Math.min(follower.nextPollAtMs(), checkedMs),
-                            node < deciders ? nextLookMs : Double.POSITIVE_INFINITY)
+                            Math.min(follower.nextPollAtMs(), checkDoneAtMs),
+                            node < voters ? nextLeaderStepMs : Double.POSITIVE_INFINITY)
                     : Double.NEGATIVE_INFINITY;
         }
 
         @Override
-        public List<Parcel<Message>> sent() {
-            List<Parcel<Message>> taken = List.copyOf(out);
-            out.clear();
-            return taken;
+        public List<Envelope<Message>> drainMessages() {
+            List<Envelope<Message>> messages = List.copyOf(outbox);
+            outbox.clear();
+            return messages;
         }
     }
 
@@ -202,55 +202,55 @@
     }
 
     private final int size;
-    private final int deciders;
-    private final int unfit;
+    private final int voters;
+    private final int incompatibleNode;
     private final PolicyLog log = new PolicyLog();
     private final List<Breach> breaches = new ArrayList<>();
     private final List<String> lines = new ArrayList<>();
-    private final List<LogOperation> maybe = new ArrayList<>();
-    private final List<Long> held = new ArrayList<>(List.of(0L));
+    private final List<LogOperation> uncertainOperations = new ArrayList<>();
+    private final List<Long> heldVersions = new ArrayList<>(List.of(0L));
     private final Map<Long, Double> budgets = new HashMap<>(Map.of(0L, 2000.0));
-    private final String[] names;
-    private final long[] lastAlone;
-    private final double[] seenMs;
-    private final double[] isolatedMs;
-    private SimulatedNetwork<Message> world;
-    private long index;
-    private int leading = -1;
+    private final String[] labels;
+    private final long[] lastBaseVersion;
+    private final double[] lastReachedMs;
+    private final double[] isolatedSinceMs;
+    private SimulatedNetwork<Message> network;
+    private long appliedIndex;
+    private int leaderNode = -1;
     private double leaderSeenMs;
     /** When the proposal that is open was taken, and since when the same one leads and reaches a majority. */
-    private double openedMs;
+    private double proposedAtMs;
 
-    private double ledMs;
+    private double leaderStableSinceMs;
     private int proposals;
     private int changes;
-    private boolean logs;
-    private int cutAt = -1;
+    private boolean isLogged;
+    private int nodeToCut = -1;
 
-    /** So many nodes, the first three or five decide; the node {@code unfit} (none if below 0) cannot apply every proposal. */
-    PolicySimulation(int size, int unfit) {
+    /** So many nodes, the first three or five decide; the node {@code incompatibleNode} (none if below 0) cannot apply every proposal. */
+    PolicySimulation(int size, int incompatibleNode) {
         this.size = size;
-        this.deciders = size < 5 ? 3 : 3 + 2 * (size % 2);
-        this.unfit = unfit;
-        this.names = new String[size];
-        this.lastAlone = new long[size];
-        this.seenMs = new double[size];
-        this.isolatedMs = new double[size];
-        java.util.Arrays.fill(isolatedMs, Double.NaN);
+        this.voters = size < 5 ? 3 : 3 + 2 * (size % 2);
+        this.incompatibleNode = incompatibleNode;
+        this.labels = new String[size];
+        this.lastBaseVersion = new long[size];
+        this.lastReachedMs = new double[size];
+        this.isolatedSinceMs = new double[size];
+        java.util.Arrays.fill(isolatedSinceMs, Double.NaN);
     }
 
     /** This node is cut off the moment a version is decided, so that its lease is as old as can be when the version holds. */
     void cutAtDecision(int node) {
-        cutAt = node;
+        nodeToCut = node;
     }
 
-    void in(SimulatedNetwork<Message> playing) {
-        world = playing;
-        world.later(LOOK_MS, this::look);
+    void attachTo(SimulatedNetwork<Message> attached) {
+        network = attached;
+        network.scheduleAfter(MONITOR_INTERVAL_MS, this::monitorLeader);
     }
 
-    void keepLog() {
-        logs = true;
+    void enableLog() {
+        isLogged = true;
     }
 
     List<String> log() {
@@ -266,74 +266,80 @@
     }
 
     int versions() {
-        return held.size() - 1;
+        return heldVersions.size() - 1;
     }
 
-    private void line(String text) {
-        if (logs) {
-            lines.add(String.format(Locale.ROOT, "%8.0f ms  %s", world.nowMs(), text));
+    private void appendLog(String text) {
+        if (isLogged) {
+            lines.add(String.format(Locale.ROOT, "%8.0f ms  %s", network.nowMs(), text));
         }
     }
 
     private void breach(String rule, String what) {
-        line("BROKEN " + rule + ": " + what);
-        if (breaches.size() < MOST_BREACHES) {
-            breaches.add(new Breach(world.nowMs(), rule, what));
+        appendLog("BROKEN " + rule + ": " + what);
+        if (breaches.size() < MAX_BREACHES) {
+            breaches.add(new Breach(network.nowMs(), rule, what));
         }
     }
 
     // ---- The agreed log ----
 
-    private PolicyGuest guest(int node) {
-        return (PolicyGuest) world.guest(node);
+    private PolicyProcess process(int node) {
+        return (PolicyProcess) network.process(node);
     }
 
     /** It runs and reaches a majority of those that decide. */
-    private boolean eligible(int decider) {
+    private boolean canLead(int voter) {
         int reached = 0;
-        for (int other = 0; other < deciders; other++) {
-            reached += world.runs(other) && !world.stands(other) && world.linked(decider, other) ? 1 : 0;
+        for (int other = 0; other < voters; other++) {
+            reached +=
+                    network.isRunning(other) && !network.isPaused(other) && network.isConnected(voter, other) ? 1 : 0;
         }
-        return decider < deciders && world.runs(decider) && !world.stands(decider) && 2 * reached > deciders;
+        return voter < voters && network.isRunning(voter) && !network.isPaused(voter) && 2 * reached > voters;
     }
 
-    private void look() {
-        world.later(LOOK_MS, this::look);
-        double mostMs = TIMES.voteTimeoutMs() + TIMES.leaseExpiryBoundMs() + 4 * TIMES.pollIntervalMs();
+    private void monitorLeader() {
+        network.scheduleAfter(MONITOR_INTERVAL_MS, this::monitorLeader);
+        double mostMs = TIMINGS.voteTimeoutMs() + TIMINGS.leaseExpiryBoundMs() + 4 * TIMINGS.pollIntervalMs();
         if (log.pending() != null
-                && world.nowMs() - Math.max(openedMs, ledMs) > mostMs
-                && leading >= 0
-                && eligible(leading)) {
+                && network.nowMs() - Math.max(proposedAtMs, leaderStableSinceMs) > mostMs
+                && leaderNode >= 0
+                && canLead(leaderNode)) {
             breach(
                     "(f) every proposal ends",
                     log.pending().number() + " is " + log.pending().stage() + " after "
-                            + Math.round(world.nowMs() - openedMs) + " ms");
-            openedMs = Double.POSITIVE_INFINITY;
+                            + Math.round(network.nowMs() - proposedAtMs) + " ms");
+            proposedAtMs = Double.POSITIVE_INFINITY;
         }
-        if (leading < 0 || !eligible(leading)) {
-            ledMs = world.nowMs();
+        if (leaderNode < 0 || !canLead(leaderNode)) {
+            leaderStableSinceMs = network.nowMs();
         }
-        if (leading >= 0 && eligible(leading) && guest(leading).leads) {
-            leaderSeenMs = world.nowMs();
-        } else if (world.nowMs() - leaderSeenMs > LEADER_LOST_MS) {
+        if (leaderNode >= 0 && canLead(leaderNode) && process(leaderNode).isLeader) {
+            leaderSeenMs = network.nowMs();
+        } else if (network.nowMs() - leaderSeenMs > LEADER_LOST_MS) {
             elect();
         }
         for (int node = 0; node < size; node++) {
-            if (node < deciders && world.runs(node) && guest(node).leads && node != leading && eligible(node)) {
-                guest(node).leads = false;
+            if (node < voters
+                    && network.isRunning(node)
+                    && process(node).isLeader
+                    && node != leaderNode
+                    && canLead(node)) {
+                process(node).isLeader = false;
             }
-            isolatedMs[node] =
-                    !isolated(node) ? Double.NaN : Double.isNaN(isolatedMs[node]) ? world.nowMs() : isolatedMs[node];
-            if (leading >= 0 && world.runs(node) && world.linked(leading, node)) {
-                seenMs[node] = world.nowMs();
+            isolatedSinceMs[node] = !isolated(node)
+                    ? Double.NaN
+                    : Double.isNaN(isolatedSinceMs[node]) ? network.nowMs() : isolatedSinceMs[node];
+            if (leaderNode >= 0 && network.isRunning(node) && network.isConnected(leaderNode, node)) {
+                lastReachedMs[node] = network.nowMs();
             }
         }
     }
 
-    /** No decider that reaches a majority is reached from it. */
+    /** No voter that reaches a majority is reached from it. */
     private boolean isolated(int node) {
-        for (int decider = 0; decider < deciders; decider++) {
-            if (eligible(decider) && world.linked(node, decider)) {
+        for (int voter = 0; voter < voters; voter++) {
+            if (canLead(voter) && network.isConnected(node, voter)) {
                 return false;
             }
         }
@@ -341,77 +347,81 @@
     }
 
     private void elect() {
-        List<Integer> able = new ArrayList<>();
-        for (int decider = 0; decider < deciders; decider++) {
-            if (eligible(decider)) {
-                able.add(decider);
+        List<Integer> candidates = new ArrayList<>();
+        for (int voter = 0; voter < voters; voter++) {
+            if (canLead(voter)) {
+                candidates.add(voter);
             }
         }
-        if (able.isEmpty()) {
+        if (candidates.isEmpty()) {
             return;
         }
-        leading = able.get(world.chance().nextInt(able.size()));
-        leaderSeenMs = world.nowMs();
-        ledMs = world.nowMs();
-        guest(leading).leads = true;
-        line("n" + leading + " leads");
-        for (LogOperation op : List.copyOf(maybe)) {
-            if (world.chance().nextBoolean()) {
+        leaderNode = candidates.get(network.random().nextInt(candidates.size()));
+        leaderSeenMs = network.nowMs();
+        leaderStableSinceMs = network.nowMs();
+        process(leaderNode).isLeader = true;
+        appendLog("n" + leaderNode + " leads");
+        for (LogOperation op : List.copyOf(uncertainOperations)) {
+            if (network.random().nextBoolean()) {
                 commit(op);
             }
         }
-        maybe.clear();
+        uncertainOperations.clear();
         commit(LogOperation.NEW_TERM_OPERATION);
-        world.wake(leading);
+        network.reschedule(leaderNode);
     }
 
-    private List<String> there(int leader) {
-        List<String> there = new ArrayList<>();
+    private List<String> presentNodes(int leader) {
+        List<String> present = new ArrayList<>();
         for (int node = 0; node < size; node++) {
-            if (node == leader || world.nowMs() - seenMs[node] < GONE_MS) {
-                there.add("n" + node);
+            if (node == leader || network.nowMs() - lastReachedMs[node] < DEPARTED_MS) {
+                present.add("n" + node);
             }
         }
-        return there;
+        return present;
     }
 
-    private interface Answer {
-        void of(PolicyResponse told);
+    private interface ReadCallback {
+        void onRead(PolicyResponse response);
     }
 
     /** A read that a majority confirms: what was committed when it began, if this node still leads when it ends. */
-    private void confirmed(PolicyGuest guest, Answer answer) {
-        boolean could = leading == guest.node && eligible(guest.node);
-        PolicyResponse told = new PolicyResponse(0, index, log.active(), log.pending());
-        world.later(1 + 40 * world.chance().nextDouble(), () -> {
-            boolean can = could && leading == guest.node && eligible(guest.node) && world.guest(guest.node) == guest;
-            guest.tasks.add(() -> answer.of(can ? told : null));
-            world.wake(guest.node);
+    private void confirmRead(PolicyProcess process, ReadCallback callback) {
+        boolean couldLead = leaderNode == process.node && canLead(process.node);
+        PolicyResponse response = new PolicyResponse(0, appliedIndex, log.active(), log.pending());
+        network.scheduleAfter(1 + 40 * network.random().nextDouble(), () -> {
+            boolean canConfirm = couldLead
+                    && leaderNode == process.node
+                    && canLead(process.node)
+                    && network.process(process.node) == process;
+            process.tasks.add(() -> callback.onRead(canConfirm ? response : null));
+            network.reschedule(process.node);
         });
     }
 
-    private void append(PolicyGuest guest, LogOperation op) {
-        boolean could = leading == guest.node && eligible(guest.node);
-        world.later(1 + 60 * world.chance().nextDouble(), () -> {
-            if (could && leading == guest.node && eligible(guest.node)) {
+    private void append(PolicyProcess process, LogOperation op) {
+        boolean couldLead = leaderNode == process.node && canLead(process.node);
+        network.scheduleAfter(1 + 60 * network.random().nextDouble(), () -> {
+            if (couldLead && leaderNode == process.node && canLead(process.node)) {
                 commit(op);
-            } else if (could) {
-                maybe.add(op);
+            } else if (couldLead) {
+                uncertainOperations.add(op);
             }
         });
     }
 
     private void commit(LogOperation op) {
-        PolicyVersion was = log.pending();
-        String came = log.apply(++index, op);
-        openedMs = log.pending() != null
-                        && (was == null || was.number() != log.pending().number())
-                ? world.nowMs()
-                : openedMs;
+        PolicyVersion pendingBefore = log.pending();
+        String result = log.apply(++appliedIndex, op);
+        proposedAtMs = log.pending() != null
+                        && (pendingBefore == null
+                                || pendingBefore.number() != log.pending().number())
+                ? network.nowMs()
+                : proposedAtMs;
         if (op.kind() == LogOperation.Kind.NEW_TERM) {
             return;
         }
-        line(op.kind() + " " + op.proposalNumber() + " " + op.issuer() + " " + op.text() + ": " + came);
+        appendLog(op.kind() + " " + op.proposalNumber() + " " + op.issuer() + " " + op.text() + ": " + result);
         PolicyVersion open = log.pending();
         if (op.kind() == LogOperation.Kind.PROPOSE && open != null) {
             budgets.put(open.number(), PolicySettings.parse(open.settings()).number(BUDGET));
@@ -419,16 +429,17 @@
         if (op.kind() == LogOperation.Kind.DECIDE
                 && open != null
                 && open.stage() == Stage.DECIDED
-                && was.stage() == Stage.PROPOSED) {
-            votes(open);
-            if (cutAt >= 0) {
-                world.script(List.of(new Fault(world.nowMs(), Fault.Kind.CUT, List.of(cutAt), List.of(), 5000, 0)));
+                && pendingBefore.stage() == Stage.PROPOSED) {
+            checkVotes(open);
+            if (nodeToCut >= 0) {
+                network.scheduleFaults(
+                        List.of(new Fault(network.nowMs(), Fault.Kind.CUT, List.of(nodeToCut), List.of(), 5000, 0)));
             }
         }
-        if (log.active().number() != held.get(held.size() - 1)) {
-            held.add(log.active().number());
-            if (was.stage() != Stage.DECIDED) {
-                breach("decided first", was.number() + " holds and was " + was.stage());
+        if (log.active().number() != heldVersions.get(heldVersions.size() - 1)) {
+            heldVersions.add(log.active().number());
+            if (pendingBefore.stage() != Stage.DECIDED) {
+                breach("decided first", pendingBefore.number() + " holds and was " + pendingBefore.stage());
             }
         }
         List<PolicyVersion> ended = log.finished();
@@ -440,32 +451,32 @@
                 breach("one proposal counts once", entry.number() + " was there before");
             }
         }
-        if (leading >= 0 && world.runs(leading)) {
+        if (leaderNode >= 0 && network.isRunning(leaderNode)) {
             for (int node = 0; node < size; node++) {
-                guest(leading).send(node, new Message("NEWS", "n" + leading, null, null, ""));
+                process(leaderNode).send(node, new Message("NEWS", "n" + leaderNode, null, null, ""));
             }
-            world.wake(leading);
+            network.reschedule(leaderNode);
         }
     }
 
     /** Whoever is in touch when a version is decided has said that it can. */
-    private void votes(PolicyVersion decided) {
+    private void checkVotes(PolicyVersion decided) {
         for (int node = 0; node < size; node++) {
-            if (!world.runs(node)) {
+            if (!network.isRunning(node)) {
                 continue;
             }
-            PolicyLease ruling = guest(node).follower.lease();
-            boolean touch = ruling != null
-                    && !ruling.activeAt(world.clock(node)).label().endsWith("?")
-                    && world.linked(node, leading)
-                    && world.nowMs() - seenMs[node] < LOOK_MS * 2
-                    && !world.stands(node);
-            if (touch && guest(node).checking < decided.number()) {
+            PolicyLease lease = process(node).follower.lease();
+            boolean isInTouch = lease != null
+                    && !lease.activeAt(network.clockMs(node)).label().endsWith("?")
+                    && network.isConnected(node, leaderNode)
+                    && network.nowMs() - lastReachedMs[node] < MONITOR_INTERVAL_MS * 2
+                    && !network.isPaused(node);
+            if (isInTouch && process(node).checkedNumber < decided.number()) {
                 breach("all are asked", "n" + node + " was not asked about " + decided.number());
             }
-            if (touch
-                    && node == unfit
-                    && decided.number() == guest(node).checking
+            if (isInTouch
+                    && node == incompatibleNode
+                    && decided.number() == process(node).checkedNumber
                     && budgets.get(decided.number()) > 2500) {
                 breach("one no refuses", "n" + node + " cannot apply " + decided.number());
             }
@@ -473,163 +484,167 @@
     }
 
     /** An operator proposes, and again where nobody answers; some send it twice. */
-    void propose(int budgetMs, boolean twice) {
+    void propose(int budgetMs, boolean isSentTwice) {
         LogOperation op = new LogOperation(
                 LogOperation.Kind.PROPOSE, 0, "{\"" + BUDGET + "\":" + budgetMs + "}", "operator", "t" + proposals++);
-        ordered(op, 0);
-        if (twice) {
-            world.later(1000 + 8000 * world.chance().nextDouble(), () -> ordered(op, 0));
+        submit(op, 0);
+        if (isSentTwice) {
+            network.scheduleAfter(1000 + 8000 * network.random().nextDouble(), () -> submit(op, 0));
         }
     }
 
     void abort() {
         if (log.pending() != null) {
-            ordered(new LogOperation(LogOperation.Kind.ABORT, log.pending().number(), "", "operator", ""), 0);
+            submit(new LogOperation(LogOperation.Kind.ABORT, log.pending().number(), "", "operator", ""), 0);
         }
     }
 
-    private void ordered(LogOperation op, int tries) {
-        if (leading >= 0 && eligible(leading) && guest(leading).leads) {
-            append(guest(leading), op);
-        } else if (tries < 40) {
-            world.later(500, () -> ordered(op, tries + 1));
+    private void submit(LogOperation op, int attempts) {
+        if (leaderNode >= 0 && canLead(leaderNode) && process(leaderNode).isLeader) {
+            append(process(leaderNode), op);
+        } else if (attempts < 40) {
+            network.scheduleAfter(500, () -> submit(op, attempts + 1));
         }
     }
 
-    // ---- The world's scene ----
+    // ---- The world's simulation ----
 
     @Override
-    public SimulatedNode<Message> start(
-            int node, int startNumber, String address, double nodeMs, RandomGenerator chance) {
-        PolicySettings own = node == unfit
-                ? OWN.overriddenBy(PolicySettings.parse("{\"opTypes\":{\"orders\":{\"timeoutMs\":2500}}}"))
-                : OWN;
-        names[node] = "";
-        if (leading == node) {
-            leading = -1;
+    public SimulatedNode<Message> startProcess(
+            int node, int startNumber, String address, double nodeMs, RandomGenerator random) {
+        PolicySettings localSettings = node == incompatibleNode
+                ? LOCAL_SETTINGS.overriddenBy(PolicySettings.parse("{\"opTypes\":{\"orders\":{\"timeoutMs\":2500}}}"))
+                : LOCAL_SETTINGS;
+        labels[node] = "";
+        if (leaderNode == node) {
+            leaderNode = -1;
         }
-        return new PolicyGuest(node, startNumber, own, chance, nodeMs);
+        return new PolicyProcess(node, startNumber, localSettings, random, nodeMs);
     }
 
     @Override
-    public long mark(Message message) {
+    public long fingerprint(Message message) {
         return message.kind().hashCode()
-                ^ (message.ask() != null
-                        ? message.ask().nonce()
-                        : message.told() != null ? message.told().nonce() : 7);
+                ^ (message.poll() != null
+                        ? message.poll().nonce()
+                        : message.response() != null ? message.response().nonce() : 7);
     }
 
     @Override
-    public void faulted(Fault fault, boolean ends, double worldMs) {
-        line(fault + (ends ? " ends" : ""));
+    public void onFault(Fault fault, boolean ends, double networkMs) {
+        appendLog(fault + (ends ? " ends" : ""));
     }
 
     @Override
-    public void stepped(int node, SimulatedNode<Message> guest, double worldMs, double nodeMs) {
-        PolicyGuest stepped = (PolicyGuest) guest;
-        PolicyLease now = stepped.follower.lease() == null
+    public void onStep(int node, SimulatedNode<Message> process, double networkMs, double nodeMs) {
+        PolicyProcess stepped = (PolicyProcess) process;
+        PolicyLease active = stepped.follower.lease() == null
                 ? null
                 : stepped.follower.lease().activeAt(nodeMs);
-        String name = now == null ? "" : now.label();
-        boolean leased = now != null && !name.endsWith("?");
-        double graceMs = TIMES.leaseMs() / (1 - TIMES.maxClockDrift()) + 2 * LOOK_MS;
-        if (leased && worldMs - isolatedMs[node] > graceMs && isolated(node)) {
+        String label = active == null ? "" : active.label();
+        boolean hasLease = active != null && !label.endsWith("?");
+        double graceMs = TIMINGS.leaseMs() / (1 - TIMINGS.maxClockDrift()) + 2 * MONITOR_INTERVAL_MS;
+        if (hasLease && networkMs - isolatedSinceMs[node] > graceMs && isolated(node)) {
             breach(
                     "(e) out of touch it stops",
-                    "n" + node + " goes by " + name + ", alone for " + Math.round(worldMs - isolatedMs[node]) + " ms");
+                    "n" + node + " goes by " + label + ", alone for " + Math.round(networkMs - isolatedSinceMs[node])
+                            + " ms");
         }
-        if (name.equals(names[node]) || now == null) {
+        if (label.equals(labels[node]) || active == null) {
             return;
         }
-        line("n" + node + " goes by " + name);
+        appendLog("n" + node + " goes by " + label);
         changes++;
-        if (names[node].isEmpty() && name.equals("0?") && nodeMs - stepped.bornMs < TIMES.startupTimeoutMs()) {
+        if (labels[node].isEmpty() && label.equals("0?") && nodeMs - stepped.startedAtMs < TIMINGS.startupTimeoutMs()) {
             breach(
                     "ready late enough",
-                    "n" + node + " serves after " + Math.round(nodeMs - stepped.bornMs) + " ms and has heard nothing");
+                    "n" + node + " serves after " + Math.round(nodeMs - stepped.startedAtMs)
+                            + " ms and has heard nothing");
         }
-        strict(node, now);
-        if (leased) {
-            order(node, name);
-            refused(node, name);
+        checkStricter(node, active);
+        if (hasLease) {
+            checkOrder(node, label);
+            checkRejected(node, label);
             for (int other = 0; other < size; other++) {
-                if (other != node && world.runs(other) && !world.stands(other)) {
-                    instant(node, name, other);
+                if (other != node && network.isRunning(other) && !network.isPaused(other)) {
+                    checkSameVersion(node, label, other);
                 }
             }
         }
-        names[node] = name;
+        labels[node] = label;
     }
 
-    private static List<Long> numbers(String name) {
+    private static List<Long> numbers(String label) {
         List<Long> numbers = new ArrayList<>();
-        for (String number : name.replace("?", "").split("\\|")) {
+        for (String number : label.replace("?", "").split("\\|")) {
             numbers.add(Long.parseLong(number));
         }
         return numbers;
     }
 
     /** Whatever a node goes by is within each version that it names. */
-    private void strict(int node, PolicyLease now) {
-        for (long number : numbers(now.label())) {
+    private void checkStricter(int node, PolicyLease active) {
+        for (long number : numbers(active.label())) {
             double budgetMs = budgets.getOrDefault(number, 0.0);
-            if (now.settings().number(BUDGET) > budgetMs + 1e-9) {
+            if (active.settings().number(BUDGET) > budgetMs + 1e-9) {
                 breach(
                         "guarded is the stricter",
-                        "n" + node + " by " + now.label() + " has a budget of "
-                                + now.settings().number(BUDGET) + ", " + number + " has " + budgetMs);
+                        "n" + node + " by " + active.label() + " has a budget of "
+                                + active.settings().number(BUDGET) + ", " + number + " has " + budgetMs);
             }
         }
-        if (now.isJoint() != (now.label().contains("|") || now.label().endsWith("?"))) {
-            breach("guarded is the stricter", "n" + node + " by " + now.label() + " does not say so");
+        if (active.isJoint() != (active.label().contains("|") || active.label().endsWith("?"))) {
+            breach("guarded is the stricter", "n" + node + " by " + active.label() + " does not say so");
         }
     }
 
-    private void order(int node, String name) {
-        long base = numbers(name).get(0);
-        if (!held.contains(base)) {
-            breach("(a) one order", "n" + node + " goes by " + name + ", and " + base + " never held");
-        } else if (base < lastAlone[node]) {
-            breach("(a) one order", "n" + node + " goes by " + name + " after " + lastAlone[node]);
-        } else if (!names[node].isEmpty()
-                && !names[node].endsWith("?")
-                && held.indexOf(base) > held.indexOf(numbers(names[node]).get(0)) + 1) {
-            breach("(a) one order", "n" + node + " goes by " + name + " after " + names[node] + " and skipped some");
+    private void checkOrder(int node, String label) {
+        long base = numbers(label).get(0);
+        if (!heldVersions.contains(base)) {
+            breach("(a) one order", "n" + node + " goes by " + label + ", and " + base + " never held");
+        } else if (base < lastBaseVersion[node]) {
+            breach("(a) one order", "n" + node + " goes by " + label + " after " + lastBaseVersion[node]);
+        } else if (!labels[node].isEmpty()
+                && !labels[node].endsWith("?")
+                && heldVersions.indexOf(base)
+                        > heldVersions.indexOf(numbers(labels[node]).get(0)) + 1) {
+            breach("(a) one order", "n" + node + " goes by " + label + " after " + labels[node] + " and skipped some");
         }
-        lastAlone[node] = base;
+        lastBaseVersion[node] = base;
     }
 
-    private void refused(int node, String name) {
-        TreeSet<Long> over = new TreeSet<>();
+    private void checkRejected(int node, String label) {
+        TreeSet<Long> rejected = new TreeSet<>();
         log.finished().stream()
                 .filter(entry -> entry.stage() != Stage.HOLDS)
-                .forEach(entry -> over.add(entry.number()));
-        over.retainAll(numbers(name));
-        if (!over.isEmpty()) {
+                .forEach(entry -> rejected.add(entry.number()));
+        rejected.retainAll(numbers(label));
+        if (!rejected.isEmpty()) {
             breach(
                     "(b) refused is never",
-                    "n" + node + " goes by " + name + ", and " + over + " was refused or aborted");
+                    "n" + node + " goes by " + label + ", and " + rejected + " was refused or aborted");
         }
     }
 
-    private void instant(int node, String name, int other) {
-        PolicyLease ruling = guest(other).follower.lease();
-        PolicyLease theirs = ruling == null ? null : ruling.activeAt(world.clock(other));
-        if (theirs == null || theirs.label().endsWith("?")) {
+    private void checkSameVersion(int node, String label, int other) {
+        PolicyLease lease = process(other).follower.lease();
+        PolicyLease otherLease = lease == null ? null : lease.activeAt(network.clockMs(other));
+        if (otherLease == null || otherLease.label().endsWith("?")) {
             return;
         }
-        List<Long> one = numbers(name);
-        List<Long> two = numbers(theirs.label());
-        boolean same = one.stream().anyMatch(two::contains) && (one.size() > 1 || two.size() > 1 || one.equals(two));
-        if (!same) {
+        List<Long> versions = numbers(label);
+        List<Long> otherVersions = numbers(otherLease.label());
+        boolean isCommon = versions.stream().anyMatch(otherVersions::contains)
+                && (versions.size() > 1 || otherVersions.size() > 1 || versions.equals(otherVersions));
+        if (!isCommon) {
             breach(
                     "(c) one version at an instant",
-                    "n" + node + " goes by " + name + " while n" + other + " goes by " + theirs.label());
+                    "n" + node + " goes by " + label + " while n" + other + " goes by " + otherLease.label());
         }
     }
 
     /** Long after the last fault: nothing is open, and all that run go by what holds. */
-    void settled(int lastBudgetMs) {
+    void checkSettled(int lastBudgetMs) {
         if (budgets.get(log.active().number()) != lastBudgetMs) {
             breach(
                     "what all can apply holds",
@@ -641,16 +656,16 @@
                     log.pending().number() + " is " + log.pending().stage());
         }
         for (int node = 0; node < size; node++) {
-            PolicyLease ruling = world.runs(node) ? guest(node).follower.lease() : null;
-            String name = ruling == null
+            PolicyLease lease = network.isRunning(node) ? process(node).follower.lease() : null;
+            String label = lease == null
                     ? "nothing"
-                    : ruling.activeAt(world.clock(node)).label();
-            if (world.runs(node)
-                    && guest(node).follower.incompatibility().isEmpty()
-                    && !name.equals(Long.toString(log.active().number()))) {
+                    : lease.activeAt(network.clockMs(node)).label();
+            if (network.isRunning(node)
+                    && process(node).follower.incompatibility().isEmpty()
+                    && !label.equals(Long.toString(log.active().number()))) {
                 breach(
                         "all go by what holds",
-                        "n" + node + " goes by " + name + ", and "
+                        "n" + node + " goes by " + label + ", and "
                                 + log.active().number() + " holds");
             }
         }
--- a/lab/src/main/java/spartrail/lab/simulation/SimulatedNetwork.java
+++ b/lab/src/main/java/spartrail/lab/simulation/SimulatedNetwork.java
@@ -15,22 +15,22 @@
  * from the seed, so that one seed is one run; {@link #hash} tells whether two runs were the same.
  */
 public final class SimulatedNetwork<M> {
-    /** Who makes the guest of a node at each of its starts, and looks on. */
-    public interface Scene<M> {
-        SimulatedNode<M> start(int node, int startNumber, String address, double nodeMs, RandomGenerator chance);
+    /** Who makes the process of a node at each of its starts, and looks on. */
+    public interface Simulation<M> {
+        SimulatedNode<M> startProcess(int node, int startNumber, String address, double nodeMs, RandomGenerator random);
 
         /** After each step of a node. */
-        default void stepped(int node, SimulatedNode<M> guest, double worldMs, double nodeMs) {}
+        default void onStep(int node, SimulatedNode<M> process, double networkMs, double nodeMs) {}
 
-        default void faulted(Fault fault, boolean ends, double worldMs) {}
+        default void onFault(Fault fault, boolean ends, double networkMs) {}
 
-        default void sent(int node, M message, double worldMs) {}
+        default void onSend(int node, M message, double networkMs) {}
 
         /** What tells a message from others, for the run's hash; the same in every process. */
-        long mark(M message);
+        long fingerprint(M message);
     }
 
-    private record Event(double atMs, long number, Runnable what) implements Comparable<Event> {
+    private record Event(double atMs, long number, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             int order = Double.compare(atMs, other.atMs);
@@ -41,22 +41,22 @@
     private final class Node {
         final int number;
         final String address;
-        SimulatedNode<M> guest;
+        SimulatedNode<M> process;
         int starts;
-        double stalledUntilMs;
+        double pausedUntilMs;
         double busyUntilMs;
-        double slowMs;
-        double pace = 1;
-        double paceOfLife = 1;
-        double bornMs;
-        double backMs;
-        double plannedMs = Double.POSITIVE_INFINITY;
-        double loss;
+        double stepMs;
+        double nextClockRate = 1;
+        double clockRate = 1;
+        double startedAtMs;
+        double setBackMs;
+        double nextAdvanceMs = Double.POSITIVE_INFINITY;
+        double lossShare;
         double delayMs;
-        double twice;
-        double heldUntilMs;
-        final Deque<M> waiting = new ArrayDeque<>();
-        boolean serving;
+        double duplicateShare;
+        double holdUntilMs;
+        final Deque<M> inbox = new ArrayDeque<>();
+        boolean isTakeScheduled;
 
         Node(int number) {
             this.number = number;
@@ -64,38 +64,38 @@
         }
 
         /** The node's own clock; each life begins at the Unix time of its start. */
-        double clock(double worldMs) {
-            return UNIX_MS - backMs + bornMs + (worldMs - bornMs) * paceOfLife;
+        double clockMs(double networkMs) {
+            return UNIX_MS - setBackMs + startedAtMs + (networkMs - startedAtMs) * clockRate;
         }
 
-        double world(double nodeMs) {
-            return bornMs + (nodeMs - UNIX_MS + backMs - bornMs) / paceOfLife;
+        double networkMs(double nodeMs) {
+            return startedAtMs + (nodeMs - UNIX_MS + setBackMs - startedAtMs) / clockRate;
         }
     }
 
     /** Where virtual time begins. */
     public static final double UNIX_MS = 1.7e12;
 
-    private static final double LEAST_LINK_MS = 0.1;
-    private static final double ROUNDED_MS = 0.001;
+    private static final double MIN_LINK_DELAY_MS = 0.1;
+    private static final double ROUNDING_MS = 0.001;
 
-    private final Scene<M> scene;
-    private final RandomGenerator chance;
+    private final Simulation<M> simulation;
+    private final RandomGenerator random;
     private final List<Node> nodes = new ArrayList<>();
     private final Map<String, Node> byAddress = new HashMap<>();
     private final PriorityQueue<Event> queue = new PriorityQueue<>();
-    private final int[][] barred;
+    private final int[][] blocked;
     private final double jitterMs;
-    private long count;
+    private long nextEventNumber;
     private double nowMs;
     private long hash = 17;
     private long messages;
 
-    public SimulatedNetwork(int size, long seed, double jitterMs, Scene<M> scene) {
-        this.scene = scene;
-        this.chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
+    public SimulatedNetwork(int size, long seed, double jitterMs, Simulation<M> simulation) {
+        this.simulation = simulation;
+        this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         this.jitterMs = jitterMs;
-        this.barred = new int[size][size];
+        this.blocked = new int[size][size];
         for (int i = 0; i < size; i++) {
             nodes.add(new Node(i));
             byAddress.put(nodes.get(i).address, nodes.get(i));
@@ -107,25 +107,25 @@
     }
 
     /** Starts a node at this time. */
-    public void start(int node, double atMs) {
-        at(atMs, () -> begin(nodes.get(node)));
+    public void startAt(int node, double atMs) {
+        schedule(atMs, () -> startNode(nodes.get(node)));
     }
 
-    public void script(List<Fault> faults) {
-        faults.forEach(fault -> at(fault.atMs(), () -> play(fault)));
+    public void scheduleFaults(List<Fault> faults) {
+        faults.forEach(fault -> schedule(fault.atMs(), () -> applyFault(fault)));
     }
 
-    private void at(double ms, Runnable what) {
-        queue.add(new Event(Math.max(ms, nowMs), count++, what));
+    private void schedule(double atMs, Runnable action) {
+        queue.add(new Event(Math.max(atMs, nowMs), nextEventNumber++, action));
     }
 
     /** Plays on until this time. */
-    public void run(double untilMs) {
+    public void runUntil(double untilMs) {
         while (!queue.isEmpty() && queue.peek().atMs <= untilMs) {
             Event event = queue.poll();
             nowMs = event.atMs;
             hash = hash * 31 + Double.hashCode(nowMs);
-            event.what.run();
+            event.action.run();
         }
         nowMs = untilMs;
     }
@@ -143,211 +143,213 @@
         return messages;
     }
 
-    public boolean runs(int node) {
-        return nodes.get(node).guest != null;
+    public boolean isRunning(int node) {
+        return nodes.get(node).process != null;
     }
 
-    public SimulatedNode<M> guest(int node) {
-        return nodes.get(node).guest;
+    public SimulatedNode<M> process(int node) {
+        return nodes.get(node).process;
     }
 
     /** What reaches one of them from the other, reaches the other one from it. */
-    public boolean linked(int one, int other) {
-        return one == other || barred[one][other] == 0 && barred[other][one] == 0;
+    public boolean isConnected(int one, int other) {
+        return one == other || blocked[one][other] == 0 && blocked[other][one] == 0;
     }
 
     /** It stands still now. */
-    public boolean stands(int node) {
-        return nodes.get(node).stalledUntilMs > nowMs;
+    public boolean isPaused(int node) {
+        return nodes.get(node).pausedUntilMs > nowMs;
     }
 
-    /** What the scene itself does, so many milliseconds later. */
-    public void later(double ms, Runnable what) {
-        at(nowMs + ms, what);
+    /** What the simulation itself does, so many milliseconds later. */
+    public void scheduleAfter(double delayMs, Runnable action) {
+        schedule(nowMs + delayMs, action);
     }
 
-    /** The guest of a node may want its turn sooner than it said. */
-    public void wake(int node) {
-        if (nodes.get(node).guest != null) {
-            plan(nodes.get(node));
+    /** The process of a node may want its turn sooner than it said. */
+    public void reschedule(int node) {
+        if (nodes.get(node).process != null) {
+            scheduleAdvance(nodes.get(node));
         }
     }
 
-    public RandomGenerator chance() {
-        return chance;
+    public RandomGenerator random() {
+        return random;
     }
 
-    public double clock(int node) {
-        return nodes.get(node).clock(nowMs);
+    public double clockMs(int node) {
+        return nodes.get(node).clockMs(nowMs);
     }
 
-    private void begin(Node node) {
-        if (node.guest == null) {
-            node.bornMs = nowMs;
-            node.paceOfLife = node.pace;
+    private void startNode(Node node) {
+        if (node.process == null) {
+            node.startedAtMs = nowMs;
+            node.clockRate = node.nextClockRate;
             node.busyUntilMs = nowMs;
-            node.guest = scene.start(
+            node.process = simulation.startProcess(
                     node.number,
                     node.starts++,
                     node.address,
-                    node.clock(nowMs),
-                    RandomGeneratorFactory.of("L64X128MixRandom").create(chance.nextLong()));
+                    node.clockMs(nowMs),
+                    RandomGeneratorFactory.of("L64X128MixRandom").create(random.nextLong()));
             step(node, null);
         }
     }
 
-    private void end(Node node) {
-        node.guest = null;
-        node.waiting.clear();
-        node.plannedMs = Double.POSITIVE_INFINITY;
+    private void stopNode(Node node) {
+        node.process = null;
+        node.inbox.clear();
+        node.nextAdvanceMs = Double.POSITIVE_INFINITY;
     }
 
     /** A message waits for the node's thread; which takes one after the other, and none while it stands still. */
-    private void arrive(Node node, M message) {
-        if (node.guest != null) {
-            node.waiting.add(message);
-            serve(node);
+    private void deliver(Node node, M message) {
+        if (node.process != null) {
+            node.inbox.add(message);
+            takeNext(node);
         }
     }
 
-    private void serve(Node node) {
-        double freeMs = Math.max(node.stalledUntilMs, node.busyUntilMs);
-        if (node.serving) {
+    private void takeNext(Node node) {
+        double freeMs = Math.max(node.pausedUntilMs, node.busyUntilMs);
+        if (node.isTakeScheduled) {
             return;
         }
         if (freeMs > nowMs) {
-            node.serving = true;
-            at(freeMs, () -> {
-                node.serving = false;
-                serve(node);
+            node.isTakeScheduled = true;
+            schedule(freeMs, () -> {
+                node.isTakeScheduled = false;
+                takeNext(node);
             });
             return;
         }
-        if (node.guest != null && !node.waiting.isEmpty()) {
-            step(node, node.waiting.poll());
-            if (!node.waiting.isEmpty()) {
-                serve(node);
+        if (node.process != null && !node.inbox.isEmpty()) {
+            step(node, node.inbox.poll());
+            if (!node.inbox.isEmpty()) {
+                takeNext(node);
             }
         }
     }
 
     private void step(Node node, M message) {
-        double clockMs = node.clock(nowMs);
+        double clockMs = node.clockMs(nowMs);
         hash = hash * 31 + node.number;
         if (message != null) {
-            hash = hash * 31 + scene.mark(message);
-            node.guest.heard(message, clockMs);
+            hash = hash * 31 + simulation.fingerprint(message);
+            node.process.onMessage(message, clockMs);
         } else {
-            node.guest.advance(clockMs);
+            node.process.advance(clockMs);
         }
-        node.busyUntilMs = nowMs + node.slowMs;
-        for (SimulatedNode.Parcel<M> parcel : node.guest.sent()) {
+        node.busyUntilMs = nowMs + node.stepMs;
+        for (SimulatedNode.Envelope<M> envelope : node.process.drainMessages()) {
             messages++;
-            scene.sent(node.number, parcel.message(), nowMs);
-            carry(node, byAddress.get(parcel.address()), parcel.message());
+            simulation.onSend(node.number, envelope.message(), nowMs);
+            transmit(node, byAddress.get(envelope.address()), envelope.message());
         }
-        scene.stepped(node.number, node.guest, nowMs, clockMs);
-        plan(node);
+        simulation.onStep(node.number, node.process, nowMs, clockMs);
+        scheduleAdvance(node);
     }
 
-    private void plan(Node node) {
+    private void scheduleAdvance(Node node) {
         // Rounded up: a due time that is rounded down would find nothing due and come again without end.
-        double dueMs = Math.max(node.world(node.guest.nextMs()), nowMs) + ROUNDED_MS;
-        if (dueMs < node.plannedMs) {
-            node.plannedMs = dueMs;
-            SimulatedNode<M> planned = node.guest;
-            at(dueMs, () -> due(node, planned, dueMs));
+        double dueMs = Math.max(node.networkMs(node.process.nextAdvanceMs()), nowMs) + ROUNDING_MS;
+        if (dueMs < node.nextAdvanceMs) {
+            node.nextAdvanceMs = dueMs;
+            SimulatedNode<M> planned = node.process;
+            schedule(dueMs, () -> advanceIfDue(node, planned, dueMs));
         }
     }
 
-    private void due(Node node, SimulatedNode<M> planned, double plannedMs) {
-        if (node.guest != planned || node.plannedMs != plannedMs) {
+    private void advanceIfDue(Node node, SimulatedNode<M> planned, double plannedMs) {
+        if (node.process != planned || node.nextAdvanceMs != plannedMs) {
             return;
         }
-        double freeMs = Math.max(node.stalledUntilMs, node.busyUntilMs);
+        double freeMs = Math.max(node.pausedUntilMs, node.busyUntilMs);
         if (freeMs > nowMs) {
-            node.plannedMs = freeMs;
-            at(freeMs, () -> due(node, planned, freeMs));
+            node.nextAdvanceMs = freeMs;
+            schedule(freeMs, () -> advanceIfDue(node, planned, freeMs));
             return;
         }
-        node.plannedMs = Double.POSITIVE_INFINITY;
+        node.nextAdvanceMs = Double.POSITIVE_INFINITY;
         step(node, null);
     }
 
-    private void carry(Node from, Node to, M message) {
-        if (to == null || barred[from.number][to.number] > 0 || from.loss > 0 && chance.nextDouble() < from.loss) {
+    private void transmit(Node from, Node to, M message) {
+        if (to == null
+                || blocked[from.number][to.number] > 0
+                || from.lossShare > 0 && random.nextDouble() < from.lossShare) {
             return;
         }
-        double delayMs = LEAST_LINK_MS
-                + jitterMs * chance.nextDouble() * chance.nextDouble()
-                + (from.delayMs > 0 ? from.delayMs * chance.nextDouble() : 0);
-        double atMs = Math.max(nowMs + delayMs, from.heldUntilMs);
-        at(atMs, () -> arrive(to, message));
-        if (from.twice > 0 && chance.nextDouble() < from.twice) {
-            at(atMs + 2000 * chance.nextDouble(), () -> arrive(to, message));
+        double delayMs = MIN_LINK_DELAY_MS
+                + jitterMs * random.nextDouble() * random.nextDouble()
+                + (from.delayMs > 0 ? from.delayMs * random.nextDouble() : 0);
+        double atMs = Math.max(nowMs + delayMs, from.holdUntilMs);
+        schedule(atMs, () -> deliver(to, message));
+        if (from.duplicateShare > 0 && random.nextDouble() < from.duplicateShare) {
+            schedule(atMs + 2000 * random.nextDouble(), () -> deliver(to, message));
         }
     }
 
-    private void play(Fault fault) {
-        scene.faulted(fault, false, nowMs);
-        set(fault, true);
+    private void applyFault(Fault fault) {
+        simulation.onFault(fault, false, nowMs);
+        setFault(fault, true);
         boolean ends = fault.lastsMs() > 0 && fault.kind() != Fault.Kind.LEAVE;
         if (ends) {
-            at(nowMs + fault.lastsMs(), () -> {
-                set(fault, false);
-                scene.faulted(fault, true, nowMs);
+            schedule(nowMs + fault.lastsMs(), () -> {
+                setFault(fault, false);
+                simulation.onFault(fault, true, nowMs);
             });
         }
     }
 
-    private void set(Fault fault, boolean on) {
+    private void setFault(Fault fault, boolean isActive) {
         for (int number : fault.nodes()) {
             Node node = nodes.get(number);
             switch (fault.kind()) {
                 case CRASH -> {
-                    if (on) {
-                        end(node);
+                    if (isActive) {
+                        stopNode(node);
                     } else {
-                        begin(node);
+                        startNode(node);
                     }
                 }
                 case LEAVE -> {
-                    if (node.guest != null) {
-                        node.guest.leave(node.clock(nowMs));
-                        for (SimulatedNode.Parcel<M> parcel : node.guest.sent()) {
-                            carry(node, byAddress.get(parcel.address()), parcel.message());
+                    if (node.process != null) {
+                        node.process.leave(node.clockMs(nowMs));
+                        for (SimulatedNode.Envelope<M> envelope : node.process.drainMessages()) {
+                            transmit(node, byAddress.get(envelope.address()), envelope.message());
                         }
-                        scene.stepped(node.number, node.guest, nowMs, node.clock(nowMs));
-                        end(node);
+                        simulation.onStep(node.number, node.process, nowMs, node.clockMs(nowMs));
+                        stopNode(node);
                     }
                 }
                 case STALL -> {
-                    if (on) {
-                        node.stalledUntilMs = Math.max(node.stalledUntilMs, nowMs + fault.lastsMs());
+                    if (isActive) {
+                        node.pausedUntilMs = Math.max(node.pausedUntilMs, nowMs + fault.lastsMs());
                     }
                 }
-                case LOSS -> node.loss = on ? fault.size() : 0;
-                case DELAY -> node.delayMs = on ? fault.size() : 0;
-                case TWICE -> node.twice = on ? fault.size() : 0;
-                case HELD -> node.heldUntilMs = on ? nowMs + fault.size() : 0;
-                case SLOW -> node.slowMs = on ? fault.size() : 0;
+                case LOSS -> node.lossShare = isActive ? fault.size() : 0;
+                case DELAY -> node.delayMs = isActive ? fault.size() : 0;
+                case TWICE -> node.duplicateShare = isActive ? fault.size() : 0;
+                case HELD -> node.holdUntilMs = isActive ? nowMs + fault.size() : 0;
+                case SLOW -> node.stepMs = isActive ? fault.size() : 0;
                 case SET_BACK -> {
-                    if (on) {
-                        end(node);
-                        node.backMs += fault.size();
+                    if (isActive) {
+                        stopNode(node);
+                        node.setBackMs += fault.size();
                     } else {
-                        begin(node);
+                        startNode(node);
                     }
                 }
-                case CLOCK -> node.pace = fault.size();
+                case CLOCK -> node.nextClockRate = fault.size();
                 default -> {
                     for (int other = 0; other < nodes.size(); other++) {
-                        boolean meant = fault.others().isEmpty()
+                        boolean isAffected = fault.others().isEmpty()
                                 ? !fault.nodes().contains(other)
                                 : fault.others().contains(other);
-                        if (meant) {
-                            barred[number][other] += on ? 1 : -1;
-                            barred[other][number] += fault.kind() != Fault.Kind.CUT ? 0 : on ? 1 : -1;
+                        if (isAffected) {
+                            blocked[number][other] += isActive ? 1 : -1;
+                            blocked[other][number] += fault.kind() != Fault.Kind.CUT ? 0 : isActive ? 1 : -1;
                         }
                     }
                 }
--- a/lab/src/main/java/spartrail/lab/simulation/SimulatedNode.java
+++ b/lab/src/main/java/spartrail/lab/simulation/SimulatedNode.java
@@ -5,17 +5,17 @@
 /** What lives on a virtual node: an I/O-free part of the program. Times are the node's own clock. */
 public interface SimulatedNode<M> {
     /** A message and the address that it goes to. */
-    record Parcel<M>(String address, M message) {}
+    record Envelope<M>(String address, M message) {}
 
-    void heard(M message, double nowMs);
+    void onMessage(M message, double nowMs);
 
     void advance(double nowMs);
 
     /** When it wants to be advanced. */
-    double nextMs();
+    double nextAdvanceMs();
 
     /** What it wants to be sent; handed out once. */
-    List<Parcel<M>> sent();
+    List<Envelope<M>> drainMessages();
 
     /** It is asked to end. */
     default void leave(double nowMs) {}
--- a/lab/src/test/java/spartrail/lab/simulation/ExplorationTest.java
+++ b/lab/src/test/java/spartrail/lab/simulation/ExplorationTest.java
@@ -40,19 +40,19 @@
     /** A hundred nodes at once that know one address only, and nobody is there; later somebody is. */
     @Test
     void nodesWhoseOnlySeedIsDownMeetWhenItComes() {
-        PeersSimulation scene = new PeersSimulation(100, GossipTimings.DEFAULT, message -> message);
-        scene.seedsEach(1);
-        SimulatedNetwork<spartrail.peers.PeerMessage> world = new SimulatedNetwork<>(100, 7, 4, scene);
-        scene.in(world);
+        PeersSimulation simulation = new PeersSimulation(100, GossipTimings.DEFAULT, message -> message);
+        simulation.setSeedsPerNode(1);
+        SimulatedNetwork<spartrail.peers.PeerMessage> network = new SimulatedNetwork<>(100, 7, 4, simulation);
+        simulation.attachTo(network);
         for (int node = 1; node < 100; node++) {
-            world.start(node, 10 * node);
+            network.startAt(node, 10 * node);
         }
-        world.start(0, 30_000);
-        world.run(30_000);
-        long before = world.messages();
+        network.startAt(0, 30_000);
+        network.runUntil(30_000);
+        long before = network.messages();
         assertThat(before).as("messages while nobody is there").isLessThan(99 * 15);
-        world.run(60_000);
-        scene.settled();
-        assertThat(scene.rules().breaches()).isEmpty();
+        network.runUntil(60_000);
+        simulation.checkSettled();
+        assertThat(simulation.rules().breaches()).isEmpty();
     }
 }
