--- a/lab/src/main/java/spartrail/lab/simulation/Exploration.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Exploration.java
@@ -12,19 +12,19 @@
 import spartrail.lab.rules.PeersRules;
 import spartrail.peers.GossipTimings;
 
-/** Many seeds, side by side. */
+/** Runs the peers scenarios of many seeds in parallel. */
 public final class Exploration {
-    /** A seed that broke something, and what it broke first. */
+    /** A seed whose run broke a rule, with the first breach. */
     public record FailingSeed(long seed, int size, PeersRules.Breach first) {}
 
-    /** What came of the seeds. */
+    /** The totals over all seeds, and the seeds that broke a rule. */
     public record Result(long seeds, long messages, long hash, long changes, Map<Long, FailingSeed> found) {}
 
     private Exploration() {}
 
     /**
-     * Plays so many seeds with so many nodes each, at the least and at the most. The hash is that of all runs, in the
-     * order of their seeds.
+     * Runs {@code count} seeds, each with {@code least} to {@code most} nodes. The hash combines the hash of each run
+     * with its seed, so it does not depend on the order in which the runs finish.
      */
     public static Result explore(long from, long count, int least, int most, LongConsumer progress) {
         Map<Long, FailingSeed> found = Collections.synchronizedMap(new TreeMap<>());
@@ -53,7 +53,10 @@
         return new Result(count, messages.get(), hash, changes.get(), found);
     }
 
-    /** The first seed of these that breaks anything, as one line; empty where none does. For plants in another loader. */
+    /**
+     * Returns the first seed that breaks a rule, as one tab-separated line, or an empty string. The types are simple
+     * because {@link Mutations} calls this method in another class loader.
+     */
     public static String firstBreach(long from, long count, int most) {
         for (long seed = from; seed < from + count; seed++) {
             PeersScenario scenario = PeersScenario.generate(seed, most);
@@ -66,7 +69,10 @@
         return "";
     }
 
-    /** A seed's shortest script that still breaks the rule which it broke first; the scenario itself where it breaks none. */
+    /**
+     * Returns the shortest script found that still breaks the seed's first broken rule; the whole scenario if it
+     * breaks none.
+     */
     public static PeersScenario shrink(long seed, int least, int most) {
         PeersScenario scenario = PeersScenario.generate(seed, least, most);
         List<PeersRules.Breach> breaches =
--- a/lab/src/main/java/spartrail/lab/simulation/Fault.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Fault.java
@@ -3,39 +3,45 @@
 import java.util.List;
 
 /**
- * One fault of a script.
+ * One fault in a scenario's script.
  *
- * @param nodes whom it concerns: the nodes, or the first group
- * @param others for cuts: the second group; empty means all that are not in the first
- * @param lastsMs how long it lasts, where it ends by itself
- * @param size how strong it is: a share of lost messages, milliseconds of delay, a clock's pace
+ * @param nodes the nodes affected; for cuts, the first group
+ * @param others for cuts, the second group; empty means all nodes that are not in the first
+ * @param lastsMs the duration, for faults that end by themselves; else 0
+ * @param size the magnitude: a share of lost messages, milliseconds of delay, or a clock's rate
  */
 public record Fault(double atMs, Kind kind, List<Integer> nodes, List<Integer> others, double lastsMs, double size) {
-    /** What happens. */
+    /** The kinds of fault. */
     public enum Kind {
-        /** The process is gone; with a length, it starts again after it. */
+        /** The process is killed; with a duration, it starts again afterwards. */
         CRASH,
-        /** It ends itself, saying so. */
+        /** The process announces that it leaves, and ends. */
         LEAVE,
-        /** It stands still, and then goes on with all that came meanwhile. */
+        /** The process pauses, then resumes and handles all messages that arrived meanwhile. */
         STALL,
-        /** Nothing passes between the groups, either way. */
+        /** No message passes between the groups, in either direction. */
         CUT,
-        /** Nothing passes from the first group to the second. */
+        /** No message passes from the first group to the second. */
         ONE_WAY,
-        /** A share of what the nodes send is lost. */
+        /** A share of the nodes' messages is lost. */
         LOSS,
-        /** What the nodes send takes so much longer, by chance up to that. */
+        /** The nodes' messages are delayed by a random time up to this many milliseconds. */
         DELAY,
-        /** A share of what the nodes send comes twice, the second one late by up to 2 s. */
+        /** A share of the nodes' messages is delivered twice, the second copy up to 2 s late. */
         TWICE,
-        /** What the nodes send while it lasts is kept and comes so many milliseconds after its beginning. */
+        /**
+         * Messages that the nodes send during the fault are held, and delivered this many milliseconds after the
+         * fault began.
+         */
         HELD,
-        /** Each step of the node takes so many milliseconds. */
+        /** Each step of the node takes this many milliseconds. */
         SLOW,
-        /** The node's clock runs at so many times the right pace, from its next start on. */
+        /** The node's clock runs at this multiple of the correct rate, from the process's next start on. */
         CLOCK,
-        /** The machine's clock is set back by so many milliseconds; the node is killed and starts again by it. */
+        /**
+         * The process is killed, the machine's clock is set back by this many milliseconds, and the process starts
+         * again.
+         */
         SET_BACK
     }
 
--- a/lab/src/main/java/spartrail/lab/simulation/Mutations.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Mutations.java
@@ -19,107 +19,112 @@
 import spartrail.lab.file.InvalidInputException;
 
 /**
- * Faults planted in the source of what is played on the virtual network, to see whether the checks find them: each one is a text of a
- * file and what stands there instead. The changed class is compiled beside the real ones and the same seeds are played with it.
+ * Mutations of the production source that runs on the simulated network, to verify that the rules detect them. Each
+ * one replaces a text of one source file. The mutated class is compiled and put before the real one on the class
+ * path; then the same seeds are run.
  */
 public final class Mutations {
-    /** A fault, and the one place in the source that it changes; how lines are broken there does not matter. */
+    /**
+     * A mutation and the one place in the source that it changes; the match ignores line breaks and other white
+     * space.
+     */
     public record Mutation(String file, String name, String text, String replacement) {}
 
-    /** Whether it was found, by which seed and rule. */
+    /** The seed, rule and fleet size that detected a mutation; all empty if none did. */
     public record Outcome(Mutation mutation, String seed, String rule, String size) {
         public boolean isCaught() {
             return !seed.isEmpty();
         }
     }
 
-    /** Faults of peers. */
+    /** Mutations of the peers' membership protocol. */
     public static final List<Mutation> PEERS = List.of(
             new Mutation(
                     "peers/StateTransitions",
-                    "older news replaces newer",
+                    "an older update replaces a newer one",
                     "peer.descriptor, peer.state) <= 0) {",
                     "peer.descriptor, peer.state) == 0) {"),
             new Mutation(
                     "peers/Suspicions",
-                    "a node in doubt ends suspicions",
+                    "suspicions time out while health is in doubt",
                     "if (!health.maySuspect()) {",
                     "if (false) {"),
             new Mutation(
                     "peers/FailureDetector",
-                    "a node in doubt suspects",
+                    "a node with a health problem suspects others",
                     "peer.hasIncarnation(probe.incarnation) && health.maySuspect()) {",
                     "peer.hasIncarnation(probe.incarnation)) {"),
             new Mutation(
                     "peers/PauseDetector",
-                    "a standstill is not noticed",
+                    "a process pause is not noticed",
                     "return latenessMs > timings.pauseThresholdMs();",
                     "return latenessMs > 1e12;"),
             new Mutation(
                     "peers/UpdateHandler",
-                    "nothing is refuted",
+                    "a node refutes nothing",
                     "local.refute(update.descriptor().refutations());",
                     ""),
             new Mutation(
                     "peers/LocalPeer",
-                    "refuted with the same turn",
+                    "a refutation keeps the same number",
                     "withIncarnation(incarnation(), refutations + 1)",
                     "withIncarnation(incarnation(), refutations)"),
-            new Mutation("peers/SwimMembership", "nobody looks for the lost", "failureDetector.probeDeparted();", ""),
+            new Mutation(
+                    "peers/SwimMembership", "departed peers are not probed", "failureDetector.probeDeparted();", ""),
             new Mutation(
                     "peers/SwimMembership",
-                    "what a new answer says of this node is not heard",
+                    "a fresh ack about this node is ignored",
                     "if (isTrusted || isFreshAck && isAboutLocal) {",
                     "if (isTrusted || false && isAboutLocal) {"),
             new Mutation(
                     "peers/FailureDetector",
-                    "helpers are not asked",
+                    "no indirect probes are sent",
                     "if (probe != currentProbe || probe.acknowledged) {",
                     "if (true) {"),
             new Mutation(
                     "peers/FailureDetector",
-                    "a helper's find does not count",
+                    "an indirect ack does not count",
                     "if (found.compareTo(currentProbe.incarnation) >= 0) {",
                     "if (false) {"),
             new Mutation(
                     "peers/StateTransitions",
-                    "the digest leaves out who is new",
+                    "the digest leaves out new peers",
                     "table.updateDigest(peer);",
                     "if (previousState != null) { table.updateDigest(peer); }"),
-            new Mutation("peers/Dissemination", "news is passed on for ever", "peer.transmissions++;", ""),
+            new Mutation("peers/Dissemination", "updates are retransmitted without limit", "peer.transmissions++;", ""),
             new Mutation(
                     "peers/LocalPeer",
-                    "who leaves does not say so",
+                    "a leaving node does not announce it",
                     "state = PeerState.LEFT;",
                     "state = PeerState.ALIVE;"),
             new Mutation(
                     "peers/NameConflict",
-                    "a former life's later start is not outbid",
+                    "a later former incarnation is not exceeded",
                     "startIncarnationAfter(other.incarnation());",
                     ""),
             new Mutation(
                     "peers/Suspicions",
-                    "a suspicion never ends",
+                    "a suspicion never times out",
                     "deadlineMs), () -> onTimeout(peer));",
                     "deadlineMs), () -> { });"),
             new Mutation(
                     "peers/LocalHealth",
-                    "a node that is cut off does not notice",
+                    "a node that is cut off does not notice it",
                     "unansweredRounds >= MAX_UNANSWERED_ROUNDS",
                     "unansweredRounds >= 1000"),
             new Mutation(
                     "peers/LocalHealth",
-                    "suspicions go on where doubt ends",
+                    "suspicions stay when confidence returns",
                     "return hadNoConfidence && !isAwaitingAcksAfterPause();",
                     "return false;"),
             new Mutation(
                     "peers/SwimMembership",
-                    "suspects are not asked again",
+                    "suspects are not probed again",
                     "if (!local.hasLeft() && !nameConflict.isNameLost()) {\n            failureDetector.probeSuspects();",
                     "if (false) {\n            failureDetector.probeSuspects();"),
             new Mutation(
                     "peers/SwimMembership",
-                    "strangers are not met",
+                    "unknown contacts are not probed",
                     "if (contacts.add(address) && rateLimiter",
                     "if (false && rateLimiter"));
 
@@ -127,11 +132,11 @@
     private static final String LEADER = "policy/PolicyLeader";
     private static final String LOG = "policy/PolicyLog";
 
-    /** Faults of versions of policy. */
+    /** Mutations of the policy version protocol. */
     public static final List<Mutation> POLICY = List.of(
             new Mutation(
                     LEADER,
-                    "a version holds as soon as it is decided",
+                    "a version takes effect once it is decided",
                     "if (nowMs - knownSinceMs < times.leaseExpiryBoundMs()) {",
                     "if (false) {"),
             new Mutation(
@@ -141,69 +146,69 @@
                     "return leaseMs / 2;"),
             new Mutation(
                     "policy/PolicyTimings",
-                    "the leader's wait leaves drift out",
+                    "the leader's wait ignores clock drift",
                     "return leaseMs * (1 + maxClockDrift) / (1 - maxClockDrift);",
                     "return leaseMs;"),
             new Mutation(
                     FOLLOWER,
-                    "a lease counts from the answer",
+                    "a lease counts from the response",
                     "polledAtMs + times.leaseMs()",
                     "nowMs + times.leaseMs()"),
             new Mutation(
                     FOLLOWER,
-                    "a lease does not end",
+                    "a lease does not expire",
                     "Math.max(leaseEndMs, polledAtMs + times.leaseMs())",
                     "Double.POSITIVE_INFINITY"),
             new Mutation(
                     FOLLOWER,
-                    "what was overtaken is taken up",
+                    "an outdated response is applied",
                     "lastResponse != null && response.appliedIndex() < lastResponse.appliedIndex()",
                     "false"),
             new Mutation(
                     FOLLOWER,
-                    "nobody is guarded after the decision",
+                    "no joint settings after the decision",
                     "pending != null && pending.stage() == PolicyVersion.Stage.DECIDED;",
                     "false;"),
             new Mutation(
                     FOLLOWER,
-                    "out of touch the proposal is forgotten",
+                    "an isolated node forgets the proposal",
                     "new PolicyLease(jointLabel + \"?\", jointSettings, true",
                     "new PolicyLease(jointLabel + \"?\", activeSettings, true"),
             new Mutation(
                     FOLLOWER,
-                    "a node that starts is ready at once",
+                    "a starting node is ready at once",
                     "nowMs - startedAtMs >= times.startupTimeoutMs()",
                     "nowMs >= startedAtMs"),
             new Mutation(
                     FOLLOWER,
-                    "a node that heard nothing is not guarded",
+                    "without a response settings are not joint",
                     "new PolicyLease(LOCAL_LABEL, localSettings, true,",
                     "new PolicyLease(\"0\", localSettings, false,"),
-            new Mutation(FOLLOWER, "nobody says that it can", "        votedNumber = number;\n", ""),
-            new Mutation(LEADER, "a no is not heard", "if (!vote.objection().isEmpty()) {", "if (false) {"),
+            new Mutation(FOLLOWER, "no node records its vote", "        votedNumber = number;\n", ""),
+            new Mutation(LEADER, "an objection is ignored", "if (!vote.objection().isEmpty()) {", "if (false) {"),
             new Mutation(
                     LEADER,
-                    "nobody is waited for",
+                    "missing votes are not waited for",
                     "if (missing.isEmpty() && hasLedLongEnough) {",
                     "if (hasLedLongEnough) {"),
             new Mutation(
                     LEADER,
-                    "a proposal that not all answer stays open",
+                    "a proposal with missing votes stays open",
                     "if (nowMs - knownSinceMs < times.voteTimeoutMs()) {",
                     "if (true) {"),
             new Mutation(
                     LOG,
-                    "any stage leads to any other",
+                    "a version may skip a stage",
                     "if (isDecided != (operation.kind() == Kind.HOLD)) {",
                     "if (false) {"),
             new Mutation(
                     LOG,
-                    "the same proposal sent twice is two",
+                    "a proposal sent twice counts as two",
                     "            if (version.token().equals(operation.token())) {",
                     "            if (false) {"),
             new Mutation(
                     "policy/SettingRule",
-                    "guarded is the looser of two times",
+                    "joint settings take the looser time",
                     "case SMALLER -> Math.min(",
                     "case SMALLER -> Math.max("));
 
@@ -212,52 +217,53 @@
 
     private Mutations() {}
 
-    /** Plays the seeds with each fault planted. */
+    /** Runs the seeds with each mutation, in parallel; each mutation runs until the first seed that detects it. */
     public static List<Outcome> run(Path root, List<Mutation> mutations, long from, long count, int most)
             throws Exception {
-        List<Callable<Outcome>> plays = new ArrayList<>();
+        List<Callable<Outcome>> runs = new ArrayList<>();
         for (Mutation mutation : mutations) {
             Path source = root.resolve("core/src/main/java/spartrail/" + mutation.file() + ".java");
             if (!Files.isReadable(source)) {
                 throw new InvalidInputException(
-                        source + ": is not there; faults are planted in the repository's source");
+                        source + ": cannot be read; mutations need the repository's source tree");
             }
             String text = Files.readString(source);
-            Matcher place = place(mutation.text()).matcher(text);
-            long places = place.results().count();
-            if (places != 1) {
-                throw new InvalidInputException("the fault '" + mutation.name()
-                        + "' does not fit the source any more: its text is there " + (places == 0 ? "never" : "twice"));
+            Matcher matcher = patternOf(mutation.text()).matcher(text);
+            long occurrences = matcher.results().count();
+            if (occurrences != 1) {
+                throw new InvalidInputException("the mutation '" + mutation.name()
+                        + "' does not fit the source: its text occurs " + occurrences + " times, expected once");
             }
-            String changed = place.reset().replaceFirst(Matcher.quoteReplacement(mutation.replacement()));
-            plays.add(() -> played(mutation, changed, from, count, most));
+            String changed = matcher.reset().replaceFirst(Matcher.quoteReplacement(mutation.replacement()));
+            runs.add(() -> runMutated(mutation, changed, from, count, most));
         }
-        ExecutorService players =
+        ExecutorService executor =
                 Executors.newFixedThreadPool(Runtime.getRuntime().availableProcessors());
         try {
-            List<Outcome> caught = new ArrayList<>();
-            for (Future<Outcome> played : players.invokeAll(plays)) {
-                caught.add(played.get());
+            List<Outcome> outcomes = new ArrayList<>();
+            for (Future<Outcome> future : executor.invokeAll(runs)) {
+                outcomes.add(future.get());
             }
-            return caught;
+            return outcomes;
         } finally {
-            players.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
-    /** Where a text of the source stands, however its lines are broken. */
-    private static Pattern place(String text) {
+    /** Returns a pattern that matches this source text with any white space between its tokens. */
+    private static Pattern patternOf(String text) {
         StringBuilder pattern = new StringBuilder();
         String before = "";
         for (Matcher token = TOKEN.matcher(text); token.find(); before = token.group()) {
-            boolean words = WORD.matcher(before).matches()
+            boolean areWords = WORD.matcher(before).matches()
                     && WORD.matcher(token.group()).matches();
-            pattern.append(before.isEmpty() ? "" : words ? "\\s+" : "\\s*").append(Pattern.quote(token.group()));
+            pattern.append(before.isEmpty() ? "" : areWords ? "\\s+" : "\\s*").append(Pattern.quote(token.group()));
         }
         return Pattern.compile(pattern.toString());
     }
 
-    private static Outcome played(Mutation mutation, String text, long from, long count, int most) throws Exception {
+    private static Outcome runMutated(Mutation mutation, String text, long from, long count, int most)
+            throws Exception {
         Path folder = Files.createTempDirectory("spartrail-plant");
         try {
             Path file = Files.createDirectories(folder.resolve("source"))
@@ -268,7 +274,7 @@
             JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
             if (compiler == null
                     || compiler.run(null, null, null, "-cp", path, "-d", classes.toString(), file.toString()) != 0) {
-                throw new IOException("the source with '" + mutation.name() + "' does not compile");
+                throw new IOException("the source does not compile with the mutation '" + mutation.name() + "'");
             }
             List<URL> urls = new ArrayList<>();
             urls.add(classes.toUri().toURL());
--- a/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
@@ -13,9 +13,9 @@
 import spartrail.peers.transport.DatagramFrame;
 import spartrail.peers.transport.PeerMessageCodec;
 
-/** How soon fleets of a size know of a crash, how often they err under a fault, and what their talk costs. */
+/** Measures how soon fleets detect a crash, how often nodes err under a fault, and what the gossip costs. */
 public final class PeersFigures {
-    /** A row of a table; times in milliseconds, rates by hour and node, bytes by second and node. */
+    /** A row of a table; rates are per hour and node, bytes are per second and node. */
     public record Row(
             int size,
             String fault,
@@ -33,14 +33,14 @@
 
     private static final double FAULT_START_MS = 20_000;
     private static final double FAULT_DURATION_MS = 60_000;
-    /** Seconds that pass for each node in a run. */
+    /** The simulated duration of a run in seconds. */
     public static final double RUN_S = (FAULT_START_MS + FAULT_DURATION_MS) / 1000;
-    /** IPv4 and UDP heads. */
+    /** IPv4 and UDP headers. */
     private static final int HEADER_BYTES = 28;
 
     private PeersFigures() {}
 
-    /** What a fault does to a tenth of the nodes, one at least. */
+    /** Returns the faults of this name; they affect a tenth of the nodes, at least one. */
     private static List<Fault> faults(String name, int size, RandomGenerator random) {
         List<Integer> tenth = new ArrayList<>();
         int first = 3 + random.nextInt(size - 3);
@@ -58,14 +58,14 @@
                     new Fault(FAULT_START_MS, Fault.Kind.DELAY, tenth, List.of(), FAULT_DURATION_MS, 300));
             case "a tenth takes 25 ms a step" -> List.of(
                     new Fault(FAULT_START_MS, Fault.Kind.SLOW, tenth, List.of(), FAULT_DURATION_MS, 25));
-            case "a tenth stands still for 1 s in 5" -> {
-                List<Fault> stalls = new ArrayList<>();
+            case "a tenth pauses for 1 s in 5" -> {
+                List<Fault> pauses = new ArrayList<>();
                 for (int i = 0; i < FAULT_DURATION_MS / 5000; i++) {
-                    stalls.add(new Fault(FAULT_START_MS + 5000 * i, Fault.Kind.STALL, tenth, List.of(), 1000, 0));
+                    pauses.add(new Fault(FAULT_START_MS + 5000 * i, Fault.Kind.STALL, tenth, List.of(), 1000, 0));
                 }
-                yield stalls;
+                yield pauses;
             }
-            default -> throw new IllegalArgumentException(name);
+            default -> throw new IllegalArgumentException("unknown fault '" + name + "', expected one of " + FAULTS);
         };
     }
 
@@ -76,11 +76,11 @@
             "a tenth loses 0.3 of what it sends",
             "a tenth sends up to 300 ms late",
             "a tenth takes 25 ms a step",
-            "a tenth stands still for 1 s in 5");
+            "a tenth pauses for 1 s in 5");
 
     private record Run(List<Double> detectionTimesMs, long suspicions, long ends, double bytes, double mostBytes) {}
 
-    /** So many runs, each from a seed of its own. */
+    /** Measures {@code runs} runs with the seeds 1 to {@code runs}. */
     public static Row measure(int size, String fault, int runs, GossipTimings timings) {
         List<Run> all = LongStream.rangeClosed(1, runs)
                 .parallel()
--- a/lab/src/main/java/spartrail/lab/simulation/PeersScenario.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersScenario.java
@@ -10,36 +10,36 @@
 import spartrail.peers.GossipTimings;
 import spartrail.peers.PeerMessage;
 
-/** One seed: so many nodes, a script of faults, a time to settle; what did not hold, and the shortest script that shows it. */
+/** A run of peers generated from one seed: a number of nodes, a script of faults, and a time to settle. */
 public record PeersScenario(long seed, int size, List<Fault> faults) {
-    /** Nodes start within the first second; up to a hundred know each other after this, when faults begin. */
+    /** Nodes start within the first second. After this time up to 100 of them know each other, and faults begin. */
     private static final double START_UP_MS = 12_000;
 
     private static final double FAULTS_MS = 30_000;
     private static final double CALM_MS = 5000;
     private static final double ISOLATION_MS = 15_000;
 
-    /** How a trial went. */
+    /** The result of a run. */
     public record Outcome(
             List<PeersRules.Breach> breaches, long hash, long messages, PeersSimulation simulation, double lastedMs) {}
 
-    /** What a seed stands for: 3 to {@code most} nodes, none to six faults of any kind. */
-    public static PeersScenario generate(long seed, int most) {
-        return generate(seed, 3, most);
+    /** Generates a seed's scenario: 3 to {@code maxSize} nodes, 0 to 6 faults of any kind. */
+    public static PeersScenario generate(long seed, int maxSize) {
+        return generate(seed, 3, maxSize);
     }
 
-    /** The same with so many nodes at the least. */
-    public static PeersScenario generate(long seed, int least, int most) {
+    /** Generates a seed's scenario with at least {@code minSize} nodes. */
+    public static PeersScenario generate(long seed, int minSize, int maxSize) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed ^ 0x5DEECE66DL);
-        // Small fleets are drawn more often: they fail in more ways, and a seed of them takes less time.
-        int size = (int) Math.round(least * Math.pow(most / (double) least, random.nextDouble()));
+        // Small fleets are more likely: they fail in more ways, and a run of them takes less time.
+        int size = (int) Math.round(minSize * Math.pow(maxSize / (double) minSize, random.nextDouble()));
         List<Fault> faults = new ArrayList<>();
         double startUpMs = startUpMs(size);
         int count = random.nextInt(7);
         Fault.Kind[] kinds = Fault.Kind.values();
         switch (random.nextInt(20)) {
             case 0 -> {
-                // Single links only: helpers must find whoever is behind one.
+                // Only single links fail: indirect probes must reach the node behind a failed link.
                 for (int i = 0; i < 2 && size > 4; i++) {
                     List<Integer> pair = drawNodes(2, size, random);
                     faults.add(new Fault(
@@ -53,15 +53,15 @@
                 return new PeersScenario(seed, size, List.copyOf(faults));
             }
             case 1 -> {
-                // One leaves, and that is all.
+                // One node leaves; there is no other fault.
                 return new PeersScenario(
                         seed,
                         size,
                         List.of(new Fault(startUpMs, Fault.Kind.LEAVE, drawNodes(1, size, random), List.of(), 0, 0)));
             }
             case 2 -> {
-                // All seeds are over, and then the fleet is cut in two: nobody but those behind the cut can tell of
-                // them.
+                // All seed nodes crash, then the fleet is partitioned: only the nodes on the other side of the
+                // partition can tell a node that they are there.
                 if (size > 6) {
                     faults.add(new Fault(startUpMs, Fault.Kind.CRASH, List.of(0, 1, 2), List.of(), 0, 0));
                     faults.add(new Fault(
@@ -70,7 +70,7 @@
                 }
             }
             case 3 -> {
-                // Each node is all alone for a while.
+                // Each node is isolated from all others for a while.
                 if (size > 3) {
                     for (int node = 0; node < size; node++) {
                         faults.add(new Fault(startUpMs, Fault.Kind.ONE_WAY, List.of(node), List.of(), ISOLATION_MS, 0));
@@ -90,8 +90,8 @@
     private static Fault drawFault(Fault.Kind kind, int size, double startUpMs, RandomGenerator random) {
         double atMs = startUpMs + Math.round(random.nextDouble() * FAULTS_MS / 2);
         double lastsMs = Math.round(100 + random.nextDouble() * FAULTS_MS / 2);
-        int most = random.nextInt(4) == 0 ? Math.max(1, size * 7 / 10) : Math.max(1, size / 5);
-        List<Integer> nodes = drawNodes(1 + random.nextInt(most), size, random);
+        int maxAffected = random.nextInt(4) == 0 ? Math.max(1, size * 7 / 10) : Math.max(1, size / 5);
+        List<Integer> nodes = drawNodes(1 + random.nextInt(maxAffected), size, random);
         List<Integer> others = List.of();
         double magnitude = 0;
         switch (kind) {
@@ -99,7 +99,7 @@
             case LEAVE -> lastsMs = 0;
             case CUT, ONE_WAY -> others = random.nextBoolean()
                     ? List.of()
-                    : drawNodes(1 + random.nextInt(most), size, random).stream()
+                    : drawNodes(1 + random.nextInt(maxAffected), size, random).stream()
                             .filter(other -> !nodes.contains(other))
                             .toList();
             case LOSS -> magnitude = 0.05 + 0.9 * random.nextDouble();
@@ -135,7 +135,7 @@
         return List.copyOf(all);
     }
 
-    /** In so much time after the last fault all views are the same again. */
+    /** Returns the time after the last fault within which all views agree again. */
     public static double settlingTimeMs(int size, GossipTimings timings) {
         return timings.probeIntervalMs() * (40 + 12 * Math.log(size) / Math.log(2)) + 6 * timings.minSuspicionMs(size);
     }
@@ -158,8 +158,8 @@
         network.scheduleFaults(faults);
         double endMs = startUpMs(size);
         for (Fault fault : faults) {
-            double lateMs = fault.kind() == Fault.Kind.HELD ? fault.size() : fault.lastsMs();
-            endMs = Math.max(endMs, fault.atMs() + lateMs);
+            double effectMs = fault.kind() == Fault.Kind.HELD ? fault.size() : fault.lastsMs();
+            endMs = Math.max(endMs, fault.atMs() + effectMs);
         }
         if (!faults.isEmpty()) {
             network.runUntil(startUpMs(size) - 1);
@@ -178,9 +178,9 @@
                     .rules()
                     .breach(
                             endMs,
-                            "helpers find it",
-                            "suspected or held for gone though only single links were cut: "
-                                    + simulation.rules().falseRemovals() + ", suspicions "
+                            "indirect probes reach it",
+                            "only single links were cut; running nodes declared gone: "
+                                    + simulation.rules().falseRemovals() + ", false suspicions: "
                                     + simulation.rules().falseSuspicionsInFault());
         }
         if (faults.size() == size
@@ -190,20 +190,25 @@
                     .rules()
                     .breach(
                             endMs,
-                            "alone it ends nobody",
-                            "nodes all alone held for gone "
+                            "isolated, removes nobody",
+                            "isolated nodes declared running nodes gone: "
                                     + simulation.rules().falseRemovals());
         }
         if (faults.size() == 1
                 && faults.get(0).kind() == Fault.Kind.LEAVE
                 && simulation.rules().goneAfterLeaving() > 0) {
-            simulation.rules().breach(endMs, "leaving is told", "held for gone, and it had said that it leaves");
+            simulation
+                    .rules()
+                    .breach(
+                            endMs,
+                            "a leave is announced",
+                            "a node declared it gone though it had announced that it leaves");
         }
         return new Outcome(
                 List.copyOf(simulation.rules().breaches()), network.hash(), network.messages(), simulation, endMs);
     }
 
-    /** Hundreds that start at once know each other later, in proportion. */
+    /** Above 100 nodes, the time until all know each other grows in proportion to their number. */
     private static double startUpMs(int size) {
         return START_UP_MS * Math.max(1, size / 100.0);
     }
@@ -214,7 +219,10 @@
                 && fault.others().size() == 1;
     }
 
-    /** The shortest script found that still breaks the same rule: faults left out, then shortened, then fewer nodes. */
+    /**
+     * Returns the shortest script found that breaks the same rule, by removing faults, then affected nodes, then
+     * other nodes.
+     */
     public PeersScenario shrink(GossipTimings timings, String rule, UnaryOperator<PeerMessage> mutation) {
         PeersScenario shortest = this;
         boolean isShortened = true;
@@ -233,13 +241,13 @@
     }
 
     private List<PeersScenario> simplerScenarios() {
-        List<PeersScenario> simpler = new ArrayList<>();
+        List<PeersScenario> scenarios = new ArrayList<>();
         for (int i = 0; i < faults.size(); i++) {
-            List<Fault> fewer = new ArrayList<>(faults);
-            Fault fault = fewer.remove(i);
-            simpler.add(new PeersScenario(seed, size, List.copyOf(fewer)));
+            List<Fault> remaining = new ArrayList<>(faults);
+            Fault fault = remaining.remove(i);
+            scenarios.add(new PeersScenario(seed, size, List.copyOf(remaining)));
             if (fault.nodes().size() > 1) {
-                fewer.add(
+                remaining.add(
                         i,
                         new Fault(
                                 fault.atMs(),
@@ -248,25 +256,25 @@
                                 fault.others(),
                                 fault.lastsMs(),
                                 fault.size()));
-                simpler.add(new PeersScenario(seed, size, List.copyOf(fewer)));
+                scenarios.add(new PeersScenario(seed, size, List.copyOf(remaining)));
             }
         }
-        int most = faults.stream()
+        int usedNodes = faults.stream()
                         .flatMap(fault ->
                                 java.util.stream.Stream.concat(fault.nodes().stream(), fault.others().stream()))
                         .mapToInt(node -> node)
                         .max()
                         .orElse(0)
                 + 1;
-        for (int fewer : new int[] {Math.max(3, most), (size + Math.max(3, most)) / 2, size - 1}) {
-            if (fewer < size && fewer >= Math.max(3, most)) {
-                simpler.add(new PeersScenario(seed, fewer, faults));
+        for (int smallerSize : new int[] {Math.max(3, usedNodes), (size + Math.max(3, usedNodes)) / 2, size - 1}) {
+            if (smallerSize < size && smallerSize >= Math.max(3, usedNodes)) {
+                scenarios.add(new PeersScenario(seed, smallerSize, faults));
             }
         }
-        return simpler;
+        return scenarios;
     }
 
-    /** As a person reads it, and as {@code nodes replay} takes it. */
+    /** Returns the script in readable form, as {@code nodes replay} prints it. */
     public String script() {
         StringBuilder text = new StringBuilder("seed " + seed + ", " + size + " nodes\n");
         faults.forEach(fault -> text.append("  ").append(fault).append('\n'));
--- a/lab/src/main/java/spartrail/lab/simulation/PeersSimulation.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersSimulation.java
@@ -18,9 +18,12 @@
 import spartrail.peers.PeerState;
 import spartrail.peers.SwimMembership;
 
-/** Front nodes that know who of them is there, and what must hold of that; the numbers are those of {@link SwimMembership}. */
+/**
+ * Simulates the peers of front nodes and checks the rules of membership; their numbers are those of {@link
+ * SwimMembership}.
+ */
 public class PeersSimulation implements SimulatedNetwork.Simulation<PeerMessage> {
-    /** A node's guest. */
+    /** The process of one node, with its membership. */
     static final class PeersProcess implements SimulatedNode<PeerMessage> {
         final SwimMembership peers;
         private final UnaryOperator<PeerMessage> mutation;
@@ -66,7 +69,10 @@
         }
     }
 
-    /** A node asks so many suspects a round; and each of few at least once in so many rounds. */
+    /**
+     * A node with at most this many suspects probes each of them at least once in {@code MAX_ROUNDS_BETWEEN_PROBES}
+     * rounds.
+     */
     private static final int MAX_SUSPECTS_PROBED_IN_TIME = 4;
 
     private static final double MAX_ROUNDS_BETWEEN_PROBES = 3;
@@ -84,12 +90,16 @@
     private long updates;
     private long calmMessages;
     private long calmUpdates;
-    /** Whom each node suspects by its own verdict, since when; and whom it asked when. */
-    private final List<Map<String, Double>> suspectedMs = new ArrayList<>();
+    /** For each node, the peers that it suspects by its own verdict, with the time of the suspicion. */
+    private final List<Map<String, Double>> suspectedSinceMs = new ArrayList<>();
 
-    private final List<Map<String, Double>> probedMs = new ArrayList<>();
+    /** For each node, the time of its last probe of each peer. */
+    private final List<Map<String, Double>> lastProbeMs = new ArrayList<>();
 
-    /** What is planted may change each message that a node takes in, or drop it (null), to see whether a fault is caught. */
+    /**
+     * @param mutation changes each message before a node receives it, or drops it by returning null, to check that
+     *     the rules detect such a fault
+     */
     public PeersSimulation(int size, GossipTimings timings, UnaryOperator<PeerMessage> mutation) {
         this.size = size;
         this.timings = timings;
@@ -98,8 +108,8 @@
         this.sentThisSecond = new int[size];
         this.currentSecond = new long[size];
         for (int i = 0; i < size; i++) {
-            suspectedMs.add(new HashMap<>());
-            probedMs.add(new HashMap<>());
+            suspectedSinceMs.add(new HashMap<>());
+            lastProbeMs.add(new HashMap<>());
         }
     }
 
@@ -107,7 +117,7 @@
         seedsPerNode = count;
     }
 
-    /** A line for each change of a view, for a replay. */
+    /** Records a line for each fault and each change of a view, for a replay. */
     public void enableLog() {
         isLogged = true;
     }
@@ -125,8 +135,8 @@
             int node, int startNumber, String address, double nodeMs, RandomGenerator random) {
         Incarnation incarnation = new Incarnation(Math.round(nodeMs), random.nextInt());
         rules.onStart(node);
-        suspectedMs.get(node).clear();
-        probedMs.get(node).clear();
+        suspectedSinceMs.get(node).clear();
+        lastProbeMs.get(node).clear();
         rules.onIncarnation(node, incarnation);
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < Math.min(seedsPerNode, size); i++) {
@@ -155,7 +165,7 @@
     public void onSend(int node, PeerMessage message, double networkMs) {
         updates += message.updates().size();
         if (message.kind() == PeerMessage.Kind.PING && !message.recipient().isEmpty()) {
-            probedMs.get(node).put(message.recipient(), networkMs);
+            lastProbeMs.get(node).put(message.recipient(), networkMs);
         }
         long now = (long) (networkMs / 1000);
         if (currentSecond[node] != now) {
@@ -164,7 +174,9 @@
         }
         if (++sentThisSecond[node] == Math.ceil(2 * SwimMembership.maxMessagesPerSecond(timings)) + 1) {
             rules.breach(
-                    networkMs, "5 messages bounded", "n" + node + " sent " + sentThisSecond[node] + " in a second");
+                    networkMs,
+                    "5 messages bounded",
+                    "n" + node + " sent " + sentThisSecond[node] + " messages within one second");
         }
     }
 
@@ -197,23 +209,24 @@
         rules.onIncarnation(node, peers.self().incarnation());
         for (PeerEvent event : peers.drainEvents()) {
             if (isLogged) {
-                appendLog("n" + node + " holds " + event.descriptor().name() + " " + event.newState() + " (was "
-                        + event.previousState() + ", turn " + event.descriptor().refutations() + "), by "
+                appendLog("n" + node + " sees " + event.descriptor().name() + " as " + event.newState() + " (was "
+                        + event.previousState() + ", refutations "
+                        + event.descriptor().refutations() + "), reported by "
                         + event.reporter() + ": " + event.reason());
             }
-            int other = Integer.parseInt(event.descriptor().name().substring(1));
+            int subject = Integer.parseInt(event.descriptor().name().substring(1));
             if (event.newState() == PeerState.SUSPECT && event.reporter().equals("n" + node)) {
-                suspectedMs.get(node).put(event.descriptor().name(), networkMs);
+                suspectedSinceMs.get(node).put(event.descriptor().name(), networkMs);
             } else {
-                suspectedMs.get(node).remove(event.descriptor().name());
+                suspectedSinceMs.get(node).remove(event.descriptor().name());
             }
-            if (other != node && event.newState() == null) {
-                rules.onForgotten(node, other);
-            } else if (other != node) {
+            if (subject != node && event.newState() == null) {
+                rules.onForgotten(node, subject);
+            } else if (subject != node) {
                 rules.onChange(new PeersRules.Change(
                         networkMs,
                         node,
-                        other,
+                        subject,
                         new PeersRules.KnownPeer(
                                 event.descriptor().incarnation(),
                                 event.descriptor().refutations(),
@@ -222,7 +235,7 @@
                         event.healthProblem()));
             }
         }
-        if (!suspectedMs.get(node).isEmpty() && peers.nextMs() > nodeMs) {
+        if (!suspectedSinceMs.get(node).isEmpty() && peers.nextMs() > nodeMs) {
             MembershipView view = peers.buildView(nodeMs);
             if (view.state() != PeerState.LEFT
                     && view.peers().stream()
@@ -234,47 +247,51 @@
         }
     }
 
-    /** A suspect that nobody probes would hear of the suspicion too late to refute it. */
+    /** A suspect that is not probed would learn of the suspicion too late to refute it. */
     private void checkSuspectsProbed(int node, double networkMs) {
-        suspectedMs.get(node).forEach((other, sinceMs) -> {
+        suspectedSinceMs.get(node).forEach((other, sinceMs) -> {
             double sinceProbeMs =
-                    networkMs - Math.max(sinceMs, probedMs.get(node).getOrDefault(other, 0.0));
+                    networkMs - Math.max(sinceMs, lastProbeMs.get(node).getOrDefault(other, 0.0));
             if (sinceProbeMs > MAX_ROUNDS_BETWEEN_PROBES * timings.probeIntervalMs()) {
                 rules.breach(
                         networkMs,
-                        "suspects are asked",
-                        "n" + node + " suspects " + other + " and has not asked it for " + Math.round(sinceProbeMs)
+                        "suspects are probed",
+                        "n" + node + " suspects " + other + " and has not probed it for " + Math.round(sinceProbeMs)
                                 + " ms");
             }
         });
     }
 
-    /** From now on nothing is wrong and all is known. */
+    /** Starts to count traffic: from now on there is no fault, and all nodes know each other. */
     public void startCalm() {
         calmMessages = network.messages();
         calmUpdates = updates;
     }
 
-    /** Nodes that know each other have nothing to say but that they are there. */
+    /** Without faults or changes, nodes send only probes and acks, and hardly any updates. */
     public void checkCalm(double durationMs) {
         double running = 0;
         for (int node = 0; node < size; node++) {
             running += rules.isRunning(node) ? 1 : 0;
         }
-        // A round is a question and its answer; every other one asks one of the lost, too, and tells it how it is held.
+        // A round is a probe and its ack. Every other round also probes a departed peer, with an update about its
+        // state.
         double maxMessages = running * durationMs / 1000 * 4 * 1000 / timings.probeIntervalMs() + 10;
         if (running > 1
                 && rules.breaches().isEmpty()
                 && (network.messages() - calmMessages > maxMessages || updates - calmUpdates > 0.25 * maxMessages)) {
             rules.breach(
                     network.nowMs(),
-                    "calm is cheap",
+                    "idle traffic is bounded",
                     (network.messages() - calmMessages) + " messages and " + (updates - calmUpdates)
-                            + " words while nothing happened, at most " + Math.round(maxMessages));
+                            + " updates without a fault or change, expected at most " + Math.round(maxMessages));
         }
     }
 
-    /** All that run hold the same, and what is true; called when no fault has been for as long as that may take. */
+    /**
+     * Checks that all running nodes agree on the true state; called when the settling time after the last fault is
+     * over.
+     */
     public void checkSettled() {
         rules.checkAgreement(network.nowMs());
         int running = 0;
@@ -289,7 +306,10 @@
                             .healthProblem()
                     : "";
             if (!healthProblem.isEmpty()) {
-                rules.breach(network.nowMs(), "doubt ends", "n" + node + " is still in doubt: " + healthProblem);
+                rules.breach(
+                        network.nowMs(),
+                        "health problems end",
+                        "n" + node + " still has a health problem: " + healthProblem);
             }
         }
     }
--- a/lab/src/main/java/spartrail/lab/simulation/PolicyScenario.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PolicyScenario.java
@@ -11,25 +11,33 @@
 import java.util.stream.LongStream;
 import spartrail.lab.rules.PeersRules.Breach;
 
-/** One seed of nodes that go by versions of policy: so many of them, a script of faults, proposals in between. */
+/**
+ * A run of nodes that use policy versions, generated from one seed: a number of nodes, a script of faults, and
+ * proposals in between.
+ *
+ * @param incompatibleNode the node that cannot apply every proposal, or -1
+ * @param cutAtDecision whether the last node is cut off at the moment of each decision
+ */
 public record PolicyScenario(long seed, int size, int incompatibleNode, boolean cutAtDecision, List<Fault> faults) {
     private static final double START_UP_MS = 8000;
     private static final double FAULTS_MS = 40_000;
-    /** What was proposed meanwhile has ended so long after the last fault; and one that is proposed then so much later. */
+    /** Within this time after the last fault, all earlier proposals have ended; then the last one is proposed. */
     private static final double RECOVERY_MS = 30_000;
 
+    /** Within this time after the last proposal, its version is in use at all nodes. */
     private static final double SETTLING_MS = 25_000;
+
     private static final int LAST_BUDGET_MS = 1999;
     private static final int MAX_STEP_MS = 30;
 
-    /** How a trial went. */
+    /** The result of a run. */
     public record Outcome(
             List<Breach> breaches, long hash, long messages, int changes, int versions, List<String> log) {}
 
-    /** What came of many seeds. */
+    /** The totals over many seeds, and the first breach of each seed that broke a rule. */
     public record Result(long messages, long changes, long versions, long hash, Map<Long, Breach> found) {}
 
-    /** What a seed stands for. */
+    /** Generates a seed's scenario of 3 to {@code maxNodes} nodes. */
     public static PolicyScenario generate(long seed, int maxNodes) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed ^ 0x2545F491L);
         int size = (int) Math.round(3 * Math.pow(maxNodes / 3.0, random.nextDouble()));
@@ -38,7 +46,7 @@
         Fault.Kind[] kinds = Fault.Kind.values();
         for (int i = random.nextInt(9); i > 0; i--) {
             Fault.Kind kind = kinds[random.nextInt(kinds.length)];
-            // Those that decide are met as often as all others together.
+            // Half of the faults affect voters only.
             int candidates = random.nextBoolean() ? Math.min(size, deciders) : size;
             List<Integer> nodes = drawNodes(1 + random.nextInt(Math.max(1, candidates / 2)), candidates, random);
             double atMs = START_UP_MS + Math.round(random.nextDouble() * FAULTS_MS);
@@ -66,7 +74,8 @@
                     magnitude = Math.round(100 + random.nextDouble() * 100_000);
                 }
                 case CLOCK -> {
-                    // From the next start on; drift is stated as 0.02.
+                    // The rate applies from the next start on, so the node is restarted. The stated maximum drift is
+                    // 0.02.
                     faults.add(new Fault(atMs + 100, Fault.Kind.CRASH, nodes, List.of(), 300, 0));
                     lastsMs = 0;
                     magnitude = random.nextBoolean() ? 0.9801 : 1.0199;
@@ -77,7 +86,7 @@
         }
         boolean hasClockExtremes = random.nextInt(8) == 0;
         if (hasClockExtremes) {
-            // Clocks as wrong as they may be: a holder's slow, those of all that decide fast.
+            // The largest drift allowed: the clock of a lease holder is slow, those of all voters are fast.
             faults.clear();
             List<Integer> all = drawNodes(deciders, deciders, random);
             faults.add(new Fault(0, Fault.Kind.CLOCK, all, List.of(), 0, 1.0199));
@@ -124,7 +133,7 @@
                     endMs,
                     fault.atMs() + Math.max(fault.lastsMs(), fault.kind() == Fault.Kind.HELD ? fault.size() : 0));
         }
-        // One change after the other, and some at the same time; the last of them when all is well again.
+        // Proposals follow one another, some of them at the same time; the last one comes when all faults are over.
         for (double atMs = 4000 + 4000 * random.nextDouble(); atMs < endMs; atMs += 500 + 9000 * random.nextDouble()) {
             int budgetMs = random.nextInt(5) == 0 ? 3000 + random.nextInt(1000) : 1000 + random.nextInt(1400);
             boolean isSentTwice = random.nextInt(4) == 0;
@@ -145,7 +154,7 @@
                 simulation.log());
     }
 
-    /** Plays many seeds, side by side. */
+    /** Runs many seeds in parallel. The hash combines the hash of each run with its seed. */
     public static Result explore(long from, long count, int maxNodes, java.util.function.LongConsumer progress) {
         Map<Long, Breach> found = Collections.synchronizedMap(new TreeMap<>());
         AtomicLong messages = new AtomicLong();
@@ -169,7 +178,10 @@
         return new Result(messages.get(), changes.get(), versions.get(), hash, found);
     }
 
-    /** The first seed of these that breaks anything, as one line; empty where none does. For plants in another loader. */
+    /**
+     * Returns the first seed that breaks a rule, as one tab-separated line, or an empty string. The types are simple
+     * because {@link Mutations} calls this method in another class loader.
+     */
     public static String firstBreach(long from, long count, int maxNodes) {
         for (long seed = from; seed < from + count; seed++) {
             PolicyScenario scenario = generate(seed, maxNodes);
@@ -181,14 +193,18 @@
         return "";
     }
 
-    /** The shortest script found that still breaks the rule which the whole one broke first; the trial itself where it breaks none. */
+    /**
+     * Returns the shortest script found that still breaks the first broken rule; the trial itself where it breaks
+     * none.
+     */
     public PolicyScenario shrink() {
         List<Breach> breaches = play(false).breaches();
         PolicyScenario shortest = this;
         for (int i = 0; !breaches.isEmpty() && i < shortest.faults.size(); ) {
-            List<Fault> fewer = new ArrayList<>(shortest.faults);
-            fewer.remove(i);
-            PolicyScenario next = new PolicyScenario(seed, size, incompatibleNode, cutAtDecision, List.copyOf(fewer));
+            List<Fault> remaining = new ArrayList<>(shortest.faults);
+            remaining.remove(i);
+            PolicyScenario next =
+                    new PolicyScenario(seed, size, incompatibleNode, cutAtDecision, List.copyOf(remaining));
             if (next.play(false).breaches().stream()
                     .anyMatch(breach -> breach.rule().equals(breaches.get(0).rule()))) {
                 shortest = next;
@@ -199,7 +215,7 @@
         return shortest;
     }
 
-    /** As a person reads it. */
+    /** Returns the script in readable form. */
     public String script() {
         StringBuilder text = new StringBuilder("seed " + seed + ", " + size + " nodes"
                 + (incompatibleNode < 0 ? "" : ", n" + incompatibleNode + " cannot apply every version") + "\n");
--- a/lab/src/main/java/spartrail/lab/simulation/PolicySimulation.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PolicySimulation.java
@@ -23,15 +23,15 @@
 import spartrail.policy.PolicyVersion.Stage;
 
 /**
- * Nodes that go by versions of policy. The agreed log is a stand-in: one list, a leader that is chosen anew some time after the one
- * before was lost, reads and entries that take time and succeed only where the leader still leads and reaches a majority; an entry
- * that does not may come to be all the same. All else is the program's own.
+ * Simulates nodes that use policy versions. A model replaces the replicated log: one list; a new leader some time
+ * after the former one was lost; reads and appends that take time and succeed only if the leader still leads and
+ * reaches a majority. A failed append may still be committed by the next leader. Everything else is production code.
  */
 public final class PolicySimulation implements SimulatedNetwork.Simulation<PolicySimulation.Message> {
-    /** What nodes send each other about policy; kinds as in the program's wire form. */
+    /** A message between nodes about policy; the kinds are those of the wire format. */
     public record Message(String kind, String from, PolicyRequest poll, PolicyResponse response, String hint) {}
 
-    /** Short times, so that much happens in a short run. */
+    /** Short times, so that a short run covers many versions. */
     static final PolicyTimings TIMINGS = new PolicyTimings(3000, 500, 8000, 5000, 0.02);
 
     private static final double MONITOR_INTERVAL_MS = 100;
@@ -43,7 +43,7 @@
             PolicySettings.parse("{\"opTypes\":{\"orders\":{\"budgetMs\":2000,\"timeoutMs\":8000}},"
                     + "\"furtherSends\":{\"spanMs\":0,\"free\":0,\"share\":0}}");
 
-    /** A node's process. */
+    /** The process of one node, with its policy follower and leader. */
     private final class PolicyProcess implements SimulatedNode<Message> {
         final int node;
         final int start;
@@ -218,16 +218,21 @@
     private long appliedIndex;
     private int leaderNode = -1;
     private double leaderSeenMs;
-    /** When the proposal that is open was taken, and since when the same one leads and reaches a majority. */
+    /** When the pending proposal was committed. */
     private double proposedAtMs;
 
+    /** Since when the same node leads and reaches a majority. */
     private double leaderStableSinceMs;
+
     private int proposals;
     private int changes;
     private boolean isLogged;
     private int nodeToCut = -1;
 
-    /** So many nodes, the first three or five decide; the node {@code incompatibleNode} (none if below 0) cannot apply every proposal. */
+    /**
+     * @param size the number of nodes; the first three or five are voters
+     * @param incompatibleNode the node that cannot apply every proposal, or -1
+     */
     PolicySimulation(int size, int incompatibleNode) {
         this.size = size;
         this.voters = size < 5 ? 3 : 3 + 2 * (size % 2);
@@ -239,7 +244,10 @@
         java.util.Arrays.fill(isolatedSinceMs, Double.NaN);
     }
 
-    /** This node is cut off the moment a version is decided, so that its lease is as old as can be when the version holds. */
+    /**
+     * Cuts this node off when a version is decided, so that its lease is as old as possible when the version takes
+     * effect.
+     */
     void cutAtDecision(int node) {
         nodeToCut = node;
     }
@@ -275,20 +283,20 @@
         }
     }
 
-    private void breach(String rule, String what) {
-        appendLog("BROKEN " + rule + ": " + what);
+    private void breach(String rule, String description) {
+        appendLog("BROKEN " + rule + ": " + description);
         if (breaches.size() < MAX_BREACHES) {
-            breaches.add(new Breach(network.nowMs(), rule, what));
+            breaches.add(new Breach(network.nowMs(), rule, description));
         }
     }
 
-    // ---- The agreed log ----
+    // ---- The replicated log ----
 
     private PolicyProcess process(int node) {
         return (PolicyProcess) network.process(node);
     }
 
-    /** It runs and reaches a majority of those that decide. */
+    /** Whether the voter runs and reaches a majority of the voters. */
     private boolean canLead(int voter) {
         int reached = 0;
         for (int other = 0; other < voters; other++) {
@@ -300,15 +308,15 @@
 
     private void monitorLeader() {
         network.scheduleAfter(MONITOR_INTERVAL_MS, this::monitorLeader);
-        double mostMs = TIMINGS.voteTimeoutMs() + TIMINGS.leaseExpiryBoundMs() + 4 * TIMINGS.pollIntervalMs();
+        double maxMs = TIMINGS.voteTimeoutMs() + TIMINGS.leaseExpiryBoundMs() + 4 * TIMINGS.pollIntervalMs();
         if (log.pending() != null
-                && network.nowMs() - Math.max(proposedAtMs, leaderStableSinceMs) > mostMs
+                && network.nowMs() - Math.max(proposedAtMs, leaderStableSinceMs) > maxMs
                 && leaderNode >= 0
                 && canLead(leaderNode)) {
             breach(
                     "(f) every proposal ends",
-                    log.pending().number() + " is " + log.pending().stage() + " after "
-                            + Math.round(network.nowMs() - proposedAtMs) + " ms");
+                    "proposal " + log.pending().number() + " is still "
+                            + log.pending().stage() + " after " + Math.round(network.nowMs() - proposedAtMs) + " ms");
             proposedAtMs = Double.POSITIVE_INFINITY;
         }
         if (leaderNode < 0 || !canLead(leaderNode)) {
@@ -327,7 +335,7 @@
                     && canLead(node)) {
                 process(node).isLeader = false;
             }
-            isolatedSinceMs[node] = !isolated(node)
+            isolatedSinceMs[node] = !isIsolated(node)
                     ? Double.NaN
                     : Double.isNaN(isolatedSinceMs[node]) ? network.nowMs() : isolatedSinceMs[node];
             if (leaderNode >= 0 && network.isRunning(node) && network.isConnected(leaderNode, node)) {
@@ -336,8 +344,8 @@
         }
     }
 
-    /** No voter that reaches a majority is reached from it. */
-    private boolean isolated(int node) {
+    /** Whether the node is connected to no voter that reaches a majority. */
+    private boolean isIsolated(int node) {
         for (int voter = 0; voter < voters; voter++) {
             if (canLead(voter) && network.isConnected(node, voter)) {
                 return false;
@@ -385,7 +393,10 @@
         void onRead(PolicyResponse response);
     }
 
-    /** A read that a majority confirms: what was committed when it began, if this node still leads when it ends. */
+    /**
+     * Reads the log with the confirmation of a majority: passes on its state at the start of the read, or null if the
+     * node no longer leads at the end.
+     */
     private void confirmRead(PolicyProcess process, ReadCallback callback) {
         boolean couldLead = leaderNode == process.node && canLead(process.node);
         PolicyResponse response = new PolicyResponse(0, appliedIndex, log.active(), log.pending());
@@ -439,7 +450,9 @@
         if (log.active().number() != heldVersions.get(heldVersions.size() - 1)) {
             heldVersions.add(log.active().number());
             if (pendingBefore.stage() != Stage.DECIDED) {
-                breach("decided first", pendingBefore.number() + " holds and was " + pendingBefore.stage());
+                breach(
+                        "decided before active",
+                        "version " + pendingBefore.number() + " took effect from stage " + pendingBefore.stage());
             }
         }
         List<PolicyVersion> ended = log.finished();
@@ -448,7 +461,9 @@
                             .filter(other -> other.token().equals(entry.token()))
                             .count()
                     > 1) {
-                breach("one proposal counts once", entry.number() + " was there before");
+                breach(
+                        "a proposal counts once",
+                        "proposal " + entry.number() + " was committed twice, with token " + entry.token());
             }
         }
         if (leaderNode >= 0 && network.isRunning(leaderNode)) {
@@ -459,7 +474,7 @@
         }
     }
 
-    /** Whoever is in touch when a version is decided has said that it can. */
+    /** Each node that is in touch when a version is decided has voted that it can apply the version. */
     private void checkVotes(PolicyVersion decided) {
         for (int node = 0; node < size; node++) {
             if (!network.isRunning(node)) {
@@ -472,18 +487,20 @@
                     && network.nowMs() - lastReachedMs[node] < MONITOR_INTERVAL_MS * 2
                     && !network.isPaused(node);
             if (isInTouch && process(node).checkedNumber < decided.number()) {
-                breach("all are asked", "n" + node + " was not asked about " + decided.number());
+                breach("all reachable nodes vote", "n" + node + " did not vote on proposal " + decided.number());
             }
             if (isInTouch
                     && node == incompatibleNode
                     && decided.number() == process(node).checkedNumber
                     && budgets.get(decided.number()) > 2500) {
-                breach("one no refuses", "n" + node + " cannot apply " + decided.number());
+                breach(
+                        "one objection rejects",
+                        "n" + node + " cannot apply version " + decided.number() + ", which was decided");
             }
         }
     }
 
-    /** An operator proposes, and again where nobody answers; some send it twice. */
+    /** An operator sends a proposal, repeats it while no leader takes it, and sends some a second time. */
     void propose(int budgetMs, boolean isSentTwice) {
         LogOperation op = new LogOperation(
                 LogOperation.Kind.PROPOSE, 0, "{\"" + BUDGET + "\":" + budgetMs + "}", "operator", "t" + proposals++);
@@ -507,7 +524,7 @@
         }
     }
 
-    // ---- The world's simulation ----
+    // ---- The simulation's callbacks ----
 
     @Override
     public SimulatedNode<Message> startProcess(
@@ -544,22 +561,22 @@
         String label = active == null ? "" : active.label();
         boolean hasLease = active != null && !label.endsWith("?");
         double graceMs = TIMINGS.leaseMs() / (1 - TIMINGS.maxClockDrift()) + 2 * MONITOR_INTERVAL_MS;
-        if (hasLease && networkMs - isolatedSinceMs[node] > graceMs && isolated(node)) {
+        if (hasLease && networkMs - isolatedSinceMs[node] > graceMs && isIsolated(node)) {
             breach(
                     "(e) out of touch it stops",
-                    "n" + node + " goes by " + label + ", alone for " + Math.round(networkMs - isolatedSinceMs[node])
-                            + " ms");
+                    "n" + node + " uses " + label + " though isolated for "
+                            + Math.round(networkMs - isolatedSinceMs[node]) + " ms");
         }
         if (label.equals(labels[node]) || active == null) {
             return;
         }
-        appendLog("n" + node + " goes by " + label);
+        appendLog("n" + node + " uses " + label);
         changes++;
         if (labels[node].isEmpty() && label.equals("0?") && nodeMs - stepped.startedAtMs < TIMINGS.startupTimeoutMs()) {
             breach(
-                    "ready late enough",
+                    "not ready too early",
                     "n" + node + " serves after " + Math.round(nodeMs - stepped.startedAtMs)
-                            + " ms and has heard nothing");
+                            + " ms without any response");
         }
         checkStricter(node, active);
         if (hasLease) {
@@ -582,33 +599,38 @@
         return numbers;
     }
 
-    /** Whatever a node goes by is within each version that it names. */
+    /** A node's settings are at least as strict as each version that its label names. */
     private void checkStricter(int node, PolicyLease active) {
         for (long number : numbers(active.label())) {
             double budgetMs = budgets.getOrDefault(number, 0.0);
             if (active.settings().number(BUDGET) > budgetMs + 1e-9) {
                 breach(
-                        "guarded is the stricter",
-                        "n" + node + " by " + active.label() + " has a budget of "
-                                + active.settings().number(BUDGET) + ", " + number + " has " + budgetMs);
+                        "joint is the stricter",
+                        "n" + node + " uses " + active.label() + " with a budget of "
+                                + active.settings().number(BUDGET) + " ms, but version " + number + " allows "
+                                + budgetMs + " ms");
             }
         }
         if (active.isJoint() != (active.label().contains("|") || active.label().endsWith("?"))) {
-            breach("guarded is the stricter", "n" + node + " by " + active.label() + " does not say so");
+            breach(
+                    "joint is the stricter",
+                    "n" + node + " uses " + active.label() + ", but its lease has isJoint=" + active.isJoint());
         }
     }
 
     private void checkOrder(int node, String label) {
         long base = numbers(label).get(0);
         if (!heldVersions.contains(base)) {
-            breach("(a) one order", "n" + node + " goes by " + label + ", and " + base + " never held");
+            breach("(a) one order", "n" + node + " uses " + label + ", but version " + base + " never took effect");
         } else if (base < lastBaseVersion[node]) {
-            breach("(a) one order", "n" + node + " goes by " + label + " after " + lastBaseVersion[node]);
+            breach("(a) one order", "n" + node + " uses " + label + " after " + lastBaseVersion[node]);
         } else if (!labels[node].isEmpty()
                 && !labels[node].endsWith("?")
                 && heldVersions.indexOf(base)
                         > heldVersions.indexOf(numbers(labels[node]).get(0)) + 1) {
-            breach("(a) one order", "n" + node + " goes by " + label + " after " + labels[node] + " and skipped some");
+            breach(
+                    "(a) one order",
+                    "n" + node + " uses " + label + " after " + labels[node] + " and skipped a version");
         }
         lastBaseVersion[node] = base;
     }
@@ -622,7 +644,7 @@
         if (!rejected.isEmpty()) {
             breach(
                     "(b) refused is never",
-                    "n" + node + " goes by " + label + ", and " + rejected + " was refused or aborted");
+                    "n" + node + " uses " + label + ", but " + rejected + " was refused or aborted");
         }
     }
 
@@ -639,34 +661,35 @@
         if (!isCommon) {
             breach(
                     "(c) one version at an instant",
-                    "n" + node + " goes by " + label + " while n" + other + " goes by " + otherLease.label());
+                    "n" + node + " uses " + label + " while n" + other + " uses " + otherLease.label());
         }
     }
 
-    /** Long after the last fault: nothing is open, and all that run go by what holds. */
+    /** Long after the last fault: no proposal is pending, and all running nodes use the active version. */
     void checkSettled(int lastBudgetMs) {
         if (budgets.get(log.active().number()) != lastBudgetMs) {
             breach(
-                    "what all can apply holds",
-                    log.active().number() + " holds, not the one that was proposed when all was well");
+                    "applicable version active",
+                    "version " + log.active().number() + " is active, not the one proposed after all faults");
         }
         if (log.pending() != null) {
             breach(
                     "(f) every proposal ends",
-                    log.pending().number() + " is " + log.pending().stage());
+                    "proposal " + log.pending().number() + " is still "
+                            + log.pending().stage() + " at the end");
         }
         for (int node = 0; node < size; node++) {
             PolicyLease lease = network.isRunning(node) ? process(node).follower.lease() : null;
             String label = lease == null
-                    ? "nothing"
+                    ? "no version"
                     : lease.activeAt(network.clockMs(node)).label();
             if (network.isRunning(node)
                     && process(node).follower.incompatibility().isEmpty()
                     && !label.equals(Long.toString(log.active().number()))) {
                 breach(
-                        "all go by what holds",
-                        "n" + node + " goes by " + label + ", and "
-                                + log.active().number() + " holds");
+                        "all use the active version",
+                        "n" + node + " uses " + label + ", but version "
+                                + log.active().number() + " is active");
             }
         }
     }
--- a/lab/src/main/java/spartrail/lab/simulation/SimulatedNetwork.java
+++ b/lab/src/main/java/spartrail/lab/simulation/SimulatedNetwork.java
@@ -11,22 +11,23 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Nodes, links and a clock. What happens at one time happens in the order in which it came to be, and all chance is drawn
- * from the seed, so that one seed is one run; {@link #hash} tells whether two runs were the same.
+ * Simulates nodes, links and a clock. Events of the same time run in the order in which they were scheduled, and all
+ * random numbers come from the seed, so a seed always gives the same run; {@link #hash} tells whether two runs were
+ * the same.
  */
 public final class SimulatedNetwork<M> {
-    /** Who makes the process of a node at each of its starts, and looks on. */
+    /** Creates the process of a node at each of its starts, and is notified of what happens on the network. */
     public interface Simulation<M> {
         SimulatedNode<M> startProcess(int node, int startNumber, String address, double nodeMs, RandomGenerator random);
 
-        /** After each step of a node. */
+        /** Called after each step of a node. */
         default void onStep(int node, SimulatedNode<M> process, double networkMs, double nodeMs) {}
 
         default void onFault(Fault fault, boolean ends, double networkMs) {}
 
         default void onSend(int node, M message, double networkMs) {}
 
-        /** What tells a message from others, for the run's hash; the same in every process. */
+        /** Returns a value for the run's hash that differs between messages and is the same in every JVM. */
         long fingerprint(M message);
     }
 
@@ -63,7 +64,10 @@
             this.address = address(number);
         }
 
-        /** The node's own clock; each life begins at the Unix time of its start. */
+        /**
+         * The time of the node's own clock; it is set to the network's time, less all set-backs, at each start of the
+         * process.
+         */
         double clockMs(double networkMs) {
             return UNIX_MS - setBackMs + startedAtMs + (networkMs - startedAtMs) * clockRate;
         }
@@ -73,7 +77,7 @@
         }
     }
 
-    /** Where virtual time begins. */
+    /** The Unix time at which simulated time begins. */
     public static final double UNIX_MS = 1.7e12;
 
     private static final double MIN_LINK_DELAY_MS = 0.1;
@@ -106,7 +110,7 @@
         return "10.0." + node / 200 + "." + (node % 200 + 1) + ":7400";
     }
 
-    /** Starts a node at this time. */
+    /** Schedules the start of a node. */
     public void startAt(int node, double atMs) {
         schedule(atMs, () -> startNode(nodes.get(node)));
     }
@@ -119,7 +123,7 @@
         queue.add(new Event(Math.max(atMs, nowMs), nextEventNumber++, action));
     }
 
-    /** Plays on until this time. */
+    /** Runs all events up to this time. */
     public void runUntil(double untilMs) {
         while (!queue.isEmpty() && queue.peek().atMs <= untilMs) {
             Event event = queue.poll();
@@ -134,7 +138,7 @@
         return nowMs;
     }
 
-    /** Of all that happened so far, in order. */
+    /** The hash over all events so far, in their order. */
     public long hash() {
         return hash;
     }
@@ -151,22 +155,22 @@
         return nodes.get(node).process;
     }
 
-    /** What reaches one of them from the other, reaches the other one from it. */
+    /** Whether messages pass between two nodes in both directions. */
     public boolean isConnected(int one, int other) {
         return one == other || blocked[one][other] == 0 && blocked[other][one] == 0;
     }
 
-    /** It stands still now. */
+    /** Whether the node's process is paused. */
     public boolean isPaused(int node) {
         return nodes.get(node).pausedUntilMs > nowMs;
     }
 
-    /** What the simulation itself does, so many milliseconds later. */
+    /** Schedules an action of the simulation itself. */
     public void scheduleAfter(double delayMs, Runnable action) {
         schedule(nowMs + delayMs, action);
     }
 
-    /** The process of a node may want its turn sooner than it said. */
+    /** Schedules a node's next advance again, as its process may now need it earlier. */
     public void reschedule(int node) {
         if (nodes.get(node).process != null) {
             scheduleAdvance(nodes.get(node));
@@ -202,7 +206,9 @@
         node.nextAdvanceMs = Double.POSITIVE_INFINITY;
     }
 
-    /** A message waits for the node's thread; which takes one after the other, and none while it stands still. */
+    /**
+     * Adds a message to the node's inbox. The node handles one message after the other, and none while it is paused.
+     */
     private void deliver(Node node, M message) {
         if (node.process != null) {
             node.inbox.add(message);
@@ -251,7 +257,8 @@
     }
 
     private void scheduleAdvance(Node node) {
-        // Rounded up: a due time that is rounded down would find nothing due and come again without end.
+        // Rounded up: at a time that is rounded down nothing would be due yet, and the advance would be scheduled for
+        // ever.
         double dueMs = Math.max(node.networkMs(node.process.nextAdvanceMs()), nowMs) + ROUNDING_MS;
         if (dueMs < node.nextAdvanceMs) {
             node.nextAdvanceMs = dueMs;
--- a/lab/src/main/java/spartrail/lab/simulation/SimulatedNode.java
+++ b/lab/src/main/java/spartrail/lab/simulation/SimulatedNode.java
@@ -2,21 +2,21 @@
 
 import java.util.List;
 
-/** What lives on a virtual node: an I/O-free part of the program. Times are the node's own clock. */
+/** The process of a simulated node: a component of the front node without I/O. Times are of the node's own clock. */
 public interface SimulatedNode<M> {
-    /** A message and the address that it goes to. */
+    /** A message with its destination address. */
     record Envelope<M>(String address, M message) {}
 
     void onMessage(M message, double nowMs);
 
     void advance(double nowMs);
 
-    /** When it wants to be advanced. */
+    /** The time at which {@link #advance} is due next. */
     double nextAdvanceMs();
 
-    /** What it wants to be sent; handed out once. */
+    /** Returns the messages to send and removes them from the outbox. */
     List<Envelope<M>> drainMessages();
 
-    /** It is asked to end. */
+    /** Announces that the process is about to end. */
     default void leave(double nowMs) {}
 }
--- a/lab/src/test/java/spartrail/lab/simulation/PolicyScenarioTest.java
+++ b/lab/src/test/java/spartrail/lab/simulation/PolicyScenarioTest.java
@@ -7,7 +7,7 @@
 
 class PolicyScenarioTest {
     @Test
-    void seedsBreakNothingAndOneSeedIsOneRun() {
+    void noSeedBreaksARuleAndASecondRunGivesTheSameHash() {
         PolicyScenario.Result first = PolicyScenario.explore(1, 300, 20, done -> {});
         assertThat(first.found()).isEmpty();
         assertThat(first.versions()).isGreaterThan(1000);
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void eachPlantedFaultIsFound() throws Exception {
+    void eachMutationIsDetected() throws Exception {
         assertThat(Mutations.run(Path.of("."), Mutations.POLICY, 1, 120, 20))
                 .allMatch(Mutations.Outcome::isCaught)
                 .hasSize(Mutations.POLICY.size());
