--- a/lab/src/main/java/spartrail/lab/rules/PeersRules.java
+++ b/lab/src/main/java/spartrail/lab/rules/PeersRules.java
@@ -10,36 +10,41 @@
 import spartrail.peers.PeerState;
 
 /**
- * What must hold of what front nodes know of each other, told by who looks on from outside: which processes ran when, and what
- * each node came to hold. Numbers are those of {@code spartrail.peers.SwimMembership}. The same judge for processes and for a virtual
- * network.
+ * Checks the rules of peer membership from outside: an observer reports which processes ran when, and how each node's
+ * view of its peers changed. The numbers of the rules are those of {@code spartrail.peers.SwimMembership}. Used for
+ * real processes and for the simulated network.
  */
 public final class PeersRules {
-    /** What did not hold, and where in the history. */
-    public record Breach(double atMs, String rule, String what) {
+    /** A broken rule, and when in the history it was broken. */
+    public record Breach(double atMs, String rule, String description) {
         @Override
         public String toString() {
-            return String.format(Locale.ROOT, "%.0f ms, %s: %s", atMs, rule, what);
+            return String.format(Locale.ROOT, "%.0f ms, %s: %s", atMs, rule, description);
         }
     }
 
-    /** What a node holds of another one. */
+    /** A node's view of one peer. */
     public record KnownPeer(Incarnation incarnation, int refutations, PeerState state) {}
 
-    /** A node came to hold this of another one, by its own verdict or by what it was told; why it doubts itself, or empty. */
+    /**
+     * A change of a node's view of a peer.
+     *
+     * @param ownVerdict whether the viewer reached the new state by itself, not from an update of another node
+     * @param healthProblem the viewer's own health problem at that time, or empty
+     */
     public record Change(
             double atMs, int viewer, int subject, KnownPeer known, boolean ownVerdict, String healthProblem) {}
 
-    private static final int MOST_BREACHES = 20;
+    private static final int MAX_BREACHES = 20;
 
     private final int size;
     private final List<Breach> breaches = new ArrayList<>();
-    private final List<Map<Integer, KnownPeer>> held = new ArrayList<>();
+    private final List<Map<Integer, KnownPeer>> views = new ArrayList<>();
     private final Incarnation[] incarnations;
     private final boolean[] running;
     private final boolean[] announcedLeaving;
     private final double[] endedMs;
-    private final boolean[] withoutMessages;
+    private final boolean[] awaitsMessage;
     private final List<Double> detectionTimesMs = new ArrayList<>();
     private final Map<Integer, Integer> falseRemovals = new TreeMap<>();
     private double firstFaultMs = Double.POSITIVE_INFINITY;
@@ -54,33 +59,33 @@
         this.running = new boolean[size];
         this.announcedLeaving = new boolean[size];
         this.endedMs = new double[size];
-        this.withoutMessages = new boolean[size];
+        this.awaitsMessage = new boolean[size];
         for (int i = 0; i < size; i++) {
-            held.add(new HashMap<>());
+            views.add(new HashMap<>());
         }
     }
 
-    /** A process has started: it holds nothing of anybody. */
+    /** A process has started, with an empty view. */
     public void onStart(int node) {
         running[node] = true;
         announcedLeaving[node] = false;
-        held.get(node).clear();
-        withoutMessages[node] = false;
+        views.get(node).clear();
+        awaitsMessage[node] = false;
         incarnations[node] = null;
     }
 
-    /** A process that ran all along takes part again; it holds this. */
-    public void onResume(int node, Map<Integer, KnownPeer> holds) {
+    /** A process that kept running takes part again, with this view. */
+    public void onResume(int node, Map<Integer, KnownPeer> view) {
         onStart(node);
-        held.get(node).putAll(holds);
+        views.get(node).putAll(view);
     }
 
-    /** The life by which it goes. */
+    /** A node uses this incarnation from now on. */
     public void onIncarnation(int node, Incarnation incarnation) {
         incarnations[node] = incarnation;
     }
 
-    /** A process has ended, and said so before, or not. */
+    /** A process has ended; {@code announced} is whether it had announced that it leaves. */
     public void onEnd(int node, boolean announced, double atMs) {
         if (running[node]) {
             running[node] = false;
@@ -89,60 +94,63 @@
         }
     }
 
-    /** A node goes on that stood still for long: until it has heard something it can judge nobody. */
+    /** A node resumes after a long pause: until it receives a message it must not judge any peer. */
     public void onWake(int node) {
-        withoutMessages[node] = true;
+        awaitsMessage[node] = true;
     }
 
     public void onMessage(int node) {
-        withoutMessages[node] = false;
+        awaitsMessage[node] = false;
     }
 
-    /** Something is wrong from now on, so that verdicts may err for a while. */
+    /** A fault begins; from now on verdicts may be wrong for a while. */
     public void onFault(double atMs) {
         firstFaultMs = Math.min(firstFaultMs, atMs);
     }
 
-    /** A node has forgotten another one. */
+    /** A node has removed a peer from its view. */
     public void onForgotten(int viewer, int other) {
-        held.get(viewer).remove(other);
+        views.get(viewer).remove(other);
     }
 
     public void onChange(Change change) {
         judgedChanges++;
         int other = change.subject();
-        String names = "n" + change.viewer() + " holds n" + other + " for "
+        String prefix = "n" + change.viewer() + " sees n" + other + " as "
                 + change.known().state();
-        KnownPeer before = held.get(change.viewer()).put(other, change.known());
+        KnownPeer before = views.get(change.viewer()).put(other, change.known());
         if (before != null && compare(change.known(), before) <= 0) {
-            breach(change.atMs(), "1 never back", names + " in " + change.known() + " after " + before);
+            breach(change.atMs(), "1 never back", prefix + " with " + change.known() + " after " + before);
         }
-        PeerState is = change.known().state();
+        PeerState state = change.known().state();
         if (change.ownVerdict()
-                && (is == PeerState.SUSPECT || is == PeerState.GONE)
+                && (state == PeerState.SUSPECT || state == PeerState.GONE)
                 && !change.healthProblem().isEmpty()) {
-            breach(change.atMs(), "4 no verdict in doubt", names + " while in doubt: " + change.healthProblem());
+            breach(
+                    change.atMs(),
+                    "4 no verdict in doubt",
+                    prefix + " while it has a health problem: " + change.healthProblem());
         }
         if (change.ownVerdict()
-                && (is == PeerState.SUSPECT || is == PeerState.GONE)
-                && withoutMessages[change.viewer()]) {
-            breach(change.atMs(), "4 no verdict in doubt", names + ", having stood still and heard nothing since");
+                && (state == PeerState.SUSPECT || state == PeerState.GONE)
+                && awaitsMessage[change.viewer()]) {
+            breach(change.atMs(), "4 no verdict in doubt", prefix + " after a pause, before any message arrived");
         }
-        boolean current = change.known().incarnation().equals(incarnations[other]);
-        if (is == PeerState.LEFT && current && !announcedLeaving[other]) {
-            breach(change.atMs(), "2 only its own word", names + ", and it has not said so");
+        boolean isCurrent = change.known().incarnation().equals(incarnations[other]);
+        if (state == PeerState.LEFT && isCurrent && !announcedLeaving[other]) {
+            breach(change.atMs(), "2 only its own word", prefix + ", but that node has not announced that it leaves");
         }
-        if (change.ownVerdict() && is == PeerState.SUSPECT && current && running[other]) {
+        if (change.ownVerdict() && state == PeerState.SUSPECT && isCurrent && running[other]) {
             falseSuspicions++;
             falseSuspicionsInFault += change.atMs() >= firstFaultMs ? 1 : 0;
         }
-        goneAfterLeaving += is == PeerState.GONE && current && !running[other] && announcedLeaving[other] ? 1 : 0;
-        if (!is.isPresent() && current && running[other]) {
+        goneAfterLeaving += state == PeerState.GONE && isCurrent && !running[other] && announcedLeaving[other] ? 1 : 0;
+        if (!state.isPresent() && isCurrent && running[other]) {
             falseRemovals.merge(other, 1, Integer::sum);
             if (change.atMs() < firstFaultMs) {
-                breach(change.atMs(), "no false end", names + ", and nothing is wrong");
+                breach(change.atMs(), "no false end", prefix + ", but the node runs and there was no fault");
             }
-        } else if (!is.isPresent() && current) {
+        } else if (!state.isPresent() && isCurrent) {
             detectionTimesMs.add(change.atMs() - endedMs[other]);
         }
     }
@@ -154,7 +162,10 @@
         return order != 0 ? order : one.state().compareTo(other.state());
     }
 
-    /** Time enough has passed since the last fault: all that run hold all that run for alive, and nobody else for there. */
+    /**
+     * Checks, after the settling time since the last fault, that each running node sees all running nodes as alive
+     * and no other node as present.
+     */
     public void checkAgreement(double atMs) {
         int runningCount = 0;
         for (boolean each : running) {
@@ -162,56 +173,59 @@
         }
         for (int viewer = 0; viewer < size && runningCount > 1; viewer++) {
             for (int other = 0; running[viewer] && other < size; other++) {
-                KnownPeer of = held.get(viewer).get(other);
-                boolean current = of != null && of.incarnation().equals(incarnations[other]);
-                if (other != viewer && running[other] && (!current || of.state() != PeerState.ALIVE)) {
-                    breach(atMs, "views agree", "n" + viewer + " holds n" + other + " for " + of + ", and it runs");
+                KnownPeer known = views.get(viewer).get(other);
+                boolean isCurrent = known != null && known.incarnation().equals(incarnations[other]);
+                if (other != viewer && running[other] && (!isCurrent || known.state() != PeerState.ALIVE)) {
+                    breach(atMs, "views agree", "n" + viewer + " sees n" + other + " as " + known + ", but it runs");
                 } else if (other != viewer
                         && !running[other]
-                        && of != null
-                        && of.state().isPresent()) {
+                        && known != null
+                        && known.state().isPresent()) {
                     breach(
                             atMs,
                             "views agree",
-                            "n" + viewer + " holds n" + other + " for " + of + ", and it has ended");
+                            "n" + viewer + " sees n" + other + " as " + known + ", but it has ended");
                 }
             }
         }
         judgedChanges++;
     }
 
-    public void breach(double atMs, String rule, String what) {
-        if (breaches.size() < MOST_BREACHES) {
-            breaches.add(new Breach(atMs, rule, what));
+    public void breach(double atMs, String rule, String description) {
+        if (breaches.size() < MAX_BREACHES) {
+            breaches.add(new Breach(atMs, rule, description));
         }
     }
 
-    /** How long a node took to hold one that had ended for over: one figure for each of both. */
+    /** The time from each end of a process to its detection, once for each viewer. */
     public List<Double> detectionTimesMs() {
         return detectionTimesMs;
     }
 
-    /** How often a node that ran was held for over, by node, over all viewers. */
+    /** How often each running node was declared gone or left, over all viewers. */
     public Map<Integer, Integer> falseRemovals() {
         return falseRemovals;
     }
 
-    /** How often a node suspected, by its own verdict, one that ran. */
+    /** How often a node suspected a running node by its own verdict. */
     public long falseSuspicions() {
         return falseSuspicions;
     }
 
-    /** The same from the first fault on: a rush of starts may overwhelm a seed for a moment before. */
+    /**
+     * False suspicions from the first fault on. Before it, many starts at the same time may overload a seed node for
+     * a moment.
+     */
     public long falseSuspicionsInFault() {
         return falseSuspicionsInFault;
     }
 
-    /** How often one was held for gone that had said that it leaves. */
+    /** How often a node that had announced that it leaves was declared gone. */
     public long goneAfterLeaving() {
         return goneAfterLeaving;
     }
 
-    /** How many changes were judged: a verdict on none is worth nothing. */
+    /** The number of changes checked; without any, the absence of breaches means nothing. */
     public long judgedChanges() {
         return judgedChanges;
     }
--- a/lab/src/main/java/spartrail/lab/rules/PolicyRules.java
+++ b/lab/src/main/java/spartrail/lab/rules/PolicyRules.java
@@ -9,213 +9,238 @@
 import java.util.TreeMap;
 
 /**
- * What must hold of versions of policy, told by who looks on from outside: by what each multiget was decided, when, at which
- * node; which versions the log says took hold, were refused or aborted; and when a node could hear of the log at all. Letters
- * are those of {@code docs/design/policy.md}.
+ * Checks the rules of policy versions from outside: an observer reports which version decided each multiget, when and
+ * at which node; which versions took effect, were refused or were aborted according to the log; and when a node could
+ * reach the log at all. The letters of the rules are those of {@code docs/design/policy.md}.
  */
 public final class PolicyRules {
     /**
-     * A multiget was taken and decided by this.
+     * A multiget that a node accepted, and the policy label under which it was decided.
      *
      * @param ns the machine's monotonic clock
-     * @param life of the node's process, from 0
-     * @param by {@code 3}; guarded {@code 3|4}; out of touch {@code 3?} or {@code 3|4?}
+     * @param life the number of the node's process, from 0
+     * @param label {@code 3}; with joint settings {@code 3|4}; without a lease {@code 3?} or {@code 3|4?}
      */
     public record MultigetDecision(long ns, int node, int life, String label) {
-        /** It holds a lease, or says so. */
-        boolean leased() {
+        /** Whether the label claims a lease. */
+        boolean hasLease() {
             return !label.endsWith("?");
         }
 
-        boolean guarded() {
-            return !leased() || label.contains("|");
+        boolean isJoint() {
+            return !hasLease() || label.contains("|");
         }
 
-        long base() {
+        long baseVersion() {
             return Long.parseLong(label.replaceAll("[|?].*", ""));
         }
 
-        /** The version that may come next, or -1. */
-        long next() {
+        /** The decided version that may take effect next, or -1. */
+        long nextVersion() {
             return label.contains("|") ? Long.parseLong(label.replaceAll(".*\\||\\?", "")) : -1;
         }
     }
 
-    /** What did not hold. */
-    public record Breach(String rule, String what) {
+    /** A broken rule. */
+    public record Breach(String rule, String description) {
         @Override
         public String toString() {
-            return rule + ": " + what;
+            return rule + ": " + description;
         }
     }
 
-    /** Times bounds rest on, in milliseconds. */
+    /**
+     * The time limits of the rules, in milliseconds.
+     *
+     * @param overlapMs how long nodes may use joint settings of the same two versions
+     * @param endsMs how long a proposal may stay open
+     */
     public record Bounds(double leaseMs, double overlapMs, double endsMs) {}
 
-    private record Out(int node, long fromNs, long toNs) {}
+    private record Unreachable(int node, long fromNs, long toNs) {}
 
-    private record Proposal(long fromNs, long toNs) {}
+    private record ProposalSpan(long fromNs, long toNs) {}
 
-    /** A process looks at its clock and then writes what it decided by: so late may the line's time be at the most. */
+    /**
+     * A process reads the clock and then writes the record of its decision; the time in the record may be late by
+     * this much.
+     */
     private static final double SLACK_MS = 5;
 
-    private static final int MOST_EXAMPLES = 3;
+    private static final int MAX_EXAMPLES = 3;
 
     private final Bounds bounds;
-    private final List<Long> held = new ArrayList<>(List.of(0L));
-    private final Map<Long, String> ended = new HashMap<>();
-    private final List<Out> outs = new ArrayList<>();
-    private final Map<String, Proposal> proposals = new TreeMap<>();
+    private final List<Long> heldVersions = new ArrayList<>(List.of(0L));
+    private final Map<Long, String> rejectedVersions = new HashMap<>();
+    private final List<Unreachable> unreachablePeriods = new ArrayList<>();
+    private final Map<String, ProposalSpan> proposals = new TreeMap<>();
     private final List<Breach> breaches = new ArrayList<>();
     private final Map<String, Integer> counts = new TreeMap<>();
     private double longestOverlapMs;
     private double longestProposalMs;
-    private final Map<Integer, MultigetDecision> ruled = new HashMap<>();
+    private final Map<Integer, MultigetDecision> lastLease = new HashMap<>();
     private final List<List<MultigetDecision>> transitions = new ArrayList<>();
-    private long judged;
+    private long judgedMultigets;
 
     public PolicyRules(Bounds bounds) {
         this.bounds = bounds;
     }
 
-    /** The log says that this version took hold; told in any order and more than once. */
+    /** The log reports that this version took effect; calls may come in any order and more than once. */
     public void onVersionHeld(long number) {
-        if (!held.contains(number)) {
-            held.add(number);
-            held.sort(Comparator.naturalOrder());
+        if (!heldVersions.contains(number)) {
+            heldVersions.add(number);
+            heldVersions.sort(Comparator.naturalOrder());
         }
     }
 
-    /** The log says that this proposal was refused or aborted. */
+    /** The log reports that this proposal was refused or aborted. */
     public void onProposalRejected(long number, String stage) {
-        ended.put(number, stage);
+        rejectedVersions.put(number, stage);
     }
 
-    /** From then to then a node could not hear from anybody who can say what holds. */
+    /** During this time a node could reach no node that knows the active version. */
     public void onUnreachable(int node, long fromNs, long toNs) {
-        outs.add(new Out(node, fromNs, toNs));
+        unreachablePeriods.add(new Unreachable(node, fromNs, toNs));
     }
 
-    /** A process of this node has just started: what it went by before is over. */
+    /** A process of this node has started; the version that its predecessor used no longer counts. */
     public void onStart(int node) {
-        ruled.remove(node);
+        lastLease.remove(node);
     }
 
-    /** A node says that it goes by this from now on, whether it has anything to decide or not. */
-    public void onPolicyChange(int node, String by) {
-        MultigetDecision now = new MultigetDecision(0, node, 0, by);
-        if (by.isEmpty() || !now.leased()) {
-            ruled.remove(node);
+    /** A node reports the policy label that it uses from now on, whether or not it has multigets to decide. */
+    public void onPolicyChange(int node, String label) {
+        MultigetDecision now = new MultigetDecision(0, node, 0, label);
+        if (label.isEmpty() || !now.hasLease()) {
+            lastLease.remove(node);
             return;
         }
-        MultigetDecision before = ruled.put(node, now);
+        MultigetDecision before = lastLease.put(node, now);
         if (before != null) {
             transitions.add(List.of(before, now));
         }
     }
 
-    /** A proposal was taken then, and its end known then, while a majority was reachable throughout. */
+    /** A proposal was committed at {@code fromNs} and ended at {@code toNs}, with a majority reachable all the time. */
     public void onProposalEnd(String name, long fromNs, long toNs) {
-        proposals.put(name, new Proposal(fromNs, toNs));
+        proposals.put(name, new ProposalSpan(fromNs, toNs));
     }
 
-    /** Judges all multigets. */
+    /** Checks all rules against these multigets and the events reported so far. */
     public void judge(List<MultigetDecision> multigets) {
         List<MultigetDecision> sorted = new ArrayList<>(multigets);
         sorted.sort(Comparator.comparingLong(MultigetDecision::ns));
-        judged = sorted.size();
-        order(sorted);
-        for (List<MultigetDecision> each : transitions) {
-            if (held.indexOf(each.get(1).base()) > held.indexOf(each.get(0).base()) + 1) {
+        judgedMultigets = sorted.size();
+        checkOrder(sorted);
+        for (List<MultigetDecision> transition : transitions) {
+            if (heldVersions.indexOf(transition.get(1).baseVersion())
+                    > heldVersions.indexOf(transition.get(0).baseVersion()) + 1) {
                 breach(
                         "(a) one order",
-                        "n" + each.get(0).node() + " went from " + each.get(0).label() + " to "
-                                + each.get(1).label() + " and skipped some");
+                        "n" + transition.get(0).node() + " went from "
+                                + transition.get(0).label() + " to "
+                                + transition.get(1).label() + " and skipped a version");
             }
         }
-        refused(sorted);
-        instants(sorted);
-        outOfTouch(sorted);
-        for (Map.Entry<String, Proposal> each : proposals.entrySet()) {
+        checkRejected(sorted);
+        checkOneVersionAtATime(sorted);
+        checkUnreachable(sorted);
+        for (Map.Entry<String, ProposalSpan> each : proposals.entrySet()) {
             double tookMs = (each.getValue().toNs - each.getValue().fromNs) / 1e6;
             longestProposalMs = Math.max(longestProposalMs, tookMs);
             if (tookMs > bounds.endsMs()) {
                 breach(
                         "(f) every proposal ends",
                         String.format(
-                                Locale.ROOT, "%s after %.0f ms, at most %.0f", each.getKey(), tookMs, bounds.endsMs()));
+                                Locale.ROOT,
+                                "%s ended after %.0f ms, expected at most %.0f ms",
+                                each.getKey(),
+                                tookMs,
+                                bounds.endsMs()));
             }
         }
     }
 
-    private void order(List<MultigetDecision> sorted) {
+    private void checkOrder(List<MultigetDecision> sorted) {
         Map<Integer, MultigetDecision> last = new HashMap<>();
-        for (MultigetDecision each : sorted) {
-            if (!each.leased()) {
-                // Out of touch it may miss versions; it may not go back, which the next leased one shows.
+        for (MultigetDecision decision : sorted) {
+            if (!decision.hasLease()) {
+                // Without a lease a node may miss versions, but must not go back; its next decision under a lease
+                // shows whether it did.
                 continue;
             }
-            MultigetDecision before = last.put(each.node(), each);
-            if (!held.contains(each.base())) {
-                breach("(a) one order", "n" + each.node() + " decided by " + each.label() + ", which never held");
-            } else if (before != null && each.base() < before.base()) {
-                breach("(a) one order", "n" + each.node() + " decided by " + each.label() + " after " + before.label());
+            MultigetDecision before = last.put(decision.node(), decision);
+            if (!heldVersions.contains(decision.baseVersion())) {
+                breach(
+                        "(a) one order",
+                        "n" + decision.node() + " decided by " + decision.label() + ", which never held");
+            } else if (before != null && decision.baseVersion() < before.baseVersion()) {
+                breach(
+                        "(a) one order",
+                        "n" + decision.node() + " decided by " + decision.label() + " after " + before.label());
             }
         }
     }
 
-    private void refused(List<MultigetDecision> sorted) {
-        for (MultigetDecision each : sorted) {
-            if (ended.containsKey(each.base()) || each.leased() && ended.containsKey(each.next()) && each.next() >= 0) {
+    private void checkRejected(List<MultigetDecision> sorted) {
+        for (MultigetDecision decision : sorted) {
+            if (rejectedVersions.containsKey(decision.baseVersion())
+                    || decision.hasLease()
+                            && rejectedVersions.containsKey(decision.nextVersion())
+                            && decision.nextVersion() >= 0) {
                 breach(
                         "(b) refused is never",
-                        "n" + each.node() + " decided by " + each.label() + ", of which one was " + ended);
+                        "n" + decision.node() + " decided by " + decision.label() + ", which names a version of "
+                                + rejectedVersions);
             }
         }
     }
 
-    /** At every instant there is one version that allows what every node that holds a lease decides. */
-    private void instants(List<MultigetDecision> sorted) {
-        Map<Long, long[]> alone = new TreeMap<>();
-        Map<Long, long[]> between = new TreeMap<>();
+    /** At every instant, one version permits the decisions of all nodes that hold a lease. */
+    private void checkOneVersionAtATime(List<MultigetDecision> sorted) {
+        Map<Long, long[]> single = new TreeMap<>();
+        Map<Long, long[]> joint = new TreeMap<>();
         Map<Long, MultigetDecision> latest = new HashMap<>();
-        for (MultigetDecision each : sorted) {
-            if (!each.leased()) {
+        for (MultigetDecision decision : sorted) {
+            if (!decision.hasLease()) {
                 continue;
             }
-            long[] span = (each.guarded() ? between : alone)
-                    .computeIfAbsent(
-                            each.guarded() ? each.next() : each.base(), number -> new long[] {each.ns(), each.ns()});
-            span[1] = Math.max(span[1], each.ns());
-            if (!each.guarded()) {
-                latest.put(each.base(), each);
+            long[] span = (decision.isJoint() ? joint : single)
+                    .computeIfAbsent(decision.isJoint() ? decision.nextVersion() : decision.baseVersion(), number ->
+                            new long[] {decision.ns(), decision.ns()});
+            span[1] = Math.max(span[1], decision.ns());
+            if (!decision.isJoint()) {
+                latest.put(decision.baseVersion(), decision);
             }
         }
         long before = -1;
-        for (Map.Entry<Long, long[]> each : alone.entrySet()) {
-            if (before >= 0 && alone.get(before)[1] > each.getValue()[0]) {
+        for (Map.Entry<Long, long[]> each : single.entrySet()) {
+            if (before >= 0 && single.get(before)[1] > each.getValue()[0]) {
                 breach(
                         "(c) one version at an instant",
                         String.format(
                                 Locale.ROOT,
-                                "n%d decided by %d for %.1f ms after somebody by %d",
+                                "n%d decided by %d until %.1f ms after another node by %d",
                                 latest.get(before).node(),
                                 before,
-                                (alone.get(before)[1] - each.getValue()[0]) / 1e6,
+                                (single.get(before)[1] - each.getValue()[0]) / 1e6,
                                 each.getKey()));
             }
             before = each.getKey();
         }
-        for (Map.Entry<Long, long[]> each : between.entrySet()) {
+        for (Map.Entry<Long, long[]> each : joint.entrySet()) {
             long next = each.getKey();
             long[] span = each.getValue();
             longestOverlapMs = Math.max(longestOverlapMs, (span[1] - span[0]) / 1e6);
-            for (Map.Entry<Long, long[]> other : alone.entrySet()) {
-                boolean allowed = other.getKey() == next || held.indexOf(other.getKey()) == held.indexOf(next) - 1;
-                if (!allowed && other.getValue()[0] < span[1] && span[0] < other.getValue()[1]) {
+            for (Map.Entry<Long, long[]> other : single.entrySet()) {
+                boolean isAllowed = other.getKey() == next
+                        || heldVersions.indexOf(other.getKey()) == heldVersions.indexOf(next) - 1;
+                if (!isAllowed && other.getValue()[0] < span[1] && span[0] < other.getValue()[1]) {
                     breach(
                             "(c) one version at an instant",
-                            "some decided between others and " + next + " while some decided by " + other.getKey());
+                            "some nodes decided by joint settings with " + next + " while others decided by "
+                                    + other.getKey());
                 }
             }
         }
@@ -224,64 +249,64 @@
                     "(c) one version at an instant",
                     String.format(
                             Locale.ROOT,
-                            "guarded between two versions for %.0f ms, at most %.0f",
+                            "joint settings of two versions for %.0f ms, expected at most %.0f ms",
                             longestOverlapMs,
                             bounds.overlapMs()));
         }
     }
 
-    private void outOfTouch(List<MultigetDecision> sorted) {
-        for (MultigetDecision each : sorted) {
-            for (Out out : outs) {
-                if (each.leased()
-                        && out.node == each.node()
-                        && each.ns() < out.toNs
-                        && each.ns() > out.fromNs + 1e6 * (bounds.leaseMs() + SLACK_MS)) {
+    private void checkUnreachable(List<MultigetDecision> sorted) {
+        for (MultigetDecision decision : sorted) {
+            for (Unreachable period : unreachablePeriods) {
+                if (decision.hasLease()
+                        && period.node == decision.node()
+                        && decision.ns() < period.toNs
+                        && decision.ns() > period.fromNs + 1e6 * (bounds.leaseMs() + SLACK_MS)) {
                     breach(
                             "(e) out of touch it stops",
                             String.format(
                                     Locale.ROOT,
-                                    "n%d decided by %s %.0f ms after it could last hear",
-                                    each.node(),
-                                    each.label(),
-                                    (each.ns() - out.fromNs) / 1e6));
+                                    "n%d decided by %s %.0f ms after it was last reachable",
+                                    decision.node(),
+                                    decision.label(),
+                                    (decision.ns() - period.fromNs) / 1e6));
                 }
             }
         }
     }
 
-    private void breach(String rule, String what) {
-        if (counts.merge(rule, 1, Integer::sum) <= MOST_EXAMPLES) {
-            breaches.add(new Breach(rule, what));
+    private void breach(String rule, String description) {
+        if (counts.merge(rule, 1, Integer::sum) <= MAX_EXAMPLES) {
+            breaches.add(new Breach(rule, description));
         }
     }
 
-    /** A few of each rule. */
+    /** The first few breaches of each rule. */
     public List<Breach> breaches() {
         return breaches;
     }
 
-    /** How often each rule was broken. */
+    /** The number of breaches of each broken rule. */
     public Map<String, Integer> counts() {
         return counts;
     }
 
-    /** The longest time in which somebody decided between two versions. */
+    /** The longest time in which nodes decided by the joint settings of two versions. */
     public double longestOverlapMs() {
         return longestOverlapMs;
     }
 
-    /** The longest from a proposal to its end. */
+    /** The longest time from a proposal to its end. */
     public double longestProposalMs() {
         return longestProposalMs;
     }
 
     public long judged() {
-        return judged;
+        return judgedMultigets;
     }
 
-    /** Versions that took hold, the nodes' own settings among them. */
+    /** The number of versions that took effect, including version 0, the nodes' local settings. */
     public int versionsHeld() {
-        return held.size();
+        return heldVersions.size();
     }
 }
--- a/lab/src/main/java/spartrail/lab/rules/RuleChecker.java
+++ b/lab/src/main/java/spartrail/lab/rules/RuleChecker.java
@@ -18,11 +18,11 @@
 import spartrail.lab.load.ResponseCheck;
 
 /**
- * Holds the six rules against what is seen of clients and servers. Called by several threads; what is over is forgotten
- * after a while, so its memory is bounded by the rate, not by the run.
+ * Checks the six rules against the observed events of clients and servers. Thread-safe. Forgets finished multigets
+ * after a retention time, so its memory is bounded by the request rate and not by the length of the run.
  */
 public final class RuleChecker implements LoadListener, FleetListener {
-    /** The rules; the last one stands under the first of the six, and is told apart here. */
+    /** The rules. {@code VALUES} belongs to the first of the six and is counted separately. */
     public enum Rule {
         ONE_ANSWER("each multiget taken gets exactly one final answer in the client's time"),
         NO_EFFECT_TWICE("no effect twice"),
@@ -39,12 +39,12 @@
         }
     }
 
-    /** How a rule fared: how often it was asked, how often it did not hold, and the first few breaches. */
+    /** The result of a rule: how often it was checked, how often it was broken, and the first few breaches. */
     public record Verdict(Rule rule, long asked, long broken, List<String> examples) {}
 
-    private static final class Tallied {
-        private long asked;
-        private long broken;
+    private static final class Tally {
+        private long checks;
+        private long violations;
         private final List<String> examples = new ArrayList<>();
     }
 
@@ -65,90 +65,94 @@
         }
     }
 
-    private static final class Asked {
+    private static final class TrackedMultiget {
         private final String opType;
         private final Map<Integer, Double> weights = new HashMap<>();
         private final Map<Integer, List<Sent>> sends = new HashMap<>();
         private final double atMs;
         private double endedMs = Double.NaN;
 
-        Asked(String opType, double atMs) {
+        TrackedMultiget(String opType, double atMs) {
             this.opType = opType;
             this.atMs = atMs;
         }
     }
 
-    private record Standing(String state, double toldMs) {}
+    private record ServerState(String state, double knownSinceMs) {}
 
-    private static final int MOST_EXAMPLES = 5;
-    private static final double KEPT_MS = 20_000;
-    private static final int MOST_KEPT = 400_000;
-    /** Whatever can be told counts as told so long afterwards, whether the node asked or not. */
-    private static final double DEEMED_MS = 6000;
+    private static final int MAX_EXAMPLES = 5;
+    private static final double RETENTION_MS = 20_000;
+    private static final int MAX_MULTIGETS = 400_000;
+    /**
+     * A state change counts as reported to a node after this time at the latest, whether the node has asked for it or
+     * not.
+     */
+    private static final double MAX_REPORT_DELAY_MS = 6000;
 
     private static final double ROUNDING = 2e-3;
 
-    private final RuleLimits terms;
-    private final Map<Rule, Tallied> tallies = new LinkedHashMap<>();
-    private final LinkedHashMap<String, Asked> asked = new LinkedHashMap<>();
-    /** By node and server. */
-    private final Map<String, Standing> told = new HashMap<>();
+    private final RuleLimits limits;
+    private final Map<Rule, Tally> tallies = new LinkedHashMap<>();
+    private final LinkedHashMap<String, TrackedMultiget> multigets = new LinkedHashMap<>();
+    /** The state of each server that discovery reported to a node, keyed by node and server. */
+    private final Map<String, ServerState> reportedStates = new HashMap<>();
 
-    private final Map<String, Standing> deemed = new HashMap<>();
-    /** When a node was ended or stopped on purpose; an empty target stands for all. */
+    /** The states that count as reported after {@code MAX_REPORT_DELAY_MS}, keyed by node and server. */
+    private final Map<String, ServerState> assumedStates = new HashMap<>();
+    /** A time in which a node was killed or stopped on purpose; an empty target means all nodes. */
     private record Excuse(String target, double fromMs, double toMs) {
-        boolean covers(String of, double askedMs, double endedMs) {
-            return askedMs <= toMs && endedMs >= fromMs && (target.isEmpty() || target.equals(of));
+        boolean covers(String node, double sentMs, double endedMs) {
+            return sentMs <= toMs && endedMs >= fromMs && (target.isEmpty() || target.equals(node));
         }
     }
 
-    /** An answer that is missing and not excused so far. */
-    private record Missed(String target, double atMs, double endedMs, String example) {}
+    /** A multiget without an answer that no excuse covers yet. */
+    private record MissingAnswer(String target, double atMs, double endedMs, String example) {}
 
-    private static final int MOST_MISSED = 1000;
+    private static final int MAX_MISSING_ANSWERS = 1000;
 
-    private final List<Excuse> excused = new ArrayList<>();
-    private final List<Missed> missed = new ArrayList<>();
-    private final Deque<double[]> further = new ArrayDeque<>();
-    private long furtherSum;
-    private long takenSum;
+    private final List<Excuse> excuses = new ArrayList<>();
+    private final List<MissingAnswer> missingAnswers = new ArrayList<>();
+    private final Deque<double[]> budgetWindow = new ArrayDeque<>();
+    private long furtherSends;
+    private long takenMultigets;
     private long strayParts;
     private long lateParts;
-    private double worstCold;
+    private double worstColdLoad;
 
-    public RuleChecker(RuleLimits terms) {
-        this.terms = terms;
+    public RuleChecker(RuleLimits limits) {
+        this.limits = limits;
         for (Rule rule : Rule.values()) {
-            tallies.put(rule, new Tallied());
+            tallies.put(rule, new Tally());
         }
     }
 
-    private void hold(Rule rule, boolean holds, String example) {
-        Tallied tally = tallies.get(rule);
-        tally.asked++;
+    private void check(Rule rule, boolean holds, String example) {
+        Tally tally = tallies.get(rule);
+        tally.checks++;
         if (!holds) {
-            tally.broken++;
-            if (tally.examples.size() < MOST_EXAMPLES) {
+            tally.violations++;
+            if (tally.examples.size() < MAX_EXAMPLES) {
                 tally.examples.add(example);
             }
         }
     }
 
-    /** Answers that are missing within this time are nobody's fault: a node was killed. */
+    /** Excuses missing answers within this time at all nodes, since a node was killed. */
     public synchronized void excuse(double fromMs, double toMs) {
         excuse("", fromMs, toMs);
     }
 
-    /** The same for one node only, HOST:PORT. */
+    /** Excuses missing answers within this time at one node, given as HOST:PORT. */
     public synchronized void excuse(String target, double fromMs, double toMs) {
         Excuse excuse = new Excuse(target, fromMs, toMs);
-        excused.add(excuse);
-        // A node that was lost by itself is known to be a moment later: what was missed meanwhile counts no more.
-        Tallied tally = tallies.get(Rule.ONE_ANSWER);
-        for (Missed each : List.copyOf(missed)) {
+        excuses.add(excuse);
+        // The crash of a node is noticed with a delay: violations already counted in that time are taken back.
+        Tally tally = tallies.get(Rule.ONE_ANSWER);
+        for (MissingAnswer each : List.copyOf(missingAnswers)) {
             if (excuse.covers(each.target, each.atMs, each.endedMs)) {
-                missed.remove(each);
-                tally.broken--;
+                missingAnswers.remove(each);
+                tally.violations--;
                 tally.examples.remove(each.example);
             }
         }
@@ -157,23 +161,23 @@
     // ---- Clients ----
 
     @Override
-    public synchronized void sent(ClientAttempt ask, double nowMs) {
-        var arrival = ask.arrival;
-        Asked one = new Asked(arrival.opType(), nowMs);
+    public synchronized void sent(ClientAttempt attempt, double nowMs) {
+        var arrival = attempt.arrival;
+        TrackedMultiget multiget = new TrackedMultiget(arrival.opType(), nowMs);
         for (int i = 0; i < arrival.shards().length; i++) {
-            one.weights.put(arrival.shards()[i], arrival.weights()[i]);
+            multiget.weights.put(arrival.shards()[i], arrival.weights()[i]);
         }
-        asked.put(ask.id(), one);
-        forget(nowMs);
-        budget(nowMs, 1, 0);
+        multigets.put(attempt.id(), multiget);
+        forgetOld(nowMs);
+        checkBudget(nowMs, 1, 0);
     }
 
-    private void forget(double nowMs) {
-        Iterator<Asked> oldest = asked.values().iterator();
+    private void forgetOld(double nowMs) {
+        Iterator<TrackedMultiget> oldest = multigets.values().iterator();
         while (oldest.hasNext()) {
-            Asked one = oldest.next();
-            boolean over = one.endedMs < nowMs - KEPT_MS || one.atMs < nowMs - 10 * KEPT_MS;
-            if (!over && asked.size() <= MOST_KEPT) {
+            TrackedMultiget multiget = oldest.next();
+            boolean isOld = multiget.endedMs < nowMs - RETENTION_MS || multiget.atMs < nowMs - 10 * RETENTION_MS;
+            if (!isOld && multigets.size() <= MAX_MULTIGETS) {
                 return;
             }
             oldest.remove();
@@ -181,140 +185,144 @@
     }
 
     @Override
-    public synchronized void ended(ClientAttempt ask, AttemptResult kind, HttpResponse answer, double nowMs) {
-        Asked one = asked.get(ask.id());
-        if (one == null) {
+    public synchronized void ended(ClientAttempt attempt, AttemptResult result, HttpResponse response, double nowMs) {
+        TrackedMultiget multiget = multigets.get(attempt.id());
+        if (multiget == null) {
             return;
         }
-        one.endedMs = nowMs;
-        String who = ask.id() + " (" + one.opType + ") ";
-        if (kind != AttemptResult.LEFT) {
-            boolean inTime = !kind.unanswered() || kind == AttemptResult.LATE && -ask.leftMs(nowMs) <= terms.slackMs();
-            boolean isExcused =
-                    !inTime && excused.stream().anyMatch(excuse -> excuse.covers(ask.target(), one.atMs, nowMs));
-            if (!inTime && !isExcused && missed.size() < MOST_MISSED) {
-                missed.add(new Missed(ask.target(), one.atMs, nowMs, who + "ended as " + kind));
+        multiget.endedMs = nowMs;
+        String prefix = attempt.id() + " (" + multiget.opType + ") ";
+        if (result != AttemptResult.LEFT) {
+            boolean inTime =
+                    !result.unanswered() || result == AttemptResult.LATE && -attempt.leftMs(nowMs) <= limits.slackMs();
+            boolean isExcused = !inTime
+                    && excuses.stream().anyMatch(excuse -> excuse.covers(attempt.target(), multiget.atMs, nowMs));
+            if (!inTime && !isExcused && missingAnswers.size() < MAX_MISSING_ANSWERS) {
+                missingAnswers.add(
+                        new MissingAnswer(attempt.target(), multiget.atMs, nowMs, prefix + "ended as " + result));
             }
-            hold(Rule.ONE_ANSWER, inTime || isExcused, who + "ended as " + kind);
+            check(Rule.ONE_ANSWER, inTime || isExcused, prefix + "ended as " + result);
         }
-        RuleLimits.Op op = terms.opTypes().get(one.opType);
-        if (op != null && answer != null && answer.status() == 200) {
-            values(one, op, who, kind, answer);
+        RuleLimits.Op op = limits.opTypes().get(multiget.opType);
+        if (op != null && response != null && response.status() == 200) {
+            checkValues(multiget, op, prefix, result, response);
         }
-        if (op != null && kind == AttemptResult.PUSHED_BACK && op.repeat() == RuleLimits.Repeat.NON_RETRIABLE) {
-            boolean ran = one.sends.values().stream().flatMap(List::stream).anyMatch(Sent::mayHaveRun);
-            hold(Rule.NO_EFFECT_TWICE, !ran, who + "was pushed back though a part of it may have run");
+        if (op != null && result == AttemptResult.PUSHED_BACK && op.repeat() == RuleLimits.Repeat.NON_RETRIABLE) {
+            boolean ran = multiget.sends.values().stream().flatMap(List::stream).anyMatch(Sent::mayHaveRun);
+            check(Rule.NO_EFFECT_TWICE, !ran, prefix + "was pushed back though a part of it may have run");
         }
     }
 
-    private void values(Asked one, RuleLimits.Op op, String who, AttemptResult kind, HttpResponse answer) {
-        ResponseCheck.Body body = ResponseCheck.read(answer.body());
-        boolean good = body != null && kind != AttemptResult.WRONG;
-        if (good) {
+    private void checkValues(
+            TrackedMultiget multiget, RuleLimits.Op op, String prefix, AttemptResult result, HttpResponse response) {
+        ResponseCheck.Body body = ResponseCheck.read(response.body());
+        boolean isGenuine = body != null && result != AttemptResult.WRONG;
+        if (isGenuine) {
             for (Integer shard : body.values().keySet()) {
-                good &= one.sends.getOrDefault(shard, List.of()).stream()
+                isGenuine &= multiget.sends.getOrDefault(shard, List.of()).stream()
                         .anyMatch(sent -> sent.end == ServerModel.End.OK);
             }
         }
-        hold(Rule.VALUES, good, who + "holds a value that no server made for it");
+        check(Rule.VALUES, isGenuine, prefix + "contains a value that no server returned for it");
         if (body == null) {
             return;
         }
         double weight = 0;
         for (Integer shard : body.values().keySet()) {
-            weight += one.weights.getOrDefault(shard, 0.0);
+            weight += multiget.weights.getOrDefault(shard, 0.0);
         }
-        boolean whole =
-                op.need() < 1 ? weight >= op.need() - ROUNDING : body.values().size() >= one.weights.size();
-        hold(
+        boolean isWhole =
+                op.need() < 1 ? weight >= op.need() - ROUNDING : body.values().size() >= multiget.weights.size();
+        check(
                 Rule.LEAST_SHARE,
-                weight >= Math.min(op.floor(), op.need()) - ROUNDING && (whole || !body.whole()),
+                weight >= Math.min(op.floor(), op.need()) - ROUNDING && (isWhole || !body.whole()),
                 String.format(
                         Locale.ROOT,
-                        "%swas answered with %.3f of its weight, least %.3f, %s",
-                        who,
+                        "%swas answered with %.3f of its weight, expected at least %.3f, %s",
+                        prefix,
                         weight,
                         op.floor(),
-                        body.whole() ? "called whole" : "called partial"));
+                        body.whole() ? "marked as complete" : "marked as partial"));
     }
 
     @Override
     public synchronized void extra(double nowMs) {
-        hold(Rule.ONE_ANSWER, false, "an answer that nobody was owed, or a second one");
+        check(Rule.ONE_ANSWER, false, "a response to an unknown or already answered request");
     }
 
-    // ---- Servers and roll ----
+    // ---- Servers and discovery ----
 
     @Override
     public synchronized void told(int node, String server, String state, double bornMs, double changedMs, double atMs) {
         String key = node + "/" + server;
-        Standing before = told.get(key);
+        ServerState before = reportedStates.get(key);
         if (before == null || !before.state().equals(state)) {
-            told.put(key, new Standing(state, atMs));
+            reportedStates.put(key, new ServerState(state, atMs));
         }
         if (state.equals("SERVING")) {
-            deemed.remove(key);
+            assumedStates.remove(key);
         }
     }
 
     @Override
     public synchronized void changed(int node, String server, String state, double atMs) {
         if (state.equals("SERVING")) {
-            deemed.remove(node + "/" + server);
+            assumedStates.remove(node + "/" + server);
         } else {
-            deemed.putIfAbsent(node + "/" + server, new Standing(state, atMs + DEEMED_MS));
+            assumedStates.putIfAbsent(node + "/" + server, new ServerState(state, atMs + MAX_REPORT_DELAY_MS));
         }
     }
 
     @Override
     public synchronized void part(int node, String server, String partId, double atMs) {
-        drained(node, server, partId, atMs);
+        checkDrained(node, server, partId, atMs);
         int dot = partId.lastIndexOf('.');
-        Asked one = dot < 0 ? null : asked.get(partId.substring(0, dot));
+        TrackedMultiget multiget = dot < 0 ? null : multigets.get(partId.substring(0, dot));
         int shard = -1;
         try {
             shard = Integer.parseInt(partId.substring(dot + 1));
         } catch (NumberFormatException e) {
-            // Counted as stray below.
+            // The part is counted as stray below.
         }
-        if (one == null || !one.weights.containsKey(shard)) {
+        if (multiget == null || !multiget.weights.containsKey(shard)) {
             strayParts++;
             return;
         }
-        List<Sent> before = one.sends.computeIfAbsent(shard, number -> new ArrayList<>());
-        if (!Double.isNaN(one.endedMs) && atMs > one.endedMs + terms.slackMs()) {
+        List<Sent> before = multiget.sends.computeIfAbsent(shard, number -> new ArrayList<>());
+        if (!Double.isNaN(multiget.endedMs) && atMs > multiget.endedMs + limits.slackMs()) {
             lateParts++;
         }
         if (!before.isEmpty()) {
-            again(one, partId, before, atMs);
-            budget(atMs, 0, 1);
+            checkResend(multiget, partId, before, atMs);
+            checkBudget(atMs, 0, 1);
         }
         before.add(new Sent(node, server, atMs));
     }
 
-    private void drained(int node, String server, String partId, double atMs) {
-        Standing standing = told.get(node + "/" + server);
-        double sinceMs =
-                standing == null || standing.state().equals("SERVING") ? Double.POSITIVE_INFINITY : standing.toldMs();
-        Standing must = deemed.get(node + "/" + server);
-        sinceMs = must == null ? sinceMs : Math.min(sinceMs, must.toldMs());
-        hold(
+    private void checkDrained(int node, String server, String partId, double atMs) {
+        ServerState reported = reportedStates.get(node + "/" + server);
+        double sinceMs = reported == null || reported.state().equals("SERVING")
+                ? Double.POSITIVE_INFINITY
+                : reported.knownSinceMs();
+        ServerState assumed = assumedStates.get(node + "/" + server);
+        sinceMs = assumed == null ? sinceMs : Math.min(sinceMs, assumed.knownSinceMs());
+        check(
                 Rule.DRAINED,
-                atMs <= sinceMs + terms.graceMs() + terms.slackMs(),
+                atMs <= sinceMs + limits.graceMs() + limits.slackMs(),
                 String.format(
                         Locale.ROOT,
-                        "%s reached %s from node %d, %.0f ms after its end was told",
+                        "%s reached %s from node %d, %.0f ms after its drain or end was reported",
                         partId,
                         server,
                         node,
                         atMs - sinceMs));
     }
 
-    private void again(Asked one, String partId, List<Sent> before, double atMs) {
-        RuleLimits.Op op = terms.opTypes().get(one.opType);
-        boolean out = before.stream().anyMatch(sent -> sent.end == null);
+    private void checkResend(TrackedMultiget multiget, String partId, List<Sent> before, double atMs) {
+        RuleLimits.Op op = limits.opTypes().get(multiget.opType);
+        boolean isInFlight = before.stream().anyMatch(sent -> sent.end == null);
         if (op != null && op.repeat() == RuleLimits.Repeat.NON_RETRIABLE) {
-            hold(
+            check(
                     Rule.NO_EFFECT_TWICE,
                     before.stream().noneMatch(Sent::mayHaveRun),
                     partId + " was sent again though it may have run");
@@ -324,48 +332,51 @@
                     .mapToDouble(sent -> sent.atMs)
                     .min()
                     .orElse(Double.POSITIVE_INFINITY);
-            hold(
+            check(
                     Rule.NO_EFFECT_TWICE,
-                    atMs <= firstMs + op.dedupMs() + terms.slackMs(),
+                    atMs <= firstMs + op.dedupMs() + limits.slackMs(),
                     String.format(
                             Locale.ROOT,
                             "%s was sent again %.0f ms after a send that may have run",
                             partId,
                             atMs - firstMs));
         }
-        hold(
+        check(
                 Rule.BUDGET,
-                before.size() < terms.mostSends() && (terms.parallel() || !out),
+                before.size() < limits.mostSends() && (limits.parallel() || !isInFlight),
                 partId + " was sent " + (before.size() + 1) + " times"
-                        + (out && !terms.parallel() ? ", two of them at a time" : ""));
+                        + (isInFlight && !limits.parallel() ? ", two of them in flight at the same time" : ""));
     }
 
-    /** Multigets taken and further sends of the window that ends now. */
-    private void budget(double atMs, int taken, int more) {
-        if (!Double.isFinite(terms.furtherRatio())) {
+    /**
+     * Adds multigets and further sends to the window that ends now, and checks the budget if there are further sends.
+     */
+    private void checkBudget(double atMs, int multigetCount, int sendCount) {
+        if (!Double.isFinite(limits.furtherRatio())) {
             return;
         }
-        further.add(new double[] {atMs, taken, more});
-        takenSum += taken;
-        furtherSum += more;
-        while (further.peek()[0] < atMs - terms.furtherWindowMs()) {
-            double[] gone = further.poll();
-            takenSum -= (long) gone[1];
-            furtherSum -= (long) gone[2];
+        budgetWindow.add(new double[] {atMs, multigetCount, sendCount});
+        takenMultigets += multigetCount;
+        furtherSends += sendCount;
+        while (budgetWindow.peek()[0] < atMs - limits.furtherWindowMs()) {
+            double[] expired = budgetWindow.poll();
+            takenMultigets -= (long) expired[1];
+            furtherSends -= (long) expired[2];
         }
-        if (more > 0) {
-            hold(
+        if (sendCount > 0) {
+            check(
                     Rule.BUDGET,
-                    furtherSum <= terms.furtherLeast() + terms.furtherRatio() * takenSum,
-                    furtherSum + " further sends for " + takenSum + " multigets within the window");
+                    furtherSends <= limits.furtherLeast() + limits.furtherRatio() * takenMultigets,
+                    furtherSends + " further sends for " + takenMultigets
+                            + " multigets within the window, more than the budget");
         }
     }
 
     @Override
     public synchronized void ended(int node, String server, String partId, ServerModel.End end, double atMs) {
         int dot = partId.lastIndexOf('.');
-        Asked one = dot < 0 ? null : asked.get(partId.substring(0, dot));
-        if (one == null) {
+        TrackedMultiget multiget = dot < 0 ? null : multigets.get(partId.substring(0, dot));
+        if (multiget == null) {
             return;
         }
         int shard;
@@ -374,7 +385,7 @@
         } catch (NumberFormatException e) {
             return;
         }
-        for (Sent sent : one.sends.getOrDefault(shard, List.of())) {
+        for (Sent sent : multiget.sends.getOrDefault(shard, List.of())) {
             if (sent.end == null && sent.node == node && sent.server.equals(server)) {
                 sent.end = end;
                 return;
@@ -384,14 +395,17 @@
 
     @Override
     public synchronized void fell(String server, double load, double atMs) {
-        worstCold = Math.max(worstCold, load);
-        hold(Rule.COLD, false, String.format(Locale.ROOT, "%s fell over, sent %.2f times what it bears", server, load));
+        worstColdLoad = Math.max(worstColdLoad, load);
+        check(Rule.COLD, false, String.format(Locale.ROOT, "%s fell over under %.2f times its capacity", server, load));
     }
 
-    /** How near cold servers came to falling, as the fleet's figures tell; asked once at the end. */
-    public synchronized void recordColdLoad(double worst) {
-        worstCold = Math.max(worstCold, worst);
-        hold(Rule.COLD, true, "");
+    /**
+     * Records the highest load of a cold server, relative to its capacity, as the fleet measured it; called once at
+     * the end.
+     */
+    public synchronized void recordColdLoad(double worstLoad) {
+        worstColdLoad = Math.max(worstColdLoad, worstLoad);
+        check(Rule.COLD, true, "");
     }
 
     // ---- Verdicts ----
@@ -399,16 +413,16 @@
     public synchronized List<Verdict> verdicts() {
         List<Verdict> verdicts = new ArrayList<>();
         tallies.forEach((rule, tally) ->
-                verdicts.add(new Verdict(rule, tally.asked, tally.broken, List.copyOf(tally.examples))));
+                verdicts.add(new Verdict(rule, tally.checks, tally.violations, List.copyOf(tally.examples))));
         return verdicts;
     }
 
     public synchronized boolean isKept() {
-        return tallies.values().stream().allMatch(tally -> tally.broken == 0);
+        return tallies.values().stream().allMatch(tally -> tally.violations == 0);
     }
 
     public synchronized int held() {
-        return asked.size();
+        return multigets.size();
     }
 
     public synchronized String text() {
@@ -421,8 +435,8 @@
         }
         return out.append(String.format(
                         Locale.ROOT,
-                        "nearest to a fall %.3f of it; parts nobody asked for %d; parts after" + " their answer %d%n",
-                        worstCold,
+                        "highest cold load %.3f of capacity; %d parts of no multiget; %d parts after their answer%n",
+                        worstColdLoad,
                         strayParts,
                         lateParts))
                 .toString();
--- a/lab/src/main/java/spartrail/lab/rules/RuleLimits.java
+++ b/lab/src/main/java/spartrail/lab/rules/RuleLimits.java
@@ -3,14 +3,15 @@
 import java.util.Map;
 
 /**
- * The figures by which the rules are checked.
+ * The limits against which the rules are checked.
  *
- * @param graceMs sends to a server must have ended so long after its drain or end was told
- * @param slackMs an answer so much later than the client's time still counts as in it; every limit is longer by it
- * @param mostSends of one part
- * @param parallel whether a part may have two sends out at a time
- * @param furtherRatio further sends allowed for each multiget taken, and {@code furtherLeast} however few there are,
- *        both within {@code furtherWindowMs}; infinite without a budget
+ * @param graceMs no part may be sent to a server later than this after its drain or end was reported
+ * @param slackMs the tolerance for late observations, added to every time limit
+ * @param mostSends the maximum number of sends of one part
+ * @param parallel whether two sends of a part may be in flight at the same time
+ * @param furtherRatio the further sends allowed per accepted multiget within {@code furtherWindowMs}; infinite
+ *     without a budget
+ * @param furtherLeast the further sends that are always allowed within {@code furtherWindowMs}
  */
 public record RuleLimits(
         Map<String, Op> opTypes,
@@ -21,7 +22,7 @@
         double furtherRatio,
         double furtherLeast,
         double furtherWindowMs) {
-    /** What a repeat of a part does. */
+    /** How servers treat a part that is sent again. */
     public enum Repeat {
         RETRIABLE,
         DEDUPED,
@@ -29,9 +30,11 @@
     }
 
     /**
-     * @param dedupMs servers discard repeats for so long
-     * @param need share of the weight that makes a whole answer
-     * @param floor least share of an answer
+     * The limits of one op type.
+     *
+     * @param dedupMs how long servers discard repeats of a part
+     * @param need the share of the weight at which a response is complete
+     * @param floor the least share of the weight in a successful response
      */
     public record Op(Repeat repeat, double dedupMs, double need, double floor) {}
 }
