--- a/lab/src/main/java/spartrail/lab/model/LongSet.java
+++ b/lab/src/main/java/spartrail/lab/model/LongSet.java
@@ -2,7 +2,10 @@
 
 import java.util.Arrays;
 
-/** Values in the order in which they were added, each with the index of its predecessor: a set, a queue and a search tree. */
+/**
+ * A set of values in insertion order, each with the index of its predecessor. A breadth-first search uses it as the
+ * set of visited states, as its queue and as its search tree.
+ */
 final class LongSet {
     private static final int FREE_SLOT = -1;
     private static final int INITIAL_CAPACITY = 1 << 16;
@@ -18,10 +21,10 @@
         Arrays.fill(slots, FREE_SLOT);
     }
 
-    /** Adds a value that was reached from the one at this index; whether it is new. */
+    /** Adds a value that was reached from the value at index {@code predecessor}; returns whether it is new. */
     boolean add(long value, int predecessor) {
         int mask = slots.length - 1;
-        int slot = slot(value, mask);
+        int slot = slotOf(value, mask);
         while (slots[slot] != FREE_SLOT) {
             if (values[slots[slot]] == value) {
                 return false;
@@ -42,7 +45,7 @@
         return true;
     }
 
-    private static int slot(long value, int mask) {
+    private static int slotOf(long value, int mask) {
         long hash = value * HASH_MULTIPLIER;
         return (int) (hash >>> 32) & mask;
     }
@@ -52,7 +55,7 @@
         Arrays.fill(slots, FREE_SLOT);
         int mask = slots.length - 1;
         for (int i = 0; i < count; i++) {
-            int slot = slot(values[i], mask);
+            int slot = slotOf(values[i], mask);
             while (slots[slot] != FREE_SLOT) {
                 slot = slot + 1 & mask;
             }
@@ -60,17 +63,17 @@
         }
     }
 
-    /** How many values there are. */
+    /** The number of values. */
     int size() {
         return count;
     }
 
-    /** The value that was added as this one, from 0. */
+    /** The value at this index, in insertion order from 0. */
     long get(int index) {
         return values[index];
     }
 
-    /** The index of its predecessor. */
+    /** The index of the predecessor of the value at this index; -1 for the first value. */
     int predecessor(int index) {
         return predecessors[index];
     }
--- a/lab/src/main/java/spartrail/lab/model/PolicyModel.java
+++ b/lab/src/main/java/spartrail/lab/model/PolicyModel.java
@@ -7,26 +7,28 @@
 import java.util.Set;
 
 /**
- * How one version takes the place of another at a few nodes, as {@code spartrail.policy} does it, with every order of events: nodes
- * poll, polls are read, responses come, late or never, processes pause, resume, are lost and start again, another one leads, and
- * time passes, for each node's clock at the right pace or a tick slower a lease, and for the leader's a tick faster a wait.
+ * Model of how one policy version replaces another at a few nodes, as {@code spartrail.policy} does it, with every
+ * order of events: nodes poll; the leader reads the log; responses arrive, late or never; processes pause, resume,
+ * crash and restart; the leader changes; and time passes. Each node's clock runs at the correct rate or loses one
+ * tick per lease; the leader's gains at most one tick per wait.
  *
- * <p>What is left out as it cannot change what is asked here: before the decision it does not matter what is proposed or refused; who
- * is lost and starts again is one that holds nothing. The replicated log is one variable: that it is agreed on is the library's to show.
- * Nodes are alike, so states that differ in their order only are one.
+ * <p>The model leaves out what cannot change the result: proposals and refusals before the decision do not matter,
+ * and a node that restarts is the same as one without a lease. The replicated log is one variable; its consensus is
+ * for the replication library to prove. Nodes are identical, so states that differ only in the order of nodes are one
+ * state.
  *
- * <p>A state is one number. Searched breadth first, so that a trace is the shortest.
+ * <p>A state is packed into one number. The search is breadth first, so the trace to a violation is the shortest one.
  */
 public final class PolicyModel {
-    /** A step of the protocol that can be left out, to see that it is needed. */
+    /** A step of the protocol that can be omitted, to verify that the protocol needs it. */
     public enum Step {
         EXPIRY_WAIT("the wait between DECIDE and HOLD"),
         DRIFT_MARGIN("the part of the wait that allows for clocks that drift"),
-        LEASE_FROM_POLL("that a lease counts from when the node asked"),
+        LEASE_FROM_POLL("that a lease counts from the time of the poll"),
         WAIT_FROM_DECISION("that the wait counts from the decision"),
-        CLOCK_CHECK("that a node which stood still looks at its clock before it decides"),
+        CLOCK_CHECK("that a node checks its clock after a pause, before it decides"),
         LINEARIZABLE_READ("that a majority confirms each read"),
-        JOINT_LEASES("that after the decision leases are on both versions only");
+        JOINT_LEASES("that after the decision leases are only granted on both versions");
 
         private final String description;
 
@@ -34,16 +36,22 @@
             this.description = description;
         }
 
-        /** What the protocol lacks without it. */
+        /** What the protocol lacks when this step is omitted. */
         public String description() {
             return description;
         }
     }
 
-    /** What came of a search: how many states there are, and the shortest way to one that must not be, or empty. */
+    /**
+     * The result of a search.
+     *
+     * @param states the number of states visited
+     * @param broken the property that a state violates, or empty
+     * @param trace the shortest sequence of states to that state, or empty
+     */
     public record SearchResult(long states, String broken, List<String> trace) {}
 
-    // What a lease or a response is on.
+    // The versions that a lease or a response covers; POLLED is a poll without a response yet.
     private static final int NONE = 0;
     private static final int OLD = 1;
     private static final int BOTH = 2;
@@ -55,7 +63,10 @@
     private static final int DECIDED = 1;
     private static final int HOLDS = 2;
 
-    /** Bits of a node: paused, lease, its ticks left, its lag used; message under way, its ticks left, its lag used. */
+    /**
+     * The bits of a node: paused; the lease, its remaining ticks, whether its lag is used; the message in flight, its
+     * remaining ticks, whether its lag is used.
+     */
     private static final int PAUSED = 1;
 
     private static final int LEASE_SHIFT = 1;
@@ -67,9 +78,9 @@
     private static final int MESSAGE_SHIFT = 6;
     private static final int MESSAGE_TICKS_SHIFT = 9;
     private static final int MESSAGE_LAGGED = 1 << 11;
-    private static final int BITS = 12;
-    private static final int NODE = (1 << BITS) - 1;
-    /** One for a slow holder, one for the leader's own fast clock. */
+    private static final int NODE_BITS = 12;
+    private static final int NODE_MASK = (1 << NODE_BITS) - 1;
+    /** One tick for a slow lease holder, one for the leader's own fast clock. */
     private static final int DRIFT_TICKS = 2;
 
     private final int size;
@@ -81,7 +92,7 @@
     private int stage;
     private int waited;
     private boolean clockAhead;
-    /** The stage of the log as a replaced leader still has it, plus one; 0 for none. */
+    /** The stage of the log as a former leader still sees it, plus one; 0 if there is no former leader. */
     private int formerLeaderStage;
 
     private int position;
@@ -102,11 +113,12 @@
     }
 
     /**
-     * Searches all states.
+     * Searches all reachable states.
      *
-     * @param size how many nodes, at most 4
-     * @param leaseTicks a lease's length in ticks, 1 to 3; the leader waits two more, one for a slow holder and one for its own fast clock
-     * @param omitted these steps are left out
+     * @param size the number of nodes, at most 4
+     * @param leaseTicks the length of a lease in ticks, 1 to 3; the leader waits two ticks more, one for a slow lease
+     *     holder and one for its own fast clock
+     * @param omitted the steps to omit
      */
     public static SearchResult search(int size, int leaseTicks, Set<Step> omitted) {
         return new PolicyModel(size, leaseTicks, omitted).search();
@@ -131,11 +143,11 @@
         return new SearchResult(states.size(), "", List.of());
     }
 
-    /** States from the first one on, as a person reads them. */
+    /** Returns the states from the first one to the current one, in readable form. */
     private List<String> trace() {
         List<String> trace = new ArrayList<>();
-        for (int place = position; place >= 0; place = states.predecessor(place)) {
-            unpack(states.get(place));
+        for (int index = position; index >= 0; index = states.predecessor(index)) {
+            unpack(states.get(index));
             trace.add(toString());
         }
         Collections.reverse(trace);
@@ -179,13 +191,13 @@
         return node >> MESSAGE_TICKS_SHIFT & TICKS_MASK;
     }
 
-    /** The log first, then the nodes in the order of their numbers. */
+    /** Packs the log into the high bits and then the nodes, sorted, so that equal sets of nodes give one state. */
     private long pack(int[] packed) {
         int[] sorted = packed.clone();
         Arrays.sort(sorted);
         long bits = stage | waited << 2 | (clockAhead ? 1 : 0) << 5 | formerLeaderStage << 6;
         for (int node : sorted) {
-            bits = bits << BITS | node;
+            bits = bits << NODE_BITS | node;
         }
         return bits;
     }
@@ -193,8 +205,8 @@
     private void unpack(long bits) {
         long rest = bits;
         for (int i = size - 1; i >= 0; i--) {
-            nodes[i] = (int) (rest & NODE);
-            rest >>= BITS;
+            nodes[i] = (int) (rest & NODE_MASK);
+            rest >>= NODE_BITS;
         }
         stage = (int) (rest & 3);
         waited = (int) (rest >> 2 & 7);
@@ -237,7 +249,7 @@
             clockAhead = clockAheadBefore;
         }
         if (stage == DECIDED && waited > 0) {
-            // Another one leads: it knows of the decision from now on.
+            // The leader changes: the new one counts its wait from now on.
             waited = 0;
             clockAhead = false;
             addState();
@@ -259,25 +271,25 @@
     }
 
     private void addState(int i, int node) {
-        int was = nodes[i];
-        nodes[i] = normalized(node);
+        int nodeBefore = nodes[i];
+        nodes[i] = normalize(node);
         addState();
-        nodes[i] = was;
+        nodes[i] = nodeBefore;
     }
 
-    /** A lease that is over and no message under way are one state each. */
-    private int normalized(int node) {
+    /** Clears the bits that no longer matter: those of an expired lease, and those of no or a useless message. */
+    private int normalize(int node) {
         int withoutExpired = leaseTicksOf(node) == 0 ? node & ~(LEASE_MASK << LEASE_SHIFT | LEASE_LAGGED) : node;
-        boolean useless = messageOf(withoutExpired) != NONE
+        boolean isUseless = messageOf(withoutExpired) != NONE
                 && messageTicksOf(withoutExpired) == 0
                 && !omitted.contains(Step.LEASE_FROM_POLL);
-        return messageOf(withoutExpired) == NONE || useless
+        return messageOf(withoutExpired) == NONE || isUseless
                 ? withoutExpired & ~(MESSAGE_MASK << MESSAGE_SHIFT | TICKS_MASK << MESSAGE_TICKS_SHIFT | MESSAGE_LAGGED)
                 : withoutExpired;
     }
 
-    private static int withMessage(int node, int what) {
-        return node & ~(MESSAGE_MASK << MESSAGE_SHIFT) | what << MESSAGE_SHIFT;
+    private static int withMessage(int node, int message) {
+        return node & ~(MESSAGE_MASK << MESSAGE_SHIFT) | message << MESSAGE_SHIFT;
     }
 
     private void stepNode(int i) {
@@ -286,7 +298,7 @@
         boolean paused = isPaused(node);
         addState(i, node ^ PAUSED);
         if (node != 0) {
-            // It is lost, and starts again with nothing.
+            // The process crashes, and restarts without a lease.
             addState(i, 0);
         }
         if (message == NONE && !paused) {
@@ -311,19 +323,22 @@
         }
     }
 
-    /** Time passes: each node's clock at the right pace or a tick behind, the leader's at the right pace or a tick ahead. */
+    /**
+     * Advances time by a tick: each node's clock advances or lags behind, the leader's advances by one tick or by
+     * two.
+     */
     private void passTime() {
         int[] before = nodes.clone();
         int waitedBefore = waited;
         boolean clockAheadBefore = clockAhead;
         for (int lags = 0; lags < 1 << size; lags++) {
-            boolean can = true;
-            for (int i = 0; i < size && can; i++) {
+            boolean isPossible = true;
+            for (int i = 0; i < size && isPossible; i++) {
                 int ticked = afterTick(before[i], (lags >> i & 1) == 1);
-                can = ticked >= 0;
+                isPossible = ticked >= 0;
                 nodes[i] = ticked;
             }
-            if (!can) {
+            if (!isPossible) {
                 continue;
             }
             if (stage == DECIDED || stage == BEFORE && omitted.contains(Step.WAIT_FROM_DECISION)) {
@@ -343,11 +358,11 @@
         System.arraycopy(before, 0, nodes, 0, size);
     }
 
-    /** A node a tick later, by its clock; -1 where that cannot lag any more. */
-    private int afterTick(int node, boolean lags) {
+    /** Returns a node's state one tick later by its clock; -1 if it should lag but has used its lag. */
+    private int afterTick(int node, boolean isLagging) {
         int leaseLeft = leaseTicksOf(node);
         int messageLeft = messageTicksOf(node);
-        if (lags
+        if (isLagging
                 && (leaseLeft == 0 && messageLeft == 0
                         || leaseLeft > 0 && (node & LEASE_LAGGED) != 0
                         || messageLeft > 0 && (node & MESSAGE_LAGGED) != 0)) {
@@ -357,11 +372,11 @@
             return node;
         }
         int ticked = node;
-        if (lags) {
+        if (isLagging) {
             ticked |= (leaseLeft > 0 ? LEASE_LAGGED : 0) | (messageLeft > 0 ? MESSAGE_LAGGED : 0);
         } else {
             ticked -= (leaseLeft > 0 ? 1 << LEASE_TICKS_SHIFT : 0) + (messageLeft > 0 ? 1 << MESSAGE_TICKS_SHIFT : 0);
         }
-        return normalized(ticked);
+        return normalize(ticked);
     }
 }
--- a/lab/src/main/java/spartrail/lab/model/package-info.java
+++ b/lab/src/main/java/spartrail/lab/model/package-info.java
@@ -1,2 +1,2 @@
-/** A small model of how a version of policy takes hold, searched to its end. */
+/** A small model of the policy version protocol, whose states are searched exhaustively. */
 package spartrail.lab.model;
--- a/lab/src/test/java/spartrail/lab/model/PolicyModelTest.java
+++ b/lab/src/test/java/spartrail/lab/model/PolicyModelTest.java
@@ -8,13 +8,13 @@
 
 class PolicyModelTest {
     @Test
-    void noOrderOfEventsLetsTwoNodesDecideByDifferentVersionsAtOneInstant() {
+    void noOrderOfEventsLetsTwoNodesDecideByDifferentVersionsAtTheSameTime() {
         PolicyModel.SearchResult result = PolicyModel.search(3, 1, Set.of());
         assertThat(result.states() + " states" + result.broken()).isEqualTo("81352 states");
     }
 
     @Test
-    void eachStepIsNeeded() {
+    void omittingAnyStepBreaksTheProtocol() {
         for (Step step : Step.values()) {
             assertThat(PolicyModel.search(3, 1, Set.of(step)).broken())
                     .as("without " + step.description())
