--- a/lab/src/main/java/spartrail/lab/subset/FleetShape.java
+++ b/lab/src/main/java/spartrail/lab/subset/FleetShape.java
@@ -7,14 +7,15 @@
 /**
  * The size of a hollow fleet.
  *
- * @param shards a server holds one of them, in turn; so each has {@code servers / shards} replicas
- * @param region before the names of nodes and servers, where regions have lists of their own
+ * @param shards the number of shards; each server holds one of them, in turn, so each has {@code servers / shards}
+ *     replicas
+ * @param region the prefix of the names of nodes and servers if each region has its own endpoint list, else empty
  */
 public record FleetShape(int nodes, int servers, int shards, int zones, SubsetSettings settings, String region) {
-    /** A request may be in flight to a server for so long. */
+    /** The longest time that a request may be in flight to a server. */
     static final double MAX_IN_FLIGHT_MS = 1000;
 
-    /** The name of the node of this number. */
+    /** The name of the node with this number. */
     public String node(int number) {
         return region + "node-" + number;
     }
--- a/lab/src/main/java/spartrail/lab/subset/SubsetCheck.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetCheck.java
@@ -12,14 +12,17 @@
 import spartrail.model.Server;
 
 /**
- * Checks what one node's reader is told against the list of all servers; it knows nothing of how a subset is chosen.
+ * Checks the lists that one node's reader receives against the list of all servers, independently of how a subset is
+ * chosen.
  *
  * <ol>
- * <li>A shard with a live server has one in use, and as many as wanted or as there are.
- * <li>They are in as many zones as wanted, where its live servers are.
- * <li>No server is in use that drains or is gone.
- * <li>A change moves at most one connection for each server that it names and one that each of these displaces.
- * <li>A server that leaves the subset, and is live, is published as draining first.
+ * <li>A shard with live servers uses the wanted number of them, or all if there are fewer.
+ * <li>The servers in use are in the wanted number of zones, or in all zones of the shard's live servers if there are
+ * fewer.
+ * <li>No draining or gone server is in use.
+ * <li>A change opens at most one connection for each server that it names, and one for a server that takes the place
+ * of each.
+ * <li>A live server that leaves the subset is published as draining first.
  * </ol>
  */
 final class SubsetCheck {
@@ -34,10 +37,10 @@
         return violations;
     }
 
-    /** A shard's live servers with their zones, and in how many of them they are. */
+    /** A shard's live servers with their zones, and the number of distinct zones. */
     record LiveShard(Map<String, String> zones, int zoneCount) {}
 
-    /** The live servers of each shard. Cost: by all servers, so once for a step and not for each node. */
+    /** Returns the live servers of each shard. Costs O(servers), so call it once per step and not for each node. */
     static List<LiveShard> liveByShard(FleetShape shape, Map<String, Endpoint> all) {
         List<Map<String, String>> shards = new ArrayList<>();
         for (int shard = 0; shard < shape.shards(); shard++) {
@@ -53,48 +56,49 @@
                 .toList();
     }
 
-    /** After a step whose list the node has taken: rules 1 to 3. */
+    /** Checks rules 1 to 3, after the reader has applied the list of a step. */
     void checkSelection(String step, SubsetReader reader, List<LiveShard> live) {
         for (int shard = 0; shard < shape.shards(); shard++) {
             Set<String> used = reader.liveServers(shard);
             Map<String, String> zonesById = live.get(shard).zones();
             int wanted = Math.min(shape.settings().replicasPerShard(), zonesById.size());
             if (used.size() < wanted) {
-                violations.add("1: " + step + ": shard " + shard + " has " + used.size() + " of " + wanted);
+                violations.add(
+                        "1: " + step + ": shard " + shard + " uses " + used.size() + " servers, expected " + wanted);
             }
             Set<String> zones = new HashSet<>();
             used.forEach(id -> zones.add(String.valueOf(zonesById.get(id))));
             if (zones.size()
                     < Math.min(shape.settings().leastZones(), live.get(shard).zoneCount())) {
-                violations.add("2: " + step + ": shard " + shard + " in " + zones);
+                violations.add("2: " + step + ": shard " + shard + " uses only the zones " + zones);
             }
             if (!zonesById.keySet().containsAll(used)) {
-                violations.add("3: " + step + ": shard " + shard + " uses one that drains or is gone");
+                violations.add("3: " + step + ": shard " + shard + " uses a draining or gone server");
             }
         }
     }
 
-    /** How many connections a change has opened: rule 4. */
+    /** Checks rule 4: the number of connections that a change has opened. */
     void checkMoves(String step, EndpointList change, int opened) {
         if (!change.isComplete() && opened > 2 * change.endpoints().size()) {
-            violations.add("4: " + step + ": " + opened + " opened for "
-                    + change.endpoints().size() + " changes");
+            violations.add("4: " + step + ": " + opened + " connections opened, expected at most two for each of "
+                    + change.endpoints().size() + " changed servers");
         }
     }
 
-    /** Before the reader takes its list: no server that is live in both lists goes without draining, rule 5. */
+    /** Checks rule 5, before the reader applies its list: no live server in use is removed without draining first. */
     void checkDraining(String step, EndpointList own, Set<String> wasLive, Map<String, Endpoint> all) {
         for (Endpoint endpoint : own.endpoints()) {
             Endpoint listed = all.get(endpoint.id());
             boolean leaves =
                     endpoint.state() == Server.State.GONE && listed != null && listed.state() == Server.State.LIVE;
             if (leaves && wasLive.contains(endpoint.id())) {
-                violations.add("5: " + step + ": " + endpoint.id() + " is live, in use, and told as gone");
+                violations.add("5: " + step + ": " + endpoint.id() + " is live and in use, but published as gone");
             }
         }
     }
 
-    /** The first few, in order. */
+    /** Returns the first few violations in alphabetical order. */
     List<String> examples() {
         return violations.stream().sorted(Comparator.naturalOrder()).limit(3).toList();
     }
--- a/lab/src/main/java/spartrail/lab/subset/SubsetFigures.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetFigures.java
@@ -17,14 +17,15 @@
 import spartrail.subset.SubsetSelector.LiveServer;
 import spartrail.subset.SubsetSettings;
 
-/** How evenly each strategy shares the servers, and what a change moves with it. */
+/** Measures how evenly each strategy spreads the nodes over the servers, and how many connections a change moves. */
 public final class SubsetFigures {
-    /** Joins, leaves and replacements are tried on so many shards at the most. */
+    /** The maximum number of shards on which joins, leaves and replacements are measured. */
     private static final int MAX_CHANGED_SHARDS = 4;
 
     /**
-     * One strategy in one fleet; moves are connections that all nodes together open beyond those to the new server itself,
-     * for one server that joins, leaves or is replaced.
+     * The figures of one strategy in one fleet: nodes per server, connections per node, and moves. Moves are the
+     * connections that all nodes together open when one server joins, leaves or is replaced, not counting those to
+     * the new server itself.
      */
     public record Row(
             String strategy,
@@ -38,7 +39,7 @@
             double movedByJoin,
             double movedByLeave,
             double movedByReplacement) {
-        /** How far the most loaded server stands above the mean. */
+        /** The nodes of the most shared server, relative to the mean. */
         public double mostOverMean() {
             return mean == 0 ? 0 : most / mean;
         }
@@ -46,7 +47,7 @@
 
     private SubsetFigures() {}
 
-    /** Every strategy, for fleets that together are one: one, or one for each region. */
+    /** Measures every strategy on a fleet, given as one shape or as one for each region. */
     public static List<Row> measure(List<FleetShape> regions) {
         return Arrays.stream(SubsetStrategy.values())
                 .map(strategy -> measureRow(strategy, regions))
@@ -57,8 +58,8 @@
         List<Integer> sharing = new ArrayList<>();
         AtomicLong connections = new AtomicLong();
         AtomicInteger leastZones = new AtomicInteger(Integer.MAX_VALUE);
-        AtomicInteger empty = new AtomicInteger();
-        regions.forEach(shape -> sharing.addAll(sharing(strategy, shape, connections, leastZones, empty)));
+        AtomicInteger emptyShards = new AtomicInteger();
+        regions.forEach(shape -> sharing.addAll(countSharing(strategy, shape, connections, leastZones, emptyShards)));
         int nodes = regions.stream().mapToInt(FleetShape::nodes).sum();
         sharing.sort(null);
         double mean = sharing.stream().mapToInt(each -> each).average().orElse(0);
@@ -71,7 +72,7 @@
                 sharing.get(sharing.size() - 1),
                 connections.get() / (double) nodes,
                 leastZones.get(),
-                empty.get(),
+                emptyShards.get(),
                 moves[0],
                 moves[1],
                 moves[2]);
@@ -87,13 +88,13 @@
         return replicas;
     }
 
-    private static List<Integer> sharing(
+    private static List<Integer> countSharing(
             SubsetStrategy strategy,
             FleetShape shape,
             AtomicLong connections,
             AtomicInteger leastZones,
-            AtomicInteger empty) {
-        List<Integer> all = new ArrayList<>();
+            AtomicInteger emptyShards) {
+        List<Integer> nodesPerServer = new ArrayList<>();
         List<AtomicIntegerArray> counts = IntStream.range(0, shape.shards())
                 .parallel()
                 .mapToObj(shard -> {
@@ -110,17 +111,17 @@
                         }
                         connections.addAndGet(chosen.size());
                         leastZones.accumulateAndGet(zones.size(), Math::min);
-                        empty.addAndGet(chosen.isEmpty() ? 1 : 0);
+                        emptyShards.addAndGet(chosen.isEmpty() ? 1 : 0);
                     }
                     return countsOfShard;
                 })
                 .toList();
         for (AtomicIntegerArray countsOfShard : counts) {
             for (int i = 0; i < countsOfShard.length(); i++) {
-                all.add(countsOfShard.get(i));
+                nodesPerServer.add(countsOfShard.get(i));
             }
         }
-        return all;
+        return nodesPerServer;
     }
 
     private static double[] meanMoves(SubsetStrategy strategy, FleetShape shape) {
--- a/lab/src/main/java/spartrail/lab/subset/SubsetMutation.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetMutation.java
@@ -13,18 +13,18 @@
 import spartrail.subset.SubsetSelector;
 import spartrail.subset.SubsetSettings;
 
-/** Mutations that the checks of subsets must catch: each makes a node's lists as a subset with that mistake would. */
+/** Mutations that the subset checks must detect: each makes a node's lists as a faulty subset would. */
 public enum SubsetMutation {
-    NONE("as it is", node -> node.filter()::toSubset),
-    SPARES_FORGOTTEN("no spare follows one that is gone", node -> {
+    NONE("no mutation", node -> node.filter()::toSubset),
+    SPARES_FORGOTTEN("no spare replaces a gone server", node -> {
         SubsetFilter filter = node.filter();
         return (list, nowMs) -> list.isComplete()
                 ? filter.toSubset(list, nowMs)
-                : filtered(
+                : filter(
                         filter.toSubset(list, nowMs),
                         endpoint -> endpoint.state() != Server.State.LIVE || isNamed(list, endpoint.id()));
     }),
-    ZONE_IGNORED("zones do not count", node -> {
+    ZONE_IGNORED("zones are ignored", node -> {
         SubsetSettings settings = node.shape().settings();
         return new SubsetFilter(
                 node.shape().selector(node.number(), new SubsetSettings(settings.replicasPerShard(), 1)),
@@ -42,8 +42,8 @@
         };
     }),
     ORDER_NOT_STABLE("the order depends on the list's version", node -> new ReshufflingFilter(node)::toSubset),
-    RAMP_BY_ALL_NODES("the ramp of cold servers is shared by all nodes", node -> node.filter()::toSubset),
-    DISPLACED_AS_GONE("a server that leaves the subset is told as gone at once", node -> {
+    RAMP_BY_ALL_NODES("slow start counts all nodes for each server", node -> node.filter()::toSubset),
+    DISPLACED_AS_GONE("a server that leaves the subset is published as gone at once", node -> {
         SubsetFilter filter = node.filter();
         return (list, nowMs) -> {
             List<Endpoint> endpoints = new ArrayList<>();
@@ -56,7 +56,7 @@
             return new EndpointList(list.version(), false, endpoints);
         };
     }),
-    WHOLE_LIST_ADDS_ONLY("a whole list ends no server that it leaves out", node -> {
+    WHOLE_LIST_ADDS_ONLY("a complete list removes no server that it omits", node -> {
         SubsetFilter filter = node.filter();
         return (list, nowMs) -> filter.toSubset(new EndpointList(list.version(), false, list.endpoints()), nowMs);
     });
@@ -66,7 +66,7 @@
         EndpointList toSubset(EndpointList list, double nowMs);
     }
 
-    /** The node whose lists are made. */
+    /** The node for which lists are made. */
     record Node(FleetShape shape, int number) {
         SubsetFilter filter() {
             return shape.filter(number);
@@ -81,7 +81,7 @@
         this.factory = factory;
     }
 
-    /** What is wrong, as tables show it. */
+    /** The mistake in words, as tables show it. */
     public String summary() {
         return summary;
     }
@@ -90,12 +90,12 @@
         return factory.apply(new Node(shape, node));
     }
 
-    /** How many nodes share a server, as a node counts them. */
+    /** The number of nodes that share a server as slow start counts them, given the number that the filter counts. */
     int nodesPerServer(FleetShape shape, int counted) {
         return this == RAMP_BY_ALL_NODES ? shape.nodes() : counted;
     }
 
-    private static EndpointList filtered(EndpointList list, Predicate<Endpoint> isKept) {
+    private static EndpointList filter(EndpointList list, Predicate<Endpoint> isKept) {
         return new EndpointList(
                 list.version(),
                 list.isComplete(),
@@ -106,7 +106,7 @@
         return list.endpoints().stream().anyMatch(endpoint -> endpoint.id().equals(id));
     }
 
-    /** Chooses anew in another order with each version of the list. */
+    /** Selects the whole subset again, in another order, with each version of the list. */
     private static final class ReshufflingFilter {
         private final Node node;
         private final Map<String, Endpoint> all = new LinkedHashMap<>();
--- a/lab/src/main/java/spartrail/lab/subset/SubsetReader.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetReader.java
@@ -10,7 +10,7 @@
 import spartrail.endpoint.EndpointList.Endpoint;
 import spartrail.model.Server;
 
-/** A reader of a node's own lists, as its coordinator is one: the servers that it may send to, shard by shard. */
+/** Reads a node's subset lists as its coordinator does, and keeps the live servers of each shard. */
 final class SubsetReader {
     private final Map<String, Endpoint> known = new HashMap<>();
     private final List<Set<String>> live = new ArrayList<>();
@@ -21,7 +21,7 @@
         }
     }
 
-    /** Applies a list; returns how many servers have come into use. */
+    /** Applies a list; returns how many servers it newly puts into use. */
     int apply(EndpointList list) {
         int opened = 0;
         for (Endpoint endpoint : list.endpoints()) {
@@ -47,7 +47,7 @@
         return live.stream().mapToInt(Set::size).sum();
     }
 
-    /** Servers that it knows, draining ones included. */
+    /** The number of known servers, including draining ones. */
     int knownServers() {
         return known.size();
     }
--- a/lab/src/main/java/spartrail/lab/subset/SubsetRun.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetRun.java
@@ -14,17 +14,23 @@
 import spartrail.endpoint.EndpointList.Endpoint;
 
 /**
- * Plays one script to the nodes of a fleet, one node after the other on each core; only what a node selects is kept of it. A tenth
- * of the nodes receives no list for a while and then a complete one.
+ * Plays a script to all nodes of a fleet, one node at a time on each core, so that only one node per core is in
+ * memory. A tenth of the nodes receives no list for a while and then a complete one.
  */
 public final class SubsetRun {
     private static final double LATE_SHARE = 0.1;
-    /** A bound so far above the mean would slow cold servers down for nothing. */
+    /**
+     * The maximum excess of the counted nodes over the mean, in standard deviations. A larger count would slow down
+     * the ramp of cold servers needlessly.
+     */
     private static final int MAX_DEVIATIONS = 8;
 
-    private static final int SLACK_NODES = 12;
+    private static final int COUNT_TOLERANCE_NODES = 12;
 
-    /** The result: a hash of all that every node was told, and violations with the first examples. */
+    /**
+     * The result: a hash over the servers that each node used after each step, and the violations with the first
+     * examples.
+     */
     public record Outcome(long seed, long hash, int steps, long checks, int violations, List<String> examples) {}
 
     private final FleetShape shape;
@@ -47,7 +53,7 @@
         steps.get(steps.size() - 1).after().keySet().forEach(id -> sharing.put(id, new AtomicInteger()));
     }
 
-    /** Plays the script to every node, with this mutation in all of them. */
+    /** Plays the seed's script to every node, with this mutation in all of them. */
     public static Outcome play(FleetShape shape, long seed, int changes, SubsetMutation mutation) {
         SubsetRun run = new SubsetRun(shape, seed, changes, mutation);
         IntStream.range(0, shape.nodes()).parallel().forEach(run::playNode);
@@ -78,9 +84,9 @@
                             List.copyOf(step.after().values()))
                     : step.change();
             EndpointList own = lists.toSubset(list, step.atMs());
-            check.checkDraining(step.what(), own, usedAmong(reader, own), step.after());
-            check.checkMoves(step.what(), list, reader.apply(own));
-            check.checkSelection(step.what(), reader, live.get(i));
+            check.checkDraining(step.description(), own, usedAmong(reader, own), step.after());
+            check.checkMoves(step.description(), list, reader.apply(own));
+            check.checkSelection(step.description(), reader, live.get(i));
             checks.addAndGet(shape.shards());
             nodeHash = nodeHash * 1_000_003 + hashOf(reader);
         }
@@ -123,7 +129,7 @@
         }
     }
 
-    /** Rule 6: no server is shared by more nodes than slow start counts, nor does it count far more than there can be. */
+    /** Checks rule 6: slow start counts at least the nodes that share a server, and not many more than there can be. */
     private void checkSharing() {
         var filter = shape.filter(0);
         SubsetScript.Step last = steps.get(steps.size() - 1);
@@ -132,20 +138,20 @@
         int mostNodes =
                 sharing.values().stream().mapToInt(AtomicInteger::get).max().orElse(0);
         if (mostNodes > counted) {
-            recordViolation(1, "6: " + mostNodes + " nodes share a server, the ramp counts " + counted);
+            recordViolation(1, "6: " + mostNodes + " nodes share a server, but slow start counts " + counted);
         }
-        int fewest = live.get(live.size() - 1).stream()
+        int fewestReplicas = live.get(live.size() - 1).stream()
                 .mapToInt(shard -> shard.zones().size())
                 .filter(size -> size > 0)
                 .min()
                 .orElse(1);
-        double mean = shape.nodes() * Math.min(1, shape.settings().replicasPerShard() / (double) fewest);
-        if (counted > Math.min(shape.nodes(), mean + MAX_DEVIATIONS * Math.sqrt(mean) + SLACK_NODES)
+        double mean = shape.nodes() * Math.min(1, shape.settings().replicasPerShard() / (double) fewestReplicas);
+        if (counted > Math.min(shape.nodes(), mean + MAX_DEVIATIONS * Math.sqrt(mean) + COUNT_TOLERANCE_NODES)
                 && counted > mean) {
             recordViolation(
                     1,
-                    "6: the ramp counts " + counted + " nodes where " + Math.round(mean)
-                            + " share a server on average");
+                    "6: slow start counts " + counted + " nodes for a server, but " + Math.round(mean)
+                            + " share one on average");
         }
     }
 }
--- a/lab/src/main/java/spartrail/lab/subset/SubsetScript.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetScript.java
@@ -12,50 +12,50 @@
 import spartrail.model.Server;
 
 /**
- * What happens to the servers of a fleet, generated from a seed: servers replaced, drained and brought back, a rack and a zone lost and
- * restored.
+ * Generates from a seed the changes of a fleet's servers: single servers are replaced, drained and brought back; a
+ * rack and a zone are lost and restored.
  */
 final class SubsetScript {
     private static final int RACK_SERVERS = 20;
     private static final double STEP_INTERVAL_MS = 300;
 
-    /** A step, what it changes, and the endpoints of all servers after it by their names. */
-    record Step(String what, double atMs, EndpointList change, Map<String, Endpoint> after) {}
+    /** A step: its description, time and change, and the endpoints of all servers after it, by name. */
+    record Step(String description, double atMs, EndpointList change, Map<String, Endpoint> after) {}
 
     private final FleetShape shape;
     private final SplittableRandom random;
     private final List<Step> steps = new ArrayList<>();
     private Map<String, Endpoint> present = new LinkedHashMap<>();
     private long version = 1;
-    private int replaced;
+    private int replacements;
 
     private SubsetScript(FleetShape shape, long seed) {
         this.shape = shape;
         this.random = new SplittableRandom(seed);
     }
 
-    /** So many single changes around a loss of a rack and of a zone. */
+    /** Generates {@code changes} single changes each before, between and after the losses of a rack and a zone. */
     static List<Step> generate(FleetShape shape, long seed, int changes) {
         SubsetScript script = new SubsetScript(shape, seed);
-        script.start();
+        script.addStart();
         for (int i = 0; i < changes; i++) {
-            script.changeOne();
+            script.changeOneServer();
         }
         script.remove("rack", script.randomRack());
         for (int i = 0; i < changes; i++) {
-            script.changeOne();
+            script.changeOneServer();
         }
         script.restore("rack");
         script.remove("zone", script.randomZone());
-        script.changeOne();
+        script.changeOneServer();
         script.restore("zone");
         for (int i = 0; i < changes; i++) {
-            script.changeOne();
+            script.changeOneServer();
         }
         return script.steps;
     }
 
-    private void start() {
+    private void addStart() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int number = 0; number < shape.servers(); number++) {
             endpoints.add(endpoint(number, number, 0, Server.State.LIVE));
@@ -69,7 +69,7 @@
                 shape.region() + "s-" + name, place, shape.shards(), shape.zones(), state, bootMs);
     }
 
-    private void step(String what, List<Endpoint> endpoints) {
+    private void addStep(String description, List<Endpoint> endpoints) {
         Map<String, Endpoint> after = new LinkedHashMap<>(present);
         for (Endpoint endpoint : endpoints) {
             if (endpoint.state() == Server.State.GONE) {
@@ -79,8 +79,8 @@
             }
         }
         present = after;
-        steps.add(
-                new Step(what, steps.size() * STEP_INTERVAL_MS, new EndpointList(++version, false, endpoints), after));
+        steps.add(new Step(
+                description, steps.size() * STEP_INTERVAL_MS, new EndpointList(++version, false, endpoints), after));
     }
 
     private Endpoint randomEndpoint() {
@@ -88,12 +88,12 @@
         return present.get(names.get(random.nextInt(names.size())));
     }
 
-    private void changeOne() {
+    private void changeOneServer() {
         Endpoint endpoint = randomEndpoint();
         switch (random.nextInt(4)) {
             case 0 -> {
-                Endpoint next = new Endpoint(
-                        shape.region() + "r-" + replaced++,
+                Endpoint successor = new Endpoint(
+                        shape.region() + "r-" + replacements++,
                         endpoint.address(),
                         endpoint.zone(),
                         endpoint.kind(),
@@ -101,11 +101,11 @@
                         Server.State.LIVE,
                         endpoint.weight(),
                         steps.size());
-                step("replacement", List.of(endpoint.withState(Server.State.GONE), next));
+                addStep("replacement", List.of(endpoint.withState(Server.State.GONE), successor));
             }
-            case 1 -> step("drain", List.of(endpoint.withState(Server.State.DRAINING)));
-            case 2 -> step("back", List.of(endpoint.withState(Server.State.LIVE)));
-            default -> step("leave", List.of(endpoint.withState(Server.State.GONE)));
+            case 1 -> addStep("drain", List.of(endpoint.withState(Server.State.DRAINING)));
+            case 2 -> addStep("back", List.of(endpoint.withState(Server.State.LIVE)));
+            default -> addStep("leave", List.of(endpoint.withState(Server.State.GONE)));
         }
     }
 
@@ -117,27 +117,27 @@
     private List<Endpoint> randomZone() {
         List<String> zones = new ArrayList<>(
                 new TreeSet<>(present.values().stream().map(Endpoint::zone).toList()));
-        String lost = zones.get(random.nextInt(zones.size()));
+        String lostZone = zones.get(random.nextInt(zones.size()));
         return present.values().stream()
-                .filter(endpoint -> endpoint.zone().equals(lost))
+                .filter(endpoint -> endpoint.zone().equals(lostZone))
                 .toList();
     }
 
-    private List<Endpoint> lost = List.of();
+    private List<Endpoint> lostServers = List.of();
 
-    private void remove(String what, List<Endpoint> servers) {
-        lost = servers;
-        step(
-                what + " lost",
+    private void remove(String group, List<Endpoint> servers) {
+        lostServers = servers;
+        addStep(
+                group + " lost",
                 servers.stream()
                         .map(endpoint -> endpoint.withState(Server.State.GONE))
                         .toList());
     }
 
-    private void restore(String what) {
-        step(
-                what + " back",
-                lost.stream()
+    private void restore(String group) {
+        addStep(
+                group + " back",
+                lostServers.stream()
                         .map(endpoint -> new Endpoint(
                                 endpoint.id(),
                                 endpoint.address(),
--- a/lab/src/main/java/spartrail/lab/subset/SubsetStrategy.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetStrategy.java
@@ -10,7 +10,7 @@
 import spartrail.subset.SubsetSelector.LiveServer;
 import spartrail.subset.SubsetSettings;
 
-/** Strategies to choose a node's replicas of one shard. */
+/** Strategies for choosing the replicas of one shard that a node uses. */
 enum SubsetStrategy {
     RENDEZVOUS("weighted rendezvous by names") {
         @Override
@@ -63,7 +63,7 @@
 
     abstract List<String> choose(int ordinal, String node, List<LiveServer> replicas, SubsetSettings settings);
 
-    /** How many of the second choice are not in the first. */
+    /** Returns how many servers of the second choice are not in the first. */
     static int countOpened(List<String> before, List<String> after) {
         Set<String> known = new HashSet<>(before);
         return (int) after.stream().filter(id -> !known.contains(id)).count();
--- a/lab/src/test/java/spartrail/lab/subset/SubsetRunTest.java
+++ b/lab/src/test/java/spartrail/lab/subset/SubsetRunTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.api.Test;
 import spartrail.subset.SubsetSettings;
 
-/** Hollow fleets through losses and lists that part; all from seeds, none needs a clock. */
+/** Runs hollow fleets through losses of servers and late lists. All runs come from seeds; none uses a clock. */
 class SubsetRunTest {
     private static final int CHANGES = 6;
     private static final FleetShape SHAPE = new FleetShape(60, 600, 20, 4, new SubsetSettings(4, 3), "");
 
     @Test
-    void promisesHoldThroughLossesAndLateListsAndARunIsTheSameTwice() {
+    void noCheckFailsThroughLossesAndLateListsAndASecondRunGivesTheSameOutcome() {
         for (long seed = 1; seed <= 12; seed++) {
             SubsetRun.Outcome outcome = SubsetRun.play(SHAPE, seed, CHANGES, SubsetMutation.NONE);
             assertThat(outcome.examples()).as("seed %d", seed).isEmpty();
@@ -24,21 +24,22 @@
     }
 
     @Test
-    void everyPlantedFaultIsCaught() {
-        for (SubsetMutation fault : SubsetMutation.values()) {
+    void everyMutationIsDetected() {
+        for (SubsetMutation mutation : SubsetMutation.values()) {
             int caught = (int) IntStream.rangeClosed(1, 3)
-                    .filter(seed -> SubsetRun.play(SHAPE, seed, CHANGES, fault).violations() > 0)
+                    .filter(seed ->
+                            SubsetRun.play(SHAPE, seed, CHANGES, mutation).violations() > 0)
                     .count();
-            if (fault == SubsetMutation.NONE) {
-                assertThat(caught).as(fault.summary()).isZero();
+            if (mutation == SubsetMutation.NONE) {
+                assertThat(caught).as(mutation.summary()).isZero();
             } else {
-                assertThat(caught).as(fault.summary()).isPositive();
+                assertThat(caught).as(mutation.summary()).isPositive();
             }
         }
     }
 
     @Test
-    void aChangeMovesNothingButTheServerItselfAndWhatItDisplaces() {
+    void aChangeMovesOnlyTheChangedServerAndTheServersThatItDisplaces() {
         FleetShape shape = new FleetShape(200, 2000, 50, 8, new SubsetSettings(8, 2), "");
         List<SubsetFigures.Row> rows = SubsetFigures.measure(List.of(shape));
         SubsetFigures.Row rendezvous = rows.get(SubsetStrategy.RENDEZVOUS.ordinal());
