--- a/lab/src/main/java/spartrail/lab/model/PolicyModel.java
+++ b/lab/src/main/java/spartrail/lab/model/PolicyModel.java
@@ -249,7 +249,7 @@
             clockAhead = clockAheadBefore;
         }
         if (stage == DECIDED && waited > 0) {
-            // The leader changes: the new one counts its wait from now on.
+            // The leader changes: the new one learns of the decision now, so its wait starts again.
             waited = 0;
             clockAhead = false;
             addState();
--- a/lab/src/main/java/spartrail/lab/rules/PolicyRules.java
+++ b/lab/src/main/java/spartrail/lab/rules/PolicyRules.java
@@ -214,20 +214,20 @@
                 latest.put(decision.baseVersion(), decision);
             }
         }
-        long before = -1;
+        long previous = -1;
         for (Map.Entry<Long, long[]> each : single.entrySet()) {
-            if (before >= 0 && single.get(before)[1] > each.getValue()[0]) {
+            if (previous >= 0 && single.get(previous)[1] > each.getValue()[0]) {
                 breach(
                         "(c) one version at an instant",
                         String.format(
                                 Locale.ROOT,
                                 "n%d decided by %d until %.1f ms after another node by %d",
-                                latest.get(before).node(),
-                                before,
-                                (single.get(before)[1] - each.getValue()[0]) / 1e6,
+                                latest.get(previous).node(),
+                                previous,
+                                (single.get(previous)[1] - each.getValue()[0]) / 1e6,
                                 each.getKey()));
             }
-            before = each.getKey();
+            previous = each.getKey();
         }
         for (Map.Entry<Long, long[]> each : joint.entrySet()) {
             long next = each.getKey();
--- a/lab/src/main/java/spartrail/lab/rules/RuleChecker.java
+++ b/lab/src/main/java/spartrail/lab/rules/RuleChecker.java
@@ -421,7 +421,7 @@
         return tallies.values().stream().allMatch(tally -> tally.violations == 0);
     }
 
-    public synchronized int held() {
+    public synchronized int trackedMultigets() {
         return multigets.size();
     }
 
--- a/lab/src/main/java/spartrail/lab/rules/RuleLimits.java
+++ b/lab/src/main/java/spartrail/lab/rules/RuleLimits.java
@@ -6,7 +6,8 @@
  * The limits against which the rules are checked.
  *
  * @param graceMs no part may be sent to a server later than this after its drain or end was reported
- * @param slackMs the tolerance for late observations, added to every time limit
+ * @param slackMs a response this much later than the client's timeout still counts as in time; added to every time
+ *     limit
  * @param mostSends the maximum number of sends of one part
  * @param parallel whether two sends of a part may be in flight at the same time
  * @param furtherRatio the further sends allowed per accepted multiget within {@code furtherWindowMs}; infinite
--- a/lab/src/main/java/spartrail/lab/simulation/Mutations.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Mutations.java
@@ -114,7 +114,7 @@
                     "unansweredRounds >= 1000"),
             new Mutation(
                     "peers/LocalHealth",
-                    "suspicions stay when confidence returns",
+                    "suspicions go on when confidence returns",
                     "return hadNoConfidence && !isAwaitingAcksAfterPause();",
                     "return false;"),
             new Mutation(
--- a/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersFigures.java
@@ -41,7 +41,7 @@
     private PeersFigures() {}
 
     /** Returns the faults of this name; they affect a tenth of the nodes, at least one. */
-    private static List<Fault> faults(String name, int size, RandomGenerator random) {
+    private static List<Fault> createFaults(String name, int size, RandomGenerator random) {
         List<Integer> tenth = new ArrayList<>();
         int first = 3 + random.nextInt(size - 3);
         for (int i = 0; i < Math.max(1, size / 10); i++) {
@@ -133,13 +133,13 @@
         for (int node = 0; node < size; node++) {
             network.startAt(node, random.nextDouble() * 1000);
         }
-        network.scheduleFaults(faults(fault, size, random));
+        network.scheduleFaults(createFaults(fault, size, random));
         network.runUntil(FAULT_START_MS);
         isCounting[0] = true;
         network.runUntil(FAULT_START_MS + FAULT_DURATION_MS);
-        long most = 0;
-        for (long each : bytesByNode) {
-            most = Math.max(most, each);
+        long maxBytes = 0;
+        for (long nodeBytes : bytesByNode) {
+            maxBytes = Math.max(maxBytes, nodeBytes);
         }
         return new Run(
                 simulation.rules().detectionTimesMs(),
@@ -148,6 +148,6 @@
                         .mapToInt(each -> each)
                         .sum(),
                 bytes[0] * 1000.0 / FAULT_DURATION_MS / size,
-                most * 1000.0 / FAULT_DURATION_MS);
+                maxBytes * 1000.0 / FAULT_DURATION_MS);
     }
 }
--- a/lab/src/main/java/spartrail/lab/simulation/PeersSimulation.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PeersSimulation.java
@@ -70,10 +70,10 @@
     }
 
     /**
-     * A node with at most this many suspects probes each of them at least once in {@code MAX_ROUNDS_BETWEEN_PROBES}
-     * rounds.
+     * A node probes up to this many suspects per round. If it has no more, it probes each of them at least once in
+     * {@code MAX_ROUNDS_BETWEEN_PROBES} rounds.
      */
-    private static final int MAX_SUSPECTS_PROBED_IN_TIME = 4;
+    private static final int SUSPECTS_PER_ROUND = 4;
 
     private static final double MAX_ROUNDS_BETWEEN_PROBES = 3;
 
@@ -167,9 +167,9 @@
         if (message.kind() == PeerMessage.Kind.PING && !message.recipient().isEmpty()) {
             lastProbeMs.get(node).put(message.recipient(), networkMs);
         }
-        long now = (long) (networkMs / 1000);
-        if (currentSecond[node] != now) {
-            currentSecond[node] = now;
+        long second = (long) (networkMs / 1000);
+        if (currentSecond[node] != second) {
+            currentSecond[node] = second;
             sentThisSecond[node] = 0;
         }
         if (++sentThisSecond[node] == Math.ceil(2 * SwimMembership.maxMessagesPerSecond(timings)) + 1) {
@@ -241,7 +241,7 @@
                     && view.peers().stream()
                                     .filter(seen -> seen.state() == PeerState.SUSPECT)
                                     .count()
-                            <= MAX_SUSPECTS_PROBED_IN_TIME) {
+                            <= SUSPECTS_PER_ROUND) {
                 checkSuspectsProbed(node, networkMs);
             }
         }
--- a/lab/src/main/java/spartrail/lab/simulation/PolicyScenario.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PolicyScenario.java
@@ -194,8 +194,7 @@
     }
 
     /**
-     * Returns the shortest script found that still breaks the first broken rule; this scenario if it
-     * breaks none.
+     * Returns the shortest script found that still breaks the first broken rule; this scenario if it breaks none.
      */
     public PolicyScenario shrink() {
         List<Breach> breaches = play(false).breaches();
--- a/lab/src/main/java/spartrail/lab/simulation/PolicySimulation.java
+++ b/lab/src/main/java/spartrail/lab/simulation/PolicySimulation.java
@@ -67,7 +67,7 @@
             this.random = random;
             this.startedAtMs = nowMs;
             this.nowMs = nowMs;
-            this.follower = new PolicyFollower("n" + node, names(voters), localSettings, TIMINGS, random, nowMs);
+            this.follower = new PolicyFollower("n" + node, nodeNames(voters), localSettings, TIMINGS, random, nowMs);
         }
 
         void send(int to, Message message) {
@@ -195,7 +195,7 @@
         }
     }
 
-    private static List<String> names(int count) {
+    private static List<String> nodeNames(int count) {
         return java.util.stream.IntStream.range(0, count)
                 .mapToObj(node -> "n" + node)
                 .toList();
@@ -325,7 +325,7 @@
         if (leaderNode >= 0 && canLead(leaderNode) && process(leaderNode).isLeader) {
             leaderSeenMs = network.nowMs();
         } else if (network.nowMs() - leaderSeenMs > LEADER_LOST_MS) {
-            elect();
+            electLeader();
         }
         for (int node = 0; node < size; node++) {
             if (node < voters
@@ -354,7 +354,7 @@
         return true;
     }
 
-    private void elect() {
+    private void electLeader() {
         List<Integer> candidates = new ArrayList<>();
         for (int voter = 0; voter < voters; voter++) {
             if (canLead(voter)) {
@@ -455,9 +455,9 @@
                         "version " + pendingBefore.number() + " took effect from stage " + pendingBefore.stage());
             }
         }
-        List<PolicyVersion> ended = log.finished();
-        for (PolicyVersion entry : ended) {
-            if (ended.stream()
+        List<PolicyVersion> finished = log.finished();
+        for (PolicyVersion entry : finished) {
+            if (finished.stream()
                             .filter(other -> other.token().equals(entry.token()))
                             .count()
                     > 1) {
@@ -591,7 +591,7 @@
         labels[node] = label;
     }
 
-    private static List<Long> numbers(String label) {
+    private static List<Long> versionNumbers(String label) {
         List<Long> numbers = new ArrayList<>();
         for (String number : label.replace("?", "").split("\\|")) {
             numbers.add(Long.parseLong(number));
@@ -601,7 +601,7 @@
 
     /** A node's settings are at least as strict as each version that its label names. */
     private void checkStricter(int node, PolicyLease active) {
-        for (long number : numbers(active.label())) {
+        for (long number : versionNumbers(active.label())) {
             double budgetMs = budgets.getOrDefault(number, 0.0);
             if (active.settings().number(BUDGET) > budgetMs + 1e-9) {
                 breach(
@@ -619,7 +619,7 @@
     }
 
     private void checkOrder(int node, String label) {
-        long base = numbers(label).get(0);
+        long base = versionNumbers(label).get(0);
         if (!heldVersions.contains(base)) {
             breach("(a) one order", "n" + node + " uses " + label + ", but version " + base + " never took effect");
         } else if (base < lastBaseVersion[node]) {
@@ -627,7 +627,7 @@
         } else if (!labels[node].isEmpty()
                 && !labels[node].endsWith("?")
                 && heldVersions.indexOf(base)
-                        > heldVersions.indexOf(numbers(labels[node]).get(0)) + 1) {
+                        > heldVersions.indexOf(versionNumbers(labels[node]).get(0)) + 1) {
             breach(
                     "(a) one order",
                     "n" + node + " uses " + label + " after " + labels[node] + " and skipped a version");
@@ -640,7 +640,7 @@
         log.finished().stream()
                 .filter(entry -> entry.stage() != Stage.HOLDS)
                 .forEach(entry -> rejected.add(entry.number()));
-        rejected.retainAll(numbers(label));
+        rejected.retainAll(versionNumbers(label));
         if (!rejected.isEmpty()) {
             breach(
                     "(b) refused is never",
@@ -654,8 +654,8 @@
         if (otherLease == null || otherLease.label().endsWith("?")) {
             return;
         }
-        List<Long> versions = numbers(label);
-        List<Long> otherVersions = numbers(otherLease.label());
+        List<Long> versions = versionNumbers(label);
+        List<Long> otherVersions = versionNumbers(otherLease.label());
         boolean isCommon = versions.stream().anyMatch(otherVersions::contains)
                 && (versions.size() > 1 || otherVersions.size() > 1 || versions.equals(otherVersions));
         if (!isCommon) {
--- a/lab/src/main/java/spartrail/lab/simulation/SimulatedNetwork.java
+++ b/lab/src/main/java/spartrail/lab/simulation/SimulatedNetwork.java
@@ -156,8 +156,8 @@
     }
 
     /** Whether messages pass between two nodes in both directions. */
-    public boolean isConnected(int one, int other) {
-        return one == other || blocked[one][other] == 0 && blocked[other][one] == 0;
+    public boolean isConnected(int first, int second) {
+        return first == second || blocked[first][second] == 0 && blocked[second][first] == 0;
     }
 
     /** Whether the node's process is paused. */
--- a/lab/src/main/java/spartrail/lab/subset/SubsetCheck.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetCheck.java
@@ -20,8 +20,8 @@
  * <li>The servers in use are in the wanted number of zones, or in all zones of the shard's live servers if there are
  * fewer.
  * <li>No draining or gone server is in use.
- * <li>A change opens at most one connection for each server that it names, and one for a server that takes the place
- * of each.
+ * <li>For each server that it names, a change opens at most two connections: one to that server, and one in place of
+ * a server that it displaces.
  * <li>A live server that leaves the subset is published as draining first.
  * </ol>
  */
--- a/lab/src/main/java/spartrail/lab/subset/SubsetRun.java
+++ b/lab/src/main/java/spartrail/lab/subset/SubsetRun.java
@@ -14,8 +14,8 @@
 import spartrail.endpoint.EndpointList.Endpoint;
 
 /**
- * Plays a script to all nodes of a fleet, one node at a time on each core, so that only one node per core is in
- * memory. A tenth of the nodes receives no list for a while and then a complete one.
+ * Plays a script to all nodes of a fleet, one node at a time on each core, and keeps only which servers each node
+ * selects. A tenth of the nodes receives no list for a while and then a complete one.
  */
 public final class SubsetRun {
     private static final double LATE_SHARE = 0.1;
