--- a/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
+++ b/lab/src/main/java/spartrail/lab/cluster/ClusterHarness.java
@@ -50,7 +50,7 @@
             List<ObjectNode> nodes,
             List<String> unexecutedSteps,
             List<Step> executedSteps,
-            List<PolicyRules.Taken> policyRecords,
+            List<PolicyRules.MultigetDecision> policyRecords,
             double elapsedMs) {}
 
     private static final double POLL_INTERVAL_MS = 5;
@@ -289,7 +289,8 @@
                     .put("sentMessages", links.sentMessages(node)));
         }
         ObjectNode servers = fleet.figures();
-        servers.forEach(server -> checker.cold(server.path("worstColdLoad").asDouble()));
+        servers.forEach(
+                server -> checker.recordColdLoad(server.path("worstColdLoad").asDouble()));
         return new Outcome(
                 history,
                 checker,
@@ -303,8 +304,8 @@
     }
 
     /** Reads which policy version decided each multiget, from the records of every incarnation of every node. */
-    private List<PolicyRules.Taken> readPolicyRecords() {
-        List<PolicyRules.Taken> policyRecords = new ArrayList<>();
+    private List<PolicyRules.MultigetDecision> readPolicyRecords() {
+        List<PolicyRules.MultigetDecision> policyRecords = new ArrayList<>();
         for (int node = 0; node < nodes.size(); node++) {
             for (int incarnation = 0;
                     Files.exists(folder.resolve("n" + node + ".record." + incarnation));
@@ -314,7 +315,7 @@
                         // A line that a kill has truncated is skipped.
                         if (line.endsWith("}") && line.contains("\"policy\"")) {
                             JsonNode tree = Document.JSON.readTree(line);
-                            policyRecords.add(new PolicyRules.Taken(
+                            policyRecords.add(new PolicyRules.MultigetDecision(
                                     tree.get("ns").asLong(),
                                     node,
                                     incarnation,
--- a/lab/src/main/java/spartrail/lab/cluster/PolicyHistoryChecker.java
+++ b/lab/src/main/java/spartrail/lab/cluster/PolicyHistoryChecker.java
@@ -44,7 +44,7 @@
         java.util.Arrays.fill(unreachableSinceNs, -1);
     }
 
-    public PolicyRules check(List<Line> lines, List<PolicyRules.Taken> taken) {
+    public PolicyRules check(List<Line> lines, List<PolicyRules.MultigetDecision> taken) {
         Map<String, long[]> endedAtNs = new HashMap<>();
         long lineNs = 0;
         for (Line line : lines) {
@@ -57,7 +57,7 @@
         }
         for (int node = 0; node < size; node++) {
             if (unreachableSinceNs[node] >= 0) {
-                rules.out(node, unreachableSinceNs[node], Long.MAX_VALUE);
+                rules.onUnreachable(node, unreachableSinceNs[node], Long.MAX_VALUE);
             }
         }
         if (noMajoritySinceNs >= 0) {
@@ -67,7 +67,7 @@
         proposedAtNs.forEach((step, fromNs) -> {
             long toNs = endedAtNs.containsKey(step) ? endedAtNs.get(step)[0] : endNs;
             if (spansWithoutMajority.stream().noneMatch(span -> span[0] < toNs && fromNs < span[1])) {
-                rules.proposal(step, fromNs, toNs);
+                rules.onProposalEnd(step, fromNs, toNs);
             }
         });
         rules.judge(taken);
@@ -77,15 +77,15 @@
     private void readNodeLine(Line line) {
         if (line.event().equals("log")) {
             JsonNode tree = line.tree();
-            rules.holds(tree.get("holds").asLong());
+            rules.onVersionHeld(tree.get("holds").asLong());
             String[] last = tree.get("last").asText().split(" ", 3);
             if (last.length > 1 && (last[1].equals("REFUSED") || last[1].equals("ABORTED"))) {
-                rules.over(Long.parseLong(last[0]), last[1]);
+                rules.onProposalRejected(Long.parseLong(last[0]), last[1]);
             }
         } else if (line.event().equals("policy")) {
-            rules.ruled(line.node(), line.tree().get("by").asText());
+            rules.onPolicyChange(line.node(), line.tree().get("by").asText());
         } else if (line.event().equals("told")) {
-            rules.holds(line.tree().get("holds").asLong());
+            rules.onVersionHeld(line.tree().get("holds").asLong());
         }
     }
 
@@ -95,7 +95,7 @@
         switch (line.event()) {
             case "started" -> nodes.forEach(node -> {
                 running[node] = true;
-                rules.started(node);
+                rules.onStart(node);
             });
             case "killed" -> nodes.forEach(node -> running[node] = false);
             case "stopped" -> nodes.forEach(node -> suspended[node] = true);
@@ -107,8 +107,9 @@
             }
             case "proposed" -> proposedAtNs.put(line.tree().get("step").asText(), line.ns());
             case "ended" -> endedAtNs.put(line.tree().get("step").asText(), new long[] {line.ns()});
-            case "abandoned" -> rules.over(line.tree().path("number").asLong(), "abandoned");
-            case "pushed" -> rules.holds(line.tree().path("number").asLong());
+            case "abandoned" -> rules.onProposalRejected(
+                    line.tree().path("number").asLong(), "abandoned");
+            case "pushed" -> rules.onVersionHeld(line.tree().path("number").asLong());
             default -> {
                 if (LINK_CHANGES.containsKey(line.event())) {
                     changeLinks(
@@ -168,7 +169,7 @@
             if (isUnreachable && unreachableSinceNs[node] < 0) {
                 unreachableSinceNs[node] = ns;
             } else if (!isUnreachable && unreachableSinceNs[node] >= 0) {
-                rules.out(node, unreachableSinceNs[node], ns);
+                rules.onUnreachable(node, unreachableSinceNs[node], ns);
                 unreachableSinceNs[node] = -1;
             }
         }
--- a/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
+++ b/lab/src/main/java/spartrail/lab/drill/PolicyDrill.java
@@ -572,14 +572,15 @@
                         && !line.tree().get("stage").asText().equals("UNKNOWN"))
                 .count();
         findings.checkAtLeast("changes that ended", minChanges, ended);
-        findings.checkAtLeast("versions that took effect", minChanges / 3, rules.held() - 1);
+        findings.checkAtLeast("versions that took effect", minChanges / 3, rules.versionsHeld() - 1);
         findings.checkAtLeast("multigets that were checked", 1000, rules.judged());
         findings.checkEqual(
                 "breaches of the rules of policy", "{}", rules.counts().toString());
         rules.breaches().forEach(breach -> findings.note("example", breach.toString()));
-        findings.checkAtMost("longest overlap guarded between two versions, ms", bounds.overlapMs(), rules.widestMs());
         findings.checkAtMost(
-                "longest time from proposal to end with a majority, ms", bounds.endsMs(), rules.slowestMs());
+                "longest overlap guarded between two versions, ms", bounds.overlapMs(), rules.longestOverlapMs());
+        findings.checkAtMost(
+                "longest time from proposal to end with a majority, ms", bounds.endsMs(), rules.longestProposalMs());
         findings.note("time from proposal to effect, median in ms", String.valueOf(medianProposalToHoldMs(lines)));
         expectations.checkResults(findings, lines, rules);
         outcome.rules()
--- a/lab/src/test/java/spartrail/lab/cluster/SeveralProcessesTest.java
+++ b/lab/src/test/java/spartrail/lab/cluster/SeveralProcessesTest.java
@@ -90,7 +90,7 @@
             assertThat(rules.breaches()).isEmpty();
             assertThat(rules.judged()).isPositive();
             assertThat(outcome.policyRecords())
-                    .extracting(PolicyRules.Taken::by)
+                    .extracting(PolicyRules.MultigetDecision::label)
                     .contains("0", "0|1");
         }
     }
