--- a/lab/src/main/java/spartrail/lab/cli/Completion.java
+++ b/lab/src/main/java/spartrail/lab/cli/Completion.java
@@ -10,14 +10,14 @@
 import org.kohsuke.args4j.CmdLineParser;
 import spartrail.lab.file.InvalidInputException;
 
-/** Prints what a shell needs to complete our commands and options. */
+/** Prints a script with which a shell completes the names of commands and options. */
 final class Completion extends Command {
-    @Argument(required = true, metaVar = "SHELL", usage = "bash")
+    @Argument(required = true, metaVar = "SHELL", usage = "the shell; only bash is supported")
     private String shell;
 
     @Override
     String summary() {
-        return "prints completion for a shell: eval \"$(bin/spartrail completion bash)\"";
+        return "prints a completion script for a shell; use it with: eval \"$(bin/spartrail completion bash)\"";
     }
 
     @Override
@@ -25,14 +25,16 @@
         if (!shell.equals("bash")) {
             throw new InvalidInputException("found '" + shell + "', bash is expected");
         }
-        Map<String, Set<String>> next = new LinkedHashMap<>();
+        Map<String, Set<String>> secondWords = new LinkedHashMap<>();
         Map<String, String> options = new LinkedHashMap<>();
-        Set<String> first = new LinkedHashSet<>(Set.of("serve", "check", "simhost", "version"));
+        Set<String> firstWords = new LinkedHashSet<>(Set.of("serve", "check", "simhost", "version"));
         LabCommandLine.COMMANDS.forEach((name, command) -> {
             String[] words = name.split(" ");
-            first.add(words[0]);
+            firstWords.add(words[0]);
             if (words.length > 1) {
-                next.computeIfAbsent(words[0], word -> new LinkedHashSet<>()).add(words[1]);
+                secondWords
+                        .computeIfAbsent(words[0], word -> new LinkedHashSet<>())
+                        .add(words[1]);
             }
             options.put(
                     name,
@@ -44,8 +46,8 @@
         out.println("_spartrail() {");
         out.println("  local now=${COMP_WORDS[COMP_CWORD]} words=");
         out.println("  case \"$COMP_CWORD:${COMP_WORDS[1]} ${COMP_WORDS[2]}\" in");
-        out.println("    1:*) words=\"" + String.join(" ", first) + "\" ;;");
-        next.forEach((word, seconds) ->
+        out.println("    1:*) words=\"" + String.join(" ", firstWords) + "\" ;;");
+        secondWords.forEach((word, seconds) ->
                 out.println("    2:" + word + "\\ *) words=\"" + String.join(" ", seconds) + "\" ;;"));
         options.forEach((name, list) -> out.println("    *:" + name.replace(" ", "\\ ")
                 + (name.contains(" ") ? "" : "\\ ") + "*) words=\"" + list + "\" ;;"));
--- a/lab/src/main/java/spartrail/lab/cli/DnsAsk.java
+++ b/lab/src/main/java/spartrail/lab/cli/DnsAsk.java
@@ -19,28 +19,28 @@
 import spartrail.lab.file.InvalidInputException;
 import spartrail.model.NodeClock;
 
-/** Asks name servers for SRV names, once or on and on. */
+/** Queries name servers for SRV names, either once or repeatedly until the time is up. */
 final class DnsAsk extends Command {
-    @Argument(required = true, metaVar = "NAME", usage = "SRV names, such as _books._tcp.c3.books.example.org")
+    @Argument(required = true, metaVar = "NAME", usage = "SRV names to query, such as _books._tcp.c3.books.example.org")
     private List<String> names = new ArrayList<>();
 
     @Option(
             name = "--server",
             metaVar = "HOST:PORT",
             required = true,
-            usage = "a name server by its number; may be repeated")
+            usage = "IP address and port of a name server; may be repeated")
     private List<String> servers = new ArrayList<>();
 
     @Option(
             name = "--bailiwick",
             metaVar = "DOMAIN",
-            usage = "addresses that come along count within it (default: no domain)")
+            usage = "use addresses in the additional section only for names in this domain (default: no domain)")
     private String bailiwick = "invalid";
 
     @Option(
             name = "--seconds",
             metaVar = "S",
-            usage = "ask waits so long for answers, watch shows changes for so long (default 5)")
+            usage = "how long ask waits for responses, or how long watch shows changes (default 5)")
     private double seconds = 5;
 
     private final boolean watch;
@@ -52,8 +52,8 @@
     @Override
     String summary() {
         return watch
-                ? "follows SRV names and shows each change of their listings"
-                : "asks for SRV names and shows their listings once";
+                ? "watches SRV names and prints their targets at each change"
+                : "queries SRV names and prints their targets once";
     }
 
     @Override
@@ -72,7 +72,7 @@
         BlockingQueue<SrvTargets> listings = new LinkedBlockingQueue<>();
         String[] invalidName = new String[1];
         int received = 0;
-        boolean areAvailable = true;
+        boolean allAvailable = true;
         try (DnsTransport transport = new DnsTransport(resolver, clock, listings::add)) {
             transport.execute(() -> {
                 try {
@@ -90,8 +90,8 @@
                 }
                 if (listing != null) {
                     received++;
-                    areAvailable &= !listing.isUnavailable();
-                    print(out, listing, clock.nowMs() - fromMs);
+                    allAvailable &= !listing.isUnavailable();
+                    printTargets(out, listing, clock.nowMs() - fromMs);
                 }
             }
             CountDownLatch printed = new CountDownLatch(1);
@@ -102,23 +102,23 @@
             printed.await();
         }
         if (received < names.size()) {
-            err.println("spartrail: no answer for " + (names.size() - received) + " of " + names.size()
+            err.println("spartrail: no response for " + (names.size() - received) + " of " + names.size()
                     + " names within " + seconds + " s");
         }
-        return areAvailable && received >= names.size() ? 0 : 1;
+        return allAvailable && received >= names.size() ? 0 : 1;
     }
 
-    private static void print(PrintStream out, SrvTargets listing, double ms) {
+    private static void printTargets(PrintStream out, SrvTargets listing, double elapsedMs) {
         out.printf(
                 Locale.ROOT,
-                "%8.0f ms %s: %d targets, good for %.1f s%s%s%s%n",
-                ms,
+                "%8.0f ms %s: %d targets, TTL %.1f s%s%s%s%n",
+                elapsedMs,
                 listing.name(),
                 listing.targets().size(),
                 listing.ttlMs() / 1000,
-                listing.isComplete() ? "" : ", not whole",
+                listing.isComplete() ? "" : ", incomplete",
                 listing.isStale() ? ", stale" : "",
-                listing.isUnavailable() ? ", OUT" : "");
+                listing.isUnavailable() ? ", UNAVAILABLE" : "");
         listing.targets()
                 .forEach(target -> out.printf(
                         Locale.ROOT,
--- a/lab/src/main/java/spartrail/lab/cli/DrillList.java
+++ b/lab/src/main/java/spartrail/lab/cli/DrillList.java
@@ -6,14 +6,14 @@
 import spartrail.lab.drill.Drills;
 import spartrail.lab.file.Document;
 
-/** Lists the drills. */
+/** Lists the drills with their subjects and summaries. */
 final class DrillList extends Command {
-    @Option(name = "--json", usage = "as JSON")
+    @Option(name = "--json", usage = "print the list as JSON")
     private boolean json;
 
     @Override
     String summary() {
-        return "lists the drills: scenarios that say themselves whether all went as it should";
+        return "lists the drills: scenarios that check their own results against expected values";
     }
 
     @Override
--- a/lab/src/main/java/spartrail/lab/cli/DrillRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/DrillRun.java
@@ -9,20 +9,20 @@
 import spartrail.lab.drill.Drills;
 import spartrail.lab.file.Document;
 
-/** Runs drills; its status says whether all went as they should. */
+/** Runs drills; the exit status is 1 if a result differs from the expected one. */
 final class DrillRun extends Command {
-    @Argument(required = true, metaVar = "NAME", usage = "drills, or all")
+    @Argument(required = true, metaVar = "NAME", usage = "names of drills, or all")
     private List<String> names = new ArrayList<>();
 
-    @Option(name = "--seed", metaVar = "N", usage = "all that is drawn by chance follows from it (default 1)")
+    @Option(name = "--seed", metaVar = "N", usage = "seed of all random choices (default 1)")
     private long seed = 1;
 
-    @Option(name = "--json", usage = "as JSON")
+    @Option(name = "--json", usage = "print the results as JSON")
     private boolean json;
 
     @Override
     String summary() {
-        return "runs drills: what was expected beside what was seen; status 1 where they differ";
+        return "runs drills and prints expected and observed results; exits with status 1 if any differ";
     }
 
     @Override
@@ -30,22 +30,22 @@
         List<Drill> drills = names.equals(List.of("all"))
                 ? Drills.all()
                 : names.stream().map(Drills::named).toList();
-        boolean good = true;
+        boolean allPassed = true;
         var list = Document.JSON.createArrayNode();
         for (Drill drill : drills) {
             Drill.Findings findings = new Drill.Findings();
             drill.run(seed, findings);
-            boolean all = findings.all().stream().allMatch(Drill.Finding::good);
-            good &= all;
+            boolean passed = findings.all().stream().allMatch(Drill.Finding::good);
+            allPassed &= passed;
             var node = list.addObject()
                     .put("drill", drill.name())
                     .put("seed", seed)
-                    .put("good", all);
+                    .put("good", passed);
             var lines = node.putArray("findings");
             if (!json) {
                 out.printf(
-                        "%s: %s (seed %d; again with: spartrail drill run %s --seed %d)%n",
-                        drill.name(), all ? "good" : "NOT as it should be", seed, drill.name(), seed);
+                        "%s: %s (seed %d; repeat with: spartrail drill run %s --seed %d)%n",
+                        drill.name(), passed ? "passed" : "FAILED", seed, drill.name(), seed);
                 out.printf("  %-58s %-30s %-30s%n", "", "expected", "seen");
             }
             for (Drill.Finding finding : findings.all()) {
@@ -64,6 +64,6 @@
         if (json) {
             out.println(Document.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(list));
         }
-        return good ? 0 : 1;
+        return allPassed ? 0 : 1;
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/ExperimentCommand.java
+++ b/lab/src/main/java/spartrail/lab/cli/ExperimentCommand.java
@@ -5,12 +5,15 @@
 import org.kohsuke.args4j.Option;
 import spartrail.lab.experiment.ExperimentStore;
 
-/** A command on the store of experiments. */
+/** A command that reads or writes the store of experiments. */
 abstract class ExperimentCommand extends Command {
-    @Option(name = "--store", metaVar = "FILE", usage = "the store, without its ending .mv.db (default ./experiments)")
+    @Option(
+            name = "--store",
+            metaVar = "FILE",
+            usage = "the store file, without its suffix .mv.db (default ./experiments)")
     private Path file = Path.of("experiments");
 
-    ExperimentStore store() throws SQLException {
+    ExperimentStore openStore() throws SQLException {
         return new ExperimentStore(file);
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/ExperimentCompare.java
+++ b/lab/src/main/java/spartrail/lab/cli/ExperimentCompare.java
@@ -10,32 +10,32 @@
 import spartrail.lab.experiment.ExperimentStore;
 import spartrail.lab.file.Document;
 
-/** Holds two experiments against each other. */
+/** Compares two experiments metric by metric. */
 final class ExperimentCompare extends ExperimentCommand {
-    @Argument(required = true, index = 0, metaVar = "A", usage = "an experiment's id or name")
-    private String first;
+    @Argument(required = true, index = 0, metaVar = "A", usage = "id or name of the experiment to compare with")
+    private String baseline;
 
-    @Argument(required = true, index = 1, metaVar = "B", usage = "the one to judge against it")
-    private String second;
+    @Argument(required = true, index = 1, metaVar = "B", usage = "id or name of the experiment to judge")
+    private String candidate;
 
-    @Option(name = "--json", usage = "as JSON")
+    @Option(name = "--json", usage = "print the comparison as JSON")
     private boolean json;
 
     @Override
     String summary() {
-        return "says metric by metric whether the second is better, worse, or cannot be told; status 1 where worse";
+        return "compares each metric of two experiments: the second is better, worse or undecided; exits with status 1 if any is worse";
     }
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
         boolean worse = false;
-        try (ExperimentStore store = store()) {
-            Map<String, Map<Long, JsonNode>> one =
-                    ExperimentComparison.groups(store.runs(store.find(first).id()));
-            Map<String, Map<Long, JsonNode>> other =
-                    ExperimentComparison.groups(store.runs(store.find(second).id()));
-            for (Map.Entry<String, Map<Long, JsonNode>> group : one.entrySet()) {
-                Map<Long, JsonNode> partner = other.get(group.getKey());
+        try (ExperimentStore store = openStore()) {
+            Map<String, Map<Long, JsonNode>> baselineGroups =
+                    ExperimentComparison.groups(store.runs(store.find(baseline).id()));
+            Map<String, Map<Long, JsonNode>> candidateGroups =
+                    ExperimentComparison.groups(store.runs(store.find(candidate).id()));
+            for (Map.Entry<String, Map<Long, JsonNode>> group : baselineGroups.entrySet()) {
+                Map<Long, JsonNode> partner = candidateGroups.get(group.getKey());
                 if (partner == null) {
                     continue;
                 }
@@ -48,7 +48,10 @@
                         json
                                 ? Document.JSON.writeValueAsString(lines) + "\n"
                                 : ExperimentComparison.table(
-                                        first + ": " + group.getKey(), second + ": " + group.getKey(), lines, pairs));
+                                        baseline + ": " + group.getKey(),
+                                        candidate + ": " + group.getKey(),
+                                        lines,
+                                        pairs));
             }
         }
         return worse ? 1 : 0;
--- a/lab/src/main/java/spartrail/lab/cli/ExperimentPrune.java
+++ b/lab/src/main/java/spartrail/lab/cli/ExperimentPrune.java
@@ -5,14 +5,14 @@
 import spartrail.lab.experiment.ExperimentStore;
 import spartrail.lab.file.InvalidInputException;
 
-/** Bounds the store. */
+/** Deletes the oldest experiments of a store to limit its size. */
 final class ExperimentPrune extends ExperimentCommand {
-    @Option(name = "--keep", metaVar = "N", required = true, usage = "keep the newest so many experiments")
+    @Option(name = "--keep", metaVar = "N", required = true, usage = "number of newest experiments to keep")
     private int keep;
 
     @Override
     String summary() {
-        return "forgets all but the newest experiments of a store";
+        return "deletes all but the newest experiments of a store";
     }
 
     @Override
@@ -20,8 +20,8 @@
         if (keep < 0) {
             throw new InvalidInputException("--keep: found " + keep + ", 0 or more is expected");
         }
-        try (ExperimentStore store = store()) {
-            out.println(store.prune(keep) + " forgotten");
+        try (ExperimentStore store = openStore()) {
+            out.println(store.prune(keep) + " experiments deleted");
         }
         return 0;
     }
--- a/lab/src/main/java/spartrail/lab/cli/ExperimentRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/ExperimentRun.java
@@ -14,25 +14,28 @@
 import spartrail.lab.experiment.Runner;
 import sun.misc.Signal;
 
-/** Plays a matrix of runs into the store. */
+/** Runs each cell of an experiment's matrix and writes the results to the store. */
 final class ExperimentRun extends ExperimentCommand {
-    @Argument(required = true, metaVar = "FILE", usage = "the experiment")
+    @Argument(required = true, metaVar = "FILE", usage = "file that describes the experiment")
     private Path file;
 
-    @Option(name = "--report", metaVar = "FOLDER", usage = "write tables, charts and a page there at the end")
-    private Path folder;
+    @Option(
+            name = "--report",
+            metaVar = "FOLDER",
+            usage = "write tables, charts and an HTML page to this folder at the end")
+    private Path reportFolder;
 
     @Override
     String summary() {
-        return "plays fleet, front nodes and load for each cell of a matrix and keeps the results";
+        return "runs servers, front nodes and load for each cell of a matrix and stores the results";
     }
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
         ExperimentPlan plan = ExperimentPlan.read(file);
         AtomicBoolean stopped = new AtomicBoolean();
-        boolean good = true;
-        try (ExperimentStore store = store();
+        boolean allKept = true;
+        try (ExperimentStore store = openStore();
                 LiveView live = new LiveView(err, List::of)) {
             Signal.handle(new Signal("INT"), signal -> stopped.set(true));
             long experiment = store.begin(plan);
@@ -46,7 +49,7 @@
                     store.complete(run, report);
                 }
                 boolean kept = report.at("/rules/kept").asBoolean();
-                good &= kept;
+                allKept &= kept;
                 out.printf(
                         Locale.ROOT,
                         "%d of %d: %s, seed %d: served %d of %d tries, p99 %.1f ms, rules %s%s%n",
@@ -64,11 +67,11 @@
             }
             List<ExperimentStore.Run> runs = store.runs(experiment);
             out.print(ExperimentPage.tables(runs));
-            if (folder != null) {
-                ExperimentPage.folder(folder, plan.name(), runs);
-                out.println("report: " + folder.resolve("index.html"));
+            if (reportFolder != null) {
+                ExperimentPage.folder(reportFolder, plan.name(), runs);
+                out.println("report: " + reportFolder.resolve("index.html"));
             }
         }
-        return good && !stopped.get() ? 0 : 1;
+        return allKept && !stopped.get() ? 0 : 1;
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/ExperimentShow.java
+++ b/lab/src/main/java/spartrail/lab/cli/ExperimentShow.java
@@ -9,25 +9,25 @@
 import spartrail.lab.experiment.ExperimentStore;
 import spartrail.lab.file.Document;
 
-/** Shows one experiment. */
+/** Prints the results of one experiment. */
 final class ExperimentShow extends ExperimentCommand {
-    @Argument(required = true, metaVar = "NAME", usage = "an experiment's id or name")
+    @Argument(required = true, metaVar = "NAME", usage = "id or name of the experiment")
     private String name;
 
-    @Option(name = "--json", usage = "its runs as JSON")
+    @Option(name = "--json", usage = "print the runs as JSON")
     private boolean json;
 
-    @Option(name = "--report", metaVar = "FOLDER", usage = "write tables, charts and a page there")
-    private Path folder;
+    @Option(name = "--report", metaVar = "FOLDER", usage = "write tables, charts and an HTML page to this folder")
+    private Path reportFolder;
 
     @Override
     String summary() {
-        return "shows an experiment: tables with intervals, and charts with --report";
+        return "prints the results of an experiment as tables with confidence intervals; --report adds charts";
     }
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        try (ExperimentStore store = store()) {
+        try (ExperimentStore store = openStore()) {
             ExperimentStore.Kept kept = store.find(name);
             List<ExperimentStore.Run> runs = store.runs(kept.id());
             if (json) {
@@ -35,8 +35,8 @@
             } else {
                 out.print(ExperimentPage.tables(runs));
             }
-            if (folder != null) {
-                ExperimentPage.folder(folder, kept.name(), runs);
+            if (reportFolder != null) {
+                ExperimentPage.folder(reportFolder, kept.name(), runs);
             }
         }
         return 0;
--- a/lab/src/main/java/spartrail/lab/cli/FleetFront.java
+++ b/lab/src/main/java/spartrail/lab/cli/FleetFront.java
@@ -12,23 +12,23 @@
 import spartrail.lab.net.SocketLoop;
 import sun.misc.Signal;
 
-/** Runs a layer that spreads clients over front nodes. */
+/** Runs a connection balancer that distributes client connections over front nodes. */
 final class FleetFront extends Command {
-    @Argument(required = true, metaVar = "HOST:PORT", usage = "front nodes on the loopback")
+    @Argument(required = true, metaVar = "HOST:PORT", usage = "loopback addresses of the front nodes")
     private List<String> nodes = new ArrayList<>();
 
-    @Option(name = "--port", metaVar = "N", usage = "where clients connect (default: a free port)")
+    @Option(name = "--port", metaVar = "N", usage = "port that clients connect to (default: a free port)")
     private int port;
 
     @Option(
             name = "--notice-ms",
             metaVar = "MS",
-            usage = "a node that is ready or gone counts as such so much later (default 1000)")
+            usage = "delay until a node that becomes ready or unavailable is treated as such (default 1000)")
     private double noticeMs = 1000;
 
     @Override
     String summary() {
-        return "runs a layer that spreads clients' connections over the front nodes that are up, until SIGINT or SIGTERM";
+        return "distributes client connections over the front nodes that are ready, until SIGINT or SIGTERM";
     }
 
     @Override
@@ -37,17 +37,17 @@
         for (String node : nodes) {
             if (!node.matches("127(\\.[0-9]{1,3}){3}:[0-9]{1,5}")) {
                 throw new InvalidInputException(
-                        "found '" + node + "', an address of the loopback such as 127.0.0.1:3000 is expected");
+                        "found '" + node + "', a loopback address such as 127.0.0.1:3000 is expected");
             }
             addresses.add(new InetSocketAddress(node.split(":")[0], Integer.parseInt(node.split(":")[1])));
         }
-        CountDownLatch over = new CountDownLatch(1);
-        Signal.handle(new Signal("INT"), signal -> over.countDown());
-        Signal.handle(new Signal("TERM"), signal -> over.countDown());
+        CountDownLatch stopRequested = new CountDownLatch(1);
+        Signal.handle(new Signal("INT"), signal -> stopRequested.countDown());
+        Signal.handle(new Signal("TERM"), signal -> stopRequested.countDown());
         try (SocketLoop loop = new SocketLoop("spartrail-front-layer");
                 FrontLayer layer = new FrontLayer(loop, port, addresses, noticeMs)) {
             out.println("clients connect to 127.0.0.1:" + layer.port());
-            over.await();
+            stopRequested.await();
         }
         return 0;
     }
--- a/lab/src/main/java/spartrail/lab/cli/FleetRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/FleetRun.java
@@ -14,27 +14,30 @@
 import spartrail.lab.fleet.FleetPlan;
 import sun.misc.Signal;
 
-/** Runs stand-in servers and the roll that lists them until it is ended. */
+/** Runs emulated index servers and the discovery service that lists them, until a signal, a time limit or "quit". */
 final class FleetRun extends Command {
-    @Argument(required = true, metaVar = "FILE", usage = "the fleet")
+    @Argument(required = true, metaVar = "FILE", usage = "file that describes the fleet")
     private Path file;
 
-    @Option(name = "--for", metaVar = "SECONDS", usage = "end after so long (default: until SIGINT, SIGTERM or 'quit')")
+    @Option(
+            name = "--for",
+            metaVar = "SECONDS",
+            usage = "stop after this time (default: run until SIGINT, SIGTERM or 'quit')")
     private double seconds = Double.POSITIVE_INFINITY;
 
     @Override
     String summary() {
-        return "runs stand-in servers and their roll; lines on standard input change them while they run";
+        return "runs emulated index servers and their discovery service; commands on standard input change them during the run";
     }
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
         FleetPlan plan = FleetPlan.read(file);
-        CountDownLatch over = new CountDownLatch(1);
+        CountDownLatch stopRequested = new CountDownLatch(1);
         try (Fleet fleet = new Fleet(plan, new FleetListener() {
             @Override
             public void fell(String server, double load, double atMs) {
-                out.println(server + " fell over");
+                out.println(server + " crashed under load");
             }
 
             @Override
@@ -43,34 +46,36 @@
             }
         })) {
             for (int node = 0; node < plan.nodes(); node++) {
-                out.println("node " + node + ": roll on " + fleet.rollAddress(node) + ", "
-                        + plan.servers().size() + " servers from " + fleet.serverAddress(node, "s-0") + " on");
+                out.println("node " + node + ": discovery at " + fleet.rollAddress(node) + ", "
+                        + plan.servers().size() + " servers on ports from " + fleet.serverAddress(node, "s-0")
+                        + " upwards");
             }
-            out.println("orders on standard input: WHAT SERVERS [BY] [LASTS_MS], figures, quit");
+            out.println(
+                    "commands on standard input: WHAT SERVERS [BY] [LASTS_MS] applies a change, figures prints counts, quit stops");
             fleet.play();
-            Signal.handle(new Signal("INT"), signal -> over.countDown());
-            Signal.handle(new Signal("TERM"), signal -> over.countDown());
-            Thread orders = new Thread(() -> orders(fleet, out, over), "spartrail-orders");
-            orders.setDaemon(true);
-            orders.start();
+            Signal.handle(new Signal("INT"), signal -> stopRequested.countDown());
+            Signal.handle(new Signal("TERM"), signal -> stopRequested.countDown());
+            Thread commandReader = new Thread(() -> readCommands(fleet, out, stopRequested), "spartrail-orders");
+            commandReader.setDaemon(true);
+            commandReader.start();
             if (Double.isFinite(seconds)) {
-                over.await(Math.round(1000 * seconds), java.util.concurrent.TimeUnit.MILLISECONDS);
+                stopRequested.await(Math.round(1000 * seconds), java.util.concurrent.TimeUnit.MILLISECONDS);
             } else {
-                over.await();
+                stopRequested.await();
             }
             out.print(fleet.text());
         }
         return 0;
     }
 
-    private static void orders(Fleet fleet, PrintStream out, CountDownLatch over) {
+    private static void readCommands(Fleet fleet, PrintStream out, CountDownLatch stopRequested) {
         try (BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 if (line.isBlank()) {
                     continue;
                 }
                 if (line.trim().equals("quit")) {
-                    over.countDown();
+                    stopRequested.countDown();
                     return;
                 }
                 if (line.trim().equals("figures")) {
@@ -84,7 +89,7 @@
                 }
             }
         } catch (java.io.IOException e) {
-            // No more orders.
+            // Standard input cannot be read; the fleet runs on without further commands.
         }
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/LabCommandLine.java
+++ b/lab/src/main/java/spartrail/lab/cli/LabCommandLine.java
@@ -9,13 +9,13 @@
 import org.kohsuke.args4j.ParserProperties;
 import spartrail.lab.file.InvalidInputException;
 
-/** Finds the sub-command that the first words name, reads its options, runs it. */
+/** Finds the sub-command that the first one or two words name, parses its options and runs it. */
 public final class LabCommandLine {
     static final Map<String, Supplier<Command>> COMMANDS = new LinkedHashMap<>();
 
     static {
         COMMANDS.put("load run", LoadRun::new);
-        COMMANDS.put("load plan", LoadPlanned::new);
+        COMMANDS.put("load plan", LoadPreview::new);
         COMMANDS.put("load import", LoadImport::new);
         COMMANDS.put("load replay", LoadReplay::new);
         COMMANDS.put("load speed", LoadSpeed::new);
@@ -35,16 +35,16 @@
         COMMANDS.put("nodes planted", NodesPlanted::new);
         COMMANDS.put("nodes figures", NodesFigures::new);
         COMMANDS.put("nodes model", NodesModel::new);
-        COMMANDS.put("peers show", () -> new PeersShow(PeersShow.What.SHOW));
-        COMMANDS.put("peers watch", () -> new PeersShow(PeersShow.What.WATCH));
+        COMMANDS.put("peers show", () -> new PeersShow(PeersShow.Mode.SHOW));
+        COMMANDS.put("peers watch", () -> new PeersShow(PeersShow.Mode.WATCH));
         COMMANDS.put("peers explain", PeersExplain::new);
         COMMANDS.put("policy found", PolicyBootstrap::new);
         COMMANDS.put("policy propose", PolicyPropose::new);
-        COMMANDS.put("policy abort", () -> new PolicyCommand(PolicyCommand.What.ABORT));
-        COMMANDS.put("policy rollback", () -> new PolicyCommand(PolicyCommand.What.ROLLBACK));
-        COMMANDS.put("policy show", () -> new PolicyShow(PolicyShow.What.SHOW));
-        COMMANDS.put("policy history", () -> new PolicyShow(PolicyShow.What.HISTORY));
-        COMMANDS.put("policy who", () -> new PolicyShow(PolicyShow.What.WHO));
+        COMMANDS.put("policy abort", () -> new PolicyAbortOrRollback(PolicyAbortOrRollback.Mode.ABORT));
+        COMMANDS.put("policy rollback", () -> new PolicyAbortOrRollback(PolicyAbortOrRollback.Mode.ROLLBACK));
+        COMMANDS.put("policy show", () -> new PolicyShow(PolicyShow.Mode.SHOW));
+        COMMANDS.put("policy history", () -> new PolicyShow(PolicyShow.Mode.HISTORY));
+        COMMANDS.put("policy who", () -> new PolicyShow(PolicyShow.Mode.WHO));
         COMMANDS.put("policy diff", PolicyDiff::new);
         COMMANDS.put("drill list", DrillList::new);
         COMMANDS.put("drill run", DrillRun::new);
@@ -58,17 +58,18 @@
 
     private LabCommandLine() {}
 
+    /** Runs the sub-command that {@code args} name and returns its exit status, 0, 1 or 2. */
     public static int run(String[] args, PrintStream out, PrintStream err) {
         if (args.length == 0 || args[0].equals("--help") || args[0].equals("help")) {
-            usage(args.length == 0 ? err : out);
+            printUsage(args.length == 0 ? err : out);
             return args.length == 0 ? 2 : 0;
         }
         int words = args.length > 1 && COMMANDS.containsKey(args[0] + " " + args[1]) ? 2 : 1;
         String name = words == 2 ? args[0] + " " + args[1] : args[0];
         if (!COMMANDS.containsKey(name)) {
-            boolean group = COMMANDS.keySet().stream().anyMatch(known -> known.startsWith(args[0] + " "));
+            boolean isGroup = COMMANDS.keySet().stream().anyMatch(known -> known.startsWith(args[0] + " "));
             err.println("spartrail: "
-                    + (group
+                    + (isGroup
                             ? "'" + args[0] + "' wants one of "
                                     + COMMANDS.keySet().stream()
                                             .filter(known -> known.startsWith(args[0] + " "))
@@ -88,7 +89,7 @@
                 parser.printUsage(out);
                 return 0;
             }
-            Logs.set(command.log);
+            Logs.configure(command.log);
             return command.run(out, err);
         } catch (CmdLineException | InvalidInputException e) {
             err.println("spartrail: " + e.getMessage());
@@ -99,16 +100,16 @@
         }
     }
 
-    private static void usage(PrintStream out) {
-        out.println("spartrail COMMAND [OPTION ...]; --help behind a command says what it takes\n");
-        String[][] node = {
-            {"serve", "a front node, until SIGTERM"},
-            {"check", "says whether a node could start with a configuration"},
-            {"simhost", "hosts nodes' decisions on the simulator's wire"},
-            {"subset show", "which servers a node uses of a list, and which follow"},
-            {"version", "says which version this is"}
+    private static void printUsage(PrintStream out) {
+        out.println("spartrail COMMAND [OPTION ...]; COMMAND --help prints the options of a command\n");
+        String[][] nodeCommands = {
+            {"serve", "runs a front node until SIGTERM"},
+            {"check", "checks whether a node could start with a configuration"},
+            {"simhost", "runs the decisions of simulated nodes over the simulator's protocol"},
+            {"subset show", "prints which servers of a list a node uses, and which servers replace them"},
+            {"version", "prints the version of this program"}
         };
-        for (String[] line : node) {
+        for (String[] line : nodeCommands) {
             out.printf("  %-20s %s%n", line[0], line[1]);
         }
         COMMANDS.forEach((name, command) ->
--- a/lab/src/main/java/spartrail/lab/cli/LiveView.java
+++ b/lab/src/main/java/spartrail/lab/cli/LiveView.java
@@ -12,20 +12,20 @@
 import org.jline.utils.Display;
 import spartrail.lab.load.LoadSession;
 
-/** What a run looks like while it goes: redrawn on a terminal, a line in ten seconds elsewhere. */
+/** Progress of a load run: redrawn in place on a terminal, otherwise printed as one line every ten seconds. */
 final class LiveView implements AutoCloseable {
-    private static final double PLAIN_EVERY_MS = 10_000;
+    private static final double PLAIN_INTERVAL_MS = 10_000;
 
     private final PrintStream err;
-    private final Supplier<List<String>> more;
+    private final Supplier<List<String>> extraLines;
     private Terminal terminal;
     private Display display;
-    private double plainMs;
+    private double lastPlainMs;
 
-    /** The further lines are asked each time: rules, say. */
-    LiveView(PrintStream err, Supplier<List<String>> more) {
+    /** On a terminal, each redraw calls {@code extraLines} for lines to show below the progress, such as rules. */
+    LiveView(PrintStream err, Supplier<List<String>> extraLines) {
         this.err = err;
-        this.more = more;
+        this.extraLines = extraLines;
         if (System.console() != null) {
             try {
                 terminal = TerminalBuilder.builder()
@@ -43,13 +43,13 @@
     }
 
     void show(LoadSession.Glance glance) {
-        String lasts = Double.isNaN(glance.lastsMs()) ? "?" : Long.toString(Math.round(glance.lastsMs() / 1000));
+        String durationS = Double.isNaN(glance.lastsMs()) ? "?" : Long.toString(Math.round(glance.lastsMs() / 1000));
         String line = String.format(
                 Locale.ROOT,
-                "%6.1f of %s s  %d tries (%.0f a second)  %d in flight on %d connections"
-                        + "  p50 %.1f p99 %.1f ms  own lag p99 %.3f ms",
+                "%6.1f of %s s  %d attempts (%.0f/s)  %d in flight on %d connections"
+                        + "  p50 %.1f p99 %.1f ms  generator lag p99 %.3f ms",
                 glance.ms() / 1000,
-                lasts,
+                durationS,
                 glance.tries(),
                 glance.tries() * 1000 / Math.max(1, glance.ms()),
                 glance.inFlight(),
@@ -63,10 +63,10 @@
             List<AttributedString> lines = new java.util.ArrayList<>();
             lines.add(new AttributedString(line));
             lines.add(new AttributedString(glance.kinds().toString()));
-            more.get().forEach(text -> lines.add(new AttributedString(text)));
+            extraLines.get().forEach(text -> lines.add(new AttributedString(text)));
             display.update(lines, 0);
-        } else if (glance.ms() >= plainMs + PLAIN_EVERY_MS) {
-            plainMs = glance.ms();
+        } else if (glance.ms() >= lastPlainMs + PLAIN_INTERVAL_MS) {
+            lastPlainMs = glance.ms();
             err.println(line + "  " + glance.kinds());
         }
     }
--- a/lab/src/main/java/spartrail/lab/cli/LoadCommand.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadCommand.java
@@ -8,19 +8,22 @@
 import spartrail.lab.file.Document;
 import spartrail.lab.plan.LoadPlan;
 
-/** What all commands that send have in common: where to, and what becomes of the report. */
+/** Options that all commands that send load share: the target nodes and the form of the report. */
 abstract class LoadCommand extends Command {
-    @Option(name = "--target", metaVar = "HOST:PORT", usage = "a front node on the loopback; may be repeated")
+    @Option(
+            name = "--target",
+            metaVar = "HOST:PORT",
+            usage = "loopback address of a front node to send to; may be repeated")
     private List<String> targets = new ArrayList<>();
 
     @Option(name = "--json", usage = "print the report as JSON")
     boolean json;
 
-    @Option(name = "--out", metaVar = "FILE", usage = "write the report as JSON to this file too")
+    @Option(name = "--out", metaVar = "FILE", usage = "also write the report as JSON to this file")
     Path report;
 
-    /** The front nodes that were named, checked; none where none was. */
-    List<LoadPlan.Target> targets(Document document) {
+    /** Parses and checks the front nodes given with --target; the list is empty if there are none. */
+    List<LoadPlan.Target> parseTargets(Document document) {
         List<LoadPlan.Target> nodes = new ArrayList<>();
         for (String target : targets) {
             nodes.add(LoadPlan.target(document, TextNode.valueOf(target), "--target"));
--- a/lab/src/main/java/spartrail/lab/cli/LoadImport.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadImport.java
@@ -7,44 +7,54 @@
 import spartrail.lab.file.Document;
 import spartrail.lab.trace.TraceImport;
 
-/** Makes a trace of a recording. */
+/** Converts a recording of requests to a trace file. */
 final class LoadImport extends Command {
     @Argument(
             required = true,
             metaVar = "FILE",
-            usage = "CSV with a head line, JSON lines, or a front node's record; .gz too")
-    private Path file;
+            usage =
+                    "the recording: CSV with a header line, JSON lines, or the record of a front node; may be compressed (.gz)")
+    private Path recording;
 
-    @Option(name = "--out", metaVar = "TRACE", required = true, usage = "the trace to write")
+    @Option(name = "--out", metaVar = "TRACE", required = true, usage = "trace file to write")
     private Path trace;
 
-    @Option(name = "--columns", metaVar = "FILE", usage = "what the columns are called (default: our own names)")
+    @Option(
+            name = "--columns",
+            metaVar = "FILE",
+            usage =
+                    "file that maps the column names of the recording (default: the names in the record of a front node)")
     private Path columns;
 
-    @Option(name = "--reorder-ms", metaVar = "MS", usage = "lines are put into order within so long (default 1000)")
+    @Option(
+            name = "--reorder-ms",
+            metaVar = "MS",
+            usage = "sort lines that are out of order by at most this time (default 1000)")
     private double reorderMs = 1000;
 
-    @Option(name = "--clamp", usage = "move up what is out of order beyond that instead of refusing the trace")
+    @Option(
+            name = "--clamp",
+            usage = "adjust the times of lines that are further out of order, instead of rejecting the recording")
     private boolean clamp;
 
-    @Option(name = "--squeeze", metaVar = "MS", usage = "shorten longer gaps to this")
+    @Option(name = "--squeeze", metaVar = "MS", usage = "shorten longer gaps between lines to this time")
     private double squeezeMs;
 
-    @Option(name = "--keep-duplicates", usage = "keep lines that are the same as one just before")
+    @Option(name = "--keep-duplicates", usage = "keep lines that repeat a preceding line")
     private boolean keepDuplicates;
 
     @Override
     String summary() {
-        return "makes a compact trace of a recording; what is odd about it is counted or refused with its line";
+        return "converts a recording to a compact trace; irregular lines are counted, or rejected with their line number";
     }
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        TraceImport.Columns named = columns == null
+        TraceImport.Columns columnNames = columns == null
                 ? TraceImport.Columns.ofRecord()
                 : TraceImport.Columns.of(Document.read(columns, "columns"));
         out.println(Document.JSON.writeValueAsString(
-                TraceImport.run(file, trace, named, reorderMs, clamp, squeezeMs, keepDuplicates)));
+                TraceImport.run(recording, trace, columnNames, reorderMs, clamp, squeezeMs, keepDuplicates)));
         return 0;
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/LoadPlanned.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadPreview.java
@@ -11,23 +11,23 @@
 import spartrail.lab.plan.Arrival;
 import spartrail.lab.plan.LoadPlan;
 
-/** Shows what a plan would send, without sending. */
-final class LoadPlanned extends Command {
-    @Argument(required = true, metaVar = "FILE", usage = "the plan")
+/** Prints the arrivals that a load plan generates, without sending them. */
+final class LoadPreview extends Command {
+    @Argument(required = true, metaVar = "FILE", usage = "the load plan")
     private Path file;
 
-    @Option(name = "--json", usage = "each arrival as a JSON line")
+    @Option(name = "--json", usage = "print each arrival as a line of JSON")
     private boolean json;
 
-    @Option(name = "--list", usage = "each arrival as a line")
+    @Option(name = "--list", usage = "print each arrival as a line of text")
     private boolean list;
 
-    @Option(name = "--most", metaVar = "N", usage = "no more than so many arrivals")
-    private long most = Long.MAX_VALUE;
+    @Option(name = "--most", metaVar = "N", usage = "maximum number of arrivals (default: all)")
+    private long maxArrivals = Long.MAX_VALUE;
 
     @Override
     String summary() {
-        return "prints or draws the arrivals of a plan without sending anything";
+        return "prints the arrivals of a load plan, or a chart of their rate, without sending anything";
     }
 
     @Override
@@ -35,12 +35,12 @@
         LoadPlan plan = LoadPlan.read(file);
         Iterator<Arrival> arrivals = plan.arrivals();
         int bins = 60;
-        double lastsMs = plan.durationMs();
+        double durationMs = plan.durationMs();
         long[] counts = new long[bins];
-        long all = 0;
-        for (; all < most && arrivals.hasNext(); all++) {
+        long total = 0;
+        for (; total < maxArrivals && arrivals.hasNext(); total++) {
             Arrival arrival = arrivals.next();
-            counts[(int) Math.min(bins - 1, arrival.atMs() * bins / lastsMs)]++;
+            counts[(int) Math.min(bins - 1, arrival.atMs() * bins / durationMs)]++;
             if (json) {
                 ObjectNode line = Document.JSON
                         .createObjectNode()
@@ -66,16 +66,16 @@
             }
         }
         if (!json) {
-            long top = 1;
+            long maxCount = 1;
             for (long count : counts) {
-                top = Math.max(top, count);
+                maxCount = Math.max(maxCount, count);
             }
-            double eachS = lastsMs / bins / 1000;
+            double binSeconds = durationMs / bins / 1000;
             for (int i = 0; i < bins; i++) {
-                out.printf(Locale.ROOT, "%8.1f s %9.1f/s %s%n", i * eachS, counts[i] / eachS, "#".repeat((int)
-                                (60 * counts[i] / top)));
+                out.printf(Locale.ROOT, "%8.1f s %9.1f/s %s%n", i * binSeconds, counts[i] / binSeconds, "#".repeat((int)
+                                (60 * counts[i] / maxCount)));
             }
-            out.printf(Locale.ROOT, "%d multigets in %.1f s, seed %d%n", all, lastsMs / 1000, plan.seed());
+            out.printf(Locale.ROOT, "%d multigets in %.1f s, seed %d%n", total, durationMs / 1000, plan.seed());
         }
         return 0;
     }
--- a/lab/src/main/java/spartrail/lab/cli/LoadReplay.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadReplay.java
@@ -14,32 +14,35 @@
 import spartrail.lab.plan.Rate;
 import spartrail.lab.trace.TraceReplay;
 
-/** Sends what a trace holds, when it says. */
+/** Sends the requests of a trace at their recorded times, scaled by the options. */
 final class LoadReplay extends LoadCommand {
-    @Argument(required = true, metaVar = "TRACE", usage = "a trace, or a front node's record as it is")
+    @Argument(required = true, metaVar = "TRACE", usage = "a trace, or the unconverted record of a front node")
     private Path file;
 
-    @Option(name = "--speed", metaVar = "X", usage = "so many times as fast (default 1)")
+    @Option(name = "--speed", metaVar = "X", usage = "factor by which the trace is replayed faster (default 1)")
     private double speed = 1;
 
-    @Option(name = "--loops", metaVar = "N", usage = "play it so many times (default 1)")
+    @Option(name = "--loops", metaVar = "N", usage = "number of times to replay the trace (default 1)")
     private int loops = 1;
 
-    @Option(name = "--share", metaVar = "S", usage = "send only this share of it (default 1)")
+    @Option(name = "--share", metaVar = "S", usage = "share of the requests to send, above 0 to 1 (default 1)")
     private double share = 1;
 
-    @Option(name = "--copies", metaVar = "N", usage = "send each so many times, with keys of their own (default 1)")
+    @Option(
+            name = "--copies",
+            metaVar = "N",
+            usage = "number of times to send each request, each with a different key (default 1)")
     private int copies = 1;
 
-    @Option(name = "--connections", metaVar = "N", usage = "most connections (default 1000)")
+    @Option(name = "--connections", metaVar = "N", usage = "maximum number of connections (default 1000)")
     private int connections = 1000;
 
-    @Option(name = "--seed", metaVar = "N", usage = "what is drawn by chance follows from it (default 1)")
+    @Option(name = "--seed", metaVar = "N", usage = "seed of all random choices (default 1)")
     private long seed = 1;
 
     @Override
     String summary() {
-        return "sends a trace to front nodes, open loop: faster, looped, thinned or multiplied";
+        return "sends the requests of a trace to front nodes (open loop), optionally faster, repeated, sampled or multiplied";
     }
 
     @Override
@@ -51,8 +54,8 @@
         if (!Files.isReadable(file)) {
             throw new InvalidInputException(file + ": cannot be read");
         }
-        Document named = Document.of("--target", Document.JSON.createObjectNode(), "columns");
-        List<LoadPlan.Target> nodes = targets(named);
+        Document emptyDocument = Document.of("--target", Document.JSON.createObjectNode(), "columns");
+        List<LoadPlan.Target> nodes = parseTargets(emptyDocument);
         if (nodes.isEmpty()) {
             throw new InvalidInputException("no front node to send to: give --target");
         }
--- a/lab/src/main/java/spartrail/lab/cli/LoadRunner.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadRunner.java
@@ -15,7 +15,7 @@
 import spartrail.lab.plan.LoadPlan;
 import sun.misc.Signal;
 
-/** A run from the command line: a live view, SIGINT that ends it in order, a report that is written in any case. */
+/** Runs a load session with a live view. SIGINT ends the run early; the report is written in that case, too. */
 final class LoadRunner {
     private LoadRunner() {}
 
@@ -24,18 +24,18 @@
             Iterator<Arrival> arrivals,
             double lastsMs,
             boolean json,
-            Path file,
+            Path reportFile,
             PrintStream out,
             PrintStream err)
             throws Exception {
         try (LoadSession session = new LoadSession(plan, arrivals, lastsMs, LoadListener.NONE);
                 LiveView live = new LiveView(err, List::of)) {
-            Signal.handle(new Signal("INT"), signal -> session.stop("ended by SIGINT before the plan was through"));
+            Signal.handle(new Signal("INT"), signal -> session.stop("ended by SIGINT before the plan was complete"));
             while (!session.await(500)) {
                 live.show(session.glance());
             }
             ObjectNode tree = session.report();
-            write(file, tree);
+            writeReport(reportFile, tree);
             if (json) {
                 out.println(Document.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(tree));
             } else {
@@ -45,10 +45,10 @@
         }
     }
 
-    static void write(Path file, ObjectNode tree) throws IOException {
-        if (file != null) {
+    static void writeReport(Path reportFile, ObjectNode tree) throws IOException {
+        if (reportFile != null) {
             Files.writeString(
-                    file, Document.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(tree) + "\n");
+                    reportFile, Document.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(tree) + "\n");
         }
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/LoadSpeed.java
+++ b/lab/src/main/java/spartrail/lab/cli/LoadSpeed.java
@@ -20,26 +20,26 @@
 import spartrail.lab.load.LoadSession;
 import spartrail.lab.plan.LoadPlan;
 
-/** How fast the generator itself is: it sends to a responder in the same process that has nothing to do. */
+/** Measures the throughput of the load generator against a responder in the same process that does no work. */
 final class LoadSpeed extends Command {
     private static final Set<String> HEAP = ManagementFactory.getMemoryPoolMXBeans().stream()
             .filter(pool -> pool.getType() == MemoryType.HEAP)
             .map(MemoryPoolMXBean::getName)
             .collect(Collectors.toSet());
 
-    @Option(name = "--per-s", metaVar = "N", usage = "multigets a second (default 20000)")
+    @Option(name = "--per-s", metaVar = "N", usage = "rate of multigets per second (default 20000)")
     private double perS = 20_000;
 
-    @Option(name = "--seconds", metaVar = "S", usage = "for so long (default 10)")
+    @Option(name = "--seconds", metaVar = "S", usage = "duration of the measurement (default 10)")
     private double seconds = 10;
 
     @Option(
             name = "--answer-ms",
             metaVar = "MS",
-            usage = "the responder answers so much later; with it connections pile up")
+            usage = "delay of the responses; a longer delay keeps more connections open (default 0)")
     private double answerMs;
 
-    @Option(name = "--connections", metaVar = "N", usage = "most connections (default 500)")
+    @Option(name = "--connections", metaVar = "N", usage = "maximum number of connections (default 500)")
     private int connections = 500;
 
     @Option(name = "--json", usage = "print the report as JSON")
@@ -47,12 +47,12 @@
 
     @Override
     String summary() {
-        return "measures the generator itself against a null responder: rate, own lag, connections, heap";
+        return "measures the load generator against a responder that does no work: rate, generator lag, connections, heap";
     }
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        LoadPlan warming = DrillPlans.even(2000, 4000, 60_000, 50, 1);
+        LoadPlan warmupPlan = DrillPlans.even(2000, 4000, 60_000, 50, 1);
         LoadPlan plan = DrillPlans.parse(String.format(
                 Locale.ROOT,
                 "{'gaps':{'kind':'poisson'},'lagBoundMs':1,'connections':"
@@ -61,18 +61,18 @@
                 connections,
                 1000 * seconds,
                 perS));
-        double[] laterMs = new double[1];
-        try (NullResponder responder = new NullResponder(0, (number, atMs) -> atMs + laterMs[0])) {
-            // Warms the responder up: one that still compiles answers late, connections pile up, and that would be
-            // measured.
+        double[] delayMs = new double[1];
+        try (NullResponder responder = new NullResponder(0, (number, atMs) -> atMs + delayMs[0])) {
+            // Warms up the responder: until its code is compiled it responds late, and the further connections that are
+            // open meanwhile would distort the measurement.
             try (LoadSession warm = new LoadSession(
-                    DrillPlans.at(warming, responder.address()),
-                    warming.arrivals(),
-                    warming.durationMs(),
+                    DrillPlans.at(warmupPlan, responder.address()),
+                    warmupPlan.arrivals(),
+                    warmupPlan.durationMs(),
                     LoadListener.NONE)) {
                 warm.await(60_000);
             }
-            laterMs[0] = answerMs;
+            delayMs[0] = answerMs;
             return measure(responder, plan, out, err);
         }
     }
@@ -91,7 +91,7 @@
                 live.show(glance);
                 mostConnections = Math.max(mostConnections, glance.connections());
                 int quarter = (int) Math.min(3, 4 * glance.ms() / (1000 * seconds));
-                heapMb[quarter] = afterCollection() >> 20;
+                heapMb[quarter] = heapBytesAfterCollection() >> 20;
             }
             ObjectNode tree = session.report();
             tree.put("mostConnections", mostConnections);
@@ -101,28 +101,28 @@
             } else {
                 out.print(LoadReport.text(tree));
                 out.printf(
-                        "most connections %d, heap after collections by quarters of the run %d, %d, %d, %d MB%n",
+                        "at most %d connections; heap after collections in each quarter of the run %d, %d, %d, %d MB%n",
                         mostConnections, heapMb[0], heapMb[1], heapMb[2], heapMb[3]);
             }
             return tree.get("fit").asBoolean() ? 0 : 1;
         }
     }
 
-    /** What the last collection of any kind left in the whole heap; what is used in between says nothing. */
-    private static long afterCollection() {
+    /** Heap in use after the last collection of any kind; between collections the heap also contains garbage. */
+    private static long heapBytesAfterCollection() {
         long newestMs = -1;
-        long left = 0;
+        long usedBytes = 0;
         for (GarbageCollectorMXBean bean : ManagementFactory.getGarbageCollectorMXBeans()) {
             GcInfo info =
                     bean instanceof com.sun.management.GarbageCollectorMXBean known ? known.getLastGcInfo() : null;
             if (info != null && info.getEndTime() > newestMs) {
                 newestMs = info.getEndTime();
-                left = info.getMemoryUsageAfterGc().entrySet().stream()
+                usedBytes = info.getMemoryUsageAfterGc().entrySet().stream()
                         .filter(pool -> HEAP.contains(pool.getKey()))
                         .mapToLong(pool -> pool.getValue().getUsed())
                         .sum();
             }
         }
-        return left;
+        return usedBytes;
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/Logs.java
+++ b/lab/src/main/java/spartrail/lab/cli/Logs.java
@@ -10,18 +10,18 @@
 import org.slf4j.LoggerFactory;
 import spartrail.lab.file.InvalidInputException;
 
-/** Structured logs on standard error: plain lines for a person or JSON lines for a machine. */
+/** Configures the log on standard error: lines of plain text or of JSON. */
 final class Logs {
     private Logs() {}
 
-    static void set(String form) {
-        if (!form.equals("plain") && !form.equals("json")) {
-            throw new InvalidInputException("--log: found '" + form + "', plain or json is expected");
+    static void configure(String format) {
+        if (!format.equals("plain") && !format.equals("json")) {
+            throw new InvalidInputException("--log: found '" + format + "', plain or json is expected");
         }
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
         Encoder<ILoggingEvent> encoder;
-        if (form.equals("json")) {
+        if (format.equals("json")) {
             encoder = new JsonEncoder();
         } else {
             PatternLayoutEncoder plain = new PatternLayoutEncoder();
@@ -37,8 +37,8 @@
         appender.start();
         context.getLogger("ROOT").addAppender(appender);
         context.getLogger("ROOT").setLevel(Level.INFO);
-        for (String loud : new String[] {"com.networknt", "org.jline", "io.undertow", "org.xnio"}) {
-            context.getLogger(loud).setLevel(Level.WARN);
+        for (String verboseLogger : new String[] {"com.networknt", "org.jline", "io.undertow", "org.xnio"}) {
+            context.getLogger(verboseLogger).setLevel(Level.WARN);
         }
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/NodesExplore.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesExplore.java
@@ -6,41 +6,44 @@
 import spartrail.lab.simulation.PeersScenario;
 import spartrail.lab.simulation.PolicyScenario;
 
-/** Plays many seeds on the virtual network and shows what broke. */
+/** Runs the scenarios of many seeds on the simulated network and prints the seeds that break a rule. */
 final class NodesExplore extends Command {
     @Option(name = "--from", metaVar = "SEED", usage = "the first seed (default 1)")
-    private long from = 1;
+    private long firstSeed = 1;
 
-    @Option(name = "--seeds", metaVar = "N", usage = "so many of them (default 1000)")
+    @Option(name = "--seeds", metaVar = "N", usage = "number of seeds (default 1000)")
     private long seeds = 1000;
 
-    @Option(name = "--most", metaVar = "NODES", usage = "3 to so many nodes, small fleets more often (default 100)")
-    private int most = 100;
+    @Option(
+            name = "--most",
+            metaVar = "NODES",
+            usage = "maximum number of nodes; small fleets are chosen more often (default 100)")
+    private int maxNodes = 100;
 
-    @Option(name = "--least", metaVar = "NODES", usage = "so many nodes at the least (default 3)")
-    private int least = 3;
+    @Option(name = "--least", metaVar = "NODES", usage = "minimum number of nodes (default 3)")
+    private int minNodes = 3;
 
     @Override
     String summary() {
-        return "plays many seeds of nodes and faults on a virtual network; status 1 where a rule of peers was broken";
+        return "runs scenarios of nodes and faults from many seeds on a simulated network; exits with status 1 if a rule is broken";
     }
 
-    @Option(name = "--policy", usage = "nodes that go by versions of policy")
+    @Option(name = "--policy", usage = "run scenarios of nodes that apply policy versions")
     private boolean policy;
 
-    private int policy(PrintStream out, PrintStream err) {
+    private int explorePolicy(PrintStream out, PrintStream err) {
         long startNs = System.nanoTime();
-        PolicyScenario.Result result = PolicyScenario.explore(from, seeds, most, done -> {
+        PolicyScenario.Result result = PolicyScenario.explore(firstSeed, seeds, maxNodes, done -> {
             if (done % 1000 == 0) {
                 err.println(done + " of " + seeds + " seeds");
             }
         });
         out.printf(
-                "seeds %d to %d, 3 to %d nodes: %d messages, %d versions that took hold, %d changes of what a node goes by, hash %016x, "
+                "seeds %d to %d, 3 to %d nodes: %d messages, %d versions that took effect, %d changes of a node's version, hash %016x, "
                         + "%.0f s%n",
-                from,
-                from + seeds - 1,
-                most,
+                firstSeed,
+                firstSeed + seeds - 1,
+                maxNodes,
                 result.messages(),
                 result.versions(),
                 result.changes(),
@@ -52,32 +55,32 @@
                 .forEach(found -> out.println("  seed " + found.getKey() + ", " + found.getValue()));
         result.found().keySet().stream()
                 .findFirst()
-                .ifPresent(seed -> out.print("the shortest script found for the first: "
-                        + PolicyScenario.drawn(seed, most).shrunk().script()));
+                .ifPresent(seed -> out.print("shortest script found for the first of them: "
+                        + PolicyScenario.drawn(seed, maxNodes).shrunk().script()));
         return result.found().isEmpty() ? 0 : 1;
     }
 
     @Override
     int run(PrintStream out, PrintStream err) {
         if (policy) {
-            return policy(out, err);
+            return explorePolicy(out, err);
         }
         long startNs = System.nanoTime();
-        long[] toldNs = {startNs};
-        Exploration.Result result = Exploration.of(from, seeds, least, most, done -> {
-            synchronized (toldNs) {
-                if (System.nanoTime() - toldNs[0] > 10_000_000_000L) {
-                    toldNs[0] = System.nanoTime();
+        long[] reportedNs = {startNs};
+        Exploration.Result result = Exploration.of(firstSeed, seeds, minNodes, maxNodes, done -> {
+            synchronized (reportedNs) {
+                if (System.nanoTime() - reportedNs[0] > 10_000_000_000L) {
+                    reportedNs[0] = System.nanoTime();
                     err.println(done + " of " + seeds + " seeds");
                 }
             }
         });
         out.printf(
-                "seeds %d to %d, %d to %d nodes: %d messages, %d changes of views judged, hash %016x, %.0f s%n",
-                from,
-                from + seeds - 1,
-                least,
-                most,
+                "seeds %d to %d, %d to %d nodes: %d messages, %d view changes checked, hash %016x, %.0f s%n",
+                firstSeed,
+                firstSeed + seeds - 1,
+                minNodes,
+                maxNodes,
                 result.messages(),
                 result.changes(),
                 result.hash(),
@@ -88,9 +91,10 @@
                 .forEach(found ->
                         out.println("  seed " + found.seed() + ", " + found.size() + " nodes, " + found.first()));
         result.found().keySet().stream().findFirst().ifPresent(seed -> {
-            PeersScenario shortest = Exploration.shrunk(seed, least, most);
-            out.print("the shortest script found for the first: " + shortest.script());
-            out.println("all that happened: spartrail nodes replay " + seed + " --least " + least + " --most " + most);
+            PeersScenario shortest = Exploration.shrunk(seed, minNodes, maxNodes);
+            out.print("shortest script found for the first of them: " + shortest.script());
+            out.println("print all its events with: spartrail nodes replay " + seed + " --least " + minNodes
+                    + " --most " + maxNodes);
         });
         return result.found().isEmpty() ? 0 : 1;
     }
--- a/lab/src/main/java/spartrail/lab/cli/NodesFigures.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesFigures.java
@@ -8,17 +8,23 @@
 import spartrail.lab.simulation.PeersFigures;
 import spartrail.peers.GossipTimings;
 
-/** Tables of what peers take and cost, on the virtual network. */
+/** Prints tables of detection times, errors and message costs of gossip on the simulated network. */
 final class NodesFigures extends Command {
-    @Option(name = "--size", metaVar = "NODES", usage = "a size of fleet; may be repeated (default 10, 100, 400)")
+    @Option(
+            name = "--size",
+            metaVar = "NODES",
+            usage = "number of nodes in the fleet; may be repeated (default 10, 100, 400)")
     private List<Integer> sizes = new ArrayList<>();
 
-    @Option(name = "--runs", metaVar = "N", usage = "runs of each, from seeds 1 to N (default 8)")
+    @Option(
+            name = "--runs",
+            metaVar = "N",
+            usage = "number of runs for each size and fault, with seeds 1 to N (default 8)")
     private int runs = 8;
 
     @Override
     String summary() {
-        return "tables: how soon a crash is known, how often nodes err under a fault, what their talk costs";
+        return "prints tables for gossip: time to detect a crash, false suspicions under each fault, bytes sent";
     }
 
     @Override
@@ -34,9 +40,9 @@
                         "| %d | %s | %s | %s | %s | %.0f | %.2f | %.2f | %.0f | %.0f | %.0f |%n",
                         size,
                         fault,
-                        ms(row.p50Ms()),
-                        ms(row.p99Ms()),
-                        ms(row.mostMs()),
+                        formatMs(row.p50Ms()),
+                        formatMs(row.p99Ms()),
+                        formatMs(row.mostMs()),
                         row.boundMs(),
                         row.suspicionsAnHour(),
                         row.endsAnHour(),
@@ -48,7 +54,7 @@
         return 0;
     }
 
-    private static String ms(double ms) {
+    private static String formatMs(double ms) {
         return Double.isNaN(ms) ? "-" : String.valueOf(Math.round(ms));
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/NodesJudge.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesJudge.java
@@ -11,20 +11,20 @@
 import spartrail.lab.file.InvalidInputException;
 import spartrail.lab.rules.PeersRules;
 
-/** Judges a merged history that was kept. */
+/** Checks the merged history of an earlier run against the rules of peers. */
 final class NodesJudge extends Command {
-    @Argument(required = true, metaVar = "FILE", usage = "history.jsonl of a run that was kept with --out")
+    @Argument(required = true, metaVar = "FILE", usage = "history.jsonl that nodes run --out wrote")
     private Path file;
 
-    @Option(name = "--nodes", metaVar = "N", required = true, usage = "so many nodes took part")
+    @Option(name = "--nodes", metaVar = "N", required = true, usage = "number of nodes in the run")
     private int nodes;
 
-    @Option(name = "--settled", usage = "at its end all views must be equal")
-    private boolean settled;
+    @Option(name = "--settled", usage = "require that all views are equal at the end of the history")
+    private boolean mustConverge;
 
     @Override
     String summary() {
-        return "holds a merged history of several nodes against the rules of peers; status 1 where one is broken";
+        return "checks a merged history of several nodes against the rules of peers; exits with status 1 if a rule is broken";
     }
 
     @Override
@@ -33,10 +33,10 @@
         try {
             lines = ClusterHistory.kept(file);
         } catch (IOException | RuntimeException e) {
-            throw new InvalidInputException(file + ": is no history: " + e.getMessage());
+            throw new InvalidInputException(file + ": not a valid history: " + e.getMessage());
         }
-        PeersRules rules = new HistoryChecker(nodes).read(lines, settled);
-        out.println(lines.size() + " lines, " + rules.judgedChanges() + " changes of views judged, "
+        PeersRules rules = new HistoryChecker(nodes).read(lines, mustConverge);
+        out.println(lines.size() + " lines, " + rules.judgedChanges() + " view changes checked, "
                 + rules.breaches().size() + " breaches");
         rules.breaches().forEach(breach -> out.println("BROKEN " + breach));
         return rules.breaches().isEmpty() ? 0 : 1;
--- a/lab/src/main/java/spartrail/lab/cli/NodesPlanted.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesPlanted.java
@@ -5,20 +5,20 @@
 import org.kohsuke.args4j.Option;
 import spartrail.lab.simulation.Mutations;
 
-/** Plants faults in the peers' source and plays the seeds with each. */
+/** Applies each source mutation in turn and runs seeds until one of them detects it. */
 final class NodesPlanted extends Command {
-    @Option(name = "--seeds", metaVar = "N", usage = "seeds 1 to N, until one finds the fault (default 300)")
+    @Option(name = "--seeds", metaVar = "N", usage = "try seeds 1 to N until one detects the mutation (default 300)")
     private long seeds = 300;
 
-    @Option(name = "--most", metaVar = "NODES", usage = "3 to so many nodes (default 60)")
-    private int most = 60;
+    @Option(name = "--most", metaVar = "NODES", usage = "maximum number of nodes; the minimum is 3 (default 60)")
+    private int maxNodes = 60;
 
-    @Option(name = "--policy", usage = "in the source of versions of policy")
+    @Option(name = "--policy", usage = "mutate the source of policy instead of that of peers")
     private boolean policy;
 
     @Override
     String summary() {
-        return "plants faults in the source, one at a time, and shows which seed and rule finds each; status 1 if one is missed";
+        return "mutates the source, one fault at a time, and prints the seed and the rule that detect it; exits with status 1 if one is missed";
     }
 
     @Override
@@ -31,14 +31,14 @@
                 "nodes",
                 "rule that found it",
                 "-".repeat(52) + "|" + "-".repeat(7) + "|" + "-".repeat(7) + "|" + "-".repeat(26));
-        boolean all = true;
+        boolean allCaught = true;
         for (Mutations.Caught caught : Mutations.play(
-                Path.of(root == null ? "." : root), policy ? Mutations.POLICY : Mutations.ALL, 1, seeds, most)) {
-            all &= caught.caught();
+                Path.of(root == null ? "." : root), policy ? Mutations.POLICY : Mutations.ALL, 1, seeds, maxNodes)) {
+            allCaught &= caught.caught();
             out.printf(
                     "| %-50s | %5s | %5s | %-24s |%n",
                     caught.plant().name(), caught.seed(), caught.size(), caught.caught() ? caught.rule() : "NOT FOUND");
         }
-        return all ? 0 : 1;
+        return allCaught ? 0 : 1;
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/NodesReplay.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesReplay.java
@@ -8,43 +8,50 @@
 import spartrail.lab.simulation.PolicyScenario;
 import spartrail.peers.GossipTimings;
 
-/** Shows all that happens in a seed, shrunk where it breaks a rule. */
+/** Prints all events of the scenario of one seed; if it breaks a rule, its script is first shortened. */
 final class NodesReplay extends Command {
-    @Argument(required = true, metaVar = "SEED")
+    @Argument(required = true, metaVar = "SEED", usage = "seed of the scenario")
     private long seed;
 
-    @Option(name = "--most", metaVar = "NODES", usage = "as it was explored (default 100)")
-    private int most = 100;
+    @Option(
+            name = "--most",
+            metaVar = "NODES",
+            usage = "the value of --most with which nodes explore ran (default 100)")
+    private int maxNodes = 100;
 
-    @Option(name = "--least", metaVar = "NODES", usage = "so many nodes at the least (default 3)")
-    private int least = 3;
+    @Option(
+            name = "--least",
+            metaVar = "NODES",
+            usage = "the value of --least with which nodes explore ran (default 3)")
+    private int minNodes = 3;
 
-    @Option(name = "--whole", usage = "the whole script, also where a shorter one breaks the same rule")
+    @Option(name = "--whole", usage = "run the whole script, even if a shorter one breaks the same rule")
     private boolean whole;
 
     @Override
     String summary() {
-        return "plays one seed of the virtual network and shows each fault and each change of a view";
+        return "runs one seed on the simulated network and prints each fault and each change of a view";
     }
 
-    @Option(name = "--policy", usage = "a seed of nodes that go by versions of policy")
+    @Option(name = "--policy", usage = "run the scenario of nodes that apply policy versions")
     private boolean policy;
 
     @Override
     int run(PrintStream out, PrintStream err) {
         if (policy) {
-            PolicyScenario trial = whole
-                    ? PolicyScenario.drawn(seed, most)
-                    : PolicyScenario.drawn(seed, most).shrunk();
-            out.print(trial.script());
-            PolicyScenario.Outcome outcome = trial.play(true);
+            PolicyScenario scenario = whole
+                    ? PolicyScenario.drawn(seed, maxNodes)
+                    : PolicyScenario.drawn(seed, maxNodes).shrunk();
+            out.print(scenario.script());
+            PolicyScenario.Outcome outcome = scenario.play(true);
             outcome.log().forEach(out::println);
             out.printf("hash %016x, %d messages%n", outcome.hash(), outcome.messages());
             return outcome.breaches().isEmpty() ? 0 : 1;
         }
-        PeersScenario trial = whole ? PeersScenario.drawn(seed, least, most) : Exploration.shrunk(seed, least, most);
-        out.print(trial.script());
-        PeersScenario.Outcome outcome = trial.play(GossipTimings.DEFAULT, true);
+        PeersScenario scenario =
+                whole ? PeersScenario.drawn(seed, minNodes, maxNodes) : Exploration.shrunk(seed, minNodes, maxNodes);
+        out.print(scenario.script());
+        PeersScenario.Outcome outcome = scenario.play(GossipTimings.DEFAULT, true);
         outcome.scene().log().forEach(out::println);
         out.printf("hash %016x, %d messages%n", outcome.hash(), outcome.messages());
         outcome.breaches().forEach(breach -> out.println("BROKEN " + breach));
--- a/lab/src/main/java/spartrail/lab/cli/NodesRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/NodesRun.java
@@ -23,35 +23,40 @@
 import spartrail.lab.file.InvalidInputException;
 import spartrail.lab.rules.PeersRules;
 
-/** Plays a plan with processes and judges what they did. */
+/** Runs a plan with front nodes in processes of their own and checks their merged history against the rules. */
 final class NodesRun extends Command {
-    @Argument(required = true, metaVar = "PLAN", usage = "nodes, servers, load and what is done to them")
+    @Argument(required = true, metaVar = "PLAN", usage = "file that describes the nodes, servers, load and faults")
     private Path file;
 
-    @Option(name = "--out", metaVar = "FOLDER", usage = "keep the merged history, the report, logs and a picture here")
-    private Path folder;
+    @Option(
+            name = "--out",
+            metaVar = "FOLDER",
+            usage = "write the merged history, the report, the logs and a timeline chart to this folder")
+    private Path outputFolder;
 
     @Option(
             name = "--store",
             metaVar = "FILE",
-            usage = "keep the report in this store of experiments, too; the plan needs load")
+            usage = "also write the report to this store of experiments; the plan must contain load")
     private Path store;
 
     @Override
     String summary() {
-        return "starts several front nodes, puts faults between them as a plan says, and judges their merged history";
+        return "starts several front nodes, injects the faults of a plan and checks the merged history of the nodes";
     }
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
         ClusterPlan plan = ClusterPlan.read(file);
         if (store != null && plan.load() == null) {
-            throw new InvalidInputException(
-                    "--store: " + file + " has no load, so there is no report to keep; --out keeps the history");
+            throw new InvalidInputException("--store: " + file
+                    + " has no load, so there is no report to store; use --out to write the history");
         }
-        Path work = folder == null ? Files.createTempDirectory("spartrail-nodes") : Files.createDirectories(folder);
-        try (ClusterHarness rig = new ClusterHarness(plan, work, line -> err.println(line))) {
-            ClusterHarness.Outcome outcome = rig.play();
+        Path work = outputFolder == null
+                ? Files.createTempDirectory("spartrail-nodes")
+                : Files.createDirectories(outputFolder);
+        try (ClusterHarness harness = new ClusterHarness(plan, work, line -> err.println(line))) {
+            ClusterHarness.Outcome outcome = harness.play();
             List<ClusterHistory.Line> lines = outcome.history().inOrder();
             PeersRules rules = new HistoryChecker(plan.nodes()).read(lines, false);
             List<String> broken = new ArrayList<>();
@@ -61,38 +66,39 @@
                     .forEach(verdict -> broken.add("rule: " + verdict.rule().text + ": " + verdict.broken() + " times, "
                             + verdict.examples()));
             outcome.notTaken()
-                    .forEach(step -> broken.add("step " + step + " was not taken: what it waits for was not seen"));
-            out.println(lines.size() + " lines of history, " + rules.judgedChanges() + " changes of views judged");
+                    .forEach(step ->
+                            broken.add("step " + step + " was not run: the event that it waits for did not occur"));
+            out.println(lines.size() + " lines of history, " + rules.judgedChanges() + " view changes checked");
             outcome.nodes().forEach(out::println);
             broken.forEach(line -> out.println("BROKEN " + line));
             if (store != null) {
-                enter(outcome, plan);
+                storeReport(outcome, plan);
             }
-            if (folder != null) {
-                keep(lines, outcome, plan);
-                out.println("kept in " + folder + ": history.jsonl, report.json, nodes.svg, logs");
+            if (outputFolder != null) {
+                writeOutput(lines, outcome, plan);
+                out.println("written to " + outputFolder + ": history.jsonl, report.json, nodes.svg, logs");
             }
             return broken.isEmpty() ? 0 : 1;
         } finally {
-            if (folder == null) {
+            if (outputFolder == null) {
                 try (var files = Files.walk(work)) {
                     files.sorted(java.util.Comparator.reverseOrder())
-                            .forEach(each -> each.toFile().delete());
+                            .forEach(path -> path.toFile().delete());
                 }
             }
         }
     }
 
-    /** The report, as those of experiments are kept, so that `experiment show` and `compare` take it. */
-    private void enter(ClusterHarness.Outcome outcome, ClusterPlan plan) throws SQLException {
+    /** Stores the report as that of an experiment, so that `experiment show` and `experiment compare` can read it. */
+    private void storeReport(ClusterHarness.Outcome outcome, ClusterPlan plan) throws SQLException {
         ObjectNode report = outcome.load().deepCopy();
         report.set("servers", outcome.servers());
         outcome.nodes().forEach(report.withArray("/nodes")::add);
         report.set("rules", Runner.rules(outcome.rules()));
-        try (ExperimentStore kept = new ExperimentStore(store)) {
-            long experiment = kept.begin(file.getFileName().toString(), Document.read(file, "nodes").tree);
-            kept.complete(
-                    kept.begin(
+        try (ExperimentStore experiments = new ExperimentStore(store)) {
+            long experiment = experiments.begin(file.getFileName().toString(), Document.read(file, "nodes").tree);
+            experiments.complete(
+                    experiments.begin(
                             experiment,
                             new ExperimentPlan.Cell(
                                     plan.peers() == null ? "silent" : "talking", plan.nodes(), 1, plan.seed())),
@@ -100,11 +106,12 @@
         }
     }
 
-    private void keep(List<ClusterHistory.Line> lines, ClusterHarness.Outcome outcome, ClusterPlan plan)
+    private void writeOutput(List<ClusterHistory.Line> lines, ClusterHarness.Outcome outcome, ClusterPlan plan)
             throws IOException {
-        Files.writeString(folder.resolve("history.jsonl"), outcome.history().text());
+        Files.writeString(
+                outputFolder.resolve("history.jsonl"), outcome.history().text());
         JsonNode report = outcome.load() == null ? Document.JSON.createObjectNode() : outcome.load();
-        Files.writeString(folder.resolve("report.json"), report.toPrettyString());
-        Files.writeString(folder.resolve("nodes.svg"), TimelineChart.of(lines, plan.nodes()));
+        Files.writeString(outputFolder.resolve("report.json"), report.toPrettyString());
+        Files.writeString(outputFolder.resolve("nodes.svg"), TimelineChart.of(lines, plan.nodes()));
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/PeersExplain.java
+++ b/lab/src/main/java/spartrail/lab/cli/PeersExplain.java
@@ -7,34 +7,38 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Why a running node holds another one for what it does. */
+/** Prints why a running node considers another node alive, suspect or gone. */
 final class PeersExplain extends Command {
-    @Argument(required = true, metaVar = "NODE", usage = "the name of the node that is asked about")
+    @Argument(required = true, metaVar = "NODE", usage = "name of the node to explain")
     private String name;
 
     @Option(
             name = "--at",
             metaVar = "HOST:PORT",
             required = true,
-            usage = "where the node that knows listens for other nodes")
+            usage = "gossip address of the running node to query")
     private String at;
 
-    @Option(name = "--fleet", metaVar = "NAME", required = true, usage = "the fleet's name, as in the peers' file")
+    @Option(
+            name = "--fleet",
+            metaVar = "NAME",
+            required = true,
+            usage = "name of the fleet, as in the peers file of the node")
     private String fleet;
 
     @Override
     String summary() {
-        return "why a running node holds another one for alive, suspect or gone, since when and from whom";
+        return "prints why a running node considers another node alive, suspect or gone, since when, and which node reported it";
     }
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        ObjectNode view = new PeersCommand(at, fleet).view();
+        ObjectNode view = new PeerViewClient(at, fleet).fetchView();
         for (JsonNode peer : view.get("peers")) {
             if (peer.get("name").asText().equals(name)) {
                 out.printf(
                         Locale.ROOT,
-                        "%s holds %s for %s since %.1f s, told by %s: %s%n",
+                        "%s has considered %s %s for %.1f s, reported by %s: %s%n",
                         view.get("name").asText(),
                         name,
                         peer.get("standing").asText(),
@@ -48,11 +52,11 @@
                         peer.has("heardMs")
                                 ? String.format(
                                         Locale.ROOT,
-                                        "it answered this node itself %.1f s ago",
+                                        "it responded directly to this node %.1f s ago",
                                         peer.get("heardMs").asDouble() / 1000)
-                                : "it never answered this node itself in this life");
+                                : "it has not responded directly to this node since it started");
                 out.printf(
-                        "  address %s, zone '%s', weight %s, program '%s', settings '%s', life since %d, turn %d%n",
+                        "  address %s, zone '%s', weight %s, program '%s', settings '%s', started at %d, refutations %d%n",
                         peer.get("address").asText(),
                         peer.get("zone").asText(),
                         peer.get("weight"),
@@ -61,7 +65,7 @@
                         peer.get("startMs").asLong(),
                         peer.get("turn").asInt());
                 if (!view.get("doubt").asText().isEmpty()) {
-                    out.println("  the node that says so is in doubt of itself: "
+                    out.println("  the queried node has doubts about its own view: "
                             + view.get("doubt").asText());
                 }
                 return 0;
--- a/lab/src/main/java/spartrail/lab/cli/PeersShow.java
+++ b/lab/src/main/java/spartrail/lab/cli/PeersShow.java
@@ -6,58 +6,67 @@
 import java.util.Locale;
 import org.kohsuke.args4j.Option;
 
-/** What a running node knows of the others, once or as it changes. */
+/** Prints the view that a running node has of the other nodes, once or at each change. */
 final class PeersShow extends Command {
-    enum What {
+    enum Mode {
         SHOW,
         WATCH
     }
 
-    @Option(name = "--at", metaVar = "HOST:PORT", required = true, usage = "where the node listens for other nodes")
+    @Option(
+            name = "--at",
+            metaVar = "HOST:PORT",
+            required = true,
+            usage = "gossip address of the running node to query")
     private String at;
 
-    @Option(name = "--fleet", metaVar = "NAME", required = true, usage = "the fleet's name, as in the peers' file")
+    @Option(
+            name = "--fleet",
+            metaVar = "NAME",
+            required = true,
+            usage = "name of the fleet, as in the peers file of the node")
     private String fleet;
 
-    @Option(name = "--json", usage = "as JSON")
+    @Option(name = "--json", usage = "print the view as JSON")
     private boolean json;
 
-    @Option(name = "--seconds", metaVar = "S", usage = "watch for so long (default 3600)")
+    @Option(name = "--seconds", metaVar = "S", usage = "how long watch runs (default 3600)")
     private double seconds = 3600;
 
-    private final What what;
+    private final Mode mode;
 
-    PeersShow(What what) {
-        this.what = what;
+    PeersShow(Mode mode) {
+        this.mode = mode;
     }
 
     @Override
     String summary() {
-        return what == What.SHOW
-                ? "what a running node knows of the other front nodes"
-                : "the same, shown again whenever a standing, a doubt or the count changes";
+        return mode == Mode.SHOW
+                ? "prints the view that a running node has of the other front nodes"
+                : "prints the view of a running node at each change of a standing, a doubt or the count of nodes";
     }
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        PeersCommand question = new PeersCommand(at, fleet);
+        PeerViewClient client = new PeerViewClient(at, fleet);
         long untilNs = System.nanoTime() + (long) (1e9 * seconds);
-        String last = "";
+        String printed = "";
         do {
-            ObjectNode view = question.view();
-            String now = standing(view);
-            if (!now.equals(last)) {
-                print(out, view);
-                last = now;
+            ObjectNode view = client.fetchView();
+            String current = changeKey(view);
+            if (!current.equals(printed)) {
+                printView(out, view);
+                printed = current;
             }
-            if (what == What.WATCH) {
+            if (mode == Mode.WATCH) {
                 Thread.sleep(500);
             }
-        } while (what == What.WATCH && System.nanoTime() < untilNs);
+        } while (mode == Mode.WATCH && System.nanoTime() < untilNs);
         return 0;
     }
 
-    private static String standing(ObjectNode view) {
+    /** The parts of a view whose change makes watch print it again. */
+    private static String changeKey(ObjectNode view) {
         StringBuilder text = new StringBuilder(view.get("standing").asText()
                 + view.get("doubt").asText()
                 + view.get("there")
@@ -69,13 +78,13 @@
         return text.toString();
     }
 
-    private void print(PrintStream out, ObjectNode view) {
+    private void printView(PrintStream out, ObjectNode view) {
         if (json) {
             out.println(view.toPrettyString());
             return;
         }
         out.printf(
-                "%s is %s%s: %s there, at least %s, at most %s%n",
+                "%s is %s%s: %s nodes present, at least %s, at most %s%n",
                 view.get("name").asText(),
                 view.get("standing").asText(),
                 view.get("doubt").asText().isEmpty()
--- a/lab/src/main/java/spartrail/lab/cli/PolicyBootstrap.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyBootstrap.java
@@ -10,33 +10,41 @@
 import spartrail.lab.file.InvalidInputException;
 import spartrail.policy.replication.AdminClient;
 
-/** Makes the log of one deciding node of a new set. */
+/** Creates the policy log of one voter when a fleet starts to use policy. */
 final class PolicyBootstrap extends Command {
-    @Argument(required = true, metaVar = "FOLDER", usage = "the node's folder, as serve --state names it")
+    @Argument(required = true, metaVar = "FOLDER", usage = "state folder of the node, as given to serve --state")
     private Path folder;
 
-    @Option(name = "--fleet", metaVar = "NAME", required = true, usage = "the fleet's name, as in the peers' file")
+    @Option(
+            name = "--fleet",
+            metaVar = "NAME",
+            required = true,
+            usage = "name of the fleet, as in the peers file of the node")
     private String fleet;
 
-    @Option(name = "--node", metaVar = "NAME", required = true, usage = "the node whose folder it is")
+    @Option(name = "--node", metaVar = "NAME", required = true, usage = "name of the node that owns the folder")
     private String node;
 
-    @Option(name = "--decider", metaVar = "NAME", required = true, usage = "a node that decides; three or five of them")
-    private List<String> deciders = new ArrayList<>();
+    @Option(
+            name = "--decider",
+            metaVar = "NAME",
+            required = true,
+            usage = "name of a voter; repeat for all three or five voters")
+    private List<String> voters = new ArrayList<>();
 
     @Override
     String summary() {
-        return "makes the log of a deciding node, once, when a fleet begins to have policy; never in the place of a lost one";
+        return "creates the policy log of a voter, once, when a fleet starts to use policy; never use it to replace a lost log";
     }
 
     @Override
     int run(PrintStream out, PrintStream err) throws IOException {
-        if (deciders.size() != 3 && deciders.size() != 5 || !deciders.contains(node)) {
+        if (voters.size() != 3 && voters.size() != 5 || !voters.contains(node)) {
             throw new InvalidInputException(
-                    "--decider: found " + deciders + ", 3 or 5 names with " + node + " among them are expected");
+                    "--decider: found " + voters + ", 3 or 5 names with " + node + " among them are expected");
         }
-        AdminClient.bootstrap(folder, fleet, node, deciders);
-        out.println(folder + ": a log of policy for " + node + " of " + deciders);
+        AdminClient.bootstrap(folder, fleet, node, voters);
+        out.println(folder + ": created the policy log of " + node + "; voters are " + voters);
         return 0;
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/PolicyDiff.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyDiff.java
@@ -5,27 +5,39 @@
 import spartrail.policy.PolicySettings;
 import spartrail.policy.replication.AdminClient;
 
-/** What two versions state differently. */
-final class PolicyDiff extends PolicyAt {
-    @Argument(index = 0, required = true, metaVar = "A", usage = "a version's number; 0 states nothing")
-    private long one;
+/** Prints the settings that differ between two policy versions. */
+final class PolicyDiff extends PolicyNodeCommand {
+    @Argument(
+            index = 0,
+            required = true,
+            metaVar = "A",
+            usage = "number of the old version; 0 stands for empty settings")
+    private long oldNumber;
 
-    @Argument(index = 1, required = true, metaVar = "B", usage = "another one's")
-    private long other;
+    @Argument(
+            index = 1,
+            required = true,
+            metaVar = "B",
+            usage = "number of the new version; 0 stands for empty settings")
+    private long newNumber;
 
     @Override
     String summary() {
-        return "what two versions state differently, field by field";
+        return "prints the fields whose values differ between two policy versions";
     }
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        try (AdminClient operator = operator()) {
-            var page = decider(operator);
+        try (AdminClient client = openClient()) {
+            var page = fetchVoterStatus(client);
             PolicySettings from = PolicySettings.parse(
-                    one == 0 ? "{}" : entry(page, one).get("settings").asText());
+                    oldNumber == 0
+                            ? "{}"
+                            : findEntry(page, oldNumber).get("settings").asText());
             PolicySettings to = PolicySettings.parse(
-                    other == 0 ? "{}" : entry(page, other).get("settings").asText());
+                    newNumber == 0
+                            ? "{}"
+                            : findEntry(page, newNumber).get("settings").asText());
             from.differencesTo(to).forEach(out::println);
             return 0;
         }
--- a/lab/src/main/java/spartrail/lab/cli/PolicyPropose.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyPropose.java
@@ -12,28 +12,36 @@
 import spartrail.policy.PolicySettings;
 import spartrail.policy.replication.AdminClient;
 
-/** Proposes a version of policy, or asks every node what it would change there. */
-final class PolicyPropose extends PolicyAt {
-    @Argument(required = true, metaVar = "FILE", usage = "the version; deploy/policy.schema.json has its form")
+/** Proposes a policy version; as a dry run, asks every node which changes the version would make. */
+final class PolicyPropose extends PolicyNodeCommand {
+    @Argument(
+            required = true,
+            metaVar = "FILE",
+            usage = "file with the settings of the version; deploy/policy.schema.json is its schema")
     private Path file;
 
     @Option(
             name = "--dry-run",
-            usage = "propose nothing: ask every node whether it could apply it, and what would change")
+            usage = "propose nothing; ask every node whether it could apply the version and what would change")
     private boolean dryRun;
 
-    @Option(name = "--wait", usage = "until it holds or is refused; status 0 only if it holds")
+    @Option(
+            name = "--wait",
+            usage = "wait until the version takes effect or fails; exit with status 0 only if it takes effect")
     private boolean wait;
 
-    @Option(name = "--who", metaVar = "NAME", usage = "who proposes it, for the history (default: the user's name)")
-    private String who = System.getProperty("user.name");
+    @Option(
+            name = "--who",
+            metaVar = "NAME",
+            usage = "name to record in the history as the operator (default: the user name)")
+    private String operatorName = System.getProperty("user.name");
 
-    @Option(name = "--json", usage = "one JSON object")
+    @Option(name = "--json", usage = "print the outcome as one JSON object")
     private boolean json;
 
     @Override
     String summary() {
-        return "proposes a version of policy: it takes hold at all nodes, or at none";
+        return "proposes a policy version, which takes effect at all nodes or at none";
     }
 
     @Override
@@ -42,35 +50,35 @@
         try {
             settings = PolicySettings.parse(Files.readString(file)).toJson();
         } catch (IOException e) {
-            throw new InvalidInputException("cannot read " + file);
+            throw new InvalidInputException(file + ": cannot be read");
         } catch (IllegalArgumentException e) {
             throw new InvalidInputException(file + ": " + e.getMessage());
         }
-        try (AdminClient operator = operator()) {
+        try (AdminClient client = openClient()) {
             return dryRun
-                    ? tried(operator, settings, out)
-                    : ordered(operator, LogOperation.Kind.PROPOSE, 0, settings, who, wait, json, out, err);
+                    ? dryRun(client, settings, out)
+                    : submit(client, LogOperation.Kind.PROPOSE, 0, settings, operatorName, wait, json, out, err);
         }
     }
 
-    private int tried(AdminClient operator, String settings, PrintStream out) throws IOException {
-        boolean good = true;
-        for (Map.Entry<String, String> node : nodes().entrySet()) {
-            String said;
+    private int dryRun(AdminClient client, String settings, PrintStream out) throws IOException {
+        boolean allAccept = true;
+        for (Map.Entry<String, String> node : findNodes().entrySet()) {
+            String response;
             try {
-                said = operator.dryRun(node.getValue(), settings);
+                response = client.dryRun(node.getValue(), settings);
             } catch (IOException e) {
-                said = "!" + e.getMessage();
+                response = "!" + e.getMessage();
             }
-            good &= !said.startsWith("!");
+            allAccept &= !response.startsWith("!");
             out.println(node.getKey()
-                    + (said.startsWith("!")
-                            ? ": NO, " + said.substring(1)
-                            : said.isEmpty() ? ": nothing would change" : ":"));
-            if (!said.startsWith("!")) {
-                said.lines().forEach(line -> out.println("  " + line));
+                    + (response.startsWith("!")
+                            ? ": NO, " + response.substring(1)
+                            : response.isEmpty() ? ": nothing would change" : ":"));
+            if (!response.startsWith("!")) {
+                response.lines().forEach(line -> out.println("  " + line));
             }
         }
-        return good ? 0 : 1;
+        return allAccept ? 0 : 1;
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/PolicyShow.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyShow.java
@@ -9,51 +9,50 @@
 import spartrail.lab.file.Document;
 import spartrail.policy.replication.AdminClient;
 
-/** By what a node goes; by what each of them goes; and what became of proposals. */
-final class PolicyShow extends PolicyAt {
-    /** Which of them. */
-    enum What {
+/** Prints the policy version that one node or each node applies, or the history of proposals. */
+final class PolicyShow extends PolicyNodeCommand {
+    enum Mode {
         SHOW,
         HISTORY,
         WHO
     }
 
-    private final What what;
+    private final Mode mode;
 
-    @Option(name = "--json", usage = "as JSON")
+    @Option(name = "--json", usage = "print the result as JSON")
     private boolean json;
 
-    PolicyShow(What what) {
-        this.what = what;
+    PolicyShow(Mode mode) {
+        this.mode = mode;
     }
 
     @Override
     String summary() {
-        return switch (what) {
-            case SHOW -> "by which version a running node decides, until when, and what it knows of the log";
-            case HISTORY -> "what was proposed, by whom, and what came of it";
-            case WHO -> "by which version each node decides, in which state, until when";
+        return switch (mode) {
+            case SHOW -> "prints the policy version that a running node applies, until when, and the latest entries of the log that it knows";
+            case HISTORY -> "prints the proposed versions, their authors and their outcomes";
+            case WHO -> "prints the policy version that each node applies, in which state and until when";
         };
     }
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        try (AdminClient operator = operator()) {
-            switch (what) {
-                case SHOW -> show(Document.JSON.readTree(operator.fetchStatus(at)), out);
-                case HISTORY -> history(decider(operator), out);
-                default -> who(operator, out);
+        try (AdminClient client = openClient()) {
+            switch (mode) {
+                case SHOW -> printStatus(Document.JSON.readTree(client.fetchStatus(at)), out);
+                case HISTORY -> printHistory(fetchVoterStatus(client), out);
+                default -> printEachNode(client, out);
             }
             return 0;
         }
     }
 
-    private void show(JsonNode page, PrintStream out) {
+    private void printStatus(JsonNode page, PrintStream out) {
         if (json) {
             out.println(page);
             return;
         }
-        out.println(state(page));
+        out.println(describeState(page));
         for (String name : new String[] {"holds", "open"}) {
             if (page.has(name)) {
                 JsonNode entry = page.get(name);
@@ -67,23 +66,23 @@
         out.println("  terms: " + page.get("terms").asText());
     }
 
-    private static String state(JsonNode page) {
+    private static String describeState(JsonNode page) {
         long forMs = page.get("forMs").asLong();
-        return page.get("node").asText() + " goes by "
+        return page.get("node").asText() + " applies "
                 + (page.get("by").asText().isEmpty()
-                        ? "nothing yet"
+                        ? "no version yet"
                         : page.get("by").asText())
-                + (page.get("guarded").asBoolean() ? ", guarded" : "")
-                + (forMs >= 0 ? ", for " + forMs + " ms if it hears no more" : ", out of touch")
+                + (page.get("guarded").asBoolean() ? ", joint settings" : "")
+                + (forMs >= 0 ? ", lease valid for " + forMs + " ms" : ", without a valid lease")
                 + (page.get("leads").asBoolean()
-                        ? ", leads"
-                        : page.get("decides").asBoolean() ? ", decides" : "")
+                        ? ", leader"
+                        : page.get("decides").asBoolean() ? ", voter" : "")
                 + (page.get("unfit").asText().isEmpty()
                         ? ""
                         : ", NOT READY: " + page.get("unfit").asText());
     }
 
-    private void history(JsonNode page, PrintStream out) {
+    private void printHistory(JsonNode page, PrintStream out) {
         if (json) {
             out.println(page.get("entries"));
             return;
@@ -99,24 +98,24 @@
         }
     }
 
-    private void who(AdminClient operator, PrintStream out) throws IOException {
-        ArrayNode all = Document.JSON.createArrayNode();
-        for (Map.Entry<String, String> node : nodes().entrySet()) {
+    private void printEachNode(AdminClient client, PrintStream out) throws IOException {
+        ArrayNode statusPages = Document.JSON.createArrayNode();
+        for (Map.Entry<String, String> node : findNodes().entrySet()) {
             try {
-                JsonNode page = Document.JSON.readTree(operator.fetchStatus(node.getValue()));
-                all.add(page);
+                JsonNode page = Document.JSON.readTree(client.fetchStatus(node.getValue()));
+                statusPages.add(page);
                 if (!json) {
-                    out.println(state(page));
+                    out.println(describeState(page));
                 }
             } catch (IOException e) {
-                all.addObject().put("node", node.getKey()).put("error", e.getMessage());
+                statusPages.addObject().put("node", node.getKey()).put("error", e.getMessage());
                 if (!json) {
                     out.println(node.getKey() + ": " + e.getMessage());
                 }
             }
         }
         if (json) {
-            out.println(all);
+            out.println(statusPages);
         }
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/ScaleList.java
+++ b/lab/src/main/java/spartrail/lab/cli/ScaleList.java
@@ -4,11 +4,11 @@
 import spartrail.lab.scale.ScaleTest;
 import spartrail.lab.scale.ScaleTests;
 
-/** Lists scale tests. */
+/** Lists the scale tests with the quantities that they measure. */
 final class ScaleList extends Command {
     @Override
     String summary() {
-        return "lists the scale tests";
+        return "lists the scale tests with the sizes they vary and the units of their results";
     }
 
     @Override
--- a/lab/src/main/java/spartrail/lab/cli/ScaleRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/ScaleRun.java
@@ -16,39 +16,39 @@
 import spartrail.lab.scale.ScaleTest;
 import spartrail.lab.scale.ScaleTests;
 
-/** Runs scale tests and prints points, fit, residuals and the figure at the target. */
+/** Runs scale tests and prints the measured points, the fit, its residuals and the value at the target size. */
 final class ScaleRun extends Command {
-    private static final int LEAST_SIZES = 4;
+    private static final int MIN_SIZES = 4;
 
-    @Argument(required = true, metaVar = "NAME", usage = "scale tests, or all")
+    @Argument(required = true, metaVar = "NAME", usage = "names of scale tests, or all")
     private List<String> names = new ArrayList<>();
 
     @Option(
             name = "--size",
             metaVar = "N",
-            usage = "a size to measure; may be repeated, four or more (default: those of the test)")
+            usage = "size to measure; repeat for at least four sizes (default: the sizes of the test)")
     private List<Integer> sizes = new ArrayList<>();
 
     @Option(
             name = "--subset",
             metaVar = "N",
-            usage = "front nodes use subsets of so many replicas of each shard (default 0, all of them)")
+            usage = "number of replicas of each shard in the subset of a front node (default 0: all replicas)")
     private int replicasPerShard;
 
-    @Option(name = "--json", usage = "as JSON")
+    @Option(name = "--json", usage = "print the result as JSON")
     private boolean json;
 
-    @Option(name = "--store", metaVar = "FILE", usage = "append a line of JSON for each test")
+    @Option(name = "--store", metaVar = "FILE", usage = "file to which one line of JSON is appended for each test")
     private Path store;
 
     @Override
     String summary() {
-        return "measures a figure at four sizes or more and fits its slope";
+        return "measures a value at four or more sizes and fits its growth with the size";
     }
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
-        check();
+        checkOptions();
         List<ScaleTest> tests = names.equals(List.of("all"))
                 ? ScaleTests.all(replicasPerShard)
                 : ScaleTests.named(names, replicasPerShard);
@@ -74,10 +74,10 @@
         return 0;
     }
 
-    private void check() {
-        if (!sizes.isEmpty() && sizes.stream().distinct().count() < LEAST_SIZES) {
+    private void checkOptions() {
+        if (!sizes.isEmpty() && sizes.stream().distinct().count() < MIN_SIZES) {
             throw new InvalidInputException(
-                    "--size: found " + sizes + ", " + LEAST_SIZES + " different sizes or more are expected");
+                    "--size: found " + sizes + ", " + MIN_SIZES + " different sizes or more are expected");
         }
         if (sizes.stream().anyMatch(size -> size < 1)) {
             throw new InvalidInputException("--size: found " + sizes + ", sizes of 1 or more are expected");
--- a/lab/src/main/java/spartrail/lab/cli/SubsetFleet.java
+++ b/lab/src/main/java/spartrail/lab/cli/SubsetFleet.java
@@ -13,7 +13,10 @@
 import spartrail.lab.subset.SubsetRun;
 import spartrail.subset.SubsetSettings;
 
-/** Hollow fleets that use subsets: how even they are, whether they keep their rules, and which mutations are caught. */
+/**
+ * Runs fleets of hollow nodes that use subsets: compares how evenly they share the servers, checks the rules of subsets,
+ * or checks that these rules detect mutations.
+ */
 final class SubsetFleet extends Command {
     enum Mode {
         EVEN,
@@ -21,50 +24,54 @@
         PLANTED
     }
 
-    @Option(name = "--nodes", metaVar = "N", usage = "front nodes (default 100)")
+    @Option(name = "--nodes", metaVar = "N", usage = "number of front nodes (default 100)")
     private int nodes = 100;
 
-    @Option(name = "--servers", metaVar = "N", usage = "index servers (default 2000)")
+    @Option(name = "--servers", metaVar = "N", usage = "number of index servers (default 2000)")
     private int servers = 2000;
 
-    @Option(name = "--shards", metaVar = "N", usage = "shards, a server holds one (default 50)")
+    @Option(name = "--shards", metaVar = "N", usage = "number of shards; each server holds one (default 50)")
     private int shards = 50;
 
-    @Option(name = "--zones", metaVar = "N", usage = "zones (default 8, check and planted 4)")
+    @Option(name = "--zones", metaVar = "N", usage = "number of zones (default 8; 4 for check and planted)")
     private int zones;
 
     @Option(
             name = "--replicas",
             metaVar = "N",
-            usage = "replicas of each shard in a subset (default 8, check and planted 4)")
+            usage = "number of replicas of each shard in a subset (default 8; 4 for check and planted)")
     private int replicas;
 
     @Option(
             name = "--least-zones",
             metaVar = "N",
-            usage = "zones that they lie in at least (default 2, check and planted 3)")
+            usage = "minimum number of zones of these replicas (default 2; 3 for check and planted)")
     private int leastZones;
 
     @Option(
             name = "--regions",
             metaVar = "N",
-            usage = "even: nodes and servers in so many regions, each with its own list (default 1)")
+            usage = "for even: number of regions, each with its own nodes, servers and endpoint list (default 1)")
     private int regions = 1;
 
-    @Option(name = "--seeds", metaVar = "N", usage = "check, planted: seeds from 1 on (default 100, planted 10)")
+    @Option(
+            name = "--seeds",
+            metaVar = "N",
+            usage = "for check and planted: run seeds 1 to N (default 100; 10 for planted)")
     private int seeds;
 
     @Option(
             name = "--changes",
             metaVar = "N",
-            usage = "check, planted: single changes, three times so many (default 10)")
+            usage = "for check and planted: a run makes 3 N single changes, N in each of three phases (default 10)")
     private int changes = 10;
 
     private final Mode mode;
 
     SubsetFleet(Mode mode) {
         this.mode = mode;
-        // Checks are to meet shards whose zones bind.
+        // With these smaller values the check also meets shards for which the minimum number of zones restricts the
+        // choice.
         boolean checks = mode != Mode.EVEN;
         zones = checks ? 4 : 8;
         replicas = checks ? 4 : 8;
@@ -74,9 +81,9 @@
     @Override
     String summary() {
         return switch (mode) {
-            case EVEN -> "hollow fleets: how many nodes share a server, and what a change moves, beside other ways to choose";
-            case CHECK -> "hollow fleets through losses and lists that part: what subsets promise, checked after each change";
-            case PLANTED -> "the same with faults planted: each has to be caught";
+            case EVEN -> "compares ways to choose subsets on hollow nodes: nodes per server, and connections moved by a change";
+            case CHECK -> "checks the rules of subsets after each change, through losses of servers and diverging endpoint lists";
+            case PLANTED -> "runs the check with mutated subset code; exits with status 1 if a mutation is not detected";
         };
     }
 
@@ -85,8 +92,8 @@
         if (nodes < 1 || servers < 1 || shards < 1 || zones < 1 || regions < 1 || changes < 1 || seeds < 0) {
             throw new InvalidInputException("numbers of 1 or more are expected");
         }
-        // Before anything is printed: settings that no subset can keep are refused.
-        settings();
+        // Rejects invalid settings before anything is printed.
+        buildSettings();
         return switch (mode) {
             case EVEN -> compareStrategies(out);
             case CHECK -> checkRules(out, err);
@@ -94,7 +101,7 @@
         };
     }
 
-    private SubsetSettings settings() {
+    private SubsetSettings buildSettings() {
         try {
             return new SubsetSettings(replicas, leastZones);
         } catch (IllegalArgumentException e) {
@@ -102,24 +109,24 @@
         }
     }
 
-    private FleetShape fleetShape() {
-        return new FleetShape(nodes, servers, shards, zones, settings(), "");
+    private FleetShape buildFleetShape() {
+        return new FleetShape(nodes, servers, shards, zones, buildSettings(), "");
     }
 
     private int compareStrategies(PrintStream out) {
         List<FleetShape> shapes = regions == 1
-                ? List.of(fleetShape())
+                ? List.of(buildFleetShape())
                 : IntStream.range(0, regions)
                         .mapToObj(region -> new FleetShape(
                                 nodes / regions,
                                 servers / regions,
                                 shards,
                                 Math.max(1, zones / regions),
-                                settings(),
+                                buildSettings(),
                                 "r" + region + "-"))
                         .toList();
         out.printf(
-                "%d front nodes, %d index servers, %d shards, %d zones, %d regions, %d replicas of each shard, %d zones at least%n%n",
+                "%d front nodes, %d index servers, %d shards, %d zones, %d regions, %d replicas of each shard in at least %d zones%n%n",
                 nodes, servers, shards, zones, regions, replicas, leastZones);
         out.println(
                 "| way to choose | nodes a server: least | mean | p99 | most | most over mean | connections a node | least zones of a shard "
@@ -150,7 +157,7 @@
         out.println("| seed | steps | checks of a shard | broken | hash |");
         out.println("|---|---|---|---|---|");
         for (int seed = 1; seed <= (seeds == 0 ? 100 : seeds); seed++) {
-            SubsetRun.Outcome outcome = SubsetRun.play(fleetShape(), seed, changes, SubsetMutation.NONE);
+            SubsetRun.Outcome outcome = SubsetRun.play(buildFleetShape(), seed, changes, SubsetMutation.NONE);
             violations += outcome.violations();
             out.printf(
                     "| %d | %d | %d | %d | %s |%n",
@@ -168,13 +175,13 @@
         for (SubsetMutation mutation : SubsetMutation.values()) {
             List<SubsetRun.Outcome> caught = new ArrayList<>();
             for (int seed = 1; seed <= count; seed++) {
-                SubsetRun.Outcome outcome = SubsetRun.play(fleetShape(), seed, changes, mutation);
+                SubsetRun.Outcome outcome = SubsetRun.play(buildFleetShape(), seed, changes, mutation);
                 if (outcome.violations() > 0) {
                     caught.add(outcome);
                 }
             }
-            boolean expected = mutation == SubsetMutation.NONE ? caught.isEmpty() : !caught.isEmpty();
-            uncaught += expected ? 0 : 1;
+            boolean asExpected = mutation == SubsetMutation.NONE ? caught.isEmpty() : !caught.isEmpty();
+            uncaught += asExpected ? 0 : 1;
             out.printf(
                     "| %s | %d of %d | %s | %s | %s |%n",
                     mutation.summary(),
--- a/lab/src/main/java/spartrail/lab/cli/package-info.java
+++ b/lab/src/main/java/spartrail/lab/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The lab's command line: words in, an exit status out. 0 is done, 1 ran and failed, 2 bad input. */
+/** The command line of the lab. Exit status 0 means success, 1 a command that ran and failed, 2 invalid input. */
 package spartrail.lab.cli;
--- a/lab/src/test/java/spartrail/lab/cli/LabCommandLineTest.java
+++ b/lab/src/test/java/spartrail/lab/cli/LabCommandLineTest.java
@@ -25,21 +25,21 @@
                         .strip();
     }
 
-    private String file(String name, String text) throws Exception {
+    private String writeFile(String name, String text) throws Exception {
         Path file = folder.resolve(name);
         Files.writeString(file, text.replace('\'', '"'));
         return file.toString();
     }
 
     @Test
-    void badInputIsOneLineAndStatusTwo() throws Exception {
-        String plan = file(
+    void invalidInputPrintsOneLineAndExitsWithStatus2() throws Exception {
+        String plan = writeFile(
                 "plan.json",
                 "{'phases':[{'lastsMs':10,'rate':{'shape':'steady','perS':1}}],'streams':[{'opTypes':"
                         + "[{'name':'o'}],'shards':{'of':1},'clientMs':10}]}");
         String fleet =
-                file("fleet.json", "{'layout':{'shards':1,'cells':1},'kinds':{'a':{}},'servers':[{'kind':'b'}]}");
-        String script = file(
+                writeFile("fleet.json", "{'layout':{'shards':1,'cells':1},'kinds':{'a':{}},'servers':[{'kind':'b'}]}");
+        String script = writeFile(
                 "script.json",
                 "{'layout':{'shards':1,'cells':1},'kinds':{'a':{}},'servers':[{'kind':'a'}],"
                         + "'script':[{'atMs':1,'do':'slow','servers':['s-9']}]}");
@@ -54,7 +54,7 @@
                         run("load", "run", folder.resolve("none").toString()),
                         run("load", "run", plan),
                         run("load", "run", plan, "--target", "192.0.2.1:80"),
-                        run("load", "plan", file("bad.json", "{\n'phases': [}")),
+                        run("load", "plan", writeFile("bad.json", "{\n'phases': [}")),
                         run("fleet", "run", fleet),
                         run("fleet", "run", script),
                         run("drill", "run", "none"),
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void eachCommandSaysWhatItTakes() {
+    void helpOfEachCommandListsItsOptions() {
         for (String name : LabCommandLine.COMMANDS.keySet()) {
             String[] words = (name + " --help").split(" ");
             assertThat(run(words)).startsWith("0 spartrail " + name).contains("--help");
@@ -88,14 +88,14 @@
     }
 
     @Test
-    void drillsThatNeedNoClockAreGood() {
+    void drillsWithoutRealTimePass() {
         assertThat(run("drill", "run", "load-trace-order", "rules-planted", "--seed", "3"))
                 .startsWith("0 ")
                 .doesNotContain("differs");
     }
 
     @Test
-    void wrongSizesOfScaleTestsAndFleetsAreOneLine() {
+    void invalidSizesOfScaleTestsAndFleetsPrintOneLine() {
         assertThat(String.join(
                         "\n",
                         run("scale", "run", "module-hip").replaceAll("there are .*", "..."),
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void aScaleTestIsStoredAsALineOfJson() throws Exception {
+    void scaleTestAppendsALineOfJsonToTheStore() throws Exception {
         Path store = folder.resolve("scale.jsonl");
         String[] sizes = {"--size", "10", "--size", "20", "--size", "40", "--size", "80"};
         assertThat(run(
