--- a/lab/src/main/java/spartrail/lab/cli/PolicyNodeCommand.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyNodeCommand.java
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Fetches the status page of a voter, because only voters know the outcome of proposals: the queried node if it is a
+     * Fetches the status page of a voter, because a voter knows the outcome of proposals: the queried node if it is a
      * voter, else the leader. Returns the page of the queried node if that node knows no leader.
      */
     JsonNode fetchVoterStatus(AdminClient client) throws IOException {
@@ -116,7 +116,7 @@
                 }
             }
         }
-        err.println("spartrail: version " + accepted + " is still undecided after " + MAX_WAIT_MS / 1000
+        err.println("spartrail: version " + accepted + " is still in progress after " + MAX_WAIT_MS / 1000
                 + " s; spartrail policy show prints its state");
         return 1;
     }
--- a/lab/src/main/java/spartrail/lab/cli/PolicyShow.java
+++ b/lab/src/main/java/spartrail/lab/cli/PolicyShow.java
@@ -29,7 +29,7 @@
     @Override
     String summary() {
         return switch (mode) {
-            case SHOW -> "prints the policy version that a running node applies, until when, and the latest entries of the log that it knows";
+            case SHOW -> "prints the policy version that a running node applies, until when, and what it knows of the log: current entries, leader, terms";
             case HISTORY -> "prints the proposed versions, their authors and their outcomes";
             case WHO -> "prints the policy version that each node applies, in which state and until when";
         };
--- a/lab/src/main/java/spartrail/lab/cli/SubsetFleet.java
+++ b/lab/src/main/java/spartrail/lab/cli/SubsetFleet.java
@@ -63,7 +63,7 @@
     @Option(
             name = "--changes",
             metaVar = "N",
-            usage = "for check and planted: a run makes 3 N single changes, N in each of three phases (default 10)")
+            usage = "for check and planted: number of single changes in each of the three phases of a run (default 10)")
     private int changes = 10;
 
     private final Mode mode;
