--- a/lab/src/main/java/spartrail/lab/cli/ExperimentRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/ExperimentRun.java
@@ -34,7 +34,7 @@
     int run(PrintStream out, PrintStream err) throws Exception {
         ExperimentPlan plan = ExperimentPlan.read(file);
         AtomicBoolean stopped = new AtomicBoolean();
-        boolean allKept = true;
+        boolean allRulesKept = true;
         try (ExperimentStore store = openStore();
                 LiveView live = new LiveView(err, List::of)) {
             Signal.handle(new Signal("INT"), signal -> stopped.set(true));
@@ -48,8 +48,8 @@
                 if (!stopped.get()) {
                     store.complete(run, report);
                 }
-                boolean kept = report.at("/rules/kept").asBoolean();
-                allKept &= kept;
+                boolean rulesKept = report.at("/rules/kept").asBoolean();
+                allRulesKept &= rulesKept;
                 out.printf(
                         Locale.ROOT,
                         "%d of %d: %s, seed %d: served %d of %d tries, p99 %.1f ms, rules %s%s%n",
@@ -60,7 +60,7 @@
                         report.at("/served/count").asLong(),
                         report.get("tries").asLong(),
                         report.at("/served/latencyMs/p99").asDouble(),
-                        kept ? "kept" : "BROKEN " + report.at("/rules/verdicts"),
+                        rulesKept ? "kept" : "BROKEN " + report.at("/rules/verdicts"),
                         report.get("fit").asBoolean()
                                 ? ""
                                 : ", UNFIT: " + report.get("unfitWhy").asText());
@@ -72,6 +72,6 @@
                 out.println("report: " + reportFolder.resolve("index.html"));
             }
         }
-        return allKept && !stopped.get() ? 0 : 1;
+        return allRulesKept && !stopped.get() ? 0 : 1;
     }
 }
--- a/lab/src/main/java/spartrail/lab/cli/ExperimentShow.java
+++ b/lab/src/main/java/spartrail/lab/cli/ExperimentShow.java
@@ -28,15 +28,15 @@
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
         try (ExperimentStore store = openStore()) {
-            ExperimentStore.Kept kept = store.find(name);
-            List<ExperimentStore.Run> runs = store.runs(kept.id());
+            ExperimentStore.Kept experiment = store.find(name);
+            List<ExperimentStore.Run> runs = store.runs(experiment.id());
             if (json) {
                 out.println(Document.JSON.writeValueAsString(runs));
             } else {
                 out.print(ExperimentPage.tables(runs));
             }
             if (reportFolder != null) {
-                ExperimentPage.folder(reportFolder, kept.name(), runs);
+                ExperimentPage.folder(reportFolder, experiment.name(), runs);
             }
         }
         return 0;
