--- a/lab/src/main/java/spartrail/lab/cli/ExperimentRun.java
+++ b/lab/src/main/java/spartrail/lab/cli/ExperimentRun.java
@@ -14,25 +14,28 @@
 import spartrail.lab.experiment.Runner;
 import sun.misc.Signal;
 
-/** Plays a matrix of runs into the store. */
+/** Runs each cell of an experiment's matrix and writes the results to the store. */
 final class ExperimentRun extends ExperimentCommand {
-    @Argument(required = true, metaVar = "FILE", usage = "the experiment")
+    @Argument(required = true, metaVar = "FILE", usage = "file that describes the experiment")
     private Path file;
 
-    @Option(name = "--report", metaVar = "FOLDER", usage = "write tables, charts and a page there at the end")
-    private Path folder;
+    @Option(
+            name = "--report",
+            metaVar = "FOLDER",
+            usage = "write tables, charts and an HTML page to this folder at the end")
+    private Path reportFolder;
 
     @Override
     String summary() {
-        return "plays fleet, front nodes and load for each cell of a matrix and keeps the results";
+        return "runs servers, front nodes and load for each cell of a matrix and stores the results";
     }
 
     @Override
     int run(PrintStream out, PrintStream err) throws Exception {
         ExperimentPlan plan = ExperimentPlan.read(file);
         AtomicBoolean stopped = new AtomicBoolean();
-        boolean good = true;
-        try (ExperimentStore store = store();
+        boolean allRulesKept = true;
+        try (ExperimentStore store = openStore();
                 LiveView live = new LiveView(err, List::of)) {
             Signal.handle(new Signal("INT"), signal -> stopped.set(true));
             long experiment = store.begin(plan);
@@ -45,8 +48,8 @@
                 if (!stopped.get()) {
                     store.complete(run, report);
                 }
-                boolean kept = report.at("/rules/kept").asBoolean();
-                good &= kept;
+                boolean rulesKept = report.at("/rules/kept").asBoolean();
+                allRulesKept &= rulesKept;
                 out.printf(
                         Locale.ROOT,
                         "%d of %d: %s, seed %d: served %d of %d tries, p99 %.1f ms, rules %s%s%n",
@@ -57,18 +60,18 @@
                         report.at("/served/count").asLong(),
                         report.get("tries").asLong(),
                         report.at("/served/latencyMs/p99").asDouble(),
-                        kept ? "kept" : "BROKEN " + report.at("/rules/verdicts"),
+                        rulesKept ? "kept" : "BROKEN " + report.at("/rules/verdicts"),
                         report.get("fit").asBoolean()
                                 ? ""
                                 : ", UNFIT: " + report.get("unfitWhy").asText());
             }
             List<ExperimentStore.Run> runs = store.runs(experiment);
             out.print(ExperimentPage.tables(runs));
-            if (folder != null) {
-                ExperimentPage.folder(folder, plan.name(), runs);
-                out.println("report: " + folder.resolve("index.html"));
+            if (reportFolder != null) {
+                ExperimentPage.folder(reportFolder, plan.name(), runs);
+                out.println("report: " + reportFolder.resolve("index.html"));
             }
         }
-        return good && !stopped.get() ? 0 : 1;
+        return allRulesKept && !stopped.get() ? 0 : 1;
     }
 }
