--- a/lab/src/main/java/spartrail/lab/experiment/Charts.java
+++ b/lab/src/main/java/spartrail/lab/experiment/Charts.java
@@ -22,7 +22,7 @@
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Draws runs: over time, by server, by load; each chart as SVG and PNG. */
+/** Draws charts of runs over time, by server and by load, each as SVG and PNG, and writes the page that shows them. */
 final class Charts {
     private static final int WIDTH = 900;
     private static final int HEIGHT = 420;
@@ -36,69 +36,73 @@
         BitmapEncoder.saveBitmap(chart, folder.resolve(name).toString(), BitmapEncoder.BitmapFormat.PNG);
     }
 
-    private static XYChart chart(String title, String y) {
+    private static XYChart createChart(String title, String yTitle) {
         XYChart chart = new XYChartBuilder()
                 .width(WIDTH)
                 .height(HEIGHT)
                 .title(title)
                 .xAxisTitle("seconds")
-                .yAxisTitle(y)
+                .yAxisTitle(yTitle)
                 .build();
         chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideS);
         chart.getStyler().setLegendLayout(Styler.LegendLayout.Horizontal);
         return chart;
     }
 
-    private static void line(XYChart chart, String name, List<Double> x, List<Double> y) {
+    private static void addLine(XYChart chart, String name, List<Double> x, List<Double> y) {
         if (!x.isEmpty()) {
             chart.addSeries(name, x, y).setMarker(SeriesMarkers.NONE);
         }
     }
 
-    private static void events(XYChart chart, JsonNode report, double top) {
+    private static void markEvents(XYChart chart, JsonNode report, double labelY) {
         for (JsonNode event : report.path("events")) {
             double atS = event.get("atMs").asDouble() / 1000;
             chart.addAnnotation(new AnnotationLine(atS, true, false));
-            chart.addAnnotation(new AnnotationText(event.get("what").asText(), atS, top, false));
+            chart.addAnnotation(new AnnotationText(event.get("what").asText(), atS, labelY, false));
         }
     }
 
-    /** Percentiles, throughput and goodput of one run over its time. */
-    static List<String> run(JsonNode report, Path folder, String name) throws IOException {
+    /**
+     * Draws latency percentiles and rates of one run over time, and parts by server; returns the names of the charts.
+     */
+    static List<String> drawRun(JsonNode report, Path folder, String name) throws IOException {
         List<Double> x = new ArrayList<>();
-        Map<String, List<Double>> rows = new TreeMap<>();
-        double widthS = report.get("slices").size() > 1
+        Map<String, List<Double>> valuesByField = new TreeMap<>();
+        double sliceS = report.get("slices").size() > 1
                 ? report.get("slices").get(1).get("atMs").asDouble() / 1000
                 : 1;
         for (JsonNode slice : report.get("slices")) {
             x.add(slice.get("atMs").asDouble() / 1000);
             for (String field : List.of("intended", "served", "pushedBack")) {
-                rows.computeIfAbsent(field, key -> new ArrayList<>())
-                        .add(slice.get(field).asDouble() / widthS);
+                valuesByField
+                        .computeIfAbsent(field, key -> new ArrayList<>())
+                        .add(slice.get(field).asDouble() / sliceS);
             }
             for (String field : List.of("p50Ms", "p99Ms")) {
-                rows.computeIfAbsent(field, key -> new ArrayList<>())
+                valuesByField
+                        .computeIfAbsent(field, key -> new ArrayList<>())
                         .add(slice.get(field).asDouble());
             }
         }
-        XYChart latency = chart("Latency from the intended time, " + name, "milliseconds");
-        line(latency, "p50", x, rows.getOrDefault("p50Ms", List.of()));
-        line(latency, "p99", x, rows.getOrDefault("p99Ms", List.of()));
-        events(
+        XYChart latency = createChart("Latency from the intended time, " + name, "milliseconds");
+        addLine(latency, "p50", x, valuesByField.getOrDefault("p50Ms", List.of()));
+        addLine(latency, "p99", x, valuesByField.getOrDefault("p99Ms", List.of()));
+        markEvents(
                 latency,
                 report,
-                rows.getOrDefault("p99Ms", List.of(1.0)).stream()
+                valuesByField.getOrDefault("p99Ms", List.of(1.0)).stream()
                         .max(Double::compare)
                         .orElse(1.0));
         save(latency, folder, name + "-latency");
-        XYChart rate = chart("Multigets a second, " + name, "a second");
-        line(rate, "meant to be sent", x, rows.getOrDefault("intended", List.of()));
-        line(rate, "served", x, rows.getOrDefault("served", List.of()));
-        line(rate, "pushed back", x, rows.getOrDefault("pushedBack", List.of()));
-        events(
+        XYChart rate = createChart("Multigets per second, " + name, "per second");
+        addLine(rate, "intended", x, valuesByField.getOrDefault("intended", List.of()));
+        addLine(rate, "served", x, valuesByField.getOrDefault("served", List.of()));
+        addLine(rate, "pushed back", x, valuesByField.getOrDefault("pushedBack", List.of()));
+        markEvents(
                 rate,
                 report,
-                rows.getOrDefault("intended", List.of(1.0)).stream()
+                valuesByField.getOrDefault("intended", List.of(1.0)).stream()
                         .max(Double::compare)
                         .orElse(1.0));
         save(rate, folder, name + "-rate");
@@ -121,8 +125,11 @@
         return List.of(name + "-latency", name + "-rate", name + "-servers");
     }
 
-    /** Served share and p99 by the multiple of the load, a line a version. */
-    static List<String> saturation(List<ExperimentStore.Run> runs, Path folder) throws IOException {
+    /**
+     * Draws goodput and p99 latency by the multiple of the load, one line for each version and number of nodes; returns
+     * the names of the charts. Draws nothing if no such line has two points.
+     */
+    static List<String> drawSaturation(List<ExperimentStore.Run> runs, Path folder) throws IOException {
         Map<String, Map<Double, List<JsonNode>>> versions = new TreeMap<>();
         for (ExperimentStore.Run run : runs) {
             if (run.report() != null) {
@@ -135,47 +142,47 @@
         if (versions.values().stream().allMatch(byTimes -> byTimes.size() < 2)) {
             return List.of();
         }
-        XYChart goodput = chart("Goodput by load", "served a second");
-        XYChart p99 = chart("Latency of the served, p99, by load", "milliseconds");
+        XYChart goodput = createChart("Goodput by load", "served per second");
+        XYChart p99 = createChart("Latency of served multigets, p99, by load", "milliseconds");
         goodput.setXAxisTitle("multiple of the load");
         p99.setXAxisTitle("multiple of the load");
         versions.forEach((version, byTimes) -> {
             List<Double> x = new ArrayList<>(byTimes.keySet());
-            List<Double> good = new ArrayList<>();
-            List<Double> slow = new ArrayList<>();
+            List<Double> goodputs = new ArrayList<>();
+            List<Double> p99s = new ArrayList<>();
             byTimes.values().forEach(reports -> {
-                good.add(reports.stream()
+                goodputs.add(reports.stream()
                         .mapToDouble(report -> report.at("/served/count").asDouble()
                                 * 1000
                                 / report.get("lastedMs").asDouble())
                         .average()
                         .orElse(0));
-                slow.add(reports.stream()
+                p99s.add(reports.stream()
                         .mapToDouble(
                                 report -> report.at("/served/latencyMs/p99").asDouble())
                         .average()
                         .orElse(0));
             });
-            goodput.addSeries(version, x, good);
-            p99.addSeries(version, x, slow);
+            goodput.addSeries(version, x, goodputs);
+            p99.addSeries(version, x, p99s);
         });
         save(goodput, folder, "saturation-goodput");
         save(p99, folder, "saturation-p99");
         return List.of("saturation-goodput", "saturation-p99");
     }
 
-    /** One page that needs no network: the tables and the charts beside it. */
-    static void page(Path folder, String title, String tables, List<String> charts) throws IOException {
+    /** Writes index.html: the tables, and the charts as images of the same folder, so that it can be read offline. */
+    static void writePage(Path folder, String title, String tables, List<String> charts) throws IOException {
         StringBuilder page = new StringBuilder("<!doctype html>\n<html lang=\"en\"><meta charset=\"utf-8\"><title>"
-                + escaped(title) + "</title>\n<style>body{font-family:sans-serif;max-width:60em;margin:2em auto}"
-                + "pre{overflow-x:auto}img{max-width:100%}</style>\n<h1>" + escaped(title) + "</h1>\n<pre>"
-                + escaped(tables) + "</pre>\n");
+                + escapeHtml(title) + "</title>\n<style>body{font-family:sans-serif;max-width:60em;margin:2em auto}"
+                + "pre{overflow-x:auto}img{max-width:100%}</style>\n<h1>" + escapeHtml(title) + "</h1>\n<pre>"
+                + escapeHtml(tables) + "</pre>\n");
         charts.forEach(chart ->
                 page.append(String.format(Locale.ROOT, "<p><img src=\"%s.png\" alt=\"%s\"></p>%n", chart, chart)));
         Files.writeString(folder.resolve("index.html"), page.append("</html>\n"));
     }
 
-    private static String escaped(String text) {
+    private static String escapeHtml(String text) {
         return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
 }
--- a/lab/src/main/java/spartrail/lab/experiment/ExperimentComparison.java
+++ b/lab/src/main/java/spartrail/lab/experiment/ExperimentComparison.java
@@ -10,12 +10,15 @@
 import java.util.SplittableRandom;
 import java.util.function.ToDoubleFunction;
 
-/** Holds two groups of runs against each other, metric by metric, with intervals from resampling; no I/O. */
+/** Compares two groups of runs, metric by metric, with confidence intervals by the bootstrap; no I/O. */
 public final class ExperimentComparison {
-    /** A figure of a run and whether more of it is better. */
-    public record Metric(String name, boolean moreIsBetter, ToDoubleFunction<JsonNode> of) {}
+    /** A figure that is computed from the report of a run, and whether a higher figure is better. */
+    public record Metric(String name, boolean higherIsBetter, ToDoubleFunction<JsonNode> figure) {}
 
-    /** What can be said: the difference (second less first), its 95% interval, and in a word. */
+    /**
+     * One metric of two groups: both means, their difference (second minus first) with its 95% interval, and the
+     * verdict.
+     */
     public record Line(
             String metric, double first, double second, double difference, double low, double high, String verdict) {}
 
@@ -26,40 +29,43 @@
             new Metric(
                     "clients served, share",
                     true,
-                    tree -> tree.at("/clients/served").asDouble()
+                    report -> report.at("/clients/served").asDouble()
                             / Math.max(
                                     1,
-                                    tree.at("/clients/served").asDouble()
-                                            + tree.at("/clients/unserved").asDouble())),
+                                    report.at("/clients/served").asDouble()
+                                            + report.at("/clients/unserved").asDouble())),
             new Metric(
                     "tries served whole, share",
                     true,
-                    tree -> tree.at("/kinds/WHOLE").asDouble()
-                            / Math.max(1, tree.get("tries").asDouble())),
+                    report -> report.at("/kinds/WHOLE").asDouble()
+                            / Math.max(1, report.get("tries").asDouble())),
             new Metric(
                     "tries pushed back, share",
                     false,
-                    tree -> tree.at("/kinds/PUSHED_BACK").asDouble()
-                            / Math.max(1, tree.get("tries").asDouble())),
-            new Metric("served p50, ms", false, tree -> tree.at("/served/latencyMs/p50")
+                    report -> report.at("/kinds/PUSHED_BACK").asDouble()
+                            / Math.max(1, report.get("tries").asDouble())),
+            new Metric("served p50, ms", false, report -> report.at("/served/latencyMs/p50")
                     .asDouble()),
-            new Metric("served p99, ms", false, tree -> tree.at("/served/latencyMs/p99")
+            new Metric("served p99, ms", false, report -> report.at("/served/latencyMs/p99")
                     .asDouble()),
-            new Metric("until served p99, ms", false, tree -> tree.at("/clients/untilServedMs/p99")
+            new Metric("until served p99, ms", false, report -> report.at("/clients/untilServedMs/p99")
                     .asDouble()),
-            new Metric("node CPU a try, ms", false, tree -> {
+            new Metric("node CPU a try, ms", false, report -> {
                 double cpuMs = 0;
-                for (JsonNode node : tree.path("nodes")) {
+                for (JsonNode node : report.path("nodes")) {
                     cpuMs += node.get("cpuMs").asDouble();
                 }
-                return cpuMs / Math.max(1, tree.get("tries").asDouble());
+                return cpuMs / Math.max(1, report.get("tries").asDouble());
             }));
 
     private static final int RESAMPLES = 10_000;
 
     private ExperimentComparison() {}
 
-    /** Runs of the same seed are pairs; a difference is told only where the interval leaves out no difference. */
+    /**
+     * Pairs the runs of the same seed. The verdict is better or worse only with three pairs or more and if the 95%
+     * interval of the difference excludes 0.
+     */
     public static List<Line> lines(Map<Long, JsonNode> first, Map<Long, JsonNode> second) {
         List<Long> seeds = first.keySet().stream().filter(second::containsKey).toList();
         List<Line> lines = new ArrayList<>();
@@ -68,16 +74,16 @@
             double sumFirst = 0;
             double sumSecond = 0;
             for (int i = 0; i < seeds.size(); i++) {
-                double one = metric.of().applyAsDouble(first.get(seeds.get(i)));
-                double other = metric.of().applyAsDouble(second.get(seeds.get(i)));
-                differences[i] = other - one;
-                sumFirst += one;
-                sumSecond += other;
+                double firstFigure = metric.figure().applyAsDouble(first.get(seeds.get(i)));
+                double secondFigure = metric.figure().applyAsDouble(second.get(seeds.get(i)));
+                differences[i] = secondFigure - firstFigure;
+                sumFirst += firstFigure;
+                sumSecond += secondFigure;
             }
             Mean mean = mean(differences);
             String verdict = "cannot be told";
             if (seeds.size() >= 3 && (mean.low() > 0 || mean.high() < 0)) {
-                verdict = mean.mean() > 0 == metric.moreIsBetter() ? "better" : "worse";
+                verdict = mean.mean() > 0 == metric.higherIsBetter() ? "better" : "worse";
             }
             int count = Math.max(1, seeds.size());
             lines.add(new Line(
@@ -86,17 +92,20 @@
         return lines;
     }
 
-    /** Mean and percentile interval by the bootstrap, from a fixed seed: the same values give the same interval. */
+    /**
+     * The mean and its percentile interval by the bootstrap. The random seed is fixed: the same values give the same
+     * interval.
+     */
     public static Mean mean(double[] values) {
         if (values.length == 0) {
             return new Mean(Double.NaN, Double.NaN, Double.NaN);
         }
-        SplittableRandom chance = new SplittableRandom(20_260_624);
+        SplittableRandom random = new SplittableRandom(20_260_624);
         double[] means = new double[RESAMPLES];
         for (int i = 0; i < RESAMPLES; i++) {
             double sum = 0;
             for (int j = 0; j < values.length; j++) {
-                sum += values[chance.nextInt(values.length)];
+                sum += values[random.nextInt(values.length)];
             }
             means[i] = sum / values.length;
         }
@@ -107,7 +116,7 @@
                 means[(int) (RESAMPLES * 0.975)]);
     }
 
-    /** Groups of runs by what they have in common, each by seed. */
+    /** The reports of completed runs by version, number of nodes and load, then by seed. */
     public static Map<String, Map<Long, JsonNode>> groups(List<ExperimentStore.Run> runs) {
         Map<String, Map<Long, JsonNode>> groups = new LinkedHashMap<>();
         for (ExperimentStore.Run run : runs) {
@@ -119,7 +128,7 @@
         return groups;
     }
 
-    /** A table of all groups: each metric's mean with its interval, and how the rules fared. */
+    /** A table of all groups: each metric's mean with its interval, and in how many runs the rules were kept. */
     public static String table(List<ExperimentStore.Run> runs) {
         StringBuilder out = new StringBuilder();
         groups(runs).forEach((group, reports) -> {
@@ -132,8 +141,8 @@
             out.append(String.format(
                     Locale.ROOT, "%s: %d runs, rules kept in %d, fit %d%n", group, reports.size(), kept, fit));
             for (Metric metric : METRICS) {
-                Mean mean =
-                        mean(reports.values().stream().mapToDouble(metric.of()).toArray());
+                Mean mean = mean(
+                        reports.values().stream().mapToDouble(metric.figure()).toArray());
                 out.append(String.format(
                         Locale.ROOT,
                         "  %-28s %10.4f  (%.4f to %.4f)%n",
@@ -143,13 +152,14 @@
                         mean.high()));
             }
         });
-        long broken = runs.stream().filter(run -> run.report() == null).count();
-        if (broken > 0) {
-            out.append(broken).append(" runs were broken off\n");
+        long brokenOff = runs.stream().filter(run -> run.report() == null).count();
+        if (brokenOff > 0) {
+            out.append(brokenOff).append(" runs were broken off\n");
         }
         return out.toString();
     }
 
+    /** A table of the comparison of two groups. */
     public static String table(String first, String second, List<Line> lines, int pairs) {
         StringBuilder out = new StringBuilder(
                 String.format(Locale.ROOT, "%d pairs of the same seed; first: %s; second: %s%n", pairs, first, second));
--- a/lab/src/main/java/spartrail/lab/experiment/ExperimentPlan.java
+++ b/lab/src/main/java/spartrail/lab/experiment/ExperimentPlan.java
@@ -13,7 +13,13 @@
 import spartrail.lab.fleet.FleetPlan;
 import spartrail.lab.plan.LoadPlan;
 
-/** A matrix of runs: versions of the node, numbers of nodes, multiples of the load, seeds. */
+/**
+ * A matrix of runs: versions of the front node, numbers of front nodes, multiples of the load, seeds.
+ *
+ * @param versions jars of the front node by the name of the version
+ * @param times multiples of the load
+ * @param tree the plan as JSON, with the fleet and load plans in it
+ */
 public record ExperimentPlan(
         String name,
         FleetPlan fleet,
@@ -26,16 +32,18 @@
         JsonNode tree) {
     /** One cell of the matrix. */
     public record Cell(String version, int nodes, double times, long seed) {
+        /** Names all that the cell shares with cells of other seeds. */
         public String group() {
             return version + ", " + nodes + " nodes, load x " + times;
         }
     }
 
+    /** Reads and validates a plan; paths in it are relative to its folder. */
     public static ExperimentPlan read(Path file) {
         Document document = Document.read(file, "experiment");
         JsonNode tree = document.tree;
-        Document fleet = part(document, file, "fleet", "fleet");
-        Document load = part(document, file, "load", "load");
+        Document fleet = readPart(document, file, "fleet", "fleet");
+        Document load = readPart(document, file, "load", "load");
         Map<String, Path> versions = new LinkedHashMap<>();
         JsonNode matrix = tree.path("matrix");
         matrix.path("versions").fields().forEachRemaining(version -> {
@@ -54,14 +62,14 @@
             versions.put("this", NodeProcess.ownJar());
         }
         List<Integer> nodes = new ArrayList<>();
-        matrix.path("nodes").forEach(one -> nodes.add(one.asInt()));
+        matrix.path("nodes").forEach(count -> nodes.add(count.asInt()));
         List<Double> times = new ArrayList<>();
-        matrix.path("times").forEach(one -> times.add(one.asDouble()));
+        matrix.path("times").forEach(multiple -> times.add(multiple.asDouble()));
         List<Long> seeds = new ArrayList<>();
-        matrix.path("seeds").forEach(one -> seeds.add(one.asLong()));
-        ObjectNode whole = tree.deepCopy();
-        whole.set("fleet", fleet.tree);
-        whole.set("load", load.tree);
+        matrix.path("seeds").forEach(seed -> seeds.add(seed.asLong()));
+        ObjectNode completeTree = tree.deepCopy();
+        completeTree.set("fleet", fleet.tree);
+        completeTree.set("load", load.tree);
         return new ExperimentPlan(
                 tree.get("name").asText(),
                 FleetPlan.of(fleet),
@@ -71,11 +79,11 @@
                 nodes.isEmpty() ? List.of(1) : nodes,
                 times.isEmpty() ? List.of(1.0) : times,
                 seeds.isEmpty() ? List.of(1L) : seeds,
-                whole);
+                completeTree);
     }
 
-    /** A part that stands in the file, or in one that it names. */
-    private static Document part(Document document, Path file, String name, String schema) {
+    /** Validates a part of the plan, which is either an object in the plan or the path of another file. */
+    private static Document readPart(Document document, Path file, String name, String schema) {
         JsonNode node = document.tree.get(name);
         if (node.isTextual()) {
             return Document.read(
@@ -88,7 +96,10 @@
         }
     }
 
-    /** Versions of one seed are played one after the other, so that a machine that drifts hurts them alike. */
+    /**
+     * All cells in the order in which they are run. The versions of one seed run one after the other, so that slow
+     * changes of the machine's speed affect them alike.
+     */
     public List<Cell> cells() {
         List<Cell> cells = new ArrayList<>();
         for (long seed : seeds) {
--- a/lab/src/main/java/spartrail/lab/experiment/ExperimentStore.java
+++ b/lab/src/main/java/spartrail/lab/experiment/ExperimentStore.java
@@ -18,25 +18,28 @@
 import spartrail.lab.file.InvalidInputException;
 
 /**
- * Experiments and their runs in an embedded database, one file. A run is entered before it is played and completed
- * after it, each in a transaction of its own: what a killed process leaves opens, and its last run counts as broken off.
+ * Stores experiments and their runs in an embedded database of one file. A run is inserted before it starts and its
+ * report is added after it has ended, each in a transaction of its own. So the file of a killed process can be opened
+ * again, and its last run counts as broken off.
  */
 public final class ExperimentStore implements AutoCloseable {
-    /** What is kept of an experiment. */
+    /** A stored experiment with its number of runs, and how many of them have a report. */
     public record Kept(long id, String name, String startedAt, int runs, int done) {}
 
-    /** One run; its report is null where it was broken off. */
+    /** One run; its report is null if the run was broken off. */
     public record Run(ExperimentPlan.Cell cell, JsonNode report) {}
 
     private static final int VERSION = 1;
+
     private final Connection connection;
 
+    /** Opens the store, or creates it if there is no such file; its folder must exist. */
     public ExperimentStore(Path file) throws SQLException {
         if (file.toAbsolutePath().getParent() == null
                 || !Files.isDirectory(file.toAbsolutePath().getParent())) {
             throw new InvalidInputException(file + ": there is no such folder");
         }
-        // With the default write delay a run that was completed half a second before a kill would be lost.
+        // With the default write delay of H2, a run completed up to half a second before a kill would be lost.
         connection = DriverManager.getConnection(
                 "jdbc:h2:file:" + file.toAbsolutePath() + ";DB_CLOSE_ON_EXIT=FALSE;WRITE_DELAY=0", "", "");
         try (Statement statement = connection.createStatement()) {
@@ -47,7 +50,7 @@
             if (version > VERSION) {
                 connection.close();
                 throw new InvalidInputException(
-                        file + ": is of form " + version + ", this program knows forms to " + VERSION);
+                        file + ": has store version " + version + ", this program reads versions up to " + VERSION);
             }
             if (version == 0) {
                 statement.execute("create table experiment (id identity primary key, name varchar not null,"
@@ -60,11 +63,12 @@
         }
     }
 
+    /** Inserts an experiment; returns its id. */
     public long begin(ExperimentPlan plan) throws SQLException {
         return begin(plan.name(), plan.tree());
     }
 
-    /** An experiment of another kind, such as a rig's; its plan is kept as it is. */
+    /** Inserts an experiment whose plan is not an {@link ExperimentPlan}, such as a cluster's; returns its id. */
     public long begin(String name, JsonNode plan) throws SQLException {
         try (PreparedStatement insert = connection.prepareStatement(
                 "insert into experiment (name, started_at, plan) values (?, ?, ?)", Statement.RETURN_GENERATED_KEYS)) {
@@ -75,10 +79,11 @@
                             .truncatedTo(java.time.temporal.ChronoUnit.SECONDS)
                             .toString());
             insert.setString(3, plan.toString());
-            return key(insert);
+            return insertAndReturnKey(insert);
         }
     }
 
+    /** Inserts a run that has no report yet; returns its id. */
     public long begin(long experiment, ExperimentPlan.Cell cell) throws SQLException {
         try (PreparedStatement insert = connection.prepareStatement(
                 "insert into run (experiment, version, nodes, times," + " seed) values (?, ?, ?, ?, ?)",
@@ -88,11 +93,11 @@
             insert.setInt(3, cell.nodes());
             insert.setDouble(4, cell.times());
             insert.setLong(5, cell.seed());
-            return key(insert);
+            return insertAndReturnKey(insert);
         }
     }
 
-    private static long key(PreparedStatement insert) throws SQLException {
+    private static long insertAndReturnKey(PreparedStatement insert) throws SQLException {
         insert.executeUpdate();
         try (ResultSet keys = insert.getGeneratedKeys()) {
             keys.next();
@@ -100,6 +105,7 @@
         }
     }
 
+    /** Adds the report of a run. */
     public void complete(long run, ObjectNode report) throws SQLException {
         try (PreparedStatement update = connection.prepareStatement("update run set report = ? where id = ?")) {
             update.setString(1, report.toString());
@@ -108,6 +114,7 @@
         }
     }
 
+    /** All experiments, oldest first. */
     public List<Kept> list() throws SQLException {
         List<Kept> list = new ArrayList<>();
         try (Statement statement = connection.createStatement();
@@ -122,21 +129,23 @@
         return list;
     }
 
-    public Kept find(String words) throws SQLException {
+    /** The newest experiment of this name or id. */
+    public Kept find(String nameOrId) throws SQLException {
         List<Kept> list = list();
         Kept found = null;
         for (Kept kept : list) {
-            if (kept.name().equals(words) || Long.toString(kept.id()).equals(words)) {
+            if (kept.name().equals(nameOrId) || Long.toString(kept.id()).equals(nameOrId)) {
                 found = kept;
             }
         }
         if (found == null) {
-            throw new InvalidInputException("no experiment is named '" + words + "'; there are "
+            throw new InvalidInputException("no experiment is named '" + nameOrId + "'; there are "
                     + list.stream().map(kept -> kept.id() + " " + kept.name()).toList());
         }
         return found;
     }
 
+    /** The runs of an experiment, in the order in which they were started. */
     public List<Run> runs(long experiment) throws SQLException, IOException {
         List<Run> runs = new ArrayList<>();
         try (PreparedStatement select = connection.prepareStatement(
@@ -155,17 +164,17 @@
         return runs;
     }
 
-    /** Keeps the newest so many experiments; how many went. */
+    /** Deletes all but the newest {@code keep} experiments; returns how many were deleted. */
     public int prune(int keep) throws SQLException {
         try (PreparedStatement delete = connection.prepareStatement(
                 "delete from experiment where id not in" + " (select id from experiment order by id desc limit ?)")) {
             delete.setInt(1, keep);
-            int gone = delete.executeUpdate();
+            int deleted = delete.executeUpdate();
             try (Statement statement = connection.createStatement()) {
-                // Gives the room back to the file system.
+                // Frees the space of the deleted rows in the file.
                 statement.execute("checkpoint");
             }
-            return gone;
+            return deleted;
         }
     }
 
--- a/lab/src/main/java/spartrail/lab/experiment/NodeProcess.java
+++ b/lab/src/main/java/spartrail/lab/experiment/NodeProcess.java
@@ -21,12 +21,12 @@
 import spartrail.lab.file.InvalidInputException;
 import spartrail.policy.replication.CrashPoint;
 
-/** A front node as a process of its own, sized as operators start it. */
+/** A front node as a process of its own, started with the JVM options and sizes that operators use. */
 public final class NodeProcess implements AutoCloseable {
     private static final double READY_MS = 30_000;
-    private static final int PORTS_FROM = 12_000;
-    private static final int PORTS = 20_000;
-    private static final int PORT_TRIES = 1000;
+    private static final int FIRST_PORT = 12_000;
+    private static final int PORT_COUNT = 20_000;
+    private static final int MAX_PORT_ATTEMPTS = 1000;
 
     private final Path jar;
     private final Path config;
@@ -34,15 +34,18 @@
     private final int memoryMb;
     private final String address;
     private final Extras extras;
-    /** A shell that ends the node when this process has ended, however that came: its standard input then ends. */
-    private Process guard;
+    /**
+     * The shell that starts the node. It reads its standard input to the end and then kills the node: the input also
+     * ends if this process crashes or is killed.
+     */
+    private Process shell;
 
     private ProcessHandle handle;
     private int starts;
-    /** CPU of processes of this node that have ended. */
+    /** Processor time of earlier processes of this node that {@link #kill} ended. */
     private double cpuBeforeMs;
 
-    /** What a node is started with beside its configuration; null for what it is not. */
+    /** Files that a node is started with besides its configuration; null for options that are not given. */
     public record Extras(Path members, Path peers, Path history, Path state, Path record) {
         public static final Extras NONE = new Extras(null, null, null, null, null);
     }
@@ -56,34 +59,36 @@
         this.extras = extras;
     }
 
-    /** The jar of this version. */
+    /** The front node's jar of this build. */
     public static Path ownJar() {
         String root = System.getenv("SPARTRAIL_ROOT");
         Path jar = Path.of(root == null ? "." : root, "node", "target", "spartrail.jar");
         if (!Files.isReadable(jar)) {
-            throw new InvalidInputException(jar + ": is not there; build it with: mvn -q -DskipTests package");
+            throw new InvalidInputException(jar + ": cannot be read; build it with: mvn -q -DskipTests package");
         }
         return jar.toAbsolutePath();
     }
 
     /**
-     * A port that is free now, below the ephemeral range: one of that range could be given to a connecting socket while its node is
-     * down.
+     * Finds a port that is free now for TCP and UDP. It is below the ephemeral range: the system could give a port of
+     * that range to a connecting socket while the node is down.
      */
     public static int freePort() throws IOException {
-        for (int i = 0; i < PORT_TRIES; i++) {
-            int port = PORTS_FROM + ThreadLocalRandom.current().nextInt(PORTS);
+        for (int i = 0; i < MAX_PORT_ATTEMPTS; i++) {
+            int port = FIRST_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT);
             try (ServerSocket tcp = new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1"));
                     DatagramSocket udp =
                             new DatagramSocket(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port))) {
                 return port;
             } catch (BindException e) {
-                // Another one.
+                // The port is in use; the next attempt draws another one.
             }
         }
-        throw new IOException("no port from " + PORTS_FROM + " to " + (PORTS_FROM + PORTS) + " is free");
+        throw new IOException("no free port found in " + MAX_PORT_ATTEMPTS + " attempts between " + FIRST_PORT + " and "
+                + (FIRST_PORT + PORT_COUNT - 1));
     }
 
+    /** Starts a node and waits until it is ready. */
     public static NodeProcess start(Path jar, ObjectNode config, Path folder, String name, int memoryMb)
             throws IOException, InterruptedException {
         NodeProcess node = launched(jar, config, folder, name, memoryMb, Extras.NONE);
@@ -91,7 +96,7 @@
         return node;
     }
 
-    /** With a members' file: servers come from DNS, too. */
+    /** Starts a node with a members file, by which it also finds servers through DNS, and waits until it is ready. */
     public static NodeProcess start(Path jar, ObjectNode config, Path folder, String name, int memoryMb, Path members)
             throws IOException, InterruptedException {
         NodeProcess node = launched(jar, config, folder, name, memoryMb, new Extras(members, null, null, null, null));
@@ -99,7 +104,7 @@
         return node;
     }
 
-    /** Started, and perhaps not ready yet: several start side by side. */
+    /** Starts a node without waiting until it is ready, so that several nodes can start at the same time. */
     public static NodeProcess launched(
             Path jar, ObjectNode config, Path folder, String name, int memoryMb, Extras extras) throws IOException {
         Path file = folder.resolve(name + ".json");
@@ -115,12 +120,12 @@
         return node;
     }
 
-    /** Starts the process again after it has ended; it need not be ready yet. */
+    /** Starts the process, also again after it has ended, without waiting until it is ready. */
     public void launch() throws IOException {
         launch(List.of());
     }
 
-    /** The same with further options of the JVM, for this start only. */
+    /** Starts the process with further JVM options, for this start only; see {@link #launch()}. */
     public void launch(List<String> options) throws IOException {
         int heapMb = Math.max(10, Math.min(48, (memoryMb - 48) / 2));
         List<String> command = new ArrayList<>(List.of(
@@ -137,19 +142,22 @@
                 "-XX:MaxDirectMemorySize=12m",
                 "-XX:MaxMetaspaceSize=40m",
                 "-XX:ReservedCodeCacheSize=16m"));
-        StringBuilder path = new StringBuilder(jar.toString());
+        StringBuilder classPath = new StringBuilder(jar.toString());
         if (extras.members() != null) {
-            path.append(':')
+            classPath
+                    .append(':')
                     .append(jar.resolveSibling("../../dns/target/spartrail-dns.jar")
                             .normalize());
         }
         if (extras.peers() != null) {
-            path.append(':')
+            classPath
+                    .append(':')
                     .append(jar.resolveSibling("../../peers/target/spartrail-peers.jar")
                             .normalize());
         }
         if (extras.state() != null) {
-            path.append(':')
+            classPath
+                    .append(':')
                     .append(jar.resolveSibling("../../policy/target/spartrail-policy.jar")
                             .normalize());
         }
@@ -157,56 +165,58 @@
         if (extras.state() != null && options.isEmpty()) {
             command.add("-D" + CrashPoint.ENABLING_PROPERTY + "=true");
         }
-        command.addAll(List.of("-cp", path.toString(), "spartrail.Main", "serve", "--config", config.toString()));
-        option(command, "--members", extras.members());
-        option(command, "--peers", extras.peers());
-        option(command, "--history", extras.history());
-        option(command, "--state", extras.state());
-        // A record is of one life of a process.
-        option(
+        command.addAll(List.of("-cp", classPath.toString(), "spartrail.Main", "serve", "--config", config.toString()));
+        addOption(command, "--members", extras.members());
+        addOption(command, "--peers", extras.peers());
+        addOption(command, "--history", extras.history());
+        addOption(command, "--state", extras.state());
+        // Each start writes a record file of its own, named by the number of the start.
+        addOption(
                 command,
                 "--record",
                 extras.record() == null
                         ? null
                         : extras.record().resolveSibling(extras.record().getFileName() + "." + starts));
         starts++;
-        if (guard != null) {
-            guard.outputWriter().close();
+        if (shell != null) {
+            shell.outputWriter().close();
         }
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("LOG", log.toString());
-        guard = builder.redirectError(ProcessBuilder.Redirect.DISCARD).start();
-        String pid = guard.inputReader().readLine();
+        shell = builder.redirectError(ProcessBuilder.Redirect.DISCARD).start();
+        String pid = shell.inputReader().readLine();
         handle = pid == null
-                ? guard.toHandle()
-                : ProcessHandle.of(Long.parseLong(pid)).orElse(guard.toHandle());
+                ? shell.toHandle()
+                : ProcessHandle.of(Long.parseLong(pid)).orElse(shell.toHandle());
     }
 
-    private static void option(List<String> command, String name, Path file) {
+    private static void addOption(List<String> command, String name, Path file) {
         if (file != null) {
             command.addAll(List.of(name, file.toString()));
         }
     }
 
+    /** Waits until the node answers requests; fails if its process ends or is not ready within 30 s. */
     public void awaitReady() throws IOException, InterruptedException {
-        long untilNs = System.nanoTime() + (long) (READY_MS * 1e6);
-        while (!up()) {
+        long deadlineNs = System.nanoTime() + (long) (READY_MS * 1e6);
+        while (!isUp()) {
             if (!handle.isAlive()) {
-                throw new IOException("the front node ended at its start: "
+                throw new IOException("the front node ended before it was ready; last line of its log: "
                         + Files.readString(log)
                                 .lines()
                                 .reduce((first, second) -> second)
-                                .orElse("it said nothing"));
+                                .orElse("(the log is empty)"));
             }
-            if (System.nanoTime() > untilNs) {
+            if (System.nanoTime() > deadlineNs) {
                 handle.destroyForcibly();
-                throw new IOException("the front node was not ready within " + READY_MS / 1000 + " s, see " + log);
+                throw new IOException("the front node was not ready within " + READY_MS / 1000
+                        + " s and was killed; see its log " + log);
             }
             Thread.sleep(20);
         }
     }
 
-    private boolean up() throws IOException {
+    private boolean isUp() throws IOException {
         try {
             HttpURLConnection connection = (HttpURLConnection)
                     URI.create("http://" + address + "/up").toURL().openConnection();
@@ -226,36 +236,36 @@
         return handle;
     }
 
-    /** Killed outright, as a machine that is lost. */
+    /** Kills the process without a drain, as the loss of its machine would. */
     public void kill() throws InterruptedException {
         cpuBeforeMs = cpuMs();
         handle.destroyForcibly();
         awaitEnd(10);
     }
 
-    /** Asks it to end; it drains first. */
+    /** Sends SIGTERM; the node drains and then ends. */
     public void terminate() {
         handle.destroy();
     }
 
-    /** Reads its configuration again. */
+    /** Sends SIGHUP; the node reads its configuration again. */
     public void hangUp() throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-HUP", Long.toString(handle.pid())).start().waitFor(5, TimeUnit.SECONDS);
     }
 
-    /** The file of its configuration, which it reads at each start and when asked to. */
+    /** The node's configuration file, which it reads at each start and on {@link #hangUp}. */
     public Path config() {
         return config;
     }
 
-    /** It stands still as a machine does that is out of breath, until it goes on. */
-    public void stop(boolean stands) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", stands ? "-STOP" : "-CONT", Long.toString(handle.pid()))
+    /** Suspends the process, as an overloaded machine would, or resumes it if {@code suspended} is false. */
+    public void stop(boolean suspended) throws IOException, InterruptedException {
+        new ProcessBuilder("kill", suspended ? "-STOP" : "-CONT", Long.toString(handle.pid()))
                 .start()
                 .waitFor(5, TimeUnit.SECONDS);
     }
 
-    /** Whether it has ended within so many seconds. */
+    /** Waits up to {@code seconds} for the end of the process; returns whether it has ended. */
     public boolean awaitEnd(double seconds) throws InterruptedException {
         try {
             handle.onExit().get(Math.round(1000 * seconds), TimeUnit.MILLISECONDS);
@@ -267,12 +277,13 @@
         }
     }
 
+    /** Starts the process again after it has ended and waits until it is ready. */
     public void restart() throws IOException, InterruptedException {
         launch();
         awaitReady();
     }
 
-    /** CPU used so far, in milliseconds. */
+    /** Processor time used so far, in milliseconds. */
     public double cpuMs() {
         return cpuBeforeMs
                 + handle.info()
@@ -281,7 +292,7 @@
                         .orElse(0.0);
     }
 
-    /** Memory held, in megabytes, where the system tells; else 0. */
+    /** Resident memory in megabytes; 0 if the system does not report it. */
     public double memoryMb() {
         try {
             return Files.readAllLines(Path.of("/proc", Long.toString(handle.pid()), "status")).stream()
@@ -294,7 +305,7 @@
         }
     }
 
-    /** Asks it to end and waits; kills it where it does not. */
+    /** Sends SIGTERM and waits up to 15 s; kills the process if it has not ended by then. */
     @Override
     public void close() {
         handle.destroy();
@@ -303,12 +314,12 @@
                 handle.destroyForcibly();
                 awaitEnd(5);
             }
-            guard.outputWriter().close();
+            shell.outputWriter().close();
         } catch (InterruptedException e) {
             handle.destroyForcibly();
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            // The guard is gone already.
+            // The shell has ended already.
         }
     }
 }
--- a/lab/src/main/java/spartrail/lab/experiment/NodeSettings.java
+++ b/lab/src/main/java/spartrail/lab/experiment/NodeSettings.java
@@ -12,8 +12,12 @@
 import spartrail.lab.fleet.FleetPlan;
 import spartrail.lab.rules.RuleLimits;
 
-/** What front nodes are told, in our words; {@link #config} is the door at which these become the file's names. */
+/**
+ * Settings of the front nodes of an experiment; {@link #config} translates them to the names of a node's configuration
+ * file.
+ */
 public final class NodeSettings {
+    /** Settings of one op type, by the names of the plan. */
     record Op(
             String name,
             double budgetMs,
@@ -50,11 +54,12 @@
         }
     }
 
+    /** Memory limit of a front node. */
     public int memoryMb() {
         return tree.path("memoryMb").asInt(144);
     }
 
-    /** The figures by which the rules are checked, one for both sides. */
+    /** The limits by which the rules are checked: those that the nodes are configured with, see {@link #config}. */
     public RuleLimits terms() {
         Map<String, RuleLimits.Op> ops = new HashMap<>();
         opTypes.forEach(op -> ops.put(op.name(), new RuleLimits.Op(op.repeat(), op.dedupMs(), op.need(), op.floor())));
@@ -70,7 +75,7 @@
                 budget.path("windowMs").asDouble(10_000));
     }
 
-    /** The configuration of one node of so many. */
+    /** The configuration file of node number {@code node} of {@code nodes}. */
     public ObjectNode config(int node, int nodes, String listen, Fleet fleet, long seed) throws java.io.IOException {
         FleetPlan plan = fleet.plan();
         ObjectNode config = Document.JSON.createObjectNode();
@@ -104,9 +109,9 @@
         ArrayNode need = family.putArray("class-need");
         ArrayNode floor = family.putArray("class-floor");
         ArrayNode partial = family.putArray("class-partial");
-        ArrayNode second = family.putArray("fetch-parts");
+        ArrayNode fetchParts = family.putArray("fetch-parts");
         for (Op op : opTypes) {
-            ObjectNode line = classes.addObject()
+            ObjectNode opClass = classes.addObject()
                     .put("name", op.name())
                     .put("aim", op.budgetMs() / 1000)
                     .put("deadline", op.timeoutMs() / 1000)
@@ -120,12 +125,12 @@
                                 default -> "single_shot";
                             });
             if (op.dedupMs() > 0) {
-                line.put("key-ttl", op.dedupMs() / 1000);
+                opClass.put("key-ttl", op.dedupMs() / 1000);
             }
             need.add(op.need());
             floor.add(op.floor());
             partial.add(op.partialShare());
-            second.add(0);
+            fetchParts.add(0);
         }
         settings.putObject("bounds")
                 .put("cancelling", true)
--- a/lab/src/main/java/spartrail/lab/experiment/Runner.java
+++ b/lab/src/main/java/spartrail/lab/experiment/Runner.java
@@ -18,10 +18,10 @@
 import spartrail.lab.plan.LoadPlan;
 import spartrail.lab.rules.RuleChecker;
 
-/** Plays one cell of a matrix: a fleet, front nodes, load, rules. */
+/** Runs one cell of an experiment's matrix: starts a fleet and front nodes, sends the load and checks the rules. */
 public final class Runner {
-    /** What was done by the script, and when. */
-    private record Event(double atMs, String what) {}
+    /** An action of the fleet's script, or a server's fall, and its time. */
+    private record Event(double atMs, String action) {}
 
     private final ExperimentPlan plan;
     private final Consumer<LoadSession.Glance> progress;
@@ -33,14 +33,14 @@
         this.stopped = stopped;
     }
 
-    /** The run's report, with rules, servers, nodes and events. */
+    /** Runs the cell; returns the load's report with the verdicts on rules, the servers, nodes and events added. */
     public ObjectNode play(ExperimentPlan.Cell cell) throws IOException, InterruptedException {
         FleetPlan fleetPlan = plan.fleet().varied(plan.fleet().seed() * 31 + cell.seed(), cell.nodes());
         RuleChecker checker = new RuleChecker(plan.node().terms());
         List<Event> events = java.util.Collections.synchronizedList(new ArrayList<>());
         Path folder = Files.createTempDirectory("spartrail-run");
         List<NodeProcess> nodes = new ArrayList<>();
-        try (Fleet fleet = new Fleet(fleetPlan, watching(checker, events))) {
+        try (Fleet fleet = new Fleet(fleetPlan, recordingListener(checker, events))) {
             List<LoadPlan.Target> targets = new ArrayList<>();
             for (int node = 0; node < cell.nodes(); node++) {
                 int port = NodeProcess.freePort();
@@ -80,10 +80,11 @@
                             .put("memoryMb", Math.round(nodes.get(i).memoryMb()))
                             .put("alive", nodes.get(i).handle().isAlive());
                 }
-                ArrayNode deeds = report.putArray("events");
-                List.copyOf(events).forEach(event -> deeds.addObject()
+                ArrayNode eventArray = report.putArray("events");
+                List.copyOf(events).forEach(event -> eventArray
+                        .addObject()
                         .put("atMs", Math.round(event.atMs() - startMs))
-                        .put("what", event.what()));
+                        .put("what", event.action()));
                 report.set("rules", rules(checker));
                 return report;
             }
@@ -96,7 +97,7 @@
         }
     }
 
-    /** How the rules fared, as a report tells it. */
+    /** The verdicts on all rules, as they stand in a report. */
     public static ObjectNode rules(RuleChecker checker) {
         ObjectNode tree = Document.JSON.createObjectNode();
         tree.put("kept", checker.kept());
@@ -112,11 +113,14 @@
         return tree;
     }
 
-    private static FleetListener watching(RuleChecker checker, List<Event> events) {
-        return watching(checker, (what, atMs) -> events.add(new Event(atMs, what)));
+    private static FleetListener recordingListener(RuleChecker checker, List<Event> events) {
+        return watching(checker, (action, atMs) -> events.add(new Event(atMs, action)));
     }
 
-    /** Hands on what is seen at servers and roll: to the rules, and what was done also elsewhere. */
+    /**
+     * A listener that passes what servers and the discovery service observe to the rule checker, and actions of the
+     * script and falls of servers also to {@code done}.
+     */
     public static FleetListener watching(RuleChecker checker, BiConsumer<String, Double> done) {
         return new FleetListener() {
             @Override
@@ -147,8 +151,8 @@
             }
 
             @Override
-            public void deed(String what, double atMs) {
-                done.accept(what, atMs);
+            public void deed(String action, double atMs) {
+                done.accept(action, atMs);
             }
         };
     }
--- a/lab/src/main/java/spartrail/lab/experiment/package-info.java
+++ b/lab/src/main/java/spartrail/lab/experiment/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Experiments: a matrix of runs of a fleet, front nodes and load in one, kept in an embedded store and shown as tables
- * and charts. Front nodes are processes of their own; the rest runs in this one.
+ * Experiments: a matrix of runs, each with a fleet, front nodes and load. Reports are stored in an embedded database
+ * and shown as tables and charts. Front nodes are processes of their own; everything else runs in this process.
  */
 package spartrail.lab.experiment;
--- a/lab/src/test/java/spartrail/lab/experiment/ExperimentTest.java
+++ b/lab/src/test/java/spartrail/lab/experiment/ExperimentTest.java
@@ -34,17 +34,17 @@
              "node": {"opTypes": [{"name": "orders", "budgetMs": 2000, "timeoutMs": 4000, "floor": 0.9}]}}
             """;
 
-    private ExperimentPlan plan() throws IOException {
+    private ExperimentPlan readPlan() throws IOException {
         Path file = folder.resolve("plan.json");
         Files.writeString(file, PLAN);
         return ExperimentPlan.read(file);
     }
 
-    /** The main job: multigets through a real front node to servers, one of which restarts and one drains. */
+    /** The usual run: multigets go through a real front node to servers, of which one restarts and one drains. */
     @Test
-    void aRealFrontNodeKeepsItsRulesUnderLoad() throws Exception {
-        assumeTrue(Files.isReadable(Path.of("node/target/spartrail.jar")), "the front node's jar is built before");
-        ExperimentPlan plan = plan();
+    void realFrontNodeKeepsTheRulesUnderLoad() throws Exception {
+        assumeTrue(Files.isReadable(Path.of("node/target/spartrail.jar")), "the front node's jar has been built");
+        ExperimentPlan plan = readPlan();
         ObjectNode report =
                 new Runner(plan, glance -> {}, () -> false).play(plan.cells().get(0));
         assertThat(report.at("/rules/kept").asBoolean())
@@ -78,16 +78,16 @@
     }
 
     @Test
-    void whatAKilledRunLeavesOpensAndCountsAsBrokenOff() throws Exception {
-        assumeTrue(Files.isReadable(Path.of("node/target/spartrail.jar")), "the front node's jar is built before");
-        ExperimentPlan plan = plan();
+    void storeOfAKilledProcessOpensAndItsLastRunCountsAsBrokenOff() throws Exception {
+        assumeTrue(Files.isReadable(Path.of("node/target/spartrail.jar")), "the front node's jar has been built");
+        ExperimentPlan plan = readPlan();
         ExperimentPlan.Cell cell = plan.cells().get(0);
-        Path killed = folder.resolve("killed.mv.db");
+        Path copyBeforeClose = folder.resolve("killed.mv.db");
         try (ExperimentStore store = new ExperimentStore(folder.resolve("store"))) {
             long experiment = store.begin(plan);
             store.complete(store.begin(experiment, cell), report(1, 1));
             store.begin(experiment, cell);
-            Files.copy(folder.resolve("store.mv.db"), killed);
+            Files.copy(folder.resolve("store.mv.db"), copyBeforeClose);
         }
         try (ExperimentStore store = new ExperimentStore(folder.resolve("killed"))) {
             ExperimentStore.Kept kept = store.find("small");
@@ -101,21 +101,21 @@
         }
     }
 
-    private static ObjectNode report(double served, double p99Ms) {
+    private static ObjectNode report(double servedShare, double p99Ms) {
         ObjectNode tree = Document.JSON.createObjectNode();
         tree.put("fit", true).put("tries", 100);
         tree.putObject("clients")
-                .put("served", 100 * served)
-                .put("unserved", 100 - 100 * served)
+                .put("served", 100 * servedShare)
+                .put("unserved", 100 - 100 * servedShare)
                 .putObject("untilServedMs")
                 .put("p99", p99Ms);
-        tree.putObject("kinds").put("WHOLE", 100 * served).put("PUSHED_BACK", 0);
+        tree.putObject("kinds").put("WHOLE", 100 * servedShare).put("PUSHED_BACK", 0);
         tree.putObject("served").putObject("latencyMs").put("p50", 10).put("p99", p99Ms);
         return tree;
     }
 
     @Test
-    void aDifferenceIsToldOnlyWhereSeedsAgreeOnIt() throws Exception {
+    void verdictIsGivenOnlyIfTheIntervalExcludesNoDifference() throws Exception {
         Map<Long, JsonNode> first = new TreeMap<>();
         Map<Long, JsonNode> second = new TreeMap<>();
         double[][] values = {
--- a/lab/src/test/java/spartrail/lab/experiment/StoreFormTest.java
+++ b/lab/src/test/java/spartrail/lab/experiment/StoreFormTest.java
@@ -15,60 +15,63 @@
 import spartrail.lab.Forms;
 import spartrail.lab.file.Document;
 
-/** A store of experiments that version d4872eb wrote is read as before, and the same rows are written. */
+/** Reads a store file that version d4872eb wrote, and checks that the present version writes the same rows. */
 class StoreFormTest {
     @TempDir
     private Path folder;
 
     @BeforeEach
-    void copyTheKeptStore() throws Exception {
+    void copyStoreOfEarlierVersion() throws Exception {
         Files.write(folder.resolve("kept.mv.db"), Forms.bytes("experiments.mv.db"));
     }
 
-    private static String read(ExperimentStore store) throws Exception {
-        StringBuilder seen = new StringBuilder();
+    private static String describeRuns(ExperimentStore store) throws Exception {
+        StringBuilder text = new StringBuilder();
         for (ExperimentStore.Kept kept : store.list()) {
-            seen.append(kept.id() + " " + kept.name() + " " + kept.startedAt() + " " + kept.runs() + " " + kept.done()
+            text.append(kept.id() + " " + kept.name() + " " + kept.startedAt() + " " + kept.runs() + " " + kept.done()
                     + "\n");
             for (ExperimentStore.Run run : store.runs(kept.id())) {
                 ExperimentPlan.Cell cell = run.cell();
-                seen.append("  " + cell.version() + " " + cell.nodes() + " " + cell.times() + " " + cell.seed() + " "
+                text.append("  " + cell.version() + " " + cell.nodes() + " " + cell.times() + " " + cell.seed() + " "
                         + run.report() + "\n");
             }
         }
-        return seen.toString();
+        return text.toString();
     }
 
-    /** Tables, columns and values as they stand; the time of the start is the test's own. */
-    private static String rows(Path file) throws Exception {
-        StringBuilder seen = new StringBuilder();
+    /**
+     * All tables with their columns, types and values; digits of the start time are replaced by 0, as it differs
+     * between runs.
+     */
+    private static String describeRows(Path file) throws Exception {
+        StringBuilder text = new StringBuilder();
         try (Connection connection = DriverManager.getConnection("jdbc:h2:file:" + file.toAbsolutePath(), "", "");
                 Statement statement = connection.createStatement()) {
             for (String table : new String[] {"form", "experiment", "run"}) {
                 ResultSet rows = statement.executeQuery("select * from " + table + " order by 1");
                 ResultSetMetaData columns = rows.getMetaData();
                 while (rows.next()) {
-                    seen.append(table);
+                    text.append(table);
                     for (int i = 1; i <= columns.getColumnCount(); i++) {
                         String name = columns.getColumnName(i);
-                        seen.append(' ')
+                        text.append(' ')
                                 .append(name)
                                 .append(' ')
                                 .append(columns.getColumnTypeName(i))
                                 .append(' ');
-                        seen.append(
+                        text.append(
                                 name.equals("STARTED_AT")
                                         ? rows.getString(i).replaceAll("[0-9]", "0")
                                         : rows.getString(i));
                     }
-                    seen.append('\n');
+                    text.append('\n');
                 }
             }
         }
-        return seen.toString();
+        return text.toString();
     }
 
-    /** What the kept store was filled with. */
+    /** Writes the same experiments and runs that the file of the earlier version holds. */
     private static void fill(ExperimentStore store) throws Exception {
         long first = store.begin("small", Document.JSON.readTree("{\"name\":\"small\",\"fleet\":{\"servers\":[1]}}"));
         store.complete(
@@ -80,17 +83,17 @@
     }
 
     @Test
-    void aKeptStoreIsReadAsBefore() throws Exception {
+    void storeOfEarlierVersionIsRead() throws Exception {
         try (ExperimentStore store = new ExperimentStore(folder.resolve("kept"))) {
-            assertThat(read(store)).isEqualTo(Forms.text("experiments.txt"));
+            assertThat(describeRuns(store)).isEqualTo(Forms.text("experiments.txt"));
         }
     }
 
     @Test
-    void aNewStoreHoldsTheSameRows() throws Exception {
+    void newStoreHasTheSameRowsAsThatOfEarlierVersion() throws Exception {
         try (ExperimentStore store = new ExperimentStore(folder.resolve("new"))) {
             fill(store);
         }
-        assertThat(rows(folder.resolve("new"))).isEqualTo(rows(folder.resolve("kept")));
+        assertThat(describeRows(folder.resolve("new"))).isEqualTo(describeRows(folder.resolve("kept")));
     }
 }
