--- a/lab/src/main/java/spartrail/lab/trace/Reorder.java
+++ b/lab/src/main/java/spartrail/lab/trace/Reorder.java
@@ -9,22 +9,23 @@
 import spartrail.lab.file.InvalidInputException;
 
 /**
- * Sorts the lines of a trace by time within a window, without I/O. Rules, each counted:
+ * Sorts the lines of a trace by time within a window, without I/O. Each case has a rule and is counted:
  *
  * <pre>
- * late by no more than the window                       sorted into its place
- * later than that                                       an error with its number; with clamp, moved to the window's start
- * {@link #CLOCK_STEP_AFTER_LINES} of these in a row     the clock was set back: with clamp, all later times are shifted
- * equal to a line within the window                     dropped, unless duplicates are kept
- * a gap longer than the squeeze                         shortened to it
+ * late by up to the window                               sorted by its time
+ * late by more than the window                           an error that names the line; with clamp, moved to the
+ *                                                        start of the window
+ * {@link #CLOCK_STEP_AFTER_LINES} of these in a row      the clock was set back: with clamp, all later times shift
+ * equal to a line within the window                      dropped, unless duplicates are kept
+ * after a gap longer than {@code squeezeMs}              moved forward: the gap is shortened to {@code squeezeMs}
  * </pre>
  */
 final class Reorder {
     private record Entry(double atMs, long number, TraceLine line) {}
 
-    /** More late lines in a row are a clock that was set back rather than stragglers. */
+    /** This many late lines in a row mean that the clock was set back; fewer count as single delayed lines. */
     static final int CLOCK_STEP_AFTER_LINES = 20;
-    /** Bounds the memory: a window of minutes over a busy trace would buffer all of it. */
+    /** Limits the memory: with a window of minutes, all lines of a busy trace would be buffered. */
     static final int MAX_BUFFERED_LINES = 500_000;
 
     private final double windowMs;
@@ -46,10 +47,10 @@
 
     long sorted;
     long clamped;
-    long steps;
+    long clockSteps;
     long duplicates;
-    long squeezed;
-    long count;
+    long squeezedGaps;
+    long released;
 
     Reorder(double windowMs, boolean clamp, double squeezeMs, boolean keepDuplicates, Consumer<TraceLine> out) {
         this.windowMs = windowMs;
@@ -59,8 +60,8 @@
         this.out = out;
     }
 
-    /** Adds a line with its number in the file and a hash of its bytes; {@code place} names the file. */
-    void add(TraceLine line, long number, long hash, String place) {
+    /** Adds a line with its number in the file and the hash of its text; {@code fileName} is for error messages. */
+    void add(TraceLine line, long number, long hash, String fileName) {
         double atMs = line.atMs() + clockOffsetMs;
         if (!keepDuplicates && !seenHashSet.add(hash)) {
             duplicates++;
@@ -76,13 +77,13 @@
                         java.util.Locale.ROOT,
                         "%s:%d: this line is %.3f ms earlier than one"
                                 + " before it, at most %.3f ms can be put into order; give a larger --reorder-ms, or --clamp",
-                        place,
+                        fileName,
                         number,
                         newestMs - atMs,
                         windowMs));
             }
             if (++lateLinesInARow >= CLOCK_STEP_AFTER_LINES) {
-                steps++;
+                clockSteps++;
                 lateLinesInARow = 0;
                 clockOffsetMs += newestMs - atMs;
                 atMs = newestMs;
@@ -99,7 +100,7 @@
         newestMs = Math.max(newestMs, atMs);
         buffered.add(new Entry(atMs, number, line));
         if (buffered.size() > MAX_BUFFERED_LINES) {
-            throw new InvalidInputException(place + ":" + number + ": more than " + MAX_BUFFERED_LINES
+            throw new InvalidInputException(fileName + ":" + number + ": more than " + MAX_BUFFERED_LINES
                     + " lines within the reorder window of " + windowMs + " ms; give a smaller --reorder-ms");
         }
         release(newestMs - windowMs);
@@ -110,11 +111,11 @@
             Entry entry = buffered.poll();
             lastReleasedMs = entry.atMs();
             if (!Double.isNaN(lastEmittedMs) && squeezeMs > 0 && lastReleasedMs - lastEmittedMs > squeezeMs) {
-                squeezed++;
+                squeezedGaps++;
                 removedGapsMs += lastReleasedMs - lastEmittedMs - squeezeMs;
             }
             lastEmittedMs = lastReleasedMs;
-            count++;
+            released++;
             out.accept(entry.line().withTime(lastReleasedMs - removedGapsMs));
         }
         while (!seenTimes.isEmpty() && (seenTimes.peek()[0] < untilMs || seenTimes.size() > MAX_BUFFERED_LINES)) {
@@ -123,7 +124,7 @@
         }
     }
 
-    /** Emits what is still buffered. */
+    /** Releases all lines that are still buffered. */
     void finish() {
         release(Double.POSITIVE_INFINITY);
     }
--- a/lab/src/main/java/spartrail/lab/trace/TraceFile.java
+++ b/lab/src/main/java/spartrail/lab/trace/TraceFile.java
@@ -18,8 +18,9 @@
 import spartrail.lab.file.InvalidInputException;
 
 /**
- * The compact file format of a trace: a magic number, then records under gzip, then an end record with their count, so that a truncated
- * file is detected. Integers are base-128 varints with the low bits first; times are differences in microseconds.
+ * The compact file format of a trace: a magic number, then records compressed by gzip, then an end record with the
+ * number of records, by which the reader detects a truncated file. Integers are base-128 varints with the low bits
+ * first; times are differences in microseconds.
  */
 final class TraceFile {
     static final byte[] MAGIC = {'S', 'P', 'T', 'R', 'A', 'C', 'E', '1'};
@@ -47,30 +48,30 @@
             long micros = Double.isNaN(lastMs) ? 0 : Math.round(1000 * (line.atMs() - lastMs));
             // The rounded time is the next base, so that rounding errors do not add up.
             lastMs = Double.isNaN(lastMs) ? line.atMs() : lastMs + micros / 1000.0;
-            varint(micros);
+            writeVarint(micros);
             Integer opType = opTypes.get(line.opType());
             if (opType == null) {
-                varint(opTypes.size());
+                writeVarint(opTypes.size());
                 opTypes.put(line.opType(), opTypes.size());
                 out.writeUTF(line.opType());
             } else {
-                varint(opType);
+                writeVarint(opType);
             }
             out.writeUTF(line.key());
-            varint(line.shards().length);
+            writeVarint(line.shards().length);
             for (int i = 0; i < line.shards().length; i++) {
-                varint(line.shards()[i]);
+                writeVarint(line.shards()[i]);
                 if (line.weights() != null) {
                     out.writeFloat((float) line.weights()[i]);
                 }
             }
-            varint(Math.round(1000 * line.workMs()));
-            varint(line.textBytes());
-            varint(Math.round(1000 * line.clientMs()));
+            writeVarint(Math.round(1000 * line.workMs()));
+            writeVarint(line.textBytes());
+            writeVarint(Math.round(1000 * line.clientMs()));
             count++;
         }
 
-        private void varint(long value) throws IOException {
+        private void writeVarint(long value) throws IOException {
             long rest = Math.max(0, value);
             while (rest >= 128) {
                 out.writeByte((int) (rest & 127 | 128));
@@ -104,31 +105,33 @@
             BufferedInputStream raw = new BufferedInputStream(Files.newInputStream(file), 1 << 16);
             if (!Arrays.equals(raw.readNBytes(MAGIC.length), MAGIC)) {
                 raw.close();
-                throw new InvalidInputException(name + ": is no trace; make one with: spartrail load import");
+                throw new InvalidInputException(name + ": is not a trace file; create one with: spartrail load import");
             }
             in = new DataInputStream(new BufferedInputStream(new GZIPInputStream(raw, 1 << 15), 1 << 15));
         }
 
-        /** The next line, its time from 0 on, or null at the end. */
-        TraceLine next() throws IOException {
+        /** Reads the next line, whose time counts from the first one; null at the end. */
+        TraceLine readNext() throws IOException {
             try {
                 int kind = in.readByte();
                 if (kind == END) {
-                    if (in.readLong() != count) {
-                        throw new InvalidInputException(name + ": its number of multigets is not what its end says");
+                    long expectedCount = in.readLong();
+                    if (expectedCount != count) {
+                        throw new InvalidInputException(
+                                name + ": holds " + count + " multigets, its end record says " + expectedCount);
                     }
                     return null;
                 }
-                atMs += varint() / 1000.0;
-                int opType = (int) varint();
+                atMs += readVarint() / 1000.0;
+                int opType = (int) readVarint();
                 if (opType == opTypes.size()) {
                     opTypes.add(in.readUTF());
                 }
                 String key = in.readUTF();
-                int[] shards = new int[(int) varint()];
+                int[] shards = new int[(int) readVarint()];
                 double[] weights = kind == LINE_WEIGHTED ? new double[shards.length] : null;
                 for (int i = 0; i < shards.length; i++) {
-                    shards[i] = (int) varint();
+                    shards[i] = (int) readVarint();
                     if (weights != null) {
                         weights[i] = in.readFloat();
                     }
@@ -139,26 +142,26 @@
                         key,
                         shards,
                         weights,
-                        varint() / 1000.0,
-                        (int) varint(),
-                        varint() / 1000.0);
+                        readVarint() / 1000.0,
+                        (int) readVarint(),
+                        readVarint() / 1000.0);
                 count++;
                 return line;
             } catch (EOFException e) {
-                throw new InvalidInputException(name + ": is cut after " + count + " multigets");
+                throw new InvalidInputException(name + ": is truncated after " + count + " multigets");
             }
         }
 
-        private long varint() throws IOException {
+        private long readVarint() throws IOException {
             long value = 0;
             for (int shift = 0; shift < 63; shift += 7) {
-                int more = in.readByte();
-                value |= (long) (more & 127) << shift;
-                if (more >= 0) {
+                int group = in.readByte();
+                value |= (long) (group & 127) << shift;
+                if (group >= 0) {
                     return value;
                 }
             }
-            throw new InvalidInputException(name + ": is spoilt after " + count + " multigets");
+            throw new InvalidInputException(name + ": is corrupt after " + count + " multigets");
         }
 
         @Override
--- a/lab/src/main/java/spartrail/lab/trace/TraceImport.java
+++ b/lab/src/main/java/spartrail/lab/trace/TraceImport.java
@@ -26,12 +26,13 @@
 /** Imports a recorded trace, CSV or JSON lines, into a {@link TraceFile}. */
 public final class TraceImport {
     /**
-     * Names of the columns, and which op types and shards are known.
+     * The names of the columns, and the op types and shards that a line may have.
      *
      * @param unit of the time: ms, s, us, ns or iso
-     * @param opTypes the known ones; empty accepts any
-     * @param shards their number; 0 accepts any
+     * @param opTypes the known op types; any is accepted if the list is empty
+     * @param shards number of the shards; any is accepted if it is 0
      * @param skipUnknown skips lines with unknown op types or shards instead of rejecting the trace
+     * @param clientDefaultMs the client's time in lines that have none
      */
     public record Columns(
             String at,
@@ -52,7 +53,7 @@
             JsonNode tree = document.tree;
             JsonNode names = tree.path("columns");
             List<String> known = new ArrayList<>();
-            tree.path("opTypes").forEach(one -> known.add(one.asText()));
+            tree.path("opTypes").forEach(opType -> known.add(opType.asText()));
             return new Columns(
                     names.path("at").asText("atMs"),
                     tree.path("unit").asText("ms"),
@@ -69,7 +70,7 @@
                     tree.path("clientMs").asDouble(2000));
         }
 
-        /** The names in a front node's record. */
+        /** The columns of a front node's record. */
         public static Columns ofRecord() {
             return of(Document.of("columns", Document.JSON.createObjectNode(), "columns"));
         }
@@ -112,27 +113,27 @@
                     throw new UncheckedIOException(e);
                 }
             });
-            TraceImport run = new TraceImport(columns, reorder, from.toString());
-            run.read(from);
+            TraceImport traceImport = new TraceImport(columns, reorder, from.toString());
+            traceImport.read(from);
             reorder.finish();
             writer.finish();
             Files.move(part, to, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
-            return run.counts();
+            return traceImport.countsAsJson();
         } finally {
             Files.deleteIfExists(part);
         }
     }
 
-    private ObjectNode counts() {
+    private ObjectNode countsAsJson() {
         return Document.JSON
                 .createObjectNode()
                 .put("lines", lines)
-                .put("multigets", reorder.count)
+                .put("multigets", reorder.released)
                 .put("putIntoOrder", reorder.sorted)
                 .put("clamped", reorder.clamped)
-                .put("clockSteps", reorder.steps)
+                .put("clockSteps", reorder.clockSteps)
                 .put("duplicates", reorder.duplicates)
-                .put("gapsSqueezed", reorder.squeezed)
+                .put("gapsSqueezed", reorder.squeezedGaps)
                 .put("unknownLeftOut", skippedLines)
                 .put("tornLastLine", incompleteLines);
     }
@@ -163,7 +164,7 @@
         }
     }
 
-    /** The last line may be incomplete, as a record that is being written ends anywhere. */
+    /** Reads JSON lines. The last one may be incomplete: a record that is still being written ends anywhere. */
     private void readJsonLines(BufferedReader reader) throws IOException {
         String line = reader.readLine();
         for (long number = 1; line != null; number++) {
@@ -179,19 +180,19 @@
                     }
                     throw new InvalidInputException(name + ":" + number + ": no JSON object");
                 }
-                take(number, line, column -> {
+                addRow(number, line, column -> {
                     JsonNode value = tree.path(column);
                     if (value.isMissingNode() || value.isNull()) {
                         return "";
                     }
-                    return value.isArray() ? join(value) : value.asText();
+                    return value.isArray() ? joinValues(value) : value.asText();
                 });
             }
             line = next;
         }
     }
 
-    private static String join(JsonNode array) {
+    private static String joinValues(JsonNode array) {
         StringBuilder text = new StringBuilder();
         array.forEach(value -> text.append(text.length() == 0 ? "" : ";").append(value.asText()));
         return text.toString();
@@ -210,8 +211,8 @@
                 throw new InvalidInputException(
                         name + ":1: no column '" + columns.at() + "', found " + parser.getHeaderNames());
             }
-            CSVRecord before = null;
-            long beforeLine = 0;
+            CSVRecord previous = null;
+            long previousLine = 0;
             var records = parser.iterator();
             while (true) {
                 boolean more;
@@ -220,22 +221,22 @@
                     more = records.hasNext();
                     record = more ? records.next() : null;
                 } catch (UncheckedIOException | IllegalStateException e) {
-                    // An unclosed quote at the end of the file.
+                    // The last line of the file has an unclosed quote.
                     more = false;
                     incompleteLines++;
                 }
-                if (before != null) {
+                if (previous != null) {
                     boolean last = record == null;
-                    if (!before.isConsistent()) {
+                    if (!previous.isConsistent()) {
                         if (!last) {
-                            throw new InvalidInputException(name + ":" + beforeLine + ": " + before.size()
+                            throw new InvalidInputException(name + ":" + previousLine + ": " + previous.size()
                                     + " columns, " + parser.getHeaderNames().size() + " are expected");
                         }
                         incompleteLines++;
                     } else {
-                        CSVRecord line = before;
-                        take(
-                                beforeLine,
+                        CSVRecord line = previous;
+                        addRow(
+                                previousLine,
                                 String.join(",", line.values()),
                                 column -> line.isMapped(column) ? line.get(column) : "");
                     }
@@ -243,28 +244,29 @@
                 if (!more) {
                     return;
                 }
-                before = record;
-                beforeLine = parser.getCurrentLineNumber();
+                previous = record;
+                previousLine = parser.getCurrentLineNumber();
             }
         }
     }
 
+    /** The values of one line by the names of their columns; empty if there is none. */
     private interface Row {
         String get(String column);
     }
 
-    private void take(long number, String raw, Row row) {
+    private void addRow(long number, String raw, Row row) {
         lines++;
-        double atMs = time(number, row.get(columns.at()));
+        double atMs = parseTimeMs(number, row.get(columns.at()));
         String opType = row.get(columns.opType());
         if (opType.isEmpty()) {
-            throw invalid(number, columns.opType(), "is missing");
+            throw invalidColumn(number, columns.opType(), "is missing");
         }
         if (!columns.opTypes().isEmpty() && !columns.opTypes().contains(opType)) {
             skipOrReject(number, "unknown op type '" + opType + "', known are " + columns.opTypes());
             return;
         }
-        int[] shards = shards(number, row.get(columns.shardList()));
+        int[] shards = parseShards(number, row.get(columns.shardList()));
         if (shards == null) {
             return;
         }
@@ -276,25 +278,26 @@
                         opType,
                         row.get(columns.key()),
                         shards,
-                        weights(number, row.get(columns.weights()), shards.length),
-                        number(number, columns.workMs(), semicolon < 0 ? work : work.substring(0, semicolon), 0),
-                        (int) number(number, columns.textBytes(), row.get(columns.textBytes()), 16),
-                        number(number, columns.clientMs(), row.get(columns.clientMs()), columns.clientDefaultMs())),
+                        parseWeights(number, row.get(columns.weights()), shards.length),
+                        parseNumber(number, columns.workMs(), semicolon < 0 ? work : work.substring(0, semicolon), 0),
+                        (int) parseNumber(number, columns.textBytes(), row.get(columns.textBytes()), 16),
+                        parseNumber(
+                                number, columns.clientMs(), row.get(columns.clientMs()), columns.clientDefaultMs())),
                 number,
                 hash(raw),
                 name);
     }
 
-    /** The shards, or null where one is unknown and the line is skipped. */
-    private int[] shards(long number, String list) {
+    /** Parses the shards; null if one of them is unknown and the line is skipped. */
+    private int[] parseShards(long number, String list) {
         String[] words = list.split("[;\\s]+");
         int[] shards = new int[words.length];
         for (int i = 0; i < words.length; i++) {
             try {
                 shards[i] = Integer.parseInt(words[i]);
             } catch (NumberFormatException e) {
-                throw invalid(
-                        number, columns.shardList(), "found '" + list + "', numbers with ; between them are expected");
+                throw invalidColumn(
+                        number, columns.shardList(), "found '" + list + "', numbers separated by ; are expected");
             }
             if (shards[i] < 0 || columns.shards() > 0 && shards[i] >= columns.shards()) {
                 skipOrReject(number, "unknown shard " + shards[i] + ", there are 0 to " + (columns.shards() - 1));
@@ -304,47 +307,51 @@
         return shards;
     }
 
-    /** The weights, or null where the line has none. */
-    private double[] weights(long number, String list, int shardCount) {
+    /** Parses the weights; null if the line has none. */
+    private double[] parseWeights(long number, String list, int shardCount) {
         if (list.isEmpty()) {
             return null;
         }
         String[] words = list.split("[;\\s]+");
         if (words.length != shardCount) {
-            throw invalid(number, columns.weights(), words.length + " weights for " + shardCount + " shards");
+            throw invalidColumn(
+                    number,
+                    columns.weights(),
+                    "found " + words.length + " weights, one for each of " + shardCount + " shards is expected");
         }
         double[] weights = new double[words.length];
         for (int i = 0; i < words.length; i++) {
-            weights[i] = number(number, columns.weights(), words[i], 0);
+            weights[i] = parseNumber(number, columns.weights(), words[i], 0);
         }
         return weights;
     }
 
-    private void skipOrReject(long number, String why) {
+    private void skipOrReject(long number, String problem) {
         if (!columns.skipUnknown()) {
             throw new InvalidInputException(
-                    name + ":" + number + ": " + why + "; \"unknown\": \"skip\" in the columns leaves it out");
+                    name + ":" + number + ": " + problem + "; \"unknown\": \"skip\" in the columns leaves it out");
         }
         skippedLines++;
     }
 
-    private InvalidInputException invalid(long number, String column, String what) {
-        return new InvalidInputException(name + ":" + number + ": column '" + column + "': " + what);
+    private InvalidInputException invalidColumn(long number, String column, String problem) {
+        return new InvalidInputException(name + ":" + number + ": column '" + column + "': " + problem);
     }
 
-    private double time(long number, String text) {
+    private double parseTimeMs(long number, String text) {
         if (columns.unit().equals("iso")) {
             try {
                 Instant at = Instant.parse(text);
                 return at.getEpochSecond() * 1000.0 + at.getNano() / 1e6;
             } catch (DateTimeParseException e) {
-                throw invalid(
+                throw invalidColumn(
                         number, columns.at(), "found '" + text + "', a time such as 2026-06-24T18:00:00Z is expected");
             }
         }
-        double value = number(number, columns.at(), text, Double.NaN);
+        double value = parseNumber(number, columns.at(), text, Double.NaN);
         if (!Double.isFinite(value)) {
-            throw invalid(number, columns.at(), "found '" + text + "', a time in " + columns.unit() + " is expected");
+            throw invalidColumn(
+                    number, columns.at(), "found '" + text + "', a time in " + columns.unit() + " is expected");
         }
         return switch (columns.unit()) {
             case "s" -> value * 1000;
@@ -354,14 +361,14 @@
         };
     }
 
-    private double number(long line, String column, String text, double otherwise) {
+    private double parseNumber(long line, String column, String text, double defaultValue) {
         if (text.isEmpty()) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw invalid(line, column, String.format(Locale.ROOT, "found '%s', a number is expected", text));
+            throw invalidColumn(line, column, String.format(Locale.ROOT, "found '%s', a number is expected", text));
         }
     }
 
--- a/lab/src/main/java/spartrail/lab/trace/TraceLine.java
+++ b/lab/src/main/java/spartrail/lab/trace/TraceLine.java
@@ -1,9 +1,9 @@
 package spartrail.lab.trace;
 
 /**
- * One multiget of a trace. Weights, work and text are optional: {@code weights} is null, the others are 0 if absent.
+ * One multiget of a trace. Weights, work and text are optional: if absent, {@code weights} is null, the others are 0.
  *
- * @param atMs time by any clock; only differences count
+ * @param atMs time by any clock; only differences between lines matter
  */
 record TraceLine(
         double atMs,
--- a/lab/src/main/java/spartrail/lab/trace/TraceReplay.java
+++ b/lab/src/main/java/spartrail/lab/trace/TraceReplay.java
@@ -15,8 +15,9 @@
 import spartrail.lab.plan.TrafficStream;
 
 /**
- * Replays a trace as arrivals: scaled in speed, looped, sampled, multiplied. Each copy of a multiplied trace has keys of its own and is
- * delayed a little, like a further client population; the same seed samples the same lines.
+ * Replays a trace as arrivals. It can change the speed, repeat the trace, sample its lines and send copies of them.
+ * Each copy after the first has a key of its own and is delayed by up to {@link #COPY_SPREAD_MS}, like the requests of
+ * further clients; the same seed samples the same lines.
  */
 public final class TraceReplay implements Iterator<Arrival>, AutoCloseable {
     private static final double RECORD_REORDER_MS = 5000;
@@ -39,7 +40,7 @@
     private long number;
     private boolean ended;
 
-    /** Opens the trace; {@code share} of its lines is sampled, {@code copies} of each sampled line are made. */
+    /** Opens the trace; each of the {@code copies} of a line is sent with probability {@code share}. */
     public TraceReplay(Path file, double speed, int loops, double share, int copies, long seed, ClientBehavior behavior)
             throws IOException {
         this.file = file;
@@ -62,10 +63,13 @@
                 0,
                 behavior);
         this.reader = new TraceFile.Reader(file);
-        fill();
+        fillReady();
     }
 
-    /** The trace file itself, or one imported to {@code scratch} if {@code file} is a front node's record. */
+    /**
+     * Returns {@code file} if it is a trace; if it is a front node's record, imports it into {@code scratch} and
+     * returns that.
+     */
     public static Path traceOrImport(Path file, Path scratch) throws IOException {
         try (var in = Files.newInputStream(file)) {
             if (in.read() != '{') {
@@ -76,15 +80,15 @@
         return scratch;
     }
 
-    /** The stream that all arrivals belong to. */
+    /** The traffic stream to which all arrivals belong. */
     public TrafficStream stream() {
         return stream;
     }
 
-    private void fill() {
+    private void fillReady() {
         try {
             while (ready.isEmpty() && !(ended && delayedCopies.isEmpty())) {
-                TraceLine line = ended ? null : reader.next();
+                TraceLine line = ended ? null : reader.readNext();
                 if (line == null) {
                     reader.close();
                     if (!ended && ++loopsDone < loops) {
@@ -103,7 +107,7 @@
                 for (int copy = 0; copy < copies; copy++) {
                     if (share >= 1 || random.nextDouble() < share) {
                         double delayMs = copy == 0 ? 0 : random.nextDouble() * COPY_SPREAD_MS;
-                        delayedCopies.add(arrival(line, atMs + delayMs, copy));
+                        delayedCopies.add(createArrival(line, atMs + delayMs, copy));
                     }
                 }
                 while (!delayedCopies.isEmpty() && delayedCopies.peek().atMs() <= atMs) {
@@ -115,7 +119,7 @@
         }
     }
 
-    private Arrival arrival(TraceLine line, double atMs, int copy) {
+    private Arrival createArrival(TraceLine line, double atMs, int copy) {
         double[] weights = new double[line.shards().length];
         double sum = 0;
         for (int i = 0; i < weights.length; i++) {
@@ -154,7 +158,7 @@
             throw new NoSuchElementException();
         }
         Arrival next = ready.poll();
-        fill();
+        fillReady();
         return next;
     }
 
--- a/lab/src/test/java/spartrail/lab/trace/TraceFormTest.java
+++ b/lab/src/test/java/spartrail/lab/trace/TraceFormTest.java
@@ -14,23 +14,23 @@
 import org.junit.jupiter.api.io.TempDir;
 import spartrail.lab.Forms;
 
-/** A trace that version d4872eb wrote is read as before and written back with the same bytes. */
+/** Reads a trace file that version d4872eb wrote, and checks that the present version writes the same bytes. */
 class TraceFormTest {
     @TempDir
     private Path folder;
 
-    private static List<TraceLine> read(Path file) throws Exception {
+    private static List<TraceLine> readLines(Path file) throws Exception {
         List<TraceLine> lines = new ArrayList<>();
         try (TraceFile.Reader reader = new TraceFile.Reader(file)) {
-            for (TraceLine line = reader.next(); line != null; line = reader.next()) {
+            for (TraceLine line = reader.readNext(); line != null; line = reader.readNext()) {
                 lines.add(line);
             }
         }
         return lines;
     }
 
-    /** The compressor's own bytes belong to the library; what it holds is ours. */
-    private static byte[] unpacked(byte[] bytes) throws Exception {
+    /** Decompresses the records: the compressed bytes may differ between versions of the compression library. */
+    private static byte[] unpack(byte[] bytes) throws Exception {
         byte[] packed = Arrays.copyOfRange(bytes, TraceFile.MAGIC.length, bytes.length);
         try (GZIPInputStream in = new GZIPInputStream(new ByteArrayInputStream(packed))) {
             return in.readAllBytes();
@@ -38,11 +38,11 @@
     }
 
     @Test
-    void aKeptTraceIsReadAsBefore() throws Exception {
+    void traceOfEarlierVersionIsRead() throws Exception {
         Path file = Files.write(folder.resolve("trace"), Forms.bytes("trace"));
-        StringBuilder seen = new StringBuilder();
-        for (TraceLine line : read(file)) {
-            seen.append(String.format(
+        StringBuilder text = new StringBuilder();
+        for (TraceLine line : readLines(file)) {
+            text.append(String.format(
                     Locale.ROOT,
                     "%s %s '%s' %s %s %s %d %s%n",
                     line.atMs(),
@@ -54,23 +54,23 @@
                     line.textBytes(),
                     line.clientMs()));
         }
-        assertThat(seen.toString()).isEqualTo(Forms.text("trace.txt"));
+        assertThat(text.toString()).isEqualTo(Forms.text("trace.txt"));
     }
 
     @Test
-    void aKeptTraceIsWrittenBackWithTheSameBytes() throws Exception {
-        byte[] kept = Forms.bytes("trace");
-        Path again = folder.resolve("again");
-        try (TraceFile.Writer writer = new TraceFile.Writer(again)) {
-            for (TraceLine line : read(Files.write(folder.resolve("trace"), kept))) {
+    void traceOfEarlierVersionIsWrittenWithTheSameBytes() throws Exception {
+        byte[] earlier = Forms.bytes("trace");
+        Path rewritten = folder.resolve("again");
+        try (TraceFile.Writer writer = new TraceFile.Writer(rewritten)) {
+            for (TraceLine line : readLines(Files.write(folder.resolve("trace"), earlier))) {
                 writer.write(line);
             }
             writer.finish();
         }
-        byte[] written = Files.readAllBytes(again);
+        byte[] written = Files.readAllBytes(rewritten);
         assertThat(Arrays.copyOf(written, TraceFile.MAGIC.length))
-                .isEqualTo(Arrays.copyOf(kept, TraceFile.MAGIC.length))
+                .isEqualTo(Arrays.copyOf(earlier, TraceFile.MAGIC.length))
                 .isEqualTo("SPTRACE1".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
-        assertThat(unpacked(written)).isEqualTo(unpacked(kept));
+        assertThat(unpack(written)).isEqualTo(unpack(earlier));
     }
 }
--- a/lab/src/test/java/spartrail/lab/trace/TraceTest.java
+++ b/lab/src/test/java/spartrail/lab/trace/TraceTest.java
@@ -18,7 +18,7 @@
 class TraceTest {
     private static final String HEAD = "atMs,opType,key,shards\n";
 
-    /** A trace, the options of its import, and a name. */
+    /** A trace to import, with the options of the import. */
     private record TraceCase(
             String name, String text, String columns, double windowMs, boolean clamp, double squeezeMs) {}
 
@@ -87,18 +87,19 @@
     @TempDir
     private Path folder;
 
-    private String run(String text, String columns, double windowMs, boolean clamp, double squeezeMs) throws Exception {
+    private String importAndReplay(String text, String columns, double windowMs, boolean clamp, double squeezeMs)
+            throws Exception {
         Path from = folder.resolve("in");
         Files.writeString(from, text);
-        TraceImport.Columns named = TraceImport.Columns.of(
+        TraceImport.Columns parsedColumns = TraceImport.Columns.of(
                 Document.parse("columns.json", columns.replace('\'', '"').getBytes(StandardCharsets.UTF_8), "columns"));
-        StringBuilder seen = new StringBuilder();
+        StringBuilder result = new StringBuilder();
         try {
-            TraceImport.run(from, folder.resolve("out"), named, windowMs, clamp, squeezeMs, false)
+            TraceImport.run(from, folder.resolve("out"), parsedColumns, windowMs, clamp, squeezeMs, false)
                     .fields()
-                    .forEachRemaining(field -> seen.append(
+                    .forEachRemaining(field -> result.append(
                             field.getValue().asLong() == 0 ? "" : " " + field.getKey() + " " + field.getValue()));
-            return seen + ":" + replay(1, 1, 1, 1);
+            return result + ":" + replay(1, 1, 1, 1);
         } catch (InvalidInputException e) {
             assertThat(Files.exists(folder.resolve("out.part"))).isFalse();
             return " refused: " + e.getMessage().replace(folder + "/", "");
@@ -106,31 +107,37 @@
     }
 
     private String replay(double speed, int loops, double share, int copies) throws Exception {
-        StringBuilder seen = new StringBuilder();
+        StringBuilder result = new StringBuilder();
         try (TraceReplay replay =
                 new TraceReplay(folder.resolve("out"), speed, loops, share, copies, 1, ClientBehavior.ONCE)) {
-            replay.forEachRemaining(one -> seen.append(String.format(Locale.ROOT, " %s@%.0f", one.key(), one.atMs())));
+            replay.forEachRemaining(
+                    arrival -> result.append(String.format(Locale.ROOT, " %s@%.0f", arrival.key(), arrival.atMs())));
         }
-        return seen.toString();
+        return result.toString();
     }
 
     @Test
-    void eachIrregularityFollowsItsRule() throws Exception {
-        StringBuilder seen = new StringBuilder();
+    void importAppliesTheRuleOfEachIrregularity() throws Exception {
+        StringBuilder result = new StringBuilder();
         List<TraceCase> cases =
                 Stream.of(CSV_CASES, JSON_CASES).flatMap(List::stream).toList();
-        for (TraceCase one : cases) {
-            seen.append(one.name())
+        for (TraceCase traceCase : cases) {
+            result.append(traceCase.name())
                     .append(':')
-                    .append(run(one.text(), one.columns(), one.windowMs(), one.clamp(), one.squeezeMs()))
+                    .append(importAndReplay(
+                            traceCase.text(),
+                            traceCase.columns(),
+                            traceCase.windowMs(),
+                            traceCase.clamp(),
+                            traceCase.squeezeMs()))
                     .append('\n');
         }
-        Table.same("trace-rules", seen.toString());
+        Table.same("trace-rules", result.toString());
     }
 
     @Test
-    void aTraceIsReplayedScaledLoopedSampledMultiplied() throws Exception {
-        run("atMs,opType,key,shards\n0,o,a,1\n100,o,b,1\n200,o,c,1\n", "{}", 5, false, 0);
+    void replayChangesSpeedRepeatsSamplesAndCopies() throws Exception {
+        importAndReplay("atMs,opType,key,shards\n0,o,a,1\n100,o,b,1\n200,o,c,1\n", "{}", 5, false, 0);
         assertThat(replay(2, 1, 1, 1)).isEqualTo(" a@0 b@50 c@100");
         assertThat(replay(1, 2, 1, 1)).isEqualTo(" a@0 b@100 c@200 a@200 b@300 c@400");
         assertThat(replay(1, 1, 0.5, 1)).isEqualTo(replay(1, 1, 0.5, 1)).hasSizeLessThan(" a@0 b@100 c@200".length());
@@ -138,17 +145,17 @@
     }
 
     @Test
-    void aTruncatedTraceIsDetected() throws Exception {
+    void replayOfTruncatedTraceFails() throws Exception {
         StringBuilder text = new StringBuilder("atMs,opType,key,shards\n");
         for (int i = 0; i < 20_000; i++) {
             text.append(i).append(",o,k").append(i * 7919 % 10_007).append(",1\n");
         }
-        run(text.toString(), "{}", 5, false, 0);
+        importAndReplay(text.toString(), "{}", 5, false, 0);
         Path out = folder.resolve("out");
         byte[] bytes = Files.readAllBytes(out);
         Files.write(out, java.util.Arrays.copyOf(bytes, bytes.length / 2));
         assertThat(org.assertj.core.api.Assertions.catchThrowable(() -> replay(1, 1, 1, 1)))
                 .isInstanceOf(InvalidInputException.class)
-                .hasMessageMatching(".*out: is cut after [0-9]+ multigets");
+                .hasMessageMatching(".*out: is truncated after [0-9]+ multigets");
     }
 }
