--- a/lab/src/main/java/spartrail/lab/scale/Benchmarks.java
+++ b/lab/src/main/java/spartrail/lab/scale/Benchmarks.java
@@ -12,7 +12,7 @@
 
 /** Runs one method of a benchmark class by JMH in a forked JVM with the collector and compiler of a front node. */
 final class Benchmarks {
-    /** Length of a run; the quick one is for tests of the scale tests. */
+    /** Number and length of a benchmark's iterations; {@link #QUICK} is for unit tests of the scale tests. */
     enum Effort {
         FULL(1, 2, 3, 1000),
         QUICK(0, 1, 1, 50);
@@ -32,8 +32,8 @@
 
     private Benchmarks() {}
 
-    /** Mean time of one call in microseconds. */
-    static double microseconds(Class<?> benchmark, String method, Map<String, Integer> parameters, Effort effort)
+    /** Measures the mean time of one call in microseconds. */
+    static double measureMicroseconds(Class<?> benchmark, String method, Map<String, Integer> parameters, Effort effort)
             throws RunnerException {
         ChainedOptionsBuilder options = new OptionsBuilder()
                 .include("^" + benchmark.getName().replace(".", "\\.") + "\\." + method + "$")
--- a/lab/src/main/java/spartrail/lab/scale/HollowNode.java
+++ b/lab/src/main/java/spartrail/lab/scale/HollowNode.java
@@ -17,49 +17,48 @@
 import spartrail.subset.SubsetSelector;
 import spartrail.subset.SubsetSettings;
 
-/** A front node's decisions without its sockets: the real coordinator, and the real subset filter if one is configured. */
+/** A front node without sockets: the real coordinator and, if a subset is configured, the real subset filter. */
 public final class HollowNode {
-    /** Shards of the target; a query goes to one server of each. */
+    /** Number of shards in the target deployment; a query goes to one server of each. */
     public static final int SHARDS = 250;
 
-    /** Zones of the target. */
+    /** Number of zones in the target deployment. */
     public static final int ZONES = 32;
 
-    private static final int LEAST_ZONES = 2;
-    /** The server that drains and returns alternately, so that each call is a change. */
-    private static final String CHANGED = "s-7";
+    private static final int MIN_ZONES = 2;
+    /** The server that drains and returns by turns, so that each call of {@link #applyOneChange} changes its state. */
+    private static final String CHANGED_ID = "s-7";
 
     private static final int CHANGED_NUMBER = 7;
 
     private static final NodeClock CLOCK = new NodeClock();
 
-    private final OpType opType = opType();
+    private final OpType opType = createOpType();
     private final Coordinator coordinator;
     private final SubsetFilter filter;
     private double nowMs = 1000;
     private long multigets;
     private boolean draining;
 
-    /** A node that uses this many replicas of each shard; 0 for all of them. */
+    /** Creates a node that uses {@code replicasPerShard} replicas of each shard, or all of them if it is 0. */
     public HollowNode(int servers, int replicasPerShard) {
-        filter = replicasPerShard == 0 ? null : filter(replicasPerShard);
+        filter = replicasPerShard == 0 ? null : createFilter(replicasPerShard);
         coordinator = new WindowCoordinator(new Random(1), List.of(opType))
                 .configureFrontNodes(3900, 1)
                 .configureLayout(SHARDS, SHARDS, 1, 1)
                 .configureAttempts(3, true, true)
                 .configureSlowStart(0.2, 10_000, 2, 1000)
                 .configureRetryAfter(true, 1000);
-        applyList(HollowServers.list(servers, SHARDS, ZONES));
+        applyList(HollowServers.createList(servers, SHARDS, ZONES));
     }
 
-    /** The subset of one node at the target's layout. */
-    public static SubsetFilter filter(int replicasPerShard) {
+    /** Creates the subset filter of one node in the target deployment. */
+    public static SubsetFilter createFilter(int replicasPerShard) {
         return new SubsetFilter(
-                new SubsetSelector("node-1", new SubsetSettings(replicasPerShard, LEAST_ZONES), SHARDS, SHARDS, 1),
-                1000);
+                new SubsetSelector("node-1", new SubsetSettings(replicasPerShard, MIN_ZONES), SHARDS, SHARDS, 1), 1000);
     }
 
-    private static OpType opType() {
+    private static OpType createOpType() {
         OpType opType = new OpType();
         opType.name = "query";
         opType.priorityWeight = 1;
@@ -80,22 +79,22 @@
         return coordinator;
     }
 
-    /** Applies an endpoint list or a change of one. */
+    /** Applies a complete endpoint list or a change of one. */
     public Decisions applyList(EndpointList list) {
-        EndpointList own = filter == null ? list : filter.toSubset(list, nowMs);
-        return coordinator.onEndpointUpdate(own.toServers(CLOCK), own.isComplete(), true, nowMs);
+        EndpointList subset = filter == null ? list : filter.toSubset(list, nowMs);
+        return coordinator.onEndpointUpdate(subset.toServers(CLOCK), subset.isComplete(), true, nowMs);
     }
 
-    /** One server drains, or returns. */
+    /** Applies a change by which one server drains or, on the next call, returns. */
     public Decisions applyOneChange() {
         draining = !draining;
         Server.State state = draining ? Server.State.DRAINING : Server.State.LIVE;
         EndpointList change = new EndpointList(
-                2, false, List.of(HollowServers.endpoint(CHANGED, CHANGED_NUMBER, SHARDS, ZONES, state, 0)));
+                2, false, List.of(HollowServers.endpoint(CHANGED_ID, CHANGED_NUMBER, SHARDS, ZONES, state, 0)));
         return applyList(change);
     }
 
-    /** The next tick of the coordinator, with nothing in flight. */
+    /** Runs the next tick of the coordinator, with no attempt in flight. */
     public Decisions tickWhileIdle() {
         nowMs += coordinator.timeToNextTimerMs(nowMs);
         return coordinator.onTimer(nowMs);
@@ -117,18 +116,19 @@
             part.weight = 1.0 / parts;
             multiget.parts.add(part);
         }
-        Decisions placed = coordinator.submit(multiget, nowMs);
+        Decisions decisions = coordinator.submit(multiget, nowMs);
         int answered = 0;
-        List<Attempt> attempts = List.copyOf(placed.attempts);
+        List<Attempt> attempts = List.copyOf(decisions.attempts);
         nowMs += opType.latency.meanLatencyMs;
         while (!attempts.isEmpty()) {
-            List<Attempt> further = new ArrayList<>();
+            List<Attempt> newAttempts = new ArrayList<>();
             for (Attempt attempt : attempts) {
-                further.addAll(coordinator.onOutcome(attempt, Attempt.Outcome.ANSWERED, nowMs - attempt.sentMs, nowMs)
-                        .attempts);
+                newAttempts.addAll(
+                        coordinator.onOutcome(attempt, Attempt.Outcome.ANSWERED, nowMs - attempt.sentMs, nowMs)
+                                .attempts);
                 answered++;
             }
-            attempts = further;
+            attempts = newAttempts;
         }
         return answered;
     }
--- a/lab/src/main/java/spartrail/lab/scale/ListBenchmark.java
+++ b/lab/src/main/java/spartrail/lab/scale/ListBenchmark.java
@@ -17,12 +17,12 @@
 import spartrail.model.Server;
 import spartrail.subset.SubsetFilter;
 
-/** Processor time of discovery's list and of the subset that is chosen from it, in microseconds for each call. */
+/** Processor time of decoding an endpoint list and of choosing a subset from it, in microseconds per call. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 public class ListBenchmark {
-    private static final int CHANGED = 7;
+    private static final int CHANGED_NUMBER = 7;
 
     @Param("1000")
     public int servers;
@@ -31,16 +31,16 @@
     public int replicas;
 
     private byte[] body;
-    private EndpointList whole;
+    private EndpointList completeList;
     private SubsetFilter filter;
     private boolean draining;
 
     @Setup
-    public void start() {
-        whole = HollowServers.list(servers, HollowNode.SHARDS, HollowNode.ZONES);
-        body = HollowServers.json(whole).getBytes(StandardCharsets.UTF_8);
-        filter = HollowNode.filter(replicas);
-        filter.toSubset(whole, 0);
+    public void setUp() {
+        completeList = HollowServers.createList(servers, HollowNode.SHARDS, HollowNode.ZONES);
+        body = HollowServers.toJson(completeList).getBytes(StandardCharsets.UTF_8);
+        filter = HollowNode.createFilter(replicas);
+        filter.toSubset(completeList, 0);
     }
 
     @Benchmark
@@ -50,8 +50,8 @@
 
     @Benchmark
     public Object subsetOfWholeList() {
-        SubsetFilter fresh = HollowNode.filter(replicas);
-        return fresh.toSubset(whole, 0);
+        SubsetFilter newFilter = HollowNode.createFilter(replicas);
+        return newFilter.toSubset(completeList, 0);
     }
 
     @Benchmark
@@ -63,7 +63,7 @@
                         2,
                         false,
                         List.of(HollowServers.endpoint(
-                                "s-" + CHANGED, CHANGED, HollowNode.SHARDS, HollowNode.ZONES, state, 0))),
+                                "s-" + CHANGED_NUMBER, CHANGED_NUMBER, HollowNode.SHARDS, HollowNode.ZONES, state, 0))),
                 0);
     }
 }
--- a/lab/src/main/java/spartrail/lab/scale/ModuleBenchmark.java
+++ b/lab/src/main/java/spartrail/lab/scale/ModuleBenchmark.java
@@ -11,7 +11,7 @@
 import org.openjdk.jmh.annotations.State;
 import spartrail.endpoint.EndpointList;
 
-/** Processor time of what the module does, in microseconds for each call. */
+/** Processor time of the operations of the decision module, in microseconds per call. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -19,7 +19,7 @@
     @Param("1000")
     public int servers;
 
-    /** Replicas of each shard in the node's subset; 0 without subsets. */
+    /** Number of replicas of each shard in the node's subset; 0 if the node uses all servers. */
     @Param("0")
     public int replicas;
 
@@ -27,17 +27,17 @@
     public int parts;
 
     private HollowNode node;
-    private EndpointList whole;
+    private EndpointList completeList;
 
     @Setup
-    public void start() {
+    public void setUp() {
         node = new HollowNode(servers, replicas);
-        whole = HollowServers.list(servers, HollowNode.SHARDS, HollowNode.ZONES);
+        completeList = HollowServers.createList(servers, HollowNode.SHARDS, HollowNode.ZONES);
     }
 
     @Benchmark
     public Object wholeList() {
-        return node.applyList(whole);
+        return node.applyList(completeList);
     }
 
     @Benchmark
--- a/lab/src/main/java/spartrail/lab/scale/ScaleResult.java
+++ b/lab/src/main/java/spartrail/lab/scale/ScaleResult.java
@@ -6,9 +6,12 @@
 import java.util.Locale;
 import spartrail.lab.file.Document;
 
-/** The points of a scale test and their fit. */
+/** The measured points of a scale test and the curve that is fitted to them. */
 public record ScaleResult(ScaleTest test, int replicasPerShard, List<Fit.Point> points, Fit fit) {
-    /** The figure at the target: measured if that size was run, otherwise by the fit; NaN if no fit holds. */
+    /**
+     * The figure at the target size: measured if that size was run, otherwise computed by the fit; NaN if the fit does
+     * not hold.
+     */
     public double atTarget() {
         return points.stream()
                 .filter(point -> point.size() == test.target())
@@ -43,16 +46,16 @@
                     100 * fit.residuals().get(i));
         }
         String fitted = fit.holds() ? "Fit: " + fit.formula() : "No fit holds (nearest: " + fit.formula() + ")";
-        out.printf("%n%s. At the target, %d %s: %s%n", fitted, test.target(), test.size(), target());
+        out.printf("%n%s. At the target, %d %s: %s%n", fitted, test.target(), test.size(), describeTarget());
     }
 
-    private String target() {
+    private String describeTarget() {
         if (Double.isNaN(atTarget())) {
             return String.format(Locale.ROOT, "not extrapolated (largest size run %.0f).", largestRun());
         }
-        String how = largestRun() >= test.target() ? "measured" : "by the fit";
+        String origin = largestRun() >= test.target() ? "measured" : "by the fit";
         return String.format(
-                Locale.ROOT, "%.4g %s (%s; largest size run %.0f).", atTarget(), test.unit(), how, largestRun());
+                Locale.ROOT, "%.4g %s (%s; largest size run %.0f).", atTarget(), test.unit(), origin, largestRun());
     }
 
     /** The result as JSON. */
--- a/lab/src/main/java/spartrail/lab/scale/ScaleTest.java
+++ b/lab/src/main/java/spartrail/lab/scale/ScaleTest.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * A figure measured as a function of one size.
+ * The measurement of one figure as a function of one size.
  *
- * @param size what is counted
+ * @param size name of the size, such as servers
  * @param unit of the figure
- * @param sizes the default sizes
- * @param target size of the deployment that the system has to support
+ * @param sizes the sizes that are run by default
+ * @param target the size in the deployment that the system has to support
  */
 public record ScaleTest(
         String name,
@@ -18,9 +18,9 @@
         List<Integer> sizes,
         int target,
         Measurement measurement) {
-    /** Measures the figure at one size. */
+    /** A function from a size to the measured figure. */
     public interface Measurement {
-        /** The figure at this size. */
+        /** Measures the figure at this size. */
         double at(int size) throws Exception;
     }
 }
--- a/lab/src/test/java/spartrail/lab/scale/ScaleTestsTest.java
+++ b/lab/src/test/java/spartrail/lab/scale/ScaleTestsTest.java
@@ -21,20 +21,20 @@
                 .toList();
     }
 
-    private static ScaleTest named(String name, int replicasPerShard) {
+    private static ScaleTest find(String name, int replicasPerShard) {
         return ScaleTests.named(List.of(name), replicasPerShard).get(0);
     }
 
     @Test
-    void aLineAndAPowerAreFoundAndTheirResidualsShown() {
+    void fitFindsALineOrAPowerAndItsResiduals() {
         Fit line = Fit.of(points(size -> 3 + 0.5 * size));
         assertThat(line.formula()).isEqualTo("3.000 + 0.5000 * size");
         assertThat(line.at().applyAsDouble(1e6)).isCloseTo(500_003, within(1.0));
         Fit power = Fit.of(points(size -> 2 * Math.pow(size, 0.3)));
         assertThat(power.formula()).isEqualTo("2.000 * size^0.300");
         assertThat(power.error()).isCloseTo(0, within(1e-9));
-        Fit rough = Fit.of(points(size -> size == 4000 ? 6000 : size));
-        assertThat(rough.residuals()).anyMatch(residual -> Math.abs(residual) > 0.1);
+        Fit scattered = Fit.of(points(size -> size == 4000 ? 6000 : size));
+        assertThat(scattered.residuals()).anyMatch(residual -> Math.abs(residual) > 0.1);
         assertThat(line.holds()).isTrue();
         assertThat(Fit.of(points(size -> size == 62_000 ? 20 * size : size)).holds())
                 .as("a jump")
@@ -43,8 +43,8 @@
     }
 
     @Test
-    void everyFigureOfProcessorTimeIsMeasuredOnTheRealObjects() throws Exception {
-        for (ScaleTest test : new ScaleTests(0, Benchmarks.Effort.QUICK).list()) {
+    void eachBenchmarkOfProcessorTimeReturnsAPositiveFigure() throws Exception {
+        for (ScaleTest test : new ScaleTests(0, Benchmarks.Effort.QUICK).createAll()) {
             if (test.unit().equals("us")) {
                 assertThat(test.measurement().at(test.size().equals("parts") ? 10 : 500))
                         .as(test.name())
@@ -54,29 +54,29 @@
     }
 
     @Test
-    void withSubsetsTheModuleIsSmallerThanItsFleet() throws Exception {
-        double all = named("module-heap", 0).measurement().at(8000);
-        double subset = named("module-heap", 4).measurement().at(8000);
+    void subsetReducesTheMemoryOfTheModule() throws Exception {
+        double all = find("module-heap", 0).measurement().at(8000);
+        double subset = find("module-heap", 4).measurement().at(8000);
         assertThat(subset).isLessThan(all / 5);
     }
 
     @Test
-    void theListIsTheOneThatNodesRead() throws Exception {
-        EndpointList list = HollowServers.list(600, 250, 32);
-        assertThat(EndpointListDecoder.decode(HollowServers.json(list).getBytes(StandardCharsets.UTF_8)))
+    void frontNodesDecodeTheGeneratedList() throws Exception {
+        EndpointList list = HollowServers.createList(600, 250, 32);
+        assertThat(EndpointListDecoder.decode(HollowServers.toJson(list).getBytes(StandardCharsets.UTF_8)))
                 .isEqualTo(list);
     }
 
     @Test
-    void aResultTellsPointsFitAndTarget() {
+    void resultShowsPointsFitAndTarget() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         List<Fit.Point> points = points(size -> 2 * size);
-        ScaleResult result = new ScaleResult(named("list-bytes", 0), 0, points, Fit.of(points));
+        ScaleResult result = new ScaleResult(find("list-bytes", 0), 0, points, Fit.of(points));
         result.print(new PrintStream(bytes, true, StandardCharsets.UTF_8));
         assertThat(bytes.toString(StandardCharsets.UTF_8))
                 .contains("| 62000 | 1.240e+05 | 1.240e+05 |", "(measured; largest size run 62000)");
         assertThat(result.json().get("points")).hasSize(4);
-        assertThatThrownBy(() -> named("module-hip", 0))
+        assertThatThrownBy(() -> find("module-hip", 0))
                 .isInstanceOf(InvalidInputException.class)
                 .hasMessageStartingWith("no scale test is named 'module-hip'; there are [module-heap, ");
     }
