--- a/lab/src/main/java/spartrail/lab/file/Document.java
+++ b/lab/src/main/java/spartrail/lab/file/Document.java
@@ -20,16 +20,19 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A JSON document that is valid by one of our schemas (JSON Schema 2020-12). Errors name places by JSON pointers (RFC 6901). */
+/**
+ * A JSON document that has been validated by a schema of this project (JSON Schema 2020-12). Errors name the place of a
+ * value by its JSON pointer (RFC 6901).
+ */
 public final class Document {
-    /** Reads JSON strictly, but for comments. */
+    /** Reads strict JSON, and accepts comments in it. */
     public static final ObjectMapper JSON = JsonMapper.builder()
             .enable(JsonParser.Feature.ALLOW_COMMENTS)
             .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
 
-    /** Names the document in messages, as a rule its path. */
+    /** The name of the document in messages, usually its path. */
     public final String name;
 
     public final JsonNode tree;
@@ -69,12 +72,14 @@
         return of(name, tree, schema);
     }
 
-    /** Validates a tree by {@code schema/NAME.json}; the first violation is thrown with its place and what was found. */
+    /**
+     * Validates a tree by {@code schema/NAME.json}; the exception names the place and the value of the first violation.
+     */
     public static Document of(String name, JsonNode tree, String schema) {
         if (tree == null || tree.isMissingNode()) {
             throw new InvalidInputException(name + ": is empty, a JSON object is expected");
         }
-        List<ValidationMessage> violations = schema(schema).validate(tree).stream()
+        List<ValidationMessage> violations = loadSchema(schema).validate(tree).stream()
                 .sorted(Comparator.comparing((ValidationMessage violation) ->
                                 violation.getInstanceLocation().toString())
                         .thenComparing(ValidationMessage::getMessage))
@@ -83,10 +88,10 @@
             ValidationMessage first = violations.get(0);
             String place = first.getInstanceLocation().toString();
             JsonNode found = first.getInstanceNode();
-            String what = found == null || found.isContainerNode() ? "" : ", found " + found;
+            String foundText = found == null || found.isContainerNode() ? "" : ", found " + found;
             String more = violations.size() == 1 ? "" : " (and " + (violations.size() - 1) + " more)";
             throw new InvalidInputException(
-                    name + ": " + (place.isEmpty() ? "/" : place) + ": " + messageOf(first, place) + what + more);
+                    name + ": " + (place.isEmpty() ? "/" : place) + ": " + messageOf(first, place) + foundText + more);
         }
         return new Document(name, tree);
     }
@@ -96,12 +101,12 @@
         return text.startsWith(place + ": ") ? text.substring(place.length() + 2) : text;
     }
 
-    /** An error that the schema cannot express, for the value at this place. */
+    /** Creates an exception for the value at this pointer, for errors that the schema cannot express. */
     public InvalidInputException invalid(String pointer, String message) {
         return new InvalidInputException(name + ": " + pointer + ": " + message);
     }
 
-    private static JsonSchema schema(String name) {
+    private static JsonSchema loadSchema(String name) {
         try (InputStream in = Document.class.getResourceAsStream("/schema/" + name + ".json")) {
             SchemaValidatorsConfig config = SchemaValidatorsConfig.builder()
                     .pathType(PathType.JSON_POINTER)
@@ -110,7 +115,7 @@
             return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
                     .getSchema(in, config);
         } catch (IOException e) {
-            throw new IllegalStateException("schema " + name, e);
+            throw new IllegalStateException("schema " + name + " cannot be read", e);
         }
     }
 }
--- a/lab/src/main/java/spartrail/lab/file/InvalidInputException.java
+++ b/lab/src/main/java/spartrail/lab/file/InvalidInputException.java
@@ -1,10 +1,10 @@
 package spartrail.lab.file;
 
-/** Input of a person that cannot be used; the message is one line with the place, what was found and what is expected. */
+/** The input of a user is invalid; the message is one line with the place, the value found and the value expected. */
 public final class InvalidInputException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
-    /** With a message that names place, found and expected. */
+    /** Creates an exception whose message names the place, the value found and the value expected. */
     public InvalidInputException(String message) {
         super(message);
     }
--- a/lab/src/main/java/spartrail/lab/file/package-info.java
+++ b/lab/src/main/java/spartrail/lab/file/package-info.java
@@ -1,2 +1,2 @@
-/** JSON files that people write, validated by a schema: a path comes in, a valid tree or an error of one line goes out. */
+/** Reads JSON files that users write and validates them by a schema; errors are messages of one line. */
 package spartrail.lab.file;
