--- a/lab/src/main/java/spartrail/lab/experiment/ExperimentPlan.java
+++ b/lab/src/main/java/spartrail/lab/experiment/ExperimentPlan.java
@@ -32,7 +32,7 @@
         JsonNode tree) {
     /** One cell of the matrix. */
     public record Cell(String version, int nodes, double times, long seed) {
-        /** Names all that the cell shares with cells of other seeds. */
+        /** The name of the group of cells that differ only by their seed. */
         public String group() {
             return version + ", " + nodes + " nodes, load x " + times;
         }
--- a/lab/src/main/java/spartrail/lab/experiment/NodeSettings.java
+++ b/lab/src/main/java/spartrail/lab/experiment/NodeSettings.java
@@ -59,7 +59,7 @@
         return tree.path("memoryMb").asInt(144);
     }
 
-    /** The limits by which the rules are checked: those that the nodes are configured with, see {@link #config}. */
+    /** The limits by which the rules are checked; {@link #config} gives the nodes the same ones. */
     public RuleLimits terms() {
         Map<String, RuleLimits.Op> ops = new HashMap<>();
         opTypes.forEach(op -> ops.put(op.name(), new RuleLimits.Op(op.repeat(), op.dedupMs(), op.need(), op.floor())));
--- a/lab/src/main/java/spartrail/lab/experiment/Runner.java
+++ b/lab/src/main/java/spartrail/lab/experiment/Runner.java
@@ -33,7 +33,7 @@
         this.stopped = stopped;
     }
 
-    /** Runs the cell; returns the load's report with the verdicts on rules, the servers, nodes and events added. */
+    /** Runs the cell; returns the report of the load with sections on the servers, nodes, events and rules. */
     public ObjectNode play(ExperimentPlan.Cell cell) throws IOException, InterruptedException {
         FleetPlan fleetPlan = plan.fleet().varied(plan.fleet().seed() * 31 + cell.seed(), cell.nodes());
         RuleChecker checker = new RuleChecker(plan.node().terms());
--- a/lab/src/main/java/spartrail/lab/scale/ScaleTests.java
+++ b/lab/src/main/java/spartrail/lab/scale/ScaleTests.java
@@ -49,7 +49,7 @@
         return new ScaleTests(replicasPerShard, Benchmarks.Effort.FULL).createAll();
     }
 
-    /** The tests of these names; tests of the same simulated run share it. */
+    /** The tests of these names; tests that need the same simulated run share its result. */
     public static List<ScaleTest> named(List<String> names, int replicasPerShard) {
         List<ScaleTest> all = all(replicasPerShard);
         return names.stream().map(name -> find(name, all)).toList();
--- a/lab/src/main/java/spartrail/lab/trace/TraceImport.java
+++ b/lab/src/main/java/spartrail/lab/trace/TraceImport.java
@@ -32,7 +32,7 @@
      * @param opTypes the known op types; any is accepted if the list is empty
      * @param shards number of the shards; any is accepted if it is 0
      * @param skipUnknown skips lines with unknown op types or shards instead of rejecting the trace
-     * @param clientDefaultMs the client's time in lines that have none
+     * @param clientDefaultMs time that the client waits, for lines without one
      */
     public record Columns(
             String at,
