--- a/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
@@ -102,7 +102,10 @@
         selector.wakeup();
     }
 
-    /** Sets a fault of its own on each link between two different nodes that match. */
+    /**
+     * Sets a fault on every link from a node that matches {@code from} to another node that matches {@code to}. Each
+     * link gets a new fault from the supplier; if the supplier returns null, the link's fault is removed.
+     */
     public void setFaults(Predicate<Integer> from, Predicate<Integer> to, java.util.function.Supplier<Fault> faults) {
         for (int i = 0; i < ports.size(); i++) {
             for (int j = 0; j < ports.size(); j++) {
--- a/lab/src/main/java/spartrail/lab/net/SocketLoop.java
+++ b/lab/src/main/java/spartrail/lab/net/SocketLoop.java
@@ -32,7 +32,7 @@
     private static final long CLOSE_TIMEOUT_MS = 5000;
     private static final long ACCEPT_FAILURE_PAUSE_NS = 1_000_000;
     private static final long PARK_NS = 40_000;
-    /** A busy-isSelecting loop blocks only if no timer is due within this time. */
+    /** A busy-polling loop blocks only if no timer is due within this time. */
     private static final double MAX_BUSY_WAIT_MS = 1000;
 
     /** Handles the events of one channel. */
--- a/lab/src/main/java/spartrail/lab/trace/TraceImport.java
+++ b/lab/src/main/java/spartrail/lab/trace/TraceImport.java
@@ -30,7 +30,7 @@
      *
      * @param unit of the time: ms, s, us, ns or iso
      * @param opTypes the known op types; any is accepted if the list is empty
-     * @param shards number of the shards; any is accepted if it is 0
+     * @param shards number of the shards, which are numbered from 0; if it is 0, a line may have any shard number
      * @param skipUnknown skips lines with unknown op types or shards instead of rejecting the trace
      * @param clientDefaultMs time that the client waits, for lines without one
      */
