--- a/node/src/test/java/spartrail/front/FrontNodeClientTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeClientTest.java
@@ -258,7 +258,8 @@
 
     @Test
     void aResetAttemptOfADisconnectedClientIsNotRetried() throws Exception {
-        start();
+        // Without hedged requests, only a retry can send a part a second time.
+        start("\"parallel-tries\": true", "\"parallel-tries\": false");
         fleet.servers.forEach(server -> server.behavior = new ToyFleet.ServerBehavior() {
             @Override
             public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
