--- a/core/src/main/java/spartrail/peers/ViewBuilder.java
+++ b/core/src/main/java/spartrail/peers/ViewBuilder.java
@@ -6,9 +6,12 @@
 import spartrail.peers.MembershipView.Confidence;
 import spartrail.peers.MembershipView.Entry;
 
-/** Makes the view of all nodes that others read. Walks over all peers and, for each contact, over them again. */
+/** Builds the membership view. Iterates over all peers, and over all of them again for each contact. */
 final class ViewBuilder {
-    /** An acknowledgement is fresh for so many rounds times the number of peers, in which each is probed once on average. */
+    /**
+     * An acknowledgement stays fresh for this number of rounds times the number of peers; in as many rounds as there
+     * are peers each is probed once on average.
+     */
     private static final int FRESH_ROUNDS = 4;
 
     private static final int MIN_PEERS_FOR_FRESHNESS = 4;
@@ -28,14 +31,14 @@
     }
 
     MembershipView build(double atMs) {
-        String healthProblem = health.problem();
+        String healthProblem = health.describeProblem();
         boolean isHealthy = healthProblem.isEmpty();
         List<Entry> entries = new ArrayList<>();
-        entries.add(localEntry(atMs));
+        entries.add(buildLocalEntry(atMs));
         int minCount = 1;
         int maxCount = 1;
-        for (Peer peer : table.all()) {
-            entries.add(entry(peer, isHealthy, atMs));
+        for (Peer peer : table.peers()) {
+            entries.add(buildEntry(peer, isHealthy, atMs));
             if (peer.state == PeerState.ALIVE && isHealthy) {
                 minCount++;
             }
@@ -56,7 +59,7 @@
                 context.counters());
     }
 
-    private Entry localEntry(double atMs) {
+    private Entry buildLocalEntry(double atMs) {
         return new Entry(
                 local.descriptor(),
                 local.state(),
@@ -67,23 +70,23 @@
                 "this node");
     }
 
-    private Entry entry(Peer peer, boolean isHealthy, double atMs) {
+    private Entry buildEntry(Peer peer, boolean isHealthy, double atMs) {
         return new Entry(
                 peer.descriptor,
                 peer.state,
                 peer.stateSinceMs,
                 peer.reporter,
-                confidence(peer, isHealthy, atMs),
+                assessConfidence(peer, isHealthy, atMs),
                 peer.lastAckMs,
                 peer.reason);
     }
 
-    private Confidence confidence(Peer peer, boolean isHealthy, double atMs) {
+    private Confidence assessConfidence(Peer peer, boolean isHealthy, double atMs) {
         if (peer.state == PeerState.SUSPECT || !isHealthy) {
             return Confidence.LOW;
         }
         double freshMs =
-                FRESH_ROUNDS * context.times().probeIntervalMs() * Math.max(MIN_PEERS_FOR_FRESHNESS, table.size());
+                FRESH_ROUNDS * context.timings().probeIntervalMs() * Math.max(MIN_PEERS_FOR_FRESHNESS, table.size());
         return atMs - peer.lastAckMs < freshMs ? Confidence.DIRECT : Confidence.REPORTED;
     }
 }
--- a/dns/src/main/java/spartrail/dns/NameServerSelector.java
+++ b/dns/src/main/java/spartrail/dns/NameServerSelector.java
@@ -4,9 +4,12 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Which name server is asked next: the one that responds soonest, now and then another, not the one that has just failed. */
+/**
+ * Selects the server for the next query: usually the fastest one except the one that has just failed, sometimes a
+ * random one.
+ */
 final class NameServerSelector {
-    /** The share of queries that go to a server drawn at random, so that one that has recovered is found. */
+    /** The share of queries sent to a random server, so that a server that has recovered is used again. */
     private static final double EXPLORATION_SHARE = 0.05;
 
     private final List<NameServer> servers;
@@ -18,12 +21,12 @@
     }
 
     NameServer select(CacheEntry entry) {
-        NameServer fastest = fastestFor(entry);
+        NameServer fastest = findFastestFor(entry);
         boolean explores = random.nextDouble() < EXPLORATION_SHARE;
         return explores ? servers.get(random.nextInt(servers.size())) : fastest;
     }
 
-    private NameServer fastestFor(CacheEntry entry) {
+    private NameServer findFastestFor(CacheEntry entry) {
         NameServer fastest = null;
         for (NameServer server : servers) {
             boolean hasJustFailed = server == entry.server && entry.attempts > 0 && servers.size() > 1;
--- a/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
+++ b/lab/src/main/java/spartrail/lab/cluster/DatagramLinks.java
@@ -23,61 +23,66 @@
 import spartrail.peers.transport.PeerMessageCodec;
 
 /**
- * Carries datagrams among nodes. Each node is reached by others at a port of these links, and what it sends comes to its
- * receiver from that port, so that a node cannot tell them from a wire. Every link has a direction and faults of its own.
+ * A proxy that carries datagrams between nodes. Each node has a port of the proxy: other nodes send to that port, and
+ * datagrams of the node arrive at their receivers from it, so nodes cannot distinguish the proxy from a direct
+ * connection. Each direction between two nodes is a link with its own fault.
  */
 public final class DatagramLinks implements AutoCloseable {
-    /** What is wrong with a link; the next one set replaces it. */
-    public static final class Trouble {
+    /** The fault of one link. Setting another fault replaces it. */
+    public static final class Fault {
         boolean cut;
-        double loss;
+        double lossProbability;
         double delayMs;
         double jitterMs;
-        double twice;
-        double flipped;
-        int mostBytes = Integer.MAX_VALUE;
-        double bytesPerS;
-        /** Only messages of this kind; null for all. */
-        String kind;
+        double duplicateProbability;
+        double bitFlipProbability;
+        /** Longer datagrams are truncated to this size. */
+        int maxBytes = Integer.MAX_VALUE;
+        /** Throughput limit; 0 for none. */
+        double bytesPerSecond;
+        /** The fault affects only messages of this kind; null for all. */
+        String messageKind;
 
+        /** Datagrams are held back until this time of the links' clock. */
         double heldUntilMs;
-        private double freeMs;
+
+        private double linkFreeAtMs;
     }
 
-    private static final int LONGEST = 65_536;
+    private static final int MAX_DATAGRAM_BYTES = 65_536;
 
     private final Selector selector;
     private final NodeClock clock = new NodeClock();
-    private final List<DatagramChannel> doors = new ArrayList<>();
+    private final List<DatagramChannel> channels = new ArrayList<>();
     private final List<Integer> ports = new ArrayList<>();
     private final Map<Integer, Integer> nodeOfPort = new HashMap<>();
-    private final Trouble[][] troubles;
-    private final RandomGenerator chance;
+    private final Fault[][] faults;
+    private final RandomGenerator random;
     private final String fleet;
-    private final TimerQueue timetable = new TimerQueue();
+    private final TimerQueue delayedDatagrams = new TimerQueue();
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final ByteBuffer in = ByteBuffer.allocate(LONGEST);
+    private final ByteBuffer receiveBuffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
     private final Thread thread;
-    private final long[] bytes;
-    private final long[] messages;
-    private long dropped;
-    private volatile boolean ended;
+    private final long[] sentBytes;
+    private final long[] sentMessages;
+    private long droppedDatagrams;
+    private volatile boolean closed;
 
-    /** So many nodes, each listening on the port given. */
+    /** Creates the links among nodes that listen on these loopback ports. */
     public DatagramLinks(List<Integer> nodePorts, String fleet, long seed) throws IOException {
         this.selector = Selector.open();
         this.fleet = fleet;
-        this.chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        this.troubles = new Trouble[nodePorts.size()][nodePorts.size()];
-        this.bytes = new long[nodePorts.size()];
-        this.messages = new long[nodePorts.size()];
+        this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
+        this.faults = new Fault[nodePorts.size()][nodePorts.size()];
+        this.sentBytes = new long[nodePorts.size()];
+        this.sentMessages = new long[nodePorts.size()];
         for (int node = 0; node < nodePorts.size(); node++) {
-            DatagramChannel door = DatagramChannel.open();
-            door.configureBlocking(false);
-            door.setOption(java.net.StandardSocketOptions.SO_RCVBUF, 1 << 20);
-            door.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
-            door.register(selector, SelectionKey.OP_READ, node);
-            doors.add(door);
+            DatagramChannel channel = DatagramChannel.open();
+            channel.configureBlocking(false);
+            channel.setOption(java.net.StandardSocketOptions.SO_RCVBUF, 1 << 20);
+            channel.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+            channel.register(selector, SelectionKey.OP_READ, node);
+            channels.add(channel);
             ports.add(nodePorts.get(node));
             nodeOfPort.put(nodePorts.get(node), node);
         }
@@ -86,145 +91,150 @@
         thread.start();
     }
 
-    /** Where others reach this node. */
+    /** The address at which other nodes reach this node. */
     public String address(int node) {
-        return "127.0.0.1:" + doors.get(node).socket().getLocalPort();
+        return "127.0.0.1:" + channels.get(node).socket().getLocalPort();
     }
 
-    /** From now on this is wrong with the link from one node to the other; null for nothing. */
-    public void set(int from, int to, Trouble trouble) {
-        tasks.add(() -> troubles[from][to] = trouble);
+    /** Sets the fault of the link from one node to another; null removes it. */
+    public void setFault(int from, int to, Fault fault) {
+        tasks.add(() -> faults[from][to] = fault);
         selector.wakeup();
     }
 
-    public void setAll(Predicate<Integer> from, Predicate<Integer> to, java.util.function.Supplier<Trouble> trouble) {
+    /**
+     * Sets a fault on every link from a node that matches {@code from} to another node that matches {@code to}. Each
+     * link gets a new fault from the supplier; if the supplier returns null, the link's fault is removed.
+     */
+    public void setFaults(Predicate<Integer> from, Predicate<Integer> to, java.util.function.Supplier<Fault> faults) {
         for (int i = 0; i < ports.size(); i++) {
             for (int j = 0; j < ports.size(); j++) {
                 if (i != j && from.test(i) && to.test(j)) {
-                    set(i, j, trouble.get());
+                    setFault(i, j, faults.get());
                 }
             }
         }
     }
 
-    /** Bytes that a node has sent to others so far, and messages. */
-    public synchronized long bytes(int node) {
-        return bytes[node];
+    /** Bytes that a node has sent to other nodes so far. */
+    public synchronized long sentBytes(int node) {
+        return sentBytes[node];
     }
 
-    public synchronized long messages(int node) {
-        return messages[node];
+    public synchronized long sentMessages(int node) {
+        return sentMessages[node];
     }
 
-    public synchronized long dropped() {
-        return dropped;
+    public synchronized long droppedDatagrams() {
+        return droppedDatagrams;
     }
 
     private void run() {
-        while (!ended) {
+        while (!closed) {
             try {
-                double waitMs = timetable.nextDueMs() - clock.nowMs();
+                double waitMs = delayedDatagrams.nextDueMs() - clock.nowMs();
                 if (waitMs <= 0) {
                     selector.selectNow();
                 } else {
                     selector.select(Math.max(1, (long) Math.min(200, waitMs)));
                 }
-                settle();
+                runTasks();
                 for (SelectionKey key : selector.selectedKeys()) {
                     int to = (Integer) key.attachment();
-                    while (take(to)) {
-                        // Until it is empty.
+                    while (receiveDatagram(to)) {
+                        // Reads until the socket is empty.
                     }
                 }
                 selector.selectedKeys().clear();
-                timetable.runDue(clock.nowMs());
+                delayedDatagrams.runDue(clock.nowMs());
             } catch (IOException e) {
-                if (!ended) {
+                if (!closed) {
                     System.getLogger("spartrail.lab.nodes")
-                            .log(System.Logger.Level.WARNING, "links: " + e.getMessage());
+                            .log(
+                                    System.Logger.Level.WARNING,
+                                    "carrying datagrams between nodes failed: " + e.getMessage() + "; continuing");
                 }
             }
         }
     }
 
-    private void settle() {
+    private void runTasks() {
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
             task.run();
         }
     }
 
-    private boolean take(int to) throws IOException {
-        in.clear();
-        InetSocketAddress source = (InetSocketAddress) doors.get(to).receive(in);
+    private boolean receiveDatagram(int to) throws IOException {
+        receiveBuffer.clear();
+        InetSocketAddress source = (InetSocketAddress) channels.get(to).receive(receiveBuffer);
         if (source == null) {
             return false;
         }
-        // Applies changed faults first: otherwise a datagram sent after a change would be handled by the fault before
-        // it.
-        settle();
-        in.flip();
-        byte[] datagram = new byte[in.remaining()];
-        in.get(datagram);
+        // Applies changed faults first: otherwise a datagram sent after a change would meet the previous fault.
+        runTasks();
+        receiveBuffer.flip();
+        byte[] datagram = new byte[receiveBuffer.remaining()];
+        receiveBuffer.get(datagram);
         Integer from = nodeOfPort.get(source.getPort());
         if (from == null) {
-            // A stranger: a flood, say. It comes from where it comes from.
+            // The sender is no node, for example a flood. Its datagram carries the receiver's own port as its source.
             forward(datagram, to, to);
             return true;
         }
         synchronized (this) {
-            bytes[from] += datagram.length;
-            messages[from]++;
+            sentBytes[from] += datagram.length;
+            sentMessages[from]++;
         }
-        Trouble trouble = troubles[from][to];
-        if (trouble == null || trouble.kind != null && !trouble.kind.equals(kind(datagram))) {
+        Fault fault = faults[from][to];
+        if (fault == null || fault.messageKind != null && !fault.messageKind.equals(readMessageKind(datagram))) {
             forward(datagram, from, to);
             return true;
         }
-        carry(datagram, from, to, trouble);
+        carryWithFault(datagram, from, to, fault);
         return true;
     }
 
-    private void carry(byte[] datagram, int from, int to, Trouble trouble) {
+    private void carryWithFault(byte[] datagram, int from, int to, Fault fault) {
         double nowMs = clock.nowMs();
-        if (trouble.cut || chance.nextDouble() < trouble.loss) {
+        if (fault.cut || random.nextDouble() < fault.lossProbability) {
             synchronized (this) {
-                dropped++;
+                droppedDatagrams++;
             }
             return;
         }
-        byte[] carried =
-                datagram.length > trouble.mostBytes ? java.util.Arrays.copyOf(datagram, trouble.mostBytes) : datagram;
-        if (chance.nextDouble() < trouble.flipped) {
-            carried = carried.clone();
-            carried[chance.nextInt(carried.length)] ^= (byte) (1 << chance.nextInt(8));
+        byte[] payload =
+                datagram.length > fault.maxBytes ? java.util.Arrays.copyOf(datagram, fault.maxBytes) : datagram;
+        if (random.nextDouble() < fault.bitFlipProbability) {
+            payload = payload.clone();
+            payload[random.nextInt(payload.length)] ^= (byte) (1 << random.nextInt(8));
         }
-        double atMs = nowMs + trouble.delayMs + trouble.jitterMs * chance.nextDouble();
-        if (trouble.bytesPerS > 0) {
-            trouble.freeMs = Math.max(trouble.freeMs, nowMs) + 1000 * carried.length / trouble.bytesPerS;
-            atMs = Math.max(atMs, trouble.freeMs);
+        double atMs = nowMs + fault.delayMs + fault.jitterMs * random.nextDouble();
+        if (fault.bytesPerSecond > 0) {
+            fault.linkFreeAtMs = Math.max(fault.linkFreeAtMs, nowMs) + 1000 * payload.length / fault.bytesPerSecond;
+            atMs = Math.max(atMs, fault.linkFreeAtMs);
         }
-        atMs = Math.max(atMs, trouble.heldUntilMs);
-        byte[] sent = carried;
-        int times = chance.nextDouble() < trouble.twice ? 2 : 1;
-        for (int i = 0; i < times; i++) {
+        atMs = Math.max(atMs, fault.heldUntilMs);
+        byte[] forwarded = payload;
+        int copies = random.nextDouble() < fault.duplicateProbability ? 2 : 1;
+        for (int i = 0; i < copies; i++) {
             if (atMs <= nowMs) {
-                forward(sent, from, to);
+                forward(forwarded, from, to);
             } else {
-                timetable.schedule(atMs, () -> forward(sent, from, to));
+                delayedDatagrams.schedule(atMs, () -> forward(forwarded, from, to));
             }
         }
     }
 
-    private String kind(byte[] datagram) {
+    private String readMessageKind(byte[] datagram) {
         try {
-            DatagramFrame frame = DatagramFrame.decode(datagram, datagram.length, fleet, LONGEST);
+            DatagramFrame frame = DatagramFrame.decode(datagram, datagram.length, fleet, MAX_DATAGRAM_BYTES);
             return planText(PeerMessageCodec.decode(frame).kind());
         } catch (MalformedDatagramException e) {
             return "";
         }
     }
 
-    /** The text that plans have for a kind of message. */
+    /** The text that plans use for a kind of message. */
     static String planText(PeerMessage.Kind kind) {
         return switch (kind) {
             case PING -> "PING";
@@ -237,14 +247,14 @@
 
     private void forward(byte[] datagram, int from, int to) {
         try {
-            doors.get(from)
+            channels.get(from)
                     .send(
                             ByteBuffer.wrap(datagram),
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(to)));
         } catch (IOException e) {
-            // As on a wire: nobody is told.
+            // Counted as dropped; as on a network, neither side is informed.
             synchronized (this) {
-                dropped++;
+                droppedDatagrams++;
             }
         }
     }
@@ -255,18 +265,18 @@
 
     @Override
     public void close() {
-        ended = true;
+        closed = true;
         selector.wakeup();
         try {
             thread.join(2000);
-            for (DatagramChannel door : doors) {
-                door.close();
+            for (DatagramChannel channel : channels) {
+                channel.close();
             }
             selector.close();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            // They go with the process.
+            // The process closes the remaining sockets when it ends.
         }
     }
 }
--- a/lab/src/main/java/spartrail/lab/drill/Drill.java
+++ b/lab/src/main/java/spartrail/lab/drill/Drill.java
@@ -4,17 +4,17 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A scenario that says itself whether it went as it should. */
+/** A self-checking scenario: it compares what happened with what was expected. */
 public interface Drill {
-    /** What was expected beside what was seen. */
-    record Finding(String what, String expected, String seen, boolean good) {}
+    /** One compared value: what was expected, what was observed, and whether it passed. */
+    record Finding(String description, String expected, String observed, boolean passed) {}
 
     /** Collects findings. */
     final class Findings {
         private final List<Finding> all = new ArrayList<>();
 
-        /** Equal to so many digits. */
-        public void same(String what, double expected, double seen, double tolerance) {
+        /** Passes if the observed value differs from the expected one by no more than the tolerance. */
+        public void checkClose(String what, double expected, double seen, double tolerance) {
             all.add(new Finding(
                     what,
                     String.format(Locale.ROOT, "%.3f", expected),
@@ -22,7 +22,7 @@
                     Math.abs(expected - seen) <= tolerance));
         }
 
-        public void most(String what, double most, double seen) {
+        public void checkAtMost(String what, double most, double seen) {
             all.add(new Finding(
                     what,
                     String.format(Locale.ROOT, "at most %.3f", most),
@@ -30,7 +30,7 @@
                     seen <= most));
         }
 
-        public void least(String what, double least, double seen) {
+        public void checkAtLeast(String what, double least, double seen) {
             all.add(new Finding(
                     what,
                     String.format(Locale.ROOT, "at least %.3f", least),
@@ -38,11 +38,11 @@
                     seen >= least));
         }
 
-        public void equal(String what, Object expected, Object seen) {
+        public void checkEqual(String what, Object expected, Object seen) {
             all.add(new Finding(what, String.valueOf(expected), String.valueOf(seen), expected.equals(seen)));
         }
 
-        /** Told, not judged. */
+        /** Adds a value for information; it always passes. */
         public void note(String what, String seen) {
             all.add(new Finding(what, "-", seen, true));
         }
@@ -56,8 +56,8 @@
 
     String summary();
 
-    /** Which subsystem or rule it belongs to. */
-    String about();
+    /** The subsystem or rule that the drill checks. */
+    String subsystem();
 
     void run(long seed, Findings findings) throws Exception;
 }
--- a/lab/src/main/java/spartrail/lab/experiment/NodeSettings.java
+++ b/lab/src/main/java/spartrail/lab/experiment/NodeSettings.java
@@ -12,8 +12,12 @@
 import spartrail.lab.fleet.FleetPlan;
 import spartrail.lab.rules.RuleLimits;
 
-/** What front nodes are told, in our words; {@link #config} is the door at which these become the file's names. */
+/**
+ * Settings of the front nodes of an experiment; {@link #config} translates them to the names of a node's configuration
+ * file.
+ */
 public final class NodeSettings {
+    /** Settings of one op type, by the names of the plan. */
     record Op(
             String name,
             double budgetMs,
@@ -50,11 +54,12 @@
         }
     }
 
+    /** Memory limit of a front node. */
     public int memoryMb() {
         return tree.path("memoryMb").asInt(144);
     }
 
-    /** The figures by which the rules are checked, one for both sides. */
+    /** The limits by which the rules are checked; {@link #config} gives the nodes the same ones. */
     public RuleLimits terms() {
         Map<String, RuleLimits.Op> ops = new HashMap<>();
         opTypes.forEach(op -> ops.put(op.name(), new RuleLimits.Op(op.repeat(), op.dedupMs(), op.need(), op.floor())));
@@ -70,20 +75,20 @@
                 budget.path("windowMs").asDouble(10_000));
     }
 
-    /** The configuration of one node of so many. */
+    /** The configuration file of node number {@code node} of {@code nodes}. */
     public ObjectNode config(int node, int nodes, String listen, Fleet fleet, long seed) throws java.io.IOException {
         FleetPlan plan = fleet.plan();
         ObjectNode config = Document.JSON.createObjectNode();
         config.put("name", "n" + node)
                 .put("version", "0")
                 .put("listen", listen)
-                .put("discovery", fleet.rollAddress(node))
+                .put("discovery", fleet.discoveryAddress(node))
                 .put("seed", Long.toHexString(seed * 1_000_003 + node));
         config.putObject("limits")
                 .put("cores", tree.path("cores").asDouble(1))
                 .put("memory_mb", memoryMb())
                 .put("sockets", tree.path("sockets").asInt(1024));
-        config.set("known", Document.JSON.readTree(fleet.list(node)));
+        config.set("known", Document.JSON.readTree(fleet.hostListJson(node)));
         ObjectNode settings = config.putObject("settings");
         settings.put("tick", 0.005)
                 .put("peers-total", nodes)
@@ -104,9 +109,9 @@
         ArrayNode need = family.putArray("class-need");
         ArrayNode floor = family.putArray("class-floor");
         ArrayNode partial = family.putArray("class-partial");
-        ArrayNode second = family.putArray("fetch-parts");
+        ArrayNode fetchParts = family.putArray("fetch-parts");
         for (Op op : opTypes) {
-            ObjectNode line = classes.addObject()
+            ObjectNode opClass = classes.addObject()
                     .put("name", op.name())
                     .put("aim", op.budgetMs() / 1000)
                     .put("deadline", op.timeoutMs() / 1000)
@@ -120,12 +125,12 @@
                                 default -> "single_shot";
                             });
             if (op.dedupMs() > 0) {
-                line.put("key-ttl", op.dedupMs() / 1000);
+                opClass.put("key-ttl", op.dedupMs() / 1000);
             }
             need.add(op.need());
             floor.add(op.floor());
             partial.add(op.partialShare());
-            second.add(0);
+            fetchParts.add(0);
         }
         settings.putObject("bounds")
                 .put("cancelling", true)
@@ -137,12 +142,12 @@
                 .put("retry-after", true)
                 .put("streams-per-conn", 100)
                 .put("try-limit", terms().mostSends());
-        var traits = plan.servers().get(0).traits();
+        var profile = plan.servers().get(0).profile();
         ObjectNode rules = settings.putObject("rules")
-                .put("cold-share", traits.coldFrom())
-                .put("warm-within", traits.warmMs() / 1000)
-                .put("tip-multiple", traits.tipMultiple())
-                .put("fall", traits.tipMs() / 1000)
+                .put("cold-share", profile.coldFrom())
+                .put("warm-within", profile.warmMs() / 1000)
+                .put("tip-multiple", profile.tipMultiple())
+                .put("fall", profile.tipMs() / 1000)
                 .put("stop-sending-within", terms().graceMs() / 1000)
                 .put("answer-slack", 0.02);
         if (Double.isFinite(terms().furtherRatio())) {
@@ -156,7 +161,7 @@
     /** The zones that a fleet's servers are in. */
     public static List<String> zones(FleetPlan plan) {
         return plan.servers().stream()
-                .map(FleetPlan.ServerLine::zone)
+                .map(FleetPlan.ServerSpec::zone)
                 .distinct()
                 .toList();
     }
--- a/lab/src/main/java/spartrail/lab/experiment/Runner.java
+++ b/lab/src/main/java/spartrail/lab/experiment/Runner.java
@@ -18,29 +18,29 @@
 import spartrail.lab.plan.LoadPlan;
 import spartrail.lab.rules.RuleChecker;
 
-/** Plays one cell of a matrix: a fleet, front nodes, load, rules. */
+/** Runs one cell of an experiment's matrix: starts a fleet and front nodes, sends the load and checks the rules. */
 public final class Runner {
-    /** What was done by the script, and when. */
-    private record Event(double atMs, String what) {}
+    /** An action of the fleet's script, or a server's fall, and its time. */
+    private record Event(double atMs, String action) {}
 
     private final ExperimentPlan plan;
-    private final Consumer<LoadSession.Glance> progress;
+    private final Consumer<LoadSession.Snapshot> progress;
     private final BooleanSupplier stopped;
 
-    public Runner(ExperimentPlan plan, Consumer<LoadSession.Glance> progress, BooleanSupplier stopped) {
+    public Runner(ExperimentPlan plan, Consumer<LoadSession.Snapshot> progress, BooleanSupplier stopped) {
         this.plan = plan;
         this.progress = progress;
         this.stopped = stopped;
     }
 
-    /** The run's report, with rules, servers, nodes and events. */
+    /** Runs the cell; returns the report of the load with sections on the servers, nodes, events and rules. */
     public ObjectNode play(ExperimentPlan.Cell cell) throws IOException, InterruptedException {
-        FleetPlan fleetPlan = plan.fleet().varied(plan.fleet().seed() * 31 + cell.seed(), cell.nodes());
+        FleetPlan fleetPlan = plan.fleet().withSeedAndNodes(plan.fleet().seed() * 31 + cell.seed(), cell.nodes());
         RuleChecker checker = new RuleChecker(plan.node().terms());
         List<Event> events = java.util.Collections.synchronizedList(new ArrayList<>());
         Path folder = Files.createTempDirectory("spartrail-run");
         List<NodeProcess> nodes = new ArrayList<>();
-        try (Fleet fleet = new Fleet(fleetPlan, watching(checker, events))) {
+        try (Fleet fleet = new Fleet(fleetPlan, recordingListener(checker, events))) {
             List<LoadPlan.Target> targets = new ArrayList<>();
             for (int node = 0; node < cell.nodes(); node++) {
                 int port = NodeProcess.freePort();
@@ -60,17 +60,17 @@
             double[] cpuMs = nodes.stream().mapToDouble(NodeProcess::cpuMs).toArray();
             try (LoadSession session = new LoadSession(load, load.arrivals(), load.durationMs(), checker)) {
                 double startMs = fleet.loop().nowMs();
-                fleet.play();
+                fleet.startScript();
                 while (!session.await(500)) {
-                    progress.accept(session.glance());
+                    progress.accept(session.snapshot());
                     if (stopped.getAsBoolean()) {
                         session.stop("ended by SIGINT before the plan was through");
                     }
                 }
                 ObjectNode report = session.report();
                 ObjectNode servers = fleet.figures();
-                servers.forEach(
-                        server -> checker.cold(server.path("worstColdLoad").asDouble()));
+                servers.forEach(server ->
+                        checker.recordColdLoad(server.path("worstColdLoad").asDouble()));
                 report.set("servers", servers);
                 ArrayNode processes = report.putArray("nodes");
                 for (int i = 0; i < nodes.size(); i++) {
@@ -80,10 +80,11 @@
                             .put("memoryMb", Math.round(nodes.get(i).memoryMb()))
                             .put("alive", nodes.get(i).handle().isAlive());
                 }
-                ArrayNode deeds = report.putArray("events");
-                List.copyOf(events).forEach(event -> deeds.addObject()
+                ArrayNode eventArray = report.putArray("events");
+                List.copyOf(events).forEach(event -> eventArray
+                        .addObject()
                         .put("atMs", Math.round(event.atMs() - startMs))
-                        .put("what", event.what()));
+                        .put("what", event.action()));
                 report.set("rules", rules(checker));
                 return report;
             }
@@ -96,10 +97,10 @@
         }
     }
 
-    /** How the rules fared, as a report tells it. */
+    /** The verdicts on all rules, as they stand in a report. */
     public static ObjectNode rules(RuleChecker checker) {
         ObjectNode tree = Document.JSON.createObjectNode();
-        tree.put("kept", checker.kept());
+        tree.put("kept", checker.isKept());
         ArrayNode verdicts = tree.putArray("verdicts");
         checker.verdicts().forEach(verdict -> {
             ObjectNode line = verdicts.addObject()
@@ -112,43 +113,47 @@
         return tree;
     }
 
-    private static FleetListener watching(RuleChecker checker, List<Event> events) {
-        return watching(checker, (what, atMs) -> events.add(new Event(atMs, what)));
+    private static FleetListener recordingListener(RuleChecker checker, List<Event> events) {
+        return watching(checker, (action, atMs) -> events.add(new Event(atMs, action)));
     }
 
-    /** Hands on what is seen at servers and roll: to the rules, and what was done also elsewhere. */
+    /**
+     * A listener that passes what servers and the discovery service observe to the rule checker, and actions of the
+     * script and falls of servers also to {@code done}.
+     */
     public static FleetListener watching(RuleChecker checker, BiConsumer<String, Double> done) {
         return new FleetListener() {
             @Override
-            public void part(int node, String server, String partId, double atMs) {
-                checker.part(node, server, partId, atMs);
+            public void onPartReceived(int node, String server, String partId, double atMs) {
+                checker.onPartReceived(node, server, partId, atMs);
             }
 
             @Override
-            public void ended(
+            public void onPartEnded(
                     int node, String server, String partId, spartrail.lab.fleet.ServerModel.End end, double atMs) {
-                checker.ended(node, server, partId, end, atMs);
+                checker.onPartEnded(node, server, partId, end, atMs);
             }
 
             @Override
-            public void told(int node, String server, String state, double bornMs, double changedMs, double atMs) {
-                checker.told(node, server, state, bornMs, changedMs, atMs);
+            public void onStateWritten(
+                    int node, String server, String state, double bornMs, double changedMs, double atMs) {
+                checker.onStateWritten(node, server, state, bornMs, changedMs, atMs);
             }
 
             @Override
-            public void changed(int node, String server, String state, double atMs) {
-                checker.changed(node, server, state, atMs);
+            public void onStateChanged(int node, String server, String state, double atMs) {
+                checker.onStateChanged(node, server, state, atMs);
             }
 
             @Override
-            public void fell(String server, double load, double atMs) {
-                checker.fell(server, load, atMs);
+            public void onServerCrashed(String server, double load, double atMs) {
+                checker.onServerCrashed(server, load, atMs);
                 done.accept(server + " fell over", atMs);
             }
 
             @Override
-            public void deed(String what, double atMs) {
-                done.accept(what, atMs);
+            public void onAction(String action, double atMs) {
+                done.accept(action, atMs);
             }
         };
     }
--- a/lab/src/main/java/spartrail/lab/simulation/Exploration.java
+++ b/lab/src/main/java/spartrail/lab/simulation/Exploration.java
@@ -12,64 +12,73 @@
 import spartrail.lab.rules.PeersRules;
 import spartrail.peers.GossipTimings;
 
-/** Many seeds, side by side. */
+/** Runs the peers scenarios of many seeds in parallel. */
 public final class Exploration {
-    /** A seed that broke something, and what it broke first. */
-    public record Found(long seed, int size, PeersRules.Breach first) {}
+    /** A seed whose run broke a rule, with the first breach. */
+    public record FailingSeed(long seed, int size, PeersRules.Breach first) {}
 
-    /** What came of the seeds. */
-    public record Result(long played, long messages, long hash, long changes, Map<Long, Found> found) {}
+    /** The totals over all seeds, and the seeds that broke a rule. */
+    public record Result(long seeds, long messages, long hash, long changes, Map<Long, FailingSeed> found) {}
 
     private Exploration() {}
 
     /**
-     * Plays so many seeds with so many nodes each, at the least and at the most. The hash is that of all runs, in the
-     * order of their seeds.
+     * Runs {@code count} seeds, each with {@code least} to {@code most} nodes. The hash combines the hash of each run
+     * with its seed, so it does not depend on the order in which the runs finish.
      */
-    public static Result of(long from, long count, int least, int most, LongConsumer done) {
-        Map<Long, Found> found = Collections.synchronizedMap(new TreeMap<>());
+    public static Result explore(long from, long count, int least, int most, LongConsumer progress) {
+        Map<Long, FailingSeed> found = Collections.synchronizedMap(new TreeMap<>());
         AtomicLong messages = new AtomicLong();
         AtomicLong changes = new AtomicLong();
-        AtomicLong played = new AtomicLong();
+        AtomicLong finished = new AtomicLong();
         long hash = LongStream.range(from, from + count)
                 .parallel()
                 .map(seed -> {
-                    PeersScenario trial = PeersScenario.drawn(seed, least, most);
-                    PeersScenario.Outcome outcome = trial.play(GossipTimings.DEFAULT, false);
+                    PeersScenario scenario = PeersScenario.generate(seed, least, most);
+                    PeersScenario.Outcome outcome = scenario.play(GossipTimings.DEFAULT, false);
                     messages.addAndGet(outcome.messages());
-                    changes.addAndGet(outcome.scene().rules().judgedChanges());
+                    changes.addAndGet(outcome.simulation().rules().judgedChanges());
                     if (!outcome.breaches().isEmpty()) {
                         found.put(
                                 seed,
-                                new Found(seed, trial.size(), outcome.breaches().get(0)));
+                                new FailingSeed(
+                                        seed,
+                                        scenario.size(),
+                                        outcome.breaches().get(0)));
                     }
-                    done.accept(played.incrementAndGet());
+                    progress.accept(finished.incrementAndGet());
                     return outcome.hash() * (2 * seed + 1);
                 })
                 .sum();
         return new Result(count, messages.get(), hash, changes.get(), found);
     }
 
-    /** The first seed of these that breaks anything, as one line; empty where none does. For plants in another loader. */
+    /**
+     * Returns the first seed that breaks a rule, as one tab-separated line, or an empty string. The types are simple
+     * because {@link Mutations} calls this method in another class loader.
+     */
     public static String firstBreach(long from, long count, int most) {
         for (long seed = from; seed < from + count; seed++) {
-            PeersScenario trial = PeersScenario.drawn(seed, most);
+            PeersScenario scenario = PeersScenario.generate(seed, most);
             List<PeersRules.Breach> breaches =
-                    trial.play(GossipTimings.DEFAULT, false).breaches();
+                    scenario.play(GossipTimings.DEFAULT, false).breaches();
             if (!breaches.isEmpty()) {
-                return seed + "\t" + breaches.get(0).rule() + "\t" + trial.size();
+                return seed + "\t" + breaches.get(0).rule() + "\t" + scenario.size();
             }
         }
         return "";
     }
 
-    /** A seed's shortest script that still breaks the rule which it broke first; the trial itself where it breaks none. */
-    public static PeersScenario shrunk(long seed, int least, int most) {
-        PeersScenario trial = PeersScenario.drawn(seed, least, most);
+    /**
+     * Returns the shortest script found that still breaks the seed's first broken rule; the whole scenario if it
+     * breaks none.
+     */
+    public static PeersScenario shrink(long seed, int least, int most) {
+        PeersScenario scenario = PeersScenario.generate(seed, least, most);
         List<PeersRules.Breach> breaches =
-                new ArrayList<>(trial.play(GossipTimings.DEFAULT, false).breaches());
+                new ArrayList<>(scenario.play(GossipTimings.DEFAULT, false).breaches());
         return breaches.isEmpty()
-                ? trial
-                : trial.shrunk(GossipTimings.DEFAULT, breaches.get(0).rule(), UnaryOperator.identity());
+                ? scenario
+                : scenario.shrink(GossipTimings.DEFAULT, breaches.get(0).rule(), UnaryOperator.identity());
     }
 }
