--- a/node/src/test/java/spartrail/front/FrontNodeClientTest.java
+++ b/node/src/test/java/spartrail/front/FrontNodeClientTest.java
@@ -259,7 +259,33 @@
     @Test
     void aResetAttemptOfADisconnectedClientIsNotRetried() throws Exception {
         // Without hedged requests, only a retry can send a part a second time.
-        start("\"parallel-tries\": true", "\"parallel-tries\": false");
+        assertThat(collectEventsAfterADisconnect("\"parallel-tries\": true", "\"parallel-tries\": false"))
+                .containsExactly("part b1.0", "part b2.0", "part b3.0");
+    }
+
+    /**
+     * The parts of the clients that still wait may be sent more than once, as retries or hedged requests. The part of
+     * the disconnected client may not.
+     */
+    @Test
+    void aPartOfADisconnectedClientIsNeitherRetriedNorHedged() throws Exception {
+        List<String> remaining = collectEventsAfterADisconnect();
+        assertThat(remaining).doesNotContain("part a.0", "cancelled a.0");
+        assertThat(remaining).allMatch(line -> line.matches("(part|cancelled) b[123]\\.0"));
+        assertThat(remaining.stream().filter(line -> line.startsWith("part ")).distinct())
+                .as("parts in the order of their first sends")
+                .containsExactly("part b1.0", "part b2.0", "part b3.0");
+    }
+
+    /**
+     * Disconnects a client whose part is in flight, lets the server reset the connection of the cancelled part, and
+     * sends three more requests, which are answered.
+     *
+     * @param changes the changes of the node's settings, see {@link #createDeployment}
+     * @return the events after the cancellation
+     */
+    private List<String> collectEventsAfterADisconnect(String... changes) throws Exception {
+        start(changes);
         fleet.servers.forEach(server -> server.behavior = new ToyFleet.ServerBehavior() {
             @Override
             public void onPart(ToyFleet.Connection connection, String id, int shard, String text) throws IOException {
@@ -287,7 +313,9 @@
         for (String id : List.of("b1", "b2", "b3")) {
             assertThat(new Client().query(id, 0).readResponse()).startsWith("200 ");
         }
-        assertThat(events).containsExactly("part b1.0", "part b2.0", "part b3.0");
+        List<String> remaining = new ArrayList<>();
+        events.drainTo(remaining);
+        return remaining;
     }
 
     /** The attempts that the first disconnects end make room for queued parts of clients that disconnect just after. */
