--- a/lab/src/main/java/spartrail/lab/experiment/NodeSettings.java
+++ b/lab/src/main/java/spartrail/lab/experiment/NodeSettings.java
@@ -150,10 +150,10 @@
                 .put("fall", profile.tipMs() / 1000)
                 .put("stop-sending-within", terms().graceMs() / 1000)
                 .put("answer-slack", 0.02);
-        if (Double.isFinite(terms().furtherRatio())) {
-            rules.put("further-ratio", terms().furtherRatio())
-                    .put("min-extra", terms().furtherLeast())
-                    .put("budget-window", terms().furtherWindowMs() / 1000);
+        if (Double.isFinite(terms().retryRatio())) {
+            rules.put("further-ratio", terms().retryRatio())
+                    .put("min-extra", terms().minRetries())
+                    .put("budget-window", terms().retryWindowMs() / 1000);
         }
         return config;
     }
--- a/lab/src/main/java/spartrail/lab/net/SocketLoop.java
+++ b/lab/src/main/java/spartrail/lab/net/SocketLoop.java
@@ -248,8 +248,7 @@
             // The key was cancelled while another channel was handled.
         } catch (IOException e) {
             // Accepting failed, for instance because no descriptor is free. Without a pause the loop would spin, since
-            // the
-            // selector reports the connection again at once.
+            // the selector reports the connection again at once.
             LOG.log(
                     System.Logger.Level.WARNING,
                     "cannot accept a connection: " + e.getMessage() + "; trying again in 1 ms");
--- a/lab/src/main/java/spartrail/lab/rules/RuleChecker.java
+++ b/lab/src/main/java/spartrail/lab/rules/RuleChecker.java
@@ -114,7 +114,7 @@
     private final List<Excuse> excuses = new ArrayList<>();
     private final List<MissingAnswer> missingAnswers = new ArrayList<>();
     private final Deque<double[]> budgetWindow = new ArrayDeque<>();
-    private long furtherSends;
+    private long resends;
     private long takenMultigets;
     private long strayParts;
     private long lateParts;
@@ -350,25 +350,26 @@
     }
 
     /**
-     * Adds multigets and further sends to the window that ends now, and checks the budget if there are further sends.
+     * Adds multigets, retries and hedged requests to the window that ends now, and checks the budget if there are
+     * retries or hedged requests.
      */
-    private void checkBudget(double atMs, int multigetCount, int sendCount) {
-        if (!Double.isFinite(limits.furtherRatio())) {
+    private void checkBudget(double atMs, int multigetCount, int resendCount) {
+        if (!Double.isFinite(limits.retryRatio())) {
             return;
         }
-        budgetWindow.add(new double[] {atMs, multigetCount, sendCount});
+        budgetWindow.add(new double[] {atMs, multigetCount, resendCount});
         takenMultigets += multigetCount;
-        furtherSends += sendCount;
-        while (budgetWindow.peek()[0] < atMs - limits.furtherWindowMs()) {
+        resends += resendCount;
+        while (budgetWindow.peek()[0] < atMs - limits.retryWindowMs()) {
             double[] expired = budgetWindow.poll();
             takenMultigets -= (long) expired[1];
-            furtherSends -= (long) expired[2];
+            resends -= (long) expired[2];
         }
-        if (sendCount > 0) {
+        if (resendCount > 0) {
             check(
                     Rule.BUDGET,
-                    furtherSends <= limits.furtherLeast() + limits.furtherRatio() * takenMultigets,
-                    furtherSends + " further sends for " + takenMultigets
+                    resends <= limits.minRetries() + limits.retryRatio() * takenMultigets,
+                    resends + " retries and hedged requests for " + takenMultigets
                             + " multigets within the window, more than the budget");
         }
     }
--- a/lab/src/main/java/spartrail/lab/rules/RuleLimits.java
+++ b/lab/src/main/java/spartrail/lab/rules/RuleLimits.java
@@ -10,9 +10,9 @@
  *     limit
  * @param mostSends the maximum number of sends of one part
  * @param parallel whether two sends of a part may be in flight at the same time
- * @param furtherRatio the further sends allowed per accepted multiget within {@code furtherWindowMs}; infinite
- *     without a budget
- * @param furtherLeast the further sends that are always allowed within {@code furtherWindowMs}
+ * @param retryRatio the retries and hedged requests allowed per accepted multiget within {@code retryWindowMs};
+ *     infinite without a budget
+ * @param minRetries the retries and hedged requests that are always allowed within {@code retryWindowMs}
  */
 public record RuleLimits(
         Map<String, Op> opTypes,
@@ -20,9 +20,9 @@
         double slackMs,
         int mostSends,
         boolean parallel,
-        double furtherRatio,
-        double furtherLeast,
-        double furtherWindowMs) {
+        double retryRatio,
+        double minRetries,
+        double retryWindowMs) {
     /** How servers treat a part that is sent again. */
     public enum Repeat {
         RETRIABLE,
--- a/node/src/main/java/spartrail/cli/ServeCommand.java
+++ b/node/src/main/java/spartrail/cli/ServeCommand.java
@@ -69,8 +69,7 @@
         AtomicReference<FrontNode> startedNode = new AtomicReference<>();
         synchronized (ServeCommand.class) {
             // Both signal handlers are installed before the node reports ready, and wait for the end of the start.
-            // Without
-            // a handler, a signal would end the JVM at once, and with it all requests in flight.
+            // Without a handler, a signal would end the JVM at once, and with it all requests in flight.
             handleReloadSignal(startedNode, path);
             FrontNode node = createNode(path);
             MultigetRecord record = recordFile == null ? null : openRecord();
--- a/node/src/main/java/spartrail/client/ClientResponse.java
+++ b/node/src/main/java/spartrail/client/ClientResponse.java
@@ -42,7 +42,9 @@
     }
 
     /**
-     * The response to a rejected query, of which no part ran, so that a retry is safe. No Retry-After if the time is 0.
+     * The response to a rejected query. Parts of it may have run if it is idempotent or has an idempotency key. In any
+     * case a retry by the client, after the Retry-After time if one is given, is harmless. No Retry-After if the time
+     * is 0.
      */
     public static ClientResponse rejected(double retryAfterMs) {
         return new ClientResponse(
